--- a/lib/control/power.go
+++ b/lib/control/power.go
@@ -74,7 +74,7 @@
 		return
 	}
 	f.revision = snap.Revision
-	f.plan = powerplan.Of(snap)
+	f.plan = powerplan.FromSnapshot(snap)
 	for name, part := range f.parts {
 		if f.plan == nil || f.plan.Parts[name] == nil {
 			delete(f.parts, name)
@@ -160,7 +160,7 @@
 	shares := fallbackShares(f.plan)
 	for name, part := range f.parts {
 		s := shares[name]
-		s.Watts, s.ValidMs = part.Limit(now), part.Valid(now).Milliseconds()
+		s.Watts, s.ValidMs = part.Limit(now), part.ValidFor(now).Milliseconds()
 	}
 	for _, s := range shares {
 		f.p.link.Set(&meshpb.LocalDown{Msg: &meshpb.LocalDown_Power{Power: s}})
@@ -203,7 +203,7 @@
 	since    time.Time
 	revision uint64
 	plan     *powerplan.Plan
-	allotter *power.Allotter
+	allotter *power.Allocator
 	after    uint64
 	reports  map[string]heardReport // the newest of each part
 }
@@ -239,14 +239,14 @@
 		return
 	}
 	a.revision = snap.Revision
-	plan := powerplan.Of(snap)
+	plan := powerplan.FromSnapshot(snap)
 	if plan == nil {
 		a.plan = nil
 		return
 	}
 	if a.plan == nil || a.plan.Config != plan.Config {
 		// Another cap: shares given under the old one must be waited out, as those of another holder are.
-		a.allotter = power.NewAllotter(plan.Config)
+		a.allotter = power.NewAllocator(plan.Config)
 		a.since = time.Now()
 	}
 	a.plan = plan
@@ -284,7 +284,7 @@
 	if now.Add(-sum.Age).Before(a.since) {
 		return
 	}
-	a.allotter.Read(now, sum)
+	a.allotter.AddReading(now, sum)
 }
 
 // answer writes all new shares in one transaction under the lease's condition: the table refuses them once another
@@ -292,7 +292,7 @@
 func (a *allotting) answer(ctx context.Context, fresh []power.Report) {
 	txn := platformapi.Txn{Conds: []platformapi.Cond{a.held.Cond()}}
 	for _, r := range fresh {
-		share, ok := a.allotter.Handle(time.Now(), r)
+		share, ok := a.allotter.HandleReport(time.Now(), r)
 		if !ok {
 			continue
 		}
--- a/lib/control/power_test.go
+++ b/lib/control/power_test.go
@@ -146,7 +146,7 @@
 			f.load(i, 8, 30)
 		}
 		f.pass(40 * time.Second)
-		cfg := powerplan.Of(f.procs[0].Snapshot()).Config
+		cfg := powerplan.FromSnapshot(f.procs[0].Snapshot()).Config
 		widest := cfg.CapWatts - cfg.MaxGuardWatts
 		must.Greater(t, widest, f.limits())
 		f.since = time.Now()
--- a/lib/control/powermetrics.go
+++ b/lib/control/powermetrics.go
@@ -23,7 +23,7 @@
 		limit += part.Limit(now)
 		drawn += d.modelled
 		age = max(age, float64(d.ageMS)/1000)
-		if part.Valid(now) == 0 {
+		if part.ValidFor(now) == 0 {
 			fallen++
 		}
 	}
--- a/lib/control/settings.go
+++ b/lib/control/settings.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return
 	}
-	for _, s := range fallbackShares(powerplan.Of(snap)) {
+	for _, s := range fallbackShares(powerplan.FromSnapshot(snap)) {
 		p.link.Set(&meshpb.LocalDown{Msg: &meshpb.LocalDown_Power{Power: s}})
 	}
 }
--- a/lib/control/settings_test.go
+++ b/lib/control/settings_test.go
@@ -58,7 +58,7 @@
 	must.NoError(t, err)
 	snap, err := tree.Resolve(1)
 	must.NoError(t, err)
-	shares := fallbackShares(powerplan.Of(snap))
+	shares := fallbackShares(powerplan.FromSnapshot(snap))
 	must.MapLen(t, services, shares)
 	sum := 0.0
 	for _, share := range shares {
--- a/lib/entry/rig_test.go
+++ b/lib/entry/rig_test.go
@@ -85,7 +85,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	local := placer.NewLocal(ctx, func(service string) sched.Policy {
-		return sched.NewOwner(service, sched.Options{ProbeEvery: 50 * time.Millisecond})
+		return sched.NewOwner(service, sched.Options{ProbeInterval: 50 * time.Millisecond})
 	}, 5*time.Millisecond)
 	quick := stall.DefaultConfig
 	quick.Cold, quick.Floor = 150*time.Millisecond, 150*time.Millisecond
--- a/lib/entryproc/decider.go
+++ b/lib/entryproc/decider.go
@@ -73,7 +73,7 @@
 func (d *alone) apply(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	power := powerplan.Of(snap)
+	power := powerplan.FromSnapshot(snap)
 	for name, svc := range snap.Services {
 		if svc.Kind != settings.KindModel {
 			continue
@@ -189,7 +189,7 @@
 		ProgressEvery: snap.Site.ProgressInterval,
 		Tick:          snap.Site.TickInterval,
 	}
-	power := powerplan.Of(snap)
+	power := powerplan.FromSnapshot(snap)
 	for name, svc := range snap.Services {
 		if svc.Kind != settings.KindModel {
 			continue
--- a/lib/power/allotter.go
+++ b/lib/power/allotter.go
@@ -12,8 +12,8 @@
 	Until time.Time // when this process stops believing in it, well before it ends in the table
 }
 
-// Allotter divides the cap. It is not safe for concurrent use.
-type Allotter struct {
+// Allocator divides the cap. It is not safe for concurrent use.
+type Allocator struct {
 	cfg       Config
 	lease     Lease
 	fallbacks map[string]float64
@@ -38,13 +38,13 @@
 	until time.Time
 }
 
-// NewAllotter returns an Allotter without a lease, which gives nothing.
-func NewAllotter(cfg Config) *Allotter {
-	return &Allotter{cfg: cfg, parts: make(map[string]*part), meter: meter{cfg: cfg}}
+// NewAllocator returns an Allotter without a lease, which gives nothing.
+func NewAllocator(cfg Config) *Allocator {
+	return &Allocator{cfg: cfg, parts: make(map[string]*part), meter: meter{cfg: cfg}}
 }
 
 // SetLease takes in a new or renewed lease. A new fence starts from nothing: shares of the holder before are waited out.
-func (a *Allotter) SetLease(l Lease) {
+func (a *Allocator) SetLease(l Lease) {
 	if l.Fence != a.lease.Fence {
 		a.seq = 0
 		for _, p := range a.parts {
@@ -55,10 +55,10 @@
 }
 
 // Lease returns the lease last taken in.
-func (a *Allotter) Lease() Lease { return a.lease }
+func (a *Allocator) Lease() Lease { return a.lease }
 
 // SetFallbacks replaces the parts and their fallbacks, as Config.Fallbacks gives them.
-func (a *Allotter) SetFallbacks(fallbacks map[string]float64) {
+func (a *Allocator) SetFallbacks(fallbacks map[string]float64) {
 	a.fallbacks = fallbacks
 	for name, p := range a.parts {
 		if _, ok := fallbacks[name]; !ok {
@@ -74,14 +74,14 @@
 	}
 }
 
-// Read takes in a measurement of the site's draw.
-func (a *Allotter) Read(now time.Time, r Reading) {
+// AddReading takes in a measurement of the site's draw.
+func (a *Allocator) AddReading(now time.Time, r Reading) {
 	a.meter.partial = !a.allHeard(now)
 	a.meter.read(now, r)
 }
 
 // allHeard reports whether the modelled draw is that of all parts.
-func (a *Allotter) allHeard(now time.Time) bool {
+func (a *Allocator) allHeard(now time.Time) bool {
 	for _, p := range a.parts {
 		if p.heard.IsZero() || now.Sub(p.heard) >= a.cfg.lent() {
 			return false
@@ -91,16 +91,16 @@
 }
 
 // UsableWatts is what all parts may draw together now.
-func (a *Allotter) UsableWatts(now time.Time) float64 { return a.meter.usable(now) }
+func (a *Allocator) UsableWatts(now time.Time) float64 { return a.meter.usable(now) }
 
 // GuardWatts is the band kept free under the cap now.
-func (a *Allotter) GuardWatts(now time.Time) float64 { return a.meter.guard(now) }
+func (a *Allocator) GuardWatts(now time.Time) float64 { return a.meter.guard(now) }
 
-// Handle answers a Report; ok is false when there is nothing to give: no lease, or an unknown part.
+// HandleReport answers a Report; ok is false when there is nothing to give: no lease, or an unknown part.
 //
 // The lease is checked here and the share ends TTL after the report was sent, which was before the check. So however
 // long this process is paused between the check and the sending, the share ends within TTL of the lease.
-func (a *Allotter) Handle(now time.Time, r Report) (s Share, ok bool) {
+func (a *Allocator) HandleReport(now time.Time, r Report) (s Share, ok bool) {
 	p := a.parts[r.Part]
 	if p == nil || a.late(p, r) {
 		return Share{}, false
@@ -116,7 +116,7 @@
 	return s, true
 }
 
-func (a *Allotter) late(p *part, r Report) bool {
+func (a *Allocator) late(p *part, r Report) bool {
 	if r.Stamp.Epoch != p.stamp.Epoch {
 		return r.Stamp.Epoch < p.stamp.Epoch
 	}
@@ -131,7 +131,7 @@
 	})
 }
 
-func (a *Allotter) drawn() float64 {
+func (a *Allocator) drawn() float64 {
 	sum := 0.0
 	for _, p := range a.parts {
 		sum += p.drawn
@@ -151,7 +151,7 @@
 }
 
 // watts is the new share of p.
-func (a *Allotter) watts(now time.Time, p *part) float64 {
+func (a *Allocator) watts(now time.Time, p *part) float64 {
 	usable := a.meter.usable(now)
 	base := a.base(p, usable)
 	if now.Sub(a.lease.Since) < a.cfg.WaitOut() {
@@ -167,7 +167,7 @@
 }
 
 // base is a part's fallback, scaled down when all fallbacks together are over what is usable.
-func (a *Allotter) base(p *part, usable float64) float64 {
+func (a *Allocator) base(p *part, usable float64) float64 {
 	sum := 0.0
 	for _, q := range a.parts {
 		sum += q.fallback
@@ -179,7 +179,7 @@
 }
 
 // extra is p's max-min fair part of what is usable beyond the fallbacks.
-func (a *Allotter) extra(now time.Time, p *part, usable float64) float64 {
+func (a *Allocator) extra(now time.Time, p *part, usable float64) float64 {
 	pool := usable
 	wants := make([]float64, 0, len(a.parts))
 	for _, q := range a.parts {
--- a/lib/power/follower.go
+++ b/lib/power/follower.go
@@ -47,8 +47,8 @@
 	return f.share.Watts
 }
 
-// Valid returns how long Limit stays as it is without news; 0 at the fallback.
-func (f *Follower) Valid(now time.Time) time.Duration {
+// ValidFor returns how long Limit stays as it is without news; 0 at the fallback.
+func (f *Follower) ValidFor(now time.Time) time.Duration {
 	if f.share.Fence == 0 {
 		return 0
 	}
--- a/lib/power/power_test.go
+++ b/lib/power/power_test.go
@@ -39,7 +39,7 @@
 
 type siteHolder struct {
 	rate   float64
-	a      *power.Allotter
+	a      *power.Allocator
 	paused time.Duration
 	held   []mail // answers that a pause caught between decision and sending
 }
@@ -71,7 +71,7 @@
 		s.parts = append(s.parts, p)
 	}
 	for range 2 {
-		h := &siteHolder{rate: s.clockRate(), a: power.NewAllotter(cfg)}
+		h := &siteHolder{rate: s.clockRate(), a: power.NewAllocator(cfg)}
 		h.a.SetFallbacks(fallbacks)
 		s.holders = append(s.holders, h)
 	}
@@ -83,7 +83,7 @@
 func (s *site) chance(perSecond float64) bool { return s.rng.Float64() < perSecond*step.Seconds() }
 
 // tick moves the site on by one step.
-func (s *site) tick(reading func(*power.Allotter, time.Time)) {
+func (s *site) tick(reading func(*power.Allocator, time.Time)) {
 	s.now += step
 	s.renewLease()
 	for _, h := range s.holders {
@@ -171,7 +171,7 @@
 		s.mail = append(s.mail, m) // waits in its socket
 		return
 	}
-	share, ok := h.a.Handle(s.at(h.rate), *m.report)
+	share, ok := h.a.HandleReport(s.at(h.rate), *m.report)
 	if !ok {
 		return
 	}
@@ -219,9 +219,9 @@
 		}
 		granted := 0.0
 		for range 1200 {
-			s.tick(func(a *power.Allotter, now time.Time) {
+			s.tick(func(a *power.Allocator, now time.Time) {
 				if s.rng.IntN(3) > 0 {
-					a.Read(now, power.Reading{Watts: s.drawn() * (0.9 + 0.2*s.rng.Float64()), Age: time.Duration(s.rng.Int64N(int64(5 * time.Second)))})
+					a.AddReading(now, power.Reading{Watts: s.drawn() * (0.9 + 0.2*s.rng.Float64()), Age: time.Duration(s.rng.Int64N(int64(5 * time.Second)))})
 				}
 			})
 			for _, p := range s.parts {
@@ -263,13 +263,13 @@
 type shares struct {
 	t         *testing.T
 	now       time.Time
-	allotter  *power.Allotter
+	allotter  *power.Allocator
 	followers map[string]*power.Follower
 }
 
 func newShares(t *testing.T) *shares {
 	cfg := power.DefaultConfig(10_000, 500)
-	s := &shares{t: t, now: t0.Add(cfg.WaitOut()), allotter: power.NewAllotter(cfg), followers: map[string]*power.Follower{}}
+	s := &shares{t: t, now: t0.Add(cfg.WaitOut()), allotter: power.NewAllocator(cfg), followers: map[string]*power.Follower{}}
 	fallbacks := map[string]float64{"planner": 2000, "dispatch": 2000}
 	s.allotter.SetFallbacks(fallbacks)
 	s.allotter.SetLease(power.Lease{Fence: 1, Since: t0, Until: t0.Add(time.Hour)})
@@ -283,7 +283,7 @@
 
 func (s *shares) round(swapped bool, planner, dispatch float64) {
 	s.now = s.now.Add(time.Second)
-	s.allotter.Read(s.now, power.Reading{Watts: 2900 + s.now.Sub(t0).Seconds()})
+	s.allotter.AddReading(s.now, power.Reading{Watts: 2900 + s.now.Sub(t0).Seconds()})
 	if swapped {
 		s.report("dispatch", dispatch)
 		s.report("planner", planner)
@@ -295,7 +295,7 @@
 
 func (s *shares) report(name string, wanted float64) {
 	f := s.followers[name]
-	share, ok := s.allotter.Handle(s.now, f.Report(s.now, wanted, 1500))
+	share, ok := s.allotter.HandleReport(s.now, f.Report(s.now, wanted, 1500))
 	must.True(s.t, ok)
 	f.Apply(s.now, share)
 }
@@ -315,24 +315,24 @@
 // or stands still while the work moves; a draw beyond the model comes off what may be used.
 func TestGuardBand(t *testing.T) {
 	cfg := power.DefaultConfig(10_000, 500)
-	a := power.NewAllotter(cfg)
+	a := power.NewAllocator(cfg)
 	a.SetFallbacks(map[string]float64{"planner": 1000})
 	f := power.NewFollower(t0, cfg, "planner", 1, 1000)
 	must.Eq(t, cfg.MaxGuardWatts, a.GuardWatts(t0))
-	a.Handle(t0, f.Report(t0, 4000, 4000))
-	a.Read(t0, power.Reading{Watts: 4000})
+	a.HandleReport(t0, f.Report(t0, 4000, 4000))
+	a.AddReading(t0, power.Reading{Watts: 4000})
 	must.Eq(t, 500, a.GuardWatts(t0))
 	must.Eq(t, 700, a.GuardWatts(t0.Add(2*time.Second)))
 	must.Eq(t, cfg.MaxGuardWatts, a.GuardWatts(t0.Add(cfg.MaxAge+time.Second)))
 
 	now := t0.Add(cfg.FrozenAfter)
-	a.Read(now, power.Reading{Watts: 4000})
+	a.AddReading(now, power.Reading{Watts: 4000})
 	must.Eq(t, 500, a.GuardWatts(now)) // the work stands still as well
-	a.Handle(now, f.Report(now, 5000, 5000))
+	a.HandleReport(now, f.Report(now, 5000, 5000))
 	must.Eq(t, cfg.MaxGuardWatts, a.GuardWatts(now))
 
 	now = now.Add(3 * time.Second)
-	a.Read(now, power.Reading{Watts: 6000})
+	a.AddReading(now, power.Reading{Watts: 6000})
 	must.Eq(t, 10_000-500-1000, a.UsableWatts(now))
 }
 
@@ -341,14 +341,14 @@
 	cfg := power.DefaultConfig(10_000, 500)
 	fallbacks := cfg.Fallbacks([]power.Part{{Name: "planner", MaxWatts: 6000}, {Name: "dispatch", MaxWatts: 2000}})
 	now := time.Unix(0, 0)
-	allotter := power.NewAllotter(cfg)
+	allotter := power.NewAllocator(cfg)
 	allotter.SetFallbacks(fallbacks)
 	allotter.SetLease(power.Lease{Fence: 1, Since: now, Until: now.Add(time.Minute)})
 	follower := power.NewFollower(now, cfg, "planner", 1, fallbacks["planner"])
 
 	now = now.Add(cfg.WaitOut()) // the holder before may still have shares out
-	allotter.Read(now, power.Reading{Watts: 2000})
-	if share, ok := allotter.Handle(now, follower.Report(now, 5000, 1500)); ok {
+	allotter.AddReading(now, power.Reading{Watts: 2000})
+	if share, ok := allotter.HandleReport(now, follower.Report(now, 5000, 1500)); ok {
 		follower.Apply(now, share)
 	}
 	fmt.Printf("%.0f W, later %.0f W\n", follower.Limit(now), follower.Limit(now.Add(cfg.TTL)))
--- a/lib/powerplan/powerplan.go
+++ b/lib/powerplan/powerplan.go
@@ -23,8 +23,8 @@
 	Fallbacks map[string]float64 // watts, by the name of the shard
 }
 
-// Of returns nil when the site has no cap or no target's power is known.
-func Of(snap *settings.Snapshot) *Plan {
+// FromSnapshot returns nil when the site has no cap or no target's power is known.
+func FromSnapshot(snap *settings.Snapshot) *Plan {
 	if snap == nil || snap.Site.PowerCapWatts <= 0 {
 		return nil
 	}
--- a/lib/powerplan/powerplan_test.go
+++ b/lib/powerplan/powerplan_test.go
@@ -36,7 +36,7 @@
 func TestFallbacksTwiceAreUnderTheCapAndDrainsMoveNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snap := anySite(t)
-		before := Of(snap)
+		before := FromSnapshot(snap)
 		if before == nil {
 			return
 		}
@@ -50,7 +50,7 @@
 		svc := snap.Services["s0"]
 		drained := rapid.IntRange(0, len(svc.Targets)-1).Draw(t, "drained")
 		svc.Targets[drained].Draining = true
-		after := Of(snap)
+		after := FromSnapshot(snap)
 		must.MapEq(t, before.Fallbacks, after.Fallbacks)
 		reserved := 0.0
 		for _, p := range after.Parts {
@@ -61,8 +61,8 @@
 }
 
 func TestNoCapNoPlan(t *testing.T) {
-	must.Nil(t, Of(nil))
-	must.Nil(t, Of(&settings.Snapshot{}))
+	must.Nil(t, FromSnapshot(nil))
+	must.Nil(t, FromSnapshot(&settings.Snapshot{}))
 }
 
 // A site's cap leaves a sixth of what runs at most beyond the idle draw. Split in proportion to the most that parts draw,
@@ -75,7 +75,7 @@
 		svc := &settings.Service{Name: name, Targets: []settings.Target{{Name: "t" + name, IdleWatts: 900, SeqWatts: 60, MaxBatch: 32}}}
 		snap.Services[name] = svc
 	}
-	for _, w := range Of(snap).Fallbacks {
+	for _, w := range FromSnapshot(snap).Fallbacks {
 		must.Eq(t, 1050, w) // of 3600 W, 2700 W are idle
 	}
 }
--- a/lib/sched/health.go
+++ b/lib/sched/health.go
@@ -41,7 +41,7 @@
 		return
 	}
 	t.silent = true
-	t.probe = now.Add(o.opt.ProbeEvery)
+	t.probe = now.Add(o.opt.ProbeInterval)
 }
 
 // silentFor returns how long a target has owed a token. It is 0 while the owner itself hears from nobody.
--- a/lib/sched/options.go
+++ b/lib/sched/options.go
@@ -27,10 +27,10 @@
 	DeadlineSlack  time.Duration // a queued request with less slack to its deadline is raised (default 10 min)
 
 	// Health.
-	SilentAfter time.Duration // an engine that runs work and gives no token for so long takes no new work (default 750 ms)
-	MoveAfter   time.Duration // and its generations are moved (default 1.2 s)
-	ProbeEvery  time.Duration // a silent engine without work is tried with one request so often (default 5 s)
-	ForgetAfter time.Duration // a generation nobody speaks of for so long is dropped from the tables (default 2 min)
+	SilentAfter   time.Duration // an engine that runs work and gives no token for so long takes no new work (default 750 ms)
+	MoveAfter     time.Duration // and its generations are moved (default 1.2 s)
+	ProbeInterval time.Duration // a silent engine without work is tried with one request so often (default 5 s)
+	ForgetAfter   time.Duration // a generation nobody speaks of for so long is dropped from the tables (default 2 min)
 
 	// Power.
 	PowerGuard float64 // fraction of the cap kept free (default 0.02)
@@ -96,7 +96,7 @@
 	orDefault(&o.DeadlineSlack, defaultDeadlineSlack)
 	orDefault(&o.SilentAfter, defaultSilentAfter)
 	orDefault(&o.MoveAfter, defaultMoveAfter)
-	orDefault(&o.ProbeEvery, defaultProbeEvery)
+	orDefault(&o.ProbeInterval, defaultProbeEvery)
 	orDefault(&o.ForgetAfter, defaultForgetAfter)
 	orDefault(&o.PowerGuard, defaultPowerGuard)
 }
--- a/lib/sched/queue.go
+++ b/lib/sched/queue.go
@@ -202,7 +202,7 @@
 	t.lastGrant = now
 	o.addLoad(t, g)
 	if t.silent {
-		t.probe = now.Add(o.opt.ProbeEvery)
+		t.probe = now.Add(o.opt.ProbeInterval)
 	}
 	if fresh {
 		gr.drain.granted(now, gr.queue.n)
