--- a/lib/gateway/book.go
+++ b/lib/gateway/book.go
@@ -60,10 +60,10 @@
 	if err != nil {
 		return g.Fleet.Acquire(time.Now(), need)
 	}
-	if a.Action != admit.Go {
+	if a.Action != admit.Admit {
 		return fleet.Info{}, false
 	}
-	need.Must = false // by what this instance alone knows
+	need.RequireMemory = false // by what this instance alone knows
 	need.Granted = true
 	return g.Fleet.AcquireAt(time.Now(), a.Target, need)
 }
--- a/lib/gateway/book_test.go
+++ b/lib/gateway/book_test.go
@@ -32,13 +32,13 @@
 	g.Fleet.Apply(time.Now(), []fleet.Info{{ID: "from", Service: "s"}, {ID: "to", Service: "s"}}, nil, 0)
 	r := &run{g: g, c: &call{id: "x", service: "s"}}
 	g.runs.add("from", r)
-	_, ok := g.bookAt(r, "to", fleet.Need{Service: "s", Tokens: 600, Must: true})
+	_, ok := g.bookAt(r, "to", fleet.Need{Service: "s", Tokens: 600, RequireMemory: true})
 	must.True(t, ok)
 	must.Eq(t, 1, owners.changes)
 	must.Len(t, 1, g.Held())
 	must.Eq(t, "to", g.Held()[0].Target)
 	must.Eq(t, 600, g.Held()[0].Tokens)
-	other := fleet.Need{Service: "s", Tokens: 500, Must: true, Peak: fleet.Size{Now: 500}, Without: map[string]bool{"from": true}}
+	other := fleet.Need{Service: "s", Tokens: 500, RequireMemory: true, Peak: fleet.Size{Held: 500}, Exclude: map[string]bool{"from": true}}
 	_, ok = g.Fleet.Acquire(time.Now(), other)
 	must.False(t, ok)
 	g.unbook(r)
@@ -75,5 +75,5 @@
 	g.move(r, r.target, time.Now().Add(500*time.Millisecond-moveGiveUp), moveplan.Step{})
 	r.finish()
 	g.dropCopy(r, r.copySource())
-	must.MapEmpty(t, g.Fleet.Own())
+	must.MapEmpty(t, g.Fleet.LocalLoads())
 }
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -132,7 +132,7 @@
 	open, cut := context.WithCancel(context.Background())
 	g := &Gateway{
 		Config: cfg, open: open, cut: cut, known: make(chan struct{}), runs: newRunTable(), sends: newOpenSends(),
-		placer: admit.Placer{Fleet: cfg.Fleet, Reading: new(admit.Readings)}, poison: poison.New(poisonConfig),
+		placer: admit.Placer{Fleet: cfg.Fleet, Prefill: new(admit.PrefillRates)}, poison: poison.New(poisonConfig),
 	}
 	if cfg.Fleet != nil {
 		cfg.Fleet.SetSizes(g.sizesOn)
@@ -158,7 +158,7 @@
 }
 
 // Readings returns what is learnt of how fast prompts are read.
-func (g *Gateway) Readings() *admit.Readings { return g.placer.Reading }
+func (g *Gateway) Readings() *admit.PrefillRates { return g.placer.Prefill }
 
 // Table returns the table in force, nil before the first.
 func (g *Gateway) Table() *routes.Table { return g.table.Load() }
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -137,7 +137,7 @@
 // destinations lists the engines that the runs of leaving ones can go to.
 func (g *Gateway) destinations(service string, leaving map[string]fleet.Info) []moveplan.Engine {
 	var out []moveplan.Engine
-	for _, room := range g.Fleet.Rooms(time.Now(), service, nil) {
+	for _, room := range g.Fleet.MoveCandidates(time.Now(), service, nil) {
 		if leaving[room.ID].ID == "" {
 			out = append(out, moveplan.Engine{ID: room.ID, Domain: room.Domain, Free: room.Free})
 		}
@@ -152,7 +152,7 @@
 	if e.KVBytes <= 0 {
 		return moveplan.Link{}
 	}
-	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, FarFactor: farFactor}
+	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, CrossDomainFactor: farFactor}
 }
 
 // move copies a run to another engine while it goes on, stops it once little is left to copy, and hands the copy over.
@@ -161,7 +161,7 @@
 	// The room is booked before the run's turn on the links, so that neither this instance nor its peers send new streams
 	// there meanwhile: a run that moves in goes before all that wait at an engine, and these would be late.
 	need := g.moveNeed(r, from, without)
-	need.Must, need.Found = g.Owners == nil, true // an owner that has chosen the destination knows better what it holds
+	need.RequireMemory, need.FoundByOwner = g.Owners == nil, true // an owner that has chosen the destination knows better what it holds
 	to, booked := g.bookAt(r, step.To, need)
 	if step.Start > 0 {
 		time.Sleep(min(step.Start, maxStart))
@@ -202,7 +202,7 @@
 // moveNeed is what a run asks of a destination.
 func (g *Gateway) moveNeed(r *run, from fleet.Info, without map[string]bool) fleet.Need {
 	return fleet.Need{
-		Service: from.Service, Tokens: r.size().Tokens, Without: without, Near: from.Domain, AwayCost: domainWeight, Must: true,
+		Service: from.Service, Tokens: r.size().Tokens, Exclude: without, PreferredDomain: from.Domain, CrossDomainCost: domainWeight, RequireMemory: true,
 		Regions: g.regions(r.c),
 	}
 }
--- a/lib/gateway/notice.go
+++ b/lib/gateway/notice.go
@@ -37,7 +37,7 @@
 	}
 	now := time.Now()
 	rest := retry.After(resp.Header, now)
-	if rest <= 0 || !g.Fleet.Rest(now, target, now.Add(rest)) {
+	if rest <= 0 || !g.Fleet.BackOff(now, target, now.Add(rest)) {
 		return
 	}
 	g.Log.Rests(target, rest)
@@ -66,7 +66,7 @@
 	if !ok {
 		return
 	}
-	changed := g.Fleet.TakeLimit(target.ID, fleet.LimitWord{Limit: limit, Asked: asked, Heard: time.Now()})
+	changed := g.Fleet.ApplyLimit(target.ID, fleet.LimitNotice{Limit: limit, RequestedAt: asked, ReceivedAt: time.Now()})
 	if g.Owners != nil && (limit.On || changed) {
 		g.Owners.Limited(target, changed)
 	}
--- a/lib/gateway/places_test.go
+++ b/lib/gateway/places_test.go
@@ -28,7 +28,7 @@
 	e, x := r.runOn(context.Background(), next{target: got, copyFrom: "10.0.0.1:1/h"})
 	must.Eq(t, endUnsent, e)
 	must.ErrorIs(t, x.err, errEvacuated)
-	g.Fleet.Return(time.Now(), "z")
+	g.Fleet.EndEvacuation(time.Now(), "z")
 	conn, err := g.connect(context.Background(), got)
 	must.NoError(t, err)
 	conn.Close()
@@ -93,6 +93,6 @@
 	g.Fleet.Evacuate("b")
 	must.ErrorIs(t, g.lastPart(r, from, to, fleet.Load{Tokens: 10}), ErrNoRoom)
 	must.Eq(t, 0, engines.last)
-	must.MapEmpty(t, g.Fleet.Own())
+	must.MapEmpty(t, g.Fleet.LocalLoads())
 	must.True(t, r.on("from"))
 }
--- a/lib/gateway/relay.go
+++ b/lib/gateway/relay.go
@@ -11,7 +11,7 @@
 
 // learnReading learns how fast prompts are read, here and at the owner.
 func (g *Gateway) learnReading(m owner.Reading) {
-	g.placer.Reading.Saw(m.Service, m.Unread, m.Took)
+	g.placer.Prefill.Observe(m.Service, m.Unread, m.Took)
 	if g.Owners != nil {
 		g.Owners.Reading(m)
 	}
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -174,9 +174,9 @@
 		p.refused.clear(row.Key)
 		entries = append(entries, info)
 	}
-	p.fleet.Unreadable(unreadable)
+	p.fleet.MarkUnreadable(unreadable)
 	now := time.Now()
-	p.changed(p.fleet.Lapse(now, lapsed))
+	p.changed(p.fleet.PresumeGone(now, lapsed))
 	p.changed(p.fleet.Apply(now, entries, removed, u.Silent))
 	p.changed(p.fleet.Drop(now, u.Dropped))
 	p.mu.Lock()
@@ -211,7 +211,7 @@
 		case now := <-t.C:
 			p.changed(p.fleet.Tick(now))
 			p.site.Pool.Sweep(now)
-			if p.fleet.Lacks() {
+			if p.fleet.HasMissing() {
 				t.Reset(tickEvery)
 			} else {
 				t.Reset(tickIdle)
--- a/lib/gatewayproc/parts.go
+++ b/lib/gatewayproc/parts.go
@@ -206,7 +206,7 @@
 
 // holdsPart notes whether this instance holds a part of the targets.
 func (p *Process) holdsPart(part bool) {
-	p.fleet.SetPart(part)
+	p.fleet.SetPartial(part)
 	if !part {
 		p.shards.setDivision(nil)
 	}
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -91,7 +91,7 @@
 		Moves: p.gate.MoveLink,
 		Left:  p.left,
 
-		Restarted: func(id string, born int64) { p.changed(p.fleet.Restart(time.Now(), id, born)) },
+		Restarted: func(id string, born int64) { p.changed(p.fleet.MarkRestarted(time.Now(), id, born)) },
 		Granted:   func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
 		Part:      p.feeds.targets.Part,
 		Spread:    func(b []byte) { p.track.Tell(b) },
@@ -114,7 +114,7 @@
 
 // left takes in that a life of a target was seen to leave, and reports whether that is news.
 func (p *Process) left(id string, born int64) bool {
-	ch := p.fleet.Leave(time.Now(), id, born)
+	ch := p.fleet.MarkLeaving(time.Now(), id, born)
 	p.changed(ch)
 	return len(ch.Leaving) > 0
 }
--- a/lib/owner/book.go
+++ b/lib/owner/book.go
@@ -51,7 +51,7 @@
 	After  time.Duration
 	Serial uint64 // of the grant
 	Backup string // engine for the copy; empty: none has room
-	Belief fleet.Belief
+	Belief fleet.KnownState
 
 	Describe               bool       // as in the ask
 	TargetInfo, BackupInfo fleet.Info // as the list has them, where the ask wants that
@@ -80,7 +80,7 @@
 
 	self    string // this instance, whose own runs the fleet counts without being told
 	fleet   *fleet.Fleet
-	reading *admit.Readings
+	reading *admit.PrefillRates
 
 	mu      sync.Mutex
 	holders map[string]map[string]*holder // by shard, instance
@@ -93,7 +93,7 @@
 }
 
 // NewBook returns an empty Book of an instance that decides by what f believes. Reports go into f as its peers' loads.
-func NewBook(self string, f *fleet.Fleet, reading *admit.Readings) *Book {
+func NewBook(self string, f *fleet.Fleet, reading *admit.PrefillRates) *Book {
 	return &Book{
 		self: self, fleet: f, reading: reading,
 		holders: make(map[string]map[string]*holder),
@@ -130,7 +130,7 @@
 func (b *Book) learn(now time.Time, h *holder, r *Report) {
 	for _, run := range r.Runs {
 		if run.Unread == 0 {
-			b.fleet.Heard(now.Add(-run.Silent), run.Target)
+			b.fleet.RecordContact(now.Add(-run.Silent), run.Target)
 		}
 	}
 	if h.own {
@@ -144,7 +144,7 @@
 		b.learnOutcome(now, o.Target, fleet.Unreachable, o.Unreachable-last.Unreachable)
 	}
 	for _, m := range r.Readings {
-		b.reading.Saw(m.Service, m.Unread, m.Took)
+		b.reading.Observe(m.Service, m.Unread, m.Took)
 	}
 }
 
@@ -153,7 +153,7 @@
 
 func (b *Book) learnOutcome(now time.Time, target string, o fleet.Outcome, n uint32) {
 	for range min(n, outcomesMax) {
-		b.fleet.Learn(now, target, o)
+		b.fleet.RecordOutcome(now, target, o)
 	}
 }
 
@@ -175,7 +175,7 @@
 		return
 	}
 	loads, sizes := h.loads()
-	b.fleet.Tell(now, h.name, loads, sizes)
+	b.fleet.SetPeerLoad(now, h.name, loads, sizes)
 }
 
 // Place decides an ask, or lets it wait: ok is false then, and Step decides it later. An ask that comes again is answered
@@ -194,7 +194,7 @@
 	b.cameBack(now, &a)
 	answer, ok = b.decide(now, s, &a)
 	if !ok && b.hasNoTurn(now, s, &a) {
-		return b.settle(now, s, &a, b.placer().Away(a.Stream)), true
+		return b.settle(now, s, &a, b.placer().Reject(a.Stream)), true
 	}
 	if !ok && len(b.asks) < waitingMax {
 		b.wait(&waiting{Ask: a, shard: s, heard: now})
@@ -213,39 +213,39 @@
 
 // settle makes a decision the answer to an ask, and counts what it gives away.
 func (b *Book) settle(now time.Time, s *Shard, a *Ask, d admit.Decision) Answer {
-	out := Answer{Key: a.Key, Addr: a.Addr, Describe: a.Describe, Action: d.Action, Target: d.Target.ID, After: d.After}
+	out := Answer{Key: a.Key, Addr: a.Addr, Describe: a.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
 	switch d.Action {
-	case admit.Go:
+	case admit.Admit:
 		b.grant(now, s, a, &out)
-	case admit.Away:
-		b.turnAway(now, a, d.After)
+	case admit.RetryLater:
+		b.turnAway(now, a, d.RetryAfter)
 	}
 	b.done[a.Key] = answered{Answer: out, at: now}
 	return out
 }
 
 func (b *Book) placer() *admit.Placer {
-	return &admit.Placer{Fleet: b.fleet, Reading: b.reading, Take: b.fleet.Choose, Random: b.random}
+	return &admit.Placer{Fleet: b.fleet, Prefill: b.reading, Acquire: b.fleet.Choose, Random: b.random}
 }
 
 func (b *Book) choose(now time.Time, s *Shard, a *Ask) admit.Decision {
 	need := a.Stream.Need
 	need.Among = s.Engines()
-	need.Kept = b.kept[s.Key]
+	need.Reserved = b.kept[s.Key]
 	if a.Mode == Admit {
 		p := b.placer()
 		stream := a.Stream
 		stream.Need = need
-		if d := p.Step(now, stream); d.Action != admit.None {
+		if d := p.Step(now, stream); d.Action != admit.Fallback {
 			return d
 		}
 	}
-	need.Must = a.Mode == Room
+	need.RequireMemory = a.Mode == Room
 	target, ok := b.fleet.Choose(now, need)
 	if !ok {
-		return admit.Decision{Action: admit.None}
+		return admit.Decision{Action: admit.Fallback}
 	}
-	return admit.Decision{Action: admit.Go, Target: target}
+	return admit.Decision{Action: admit.Admit, Target: target}
 }
 
 // Tick forgets what is too old to be believed.
--- a/lib/owner/book_test.go
+++ b/lib/owner/book_test.go
@@ -23,14 +23,14 @@
 	f.SetRandom(func() float64 { return 0 })
 	f.Apply(t0, engines(n, 1), nil, 0)
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	return NewBook("owner", f, new(admit.Readings)), f, l.Home("s", "z0", "owner")
+	return NewBook("owner", f, new(admit.PrefillRates)), f, l.Home("s", "z0", "owner")
 }
 
 func ask(instance string, id uint64, tokens int) Ask {
-	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Now: tokens}}
+	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
 	return Ask{
 		Key: Key{Instance: instance, Incarnation: 1, ID: id}, Run: 100 + id,
-		Stream: admit.Stream{Arrived: t0, Aim: time.Second, Keeps: 10 * time.Second, Need: need},
+		Stream: admit.Stream{Arrived: t0, Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need},
 	}
 }
 
@@ -46,7 +46,7 @@
 	for i := range 8 {
 		a, ok := b.Place(t0, s, ask(fmt.Sprint("i", i), 1, 4500))
 		must.True(t, ok)
-		must.Eq(t, admit.Go, a.Action)
+		must.Eq(t, admit.Admit, a.Action)
 		given[a.Target]++
 	}
 	for id, n := range given {
@@ -55,7 +55,7 @@
 	_, ok := b.Place(t0, s, ask("late", 1, 4500))
 	must.False(t, ok)
 	must.True(t, b.Waits())
-	must.Greater(t, 0.8, f.Fill(s.Engines(), 0))
+	must.Greater(t, 0.8, f.Utilization(s.Engines(), 0))
 }
 
 // An answer is lost, and the housekeeping runs before the ask comes again: it is sent every 0.05 s, and after 0.2 s while it waits. A
@@ -72,7 +72,7 @@
 		must.Eq(t, first.Serial, again.Serial, must.Sprint(later))
 		must.Eq(t, first.Target, again.Target, must.Sprint(later))
 	}
-	must.LessEq(t, 0.61*2+0.61, f.Fill(s.Engines(), 0)) // one run: its memory and its prompt to read
+	must.LessEq(t, 0.61*2+0.61, f.Utilization(s.Engines(), 0)) // one run: its memory and its prompt to read
 }
 
 // An answer is lost and the ask comes again. It is answered as before: a second grant would count the run twice.
@@ -80,12 +80,12 @@
 	b, f, s := testBook(4)
 	first, ok := b.Place(t0, s, ask("i", 1, 4000))
 	must.True(t, ok)
-	fill := f.Fill(s.Engines(), 0)
+	fill := f.Utilization(s.Engines(), 0)
 	again, ok := b.Place(t0.Add(50*time.Millisecond), s, ask("i", 1, 4000))
 	must.True(t, ok)
 	must.Eq(t, first.Target, again.Target)
 	must.Eq(t, first.Serial, again.Serial)
-	must.Eq(t, fill, f.Fill(s.Engines(), 0))
+	must.Eq(t, fill, f.Utilization(s.Engines(), 0))
 	must.True(t, b.Knows(Key{Instance: "i", Incarnation: 1, ID: 1}))
 }
 
@@ -95,24 +95,24 @@
 	b, f, s := testBook(1)
 	e := s.Engines()[0]
 	a, _ := b.Place(t0, s, ask("i", 1, 3000))
-	must.Eq(t, 1, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 	run := Run{ID: 101, Target: e, Tokens: 3000}
 	must.True(t, b.Report(t0, report(s, "i", 1, run)))
-	must.Eq(t, fleet.Load{Runs: 1, Tokens: 3000}, f.Believe(t0, e).Load)
+	must.Eq(t, fleet.Load{Runs: 1, Tokens: 3000}, f.KnownState(t0, e).Load)
 
 	a, _ = b.Place(t0, s, ask("i", 2, 2000))
 	r := report(s, "i", 2, run)
 	r.Seen = a.Serial
 	must.True(t, b.Report(t0.Add(10*time.Millisecond), r)) // the run is about to be entered
-	must.Eq(t, 2, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 2, f.KnownState(t0, e).Load.Runs)
 	r.Seq = 3
 	must.True(t, b.Report(t0.Add(200*time.Millisecond), r))
-	must.Eq(t, 1, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 
 	_, ok := b.Place(t0.Add(200*time.Millisecond), s, ask("lost", 1, 2000))
 	must.True(t, ok)
 	b.Tick(t0.Add(200*time.Millisecond + grantLife))
-	must.Eq(t, 1, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 }
 
 // An engine is full and a stream waits. The runs there end, and the stream goes at the next look, without being asked again.
@@ -151,7 +151,7 @@
 	late.Stream.Arrived = t0.Add(-time.Second)
 	a, ok := b.Place(t0, s, late)
 	must.True(t, ok)
-	must.Eq(t, admit.Away, a.Action)
+	must.Eq(t, admit.RetryLater, a.Action)
 	must.GreaterEq(t, time.Second, a.After)
 	must.LessEq(t, 10*time.Second, a.After)
 	// A run that an engine has turned back takes the best one, however full; one that moves only one that holds it.
@@ -159,12 +159,12 @@
 	again.Mode = Any
 	a, ok = b.Place(t0, s, again)
 	must.True(t, ok)
-	must.Eq(t, admit.Go, a.Action)
+	must.Eq(t, admit.Admit, a.Action)
 	room := ask("a", 3, 3000)
 	room.Mode = Room
 	a, ok = b.Place(t0, s, room)
 	must.True(t, ok)
-	must.Eq(t, admit.None, a.Action)
+	must.Eq(t, admit.Fallback, a.Action)
 }
 
 // Reports overtake each other, come twice, or come late from a process that was replaced. Only a newer one counts; once an
@@ -179,7 +179,7 @@
 	newer.Incarnation = 2
 	must.True(t, b.Report(t0, newer))
 	must.False(t, b.Report(t0, report(s, "i", 9)))
-	must.Eq(t, 0, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 0, f.KnownState(t0, e).Load.Runs)
 	must.True(t, b.Report(t0.Add(reportLife+time.Millisecond), report(s, "i", 1)))
 }
 
@@ -190,7 +190,7 @@
 	e := s.Engines()[0]
 	huge := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Left: 1 << 62}
 	must.True(t, b.Report(t0, report(s, "liar", 1, huge, Run{ID: 2, Target: "nobody", Tokens: 5})))
-	load := f.Believe(t0, e).Load
+	load := f.KnownState(t0, e).Load
 	must.Eq(t, 2*tokensMax, load.Tokens)
 	must.Eq(t, 0, load.Unread)
 	a, ok := b.Place(t0, s, ask("i", 1, 3000))
@@ -202,7 +202,7 @@
 	must.MapLen(t, holdersMax, b.holders[s.Key])
 	b.Tick(t0.Add(2 * reportLife))
 	must.MapEmpty(t, b.holders[s.Key])
-	must.Eq(t, 0, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 0, f.KnownState(t0, e).Load.Runs)
 }
 
 // Hundreds of instances send a stream to one engine every minute each: none could learn alone that it fails what it is sent.
@@ -230,8 +230,8 @@
 	e := s.Engines()[0]
 	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, Tokens: 2000, Expected: 1000}, Run{ID: 3, Target: e, Tokens: 10, Stays: true}))
 	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, Tokens: 3000, Expected: 1000}))
-	leaving := f.Leave(t0, e, 0).Leaving
-	link := moveplan.Link{TokensPerSecond: 10_000, FarFactor: 2}
+	leaving := f.MarkLeaving(t0, e, 0).Leaving
+	link := moveplan.Link{TokensPerSecond: 10_000, CrossDomainFactor: 2}
 	b.Plan(t0, s, leaving, link)
 	now := t0.Add(10 * time.Millisecond)
 	first := b.Moves(now, s, "a", []uint64{1, 3})
@@ -240,9 +240,9 @@
 	must.Len(t, 1, second)
 	must.Eq(t, 0, first[0].Start)
 	must.Greater(t, 200*time.Millisecond, second[0].Start)
-	must.Eq(t, 3000, f.Believe(now, first[0].To).Load.Tokens)
+	must.Eq(t, 3000, f.KnownState(now, first[0].To).Load.Tokens)
 	must.Eq(t, first, b.Moves(now, s, "a", []uint64{1})) // asked again, it counts no second time
-	must.Eq(t, 3000, f.Believe(now, first[0].To).Load.Tokens)
+	must.Eq(t, 3000, f.KnownState(now, first[0].To).Load.Tokens)
 	must.Eq(t, []string{"addr"}, users(b, s, e))
 }
 
@@ -265,7 +265,7 @@
 	e := s.Engines()[0]
 	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, Silent: 900 * time.Millisecond}))
 	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, Silent: 20 * time.Millisecond}, Run{ID: 3, Target: e, Unread: 10}))
-	must.Eq(t, t0.Add(-20*time.Millisecond), f.LastHeard(e))
+	must.Eq(t, t0.Add(-20*time.Millisecond), f.LastContact(e))
 }
 
 // BenchmarkPlace is one placement by the owner of 32 engines that 60 instances have five runs each on.
@@ -375,7 +375,7 @@
 		first.Print = 77
 		first.Stream.Arrived = t0.Add(-time.Second)
 		a, _ := b.Place(t0, s, first)
-		must.Eq(t, admit.Away, a.Action)
+		must.Eq(t, admit.RetryLater, a.Action)
 
 		now := t0.Add(a.After + wait)
 		b.Report(now, report(s, "i", 2, full))
@@ -410,7 +410,7 @@
 		got = b.Step(end)
 		must.Len(t, 1, got)
 		must.Eq(t, "back", got[0].Instance)
-		must.Eq(t, admit.Go, got[0].Action)
+		must.Eq(t, admit.Admit, got[0].Action)
 	}
 }
 
@@ -423,7 +423,7 @@
 	_, ok := b.Place(t0, s, fresh)
 	must.False(t, ok)
 	back := ask("back", 1, 6000)
-	back.Stream.Back = true
+	back.Stream.IsRetry = true
 	back.Stream.Arrived = t0.Add(-2500 * time.Millisecond)
 	_, ok = b.Place(t0, s, back)
 	must.False(t, ok)
--- a/lib/owner/desk.go
+++ b/lib/owner/desk.go
@@ -49,7 +49,7 @@
 }
 
 // NewDesk returns the desk of an instance that decides by what f believes and starts now.
-func NewDesk(self string, f *fleet.Fleet, reading *admit.Readings, now time.Time) *Desk {
+func NewDesk(self string, f *fleet.Fleet, reading *admit.PrefillRates, now time.Time) *Desk {
 	return &Desk{
 		Book: NewBook(self, f, reading), Peers: NewPeers(self, now), self: self, fleet: f, passed: make(map[Key]passedOn),
 	}
@@ -68,7 +68,7 @@
 		s = to
 	}
 	answer, ok := d.Place(now, s, a)
-	if ok && (a.Mode != Room || answer.Action == admit.Go) {
+	if ok && (a.Mode != Room || answer.Action == admit.Admit) {
 		return Reply{Answer: answer}
 	}
 	if r, ok := d.elsewhere(now, s, a); ok {
@@ -112,7 +112,7 @@
 		return Reply{}, false
 	}
 	size := a.Stream.Need.Peak
-	n, by, ok := d.PassToRoom(now, s, size.Now+size.Left)
+	n, by, ok := d.PassToRoom(now, s, size.Held+size.Remaining)
 	if !ok {
 		return Reply{}, false
 	}
@@ -174,11 +174,11 @@
 
 // part is how full a shard is, with what waits for it. Without that, two full shards look alike though twice as much waits
 // for one.
-func (d *Desk) part(s *Shard) float64 { return d.fleet.Fill(s.Engines(), d.waitingFor(s.Key)) }
+func (d *Desk) part(s *Shard) float64 { return d.fleet.Utilization(s.Engines(), d.waitingFor(s.Key)) }
 
 // Fills tells how full a shard is that this instance owns, to others and to itself.
 func (d *Desk) Fills(now time.Time, s *Shard) Fill {
-	f := Fill{Part: d.part(s), Room: d.fleet.Room(s.Engines())}
+	f := Fill{Part: d.part(s), Room: d.fleet.MaxFreeTokens(s.Engines())}
 	d.Filled(now, s.Key, f)
 	return f
 }
--- a/lib/owner/desk_test.go
+++ b/lib/owner/desk_test.go
@@ -20,7 +20,7 @@
 		f := fleet.New("z" + name)
 		f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 		f.Apply(t0, es, nil, 0)
-		return NewDesk(name, f, new(admit.Readings), t0)
+		return NewDesk(name, f, new(admit.PrefillRates), t0)
 	}
 	return desk("a"), desk("b"), ofA, ofB
 }
@@ -91,7 +91,7 @@
 	f := fleet.New("z")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 	f.Apply(t0, es, nil, 0)
-	second := NewDesk("second", f, new(admit.Readings), t0)
+	second := NewDesk("second", f, new(admit.PrefillRates), t0)
 	second.TakeBeat(t0, Beat{Instance: "first"})
 	now := t0.Add(beatLife / 2)
 	must.Eq(t, "first", second.Take(now, s, ask("i", 1, 3000)).To.Name)
--- a/lib/owner/moves.go
+++ b/lib/owner/moves.go
@@ -28,7 +28,7 @@
 		engines[i] = moveplan.Engine{ID: e.ID, Domain: e.Domain}
 	}
 	var rooms []moveplan.Engine
-	for _, r := range b.fleet.Rooms(now, s.Service, s.Engines()) {
+	for _, r := range b.fleet.MoveCandidates(now, s.Service, s.Engines()) {
 		if !ids[r.ID] {
 			rooms = append(rooms, moveplan.Engine{ID: r.ID, Domain: r.Domain, Free: r.Free})
 		}
@@ -78,6 +78,6 @@
 	size := step.Run.Tokens + step.Run.Expected
 	h.give(now, grant{
 		serial: b.serial, run: step.Run.ID, target: step.To, at: now,
-		load: fleet.Load{Tokens: size}, size: fleet.Size{Now: step.Run.Tokens, Left: step.Run.Expected},
+		load: fleet.Load{Tokens: size}, size: fleet.Size{Held: step.Run.Tokens, Remaining: step.Run.Expected},
 	})
 }
--- a/lib/owner/report.go
+++ b/lib/owner/report.go
@@ -145,10 +145,10 @@
 		sizes[target] = append(sizes[target], s)
 	}
 	for _, r := range h.runs {
-		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Now: r.Tokens, Left: r.Left})
+		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Held: r.Tokens, Remaining: r.Left})
 	}
 	for _, m := range h.held {
-		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Now: m.Tokens})
+		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Held: m.Tokens})
 	}
 	for _, g := range h.grants {
 		add(g.target, g.load, g.size)
@@ -172,7 +172,7 @@
 
 // moving is the run as plans of moves see it.
 func (r Run) moving() moveplan.Run {
-	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Unread: r.Unread > 0}
+	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Prefilling: r.Unread > 0}
 }
 
 // ByShard sorts what an instance has by shards, as of tells them. What is on no shard's engines is left out.
--- a/lib/owner/turned.go
+++ b/lib/owner/turned.go
@@ -26,7 +26,7 @@
 		return
 	}
 	delete(b.turned, a.Print)
-	a.Stream.Back = true
+	a.Stream.IsRetry = true
 }
 
 func (b *Book) forgetTurned(now time.Time) {
--- a/lib/owner/wait.go
+++ b/lib/owner/wait.go
@@ -24,13 +24,13 @@
 // Load pattern: memory is short, and small streams fit into what frees up at once while a large one needs what two runs leave.
 // Looked at in the order of their ends alone, it finds its room taken at each look until its wait is over.
 func (b *Book) turnOf(s *admit.Stream) time.Time {
-	due := s.Due()
+	due := s.WaitDeadline()
 	memory := b.fleet.Memory(s.Need.Service)
 	if memory <= 0 {
 		return due
 	}
-	part := min(1, float64(s.Need.Peak.Now)/float64(memory))
-	return due.Add(-time.Duration(largeShare * part * float64(s.Aim)))
+	part := min(1, float64(s.Need.Peak.Held)/float64(memory))
+	return due.Add(-time.Duration(largeShare * part * float64(s.Objective)))
 }
 
 // hasNoTurn reports whether a stream that would wait can't begin before its wait is over: all engines of its shard have limits, and those that
@@ -38,7 +38,7 @@
 //
 // Load pattern: a whole service is in need and more streams come than it takes. Each that waits in vain could have come back sooner.
 func (b *Book) hasNoTurn(now time.Time, s *Shard, a *Ask) bool {
-	perSecond, limited := b.fleet.LimitsOf(s.Engines())
+	perSecond, limited := b.fleet.TotalLimit(s.Engines())
 	if !limited || a.Mode != Admit {
 		return false
 	}
@@ -48,7 +48,7 @@
 			before++
 		}
 	}
-	return float64(before+1) > perSecond*a.Stream.Due().Sub(now).Seconds()
+	return float64(before+1) > perSecond*a.Stream.WaitDeadline().Sub(now).Seconds()
 }
 
 // wait puts an ask among those that wait, in their order.
@@ -141,7 +141,7 @@
 	if len(kept) >= max(1, len(s.Engines())/keepPer) {
 		return
 	}
-	id := b.fleet.Roomiest(s.Engines(), kept)
+	id := b.fleet.EngineWithMostFree(s.Engines(), kept)
 	if id == "" {
 		return
 	}
--- a/lib/ownerlink/call.go
+++ b/lib/ownerlink/call.go
@@ -156,9 +156,9 @@
 func (l *Link) home(need *fleet.Need) *owner.Shard {
 	layout := l.layout.Load()
 	domain, own, most := l.Self.Domain, rendezvous.Hash(l.Self.Name), uint64(0)
-	if !l.Fleet.Open(domain, need.Regions) {
+	if !l.Fleet.DomainAllowed(domain, need.Regions) {
 		for _, other := range layout.Domains(need.Service) {
-			if rank := rendezvous.Rank(own, rendezvous.Hash(other)); rank > most && l.Fleet.Open(other, need.Regions) {
+			if rank := rendezvous.Rank(own, rendezvous.Hash(other)); rank > most && l.Fleet.DomainAllowed(other, need.Regions) {
 				domain, most = other, rank
 			}
 		}
--- a/lib/ownerlink/handle.go
+++ b/lib/ownerlink/handle.go
@@ -63,7 +63,7 @@
 	}
 	now := time.Now()
 	if s == nil {
-		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: a.Id}, Addr: d.Addr, Action: admit.None})
+		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: a.Id}, Addr: d.Addr, Action: admit.Fallback})
 		return
 	}
 	l.settle(l.Desk.Take(now, s, decodeAsk(d, now)))
@@ -131,7 +131,7 @@
 
 func (l *Link) handleHeardAsk(d *ownerpb.Datagram, a *ownerpb.HeardAsk) {
 	heard := &ownerpb.Heard{Id: a.Id}
-	if at := l.Fleet.LastHeard(a.Target); !at.IsZero() {
+	if at := l.Fleet.LastContact(a.Target); !at.IsZero() {
 		heard.Known, heard.AgoMs = true, ms(time.Since(at))
 	}
 	out := l.own()
--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -48,18 +48,20 @@
 	f.SetSizes(func(target string) (out []fleet.Size) {
 		for _, r := range *m.runs.Load() {
 			if r.Target == target {
-				out = append(out, fleet.Size{Now: r.Tokens, Left: r.Left})
+				out = append(out, fleet.Size{Held: r.Tokens, Remaining: r.Left})
 			}
 		}
 		return out
 	})
 	link, err := New(Config{
 		Self: owner.Instance{Name: name, Domain: "z0", Addr: "127.0.0.1:0", Capacity: 1}, Incarnation: 1, Fleet: f,
-		Desk: owner.NewDesk(name, f, new(admit.Readings), time.Now()),
+		Desk: owner.NewDesk(name, f, new(admit.PrefillRates), time.Now()),
 		Gather: func(of func(string) *owner.Shard) map[string]owner.Report {
 			return owner.ByShard(of, *m.runs.Load(), nil)
 		},
-		Moves: func(string) (moveplan.Link, bool) { return moveplan.Link{TokensPerSecond: 10_000, FarFactor: 2}, true },
+		Moves: func(string) (moveplan.Link, bool) {
+			return moveplan.Link{TokensPerSecond: 10_000, CrossDomainFactor: 2}, true
+		},
 		Left: func(id string, _ int64) bool {
 			if _, known := m.known.LoadOrStore(id, true); known {
 				return false
@@ -133,8 +135,8 @@
 }
 
 func ask(tokens int) owner.Ask {
-	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Now: tokens}}
-	return owner.Ask{Run: 7, Stream: admit.Stream{Arrived: time.Now(), Aim: time.Second, Keeps: 10 * time.Second, Need: need}}
+	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
+	return owner.Ask{Run: 7, Stream: admit.Stream{Arrived: time.Now(), Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need}}
 }
 
 func eventually(t *testing.T, cond func() bool) {
@@ -155,14 +157,14 @@
 	for _, name := range []string{"a", "b"} {
 		got, err := members[name].Place(t.Context(), ask(8000))
 		must.NoError(t, err)
-		must.Eq(t, admit.Go, got.Action)
+		must.Eq(t, admit.Admit, got.Action)
 		used[got.Target] = true
 		members[name].runs.Store(&[]owner.Run{{ID: 7, Target: got.Target, Tokens: 8000}})
 		members[name].Changed()
 	}
 	must.MapLen(t, 2, used)
 	first := members[s.Ranked[0].Name]
-	eventually(t, func() bool { return first.Fleet.Room(s.Engines()) < 2000 })
+	eventually(t, func() bool { return first.Fleet.MaxFreeTokens(s.Engines()) < 2000 })
 	time.AfterFunc(100*time.Millisecond, func() {
 		members["a"].runs.Store(new([]owner.Run))
 		members["a"].Changed()
@@ -170,7 +172,7 @@
 	start := time.Now()
 	got, err := members["c"].Place(t.Context(), ask(8000))
 	must.NoError(t, err)
-	must.Eq(t, admit.Go, got.Action)
+	must.Eq(t, admit.Admit, got.Action)
 	must.Greater(t, 90*time.Millisecond, time.Since(start))
 }
 
@@ -182,7 +184,7 @@
 	third.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 8000}})
 	third.Changed()
 	second := members[s.Ranked[1].Name]
-	eventually(t, func() bool { return second.Fleet.Believe(time.Now(), "e0").Load.Tokens == 8000 })
+	eventually(t, func() bool { return second.Fleet.KnownState(time.Now(), "e0").Load.Tokens == 8000 })
 	first.stop()
 	<-first.done
 	start := time.Now()
@@ -203,7 +205,7 @@
 	// Its own link does not run either, but it can ask itself: it is a candidate.
 	got, err := last.Place(t.Context(), ask(100))
 	must.NoError(t, err)
-	must.Eq(t, admit.Go, got.Action)
+	must.Eq(t, admit.Admit, got.Action)
 	stranger := newMember(t, "x")
 	stranger.SetLayout(members["a"].layout.Load())
 	stranger.start(t)
@@ -227,7 +229,7 @@
 	_, err := third.Place(t.Context(), ask(500))
 	must.NoError(t, err)
 	must.Eq(t, first, third.Desk.Order(time.Now(), s)[0].Name) // it has answered
-	must.Positive(t, members[first].Fleet.Fill(s.Engines(), 0))
+	must.Positive(t, members[first].Fleet.Utilization(s.Engines(), 0))
 }
 
 // Two instances have runs on an engine that leaves, and only one of them has seen it. Both are told where their runs go.
@@ -240,7 +242,7 @@
 		m.Changed()
 	}
 	first := members[s.Ranked[0].Name]
-	eventually(t, func() bool { return first.Fleet.Believe(time.Now(), "e0").Load.Runs == 2 })
+	eventually(t, func() bool { return first.Fleet.KnownState(time.Now(), "e0").Load.Runs == 2 })
 	e0, _ := first.Fleet.Info("e0")
 	first.Leaving([]fleet.Info{e0})
 	steps, err := asks.Plan(t.Context(), []fleet.Info{e0})
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -23,11 +23,11 @@
 	n := &a.Stream.Need
 	out := &ownerpb.Ask{
 		Id: a.ID, Shard: shard, Hops: uint32(a.Hops), Run: a.Run, Mode: uint32(a.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
-		Unread: tokens(n.Unread), Now: tokens(n.Peak.Now), Left: tokens(n.Peak.Left), AimMs: ms(a.Stream.Aim),
-		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.Keeps), Near: n.Near, BackupTokens: tokens(a.Backup), Print: a.Print,
-		Back: a.Stream.Back, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
+		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(a.Stream.Objective),
+		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(a.Backup), Print: a.Print,
+		Back: a.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
 	}
-	for id := range n.Without {
+	for id := range n.Exclude {
 		out.Without = append(out.Without, id)
 	}
 	slices.Sort(out.Without)
@@ -37,30 +37,30 @@
 func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.Ask {
 	a := d.GetAsk()
 	need := fleet.Need{
-		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), Near: a.Near,
-		Peak: fleet.Size{Now: int(a.Now), Left: int(a.Left)},
+		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), PreferredDomain: a.Near,
+		Peak: fleet.Size{Held: int(a.Now), Remaining: int(a.Left)},
 	}
 	if a.Bound {
 		need.Regions = append([]string{}, a.Regions...)
 	}
 	if len(a.Without) > 0 {
-		need.Without = make(map[string]bool, len(a.Without))
+		need.Exclude = make(map[string]bool, len(a.Without))
 		for _, id := range a.Without {
-			need.Without[id] = true
+			need.Exclude[id] = true
 		}
 	}
 	return owner.Ask{
 		Key:  owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
 		Addr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Print: a.Print, Describe: a.Describe,
-		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Aim: duration(a.AimMs), Keeps: duration(a.KeepsMs), Back: a.Back, Need: need},
+		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Objective: duration(a.AimMs), MaxRetryAfter: duration(a.KeepsMs), IsRetry: a.Back, Need: need},
 	}
 }
 
 func encodeAnswer(a *owner.Answer) *ownerpb.Answer {
 	return &ownerpb.Answer{
 		Id: a.ID, Action: uint32(a.Action), Target: a.Target, AfterMs: ms(a.After), Serial: a.Serial, Backup: a.Backup,
-		Ready: uint32(a.Belief.Ready), Runs: uint32(a.Belief.Load.Runs), Tokens: tokens(a.Belief.Load.Tokens),
-		Unread: tokens(a.Belief.Load.Unread), Peers: uint32(a.Belief.Peers), OldestMs: ms(a.Belief.Oldest),
+		Ready: uint32(a.Belief.ReadyTargets), Runs: uint32(a.Belief.Load.Runs), Tokens: tokens(a.Belief.Load.Tokens),
+		Unread: tokens(a.Belief.Load.Unread), Peers: uint32(a.Belief.Peers), OldestMs: ms(a.Belief.OldestUpdate),
 		TargetInfo: encodeTarget(&a.TargetInfo), BackupInfo: encodeTarget(&a.BackupInfo),
 	}
 }
@@ -85,9 +85,9 @@
 		Key: owner.Key{ID: a.GetId()}, Action: admit.Action(a.GetAction()), Target: a.GetTarget(), After: duration(a.GetAfterMs()),
 		Serial: a.GetSerial(), Backup: a.GetBackup(),
 		TargetInfo: decodeTarget(a.GetTarget(), service, a.GetTargetInfo()), BackupInfo: decodeTarget(a.GetBackup(), service, a.GetBackupInfo()),
-		Belief: fleet.Belief{
-			Ready: int(a.GetReady()), Load: fleet.Load{Runs: int(a.GetRuns()), Tokens: int(a.GetTokens()), Unread: int(a.GetUnread())},
-			Peers: int(a.GetPeers()), Oldest: duration(a.GetOldestMs()),
+		Belief: fleet.KnownState{
+			ReadyTargets: int(a.GetReady()), Load: fleet.Load{Runs: int(a.GetRuns()), Tokens: int(a.GetTokens()), Unread: int(a.GetUnread())},
+			Peers: int(a.GetPeers()), OldestUpdate: duration(a.GetOldestMs()),
 		},
 	}
 }
--- a/lib/ownerlink/wire_test.go
+++ b/lib/ownerlink/wire_test.go
@@ -20,10 +20,10 @@
 	sent := owner.Ask{
 		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, Addr: "127.0.0.1:1", Run: 11, Mode: owner.Room, Backup: 13, Hops: 2, Print: 17,
 		Stream: admit.Stream{
-			Arrived: now.Add(-40 * time.Millisecond), Aim: time.Second, Keeps: 2 * time.Second, Back: true,
+			Arrived: now.Add(-40 * time.Millisecond), Objective: time.Second, MaxRetryAfter: 2 * time.Second, IsRetry: true,
 			Need: fleet.Need{
-				Service: "s", Tokens: 19, Unread: 23, Near: "z", Peak: fleet.Size{Now: 29, Left: 31},
-				Without: map[string]bool{"e": true},
+				Service: "s", Tokens: 19, Unread: 23, PreferredDomain: "z", Peak: fleet.Size{Held: 29, Remaining: 31},
+				Exclude: map[string]bool{"e": true},
 			},
 		},
 	}
--- a/lib/replay/owned.go
+++ b/lib/replay/owned.go
@@ -200,7 +200,7 @@
 	a.answered = true
 	target, _ := r.inst.fleet.Info(answer.Target)
 	target.ID = answer.Target
-	o.s.settle(r, admit.Decision{Action: answer.Action, Target: target, After: answer.After})
+	o.s.settle(r, admit.Decision{Action: answer.Action, Target: target, RetryAfter: answer.After})
 	r.unread = answer.Belief.Load.Unread
 }
 
@@ -310,7 +310,7 @@
 	for _, r := range sorted(in.runs) {
 		runs = append(runs, owner.Run{
 			ID: r.id, Target: r.engine.ID, Tokens: r.prompt + r.made, Expected: max(0, r.load.Tokens-r.prompt-r.made),
-			Unread: r.load.Unread, Left: r.size().Left,
+			Unread: r.load.Unread, Left: r.size().Remaining,
 		})
 	}
 	shardOf := o.shardOf(in)
--- a/lib/sched/inputs.go
+++ b/lib/sched/inputs.go
@@ -135,7 +135,7 @@
 		return
 	}
 	o.measure(now, g, tokens)
-	o.lengths.Passed(o.groups[g.group].length, g.tokens, tokens)
+	o.lengths.ObserveProgress(o.groups[g.group].length, g.tokens, tokens)
 	g.tokens = tokens
 	g.advanced = now
 	o.start(g)
@@ -218,9 +218,9 @@
 	}
 	if reason != EndCompleted || g.maxTok > 0 && total >= g.maxTok {
 		// Cut short: it would have gone on, so nothing is known but that it came this far.
-		o.lengths.Passed(gr.length, g.tokens, total)
+		o.lengths.ObserveProgress(gr.length, g.tokens, total)
 	} else {
-		o.lengths.Ended(gr.length, g.tokens, total)
+		o.lengths.ObserveEnd(gr.length, g.tokens, total)
 		blendMean(&gr.output, float64(total))
 		blendMean(&gr.residence, now.Sub(g.granted).Seconds())
 	}
