--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -165,7 +165,7 @@
 func (s *site) site(m *member) gatewayproc.Site {
 	table := func(name string) feed.Source { return source{s: s.store, table: name, instance: m.host, cost: m.cost} }
 	return gatewayproc.Site{
-		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, HearEngines: func(gateway.AnswerReader) {},
+		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, HearEngines: func(gateway.ResponseHook) {},
 		Settings: table(settings), DecodeSettings: decodeSettings, Evacuated: func(feed.Row) (string, bool) { return "", false },
 		CountSettings: func(feed.Row) (feed.Count, bool) { return feed.Count{}, false },
 		CountTarget:   func(feed.Row) (feed.Count, bool) { return feed.Count{}, false },
@@ -209,15 +209,15 @@
 // engineCalls are calls to engines, which none of the modelled ones answers.
 type engineCalls struct{}
 
-func (engineCalls) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (gateway.Moved, error) {
-	return gateway.Moved{}, gateway.ErrNoRun
+func (engineCalls) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (gateway.CopyResult, error) {
+	return gateway.CopyResult{}, gateway.ErrNoRun
 }
 
 func (engineCalls) Report(context.Context, fleet.Info) (gateway.Report, error) {
 	return gateway.Report{}, gateway.ErrNoRun
 }
 
-func (engineCalls) Free(context.Context, fleet.Info, string) error { return nil }
+func (engineCalls) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
 // killAll ends all instances at once, without a word.
 func (s *site) killAll() {
--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -79,8 +79,8 @@
 	return r.copy.at
 }
 
-// Held lists the memory that copies of this instance's runs take.
-func (g *Gateway) Held() []owner.Held {
+// HeldMemory lists the memory that copies of this instance's runs take.
+func (g *Gateway) HeldMemory() []owner.Held {
 	var out []owner.Held
 	for _, list := range g.runs.all() {
 		for _, r := range list {
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -46,8 +46,8 @@
 	Reserved []string // headers that only the gateway may set; a caller's are dropped
 }
 
-// Moved is the answer to a copy of a run.
-type Moved struct {
+// CopyResult is the answer to a copy of a run.
+type CopyResult struct {
 	Handle string // names the copy
 }
 
@@ -61,11 +61,11 @@
 type Engines interface {
 	// Copy copies the memory of the run that serves request id from one engine to another, or what is new of it. last
 	// ends the run at its source before the rest is copied.
-	Copy(ctx context.Context, from, to fleet.Info, id string, last bool) (Moved, error)
+	Copy(ctx context.Context, from, to fleet.Info, id string, last bool) (CopyResult, error)
 	// Report asks an engine for its state.
 	Report(ctx context.Context, at fleet.Info) (Report, error)
-	// Free gives up a copy at both ends.
-	Free(ctx context.Context, from fleet.Info, handle string) error
+	// ReleaseCopy gives up a copy at both ends.
+	ReleaseCopy(ctx context.Context, from fleet.Info, handle string) error
 }
 
 // Config is what a Gateway is made of.
@@ -76,8 +76,8 @@
 	Pool    *wirehttp.Pool
 	Budget  *retry.Share
 	Log     Log
-	// Left is told of a target that says in an answer that it leaves; nil: nobody is.
-	Left func(t fleet.Info)
+	// OnLeaving is told of a target that says in an answer that it leaves; nil: nobody is.
+	OnLeaving func(t fleet.Info)
 	// Owners decides with others where streams go; nil: this instance decides alone.
 	Owners Owners
 }
@@ -168,8 +168,8 @@
 
 func (g *Gateway) stopping() bool { return g.stopBy.Load() != nil }
 
-// Cut breaks off what is still open. Call it after Stop.
-func (g *Gateway) Cut() { g.cut() }
+// AbortOpen breaks off what is still open. Call it after Stop.
+func (g *Gateway) AbortOpen() { g.cut() }
 
 // ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -190,13 +190,13 @@
 	logTargets(log.WarnLevel, "target_restarted", ch.Restarted)
 	logTargets(log.InfoLevel, "target_leaving", ch.Leaving)
 	for _, t := range ch.Restarted {
-		p.gate.Restarted(t)
+		p.gate.TargetRestarted(t)
 	}
 	p.link.TellRestarted(ch.Restarted)
 	p.divide(ch)
 	if len(ch.Leaving) > 0 {
 		p.link.Leaving(ch.Leaving)
-		p.gate.MoveOff(ch.Leaving)
+		p.gate.MoveRuns(ch.Leaving)
 	}
 }
 
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -86,7 +86,7 @@
 		Self: p.self(), Incarnation: p.born, Fleet: p.fleet, Conn: conn,
 		Desk: owner.NewDesk(p.cfg.Instance, p.fleet, p.gate.Readings(), time.Now()),
 		Gather: func(shardOf func(string) *owner.Shard) map[string]owner.Report {
-			return owner.ByShard(shardOf, p.gate.Runs(), p.gate.Held())
+			return owner.ByShard(shardOf, p.gate.Runs(), p.gate.HeldMemory())
 		},
 		Moves: p.gate.MoveLink,
 		Left:  p.left,
@@ -95,7 +95,7 @@
 		Granted:   func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
 		Part:      p.feeds.targets.Part,
 		Spread:    func(b []byte) { p.track.Tell(b) },
-		Blames:    p.gate.TakeBlames,
+		Blames:    p.gate.MergeBlames,
 		Suspected: func(target string, permille uint32) {
 			log.Warn().Str("event", "target_suspected").Str("target", target).Uint32("failing_permille", permille).Msg("")
 		},
@@ -140,7 +140,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.gate.BlameNews():
+		case <-p.gate.BlamesChanged():
 		}
 		for _, pause := range []time.Duration{blamesGap, blamesAgain} {
 			select {
