--- a/lib/gateway/book_test.go
+++ b/lib/gateway/book_test.go
@@ -19,7 +19,7 @@
 	changes int
 }
 
-func (o *toldOwners) Changed() { o.changes++ }
+func (o *toldOwners) ScheduleReport() { o.changes++ }
 
 // A run is planned to move. Until it is there its room was known to its own instance only, and peers sent new streams
 // into it, which then waited behind the run for seconds. Its room counts from the plan on, here and at peers, and is
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -86,23 +86,23 @@
 // of them answers: then this instance decides alone.
 type Owners interface {
 	// Place finds an engine for a run, or says when its caller should come back.
-	Place(ctx context.Context, a owner.Ask) (owner.Answer, error)
-	// Plan says where this instance's runs go that are on engines which leave.
-	Plan(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
-	// LastHeard returns when any instance last heard an engine.
-	LastHeard(ctx context.Context, engine string) (time.Time, error)
-	// Changed says that what runs here has changed.
-	Changed()
-	// Outcome tells how a run ended at an engine.
-	Outcome(engine string, o fleet.Outcome)
-	// PlainOutcome tells how a request ended at a target of a plain service.
-	PlainOutcome(service, target string, o fleet.Outcome)
-	// Permit asks for leave to send a request to a target that has named a limit. One that must be sent is only counted.
-	Permit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
-	// Limited tells of the limit that an answer of a target named, or no longer named; changed says that it is news here.
-	Limited(t fleet.Info, changed bool)
-	// Reading tells how long a first event took.
-	Reading(r owner.Reading)
+	Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error)
+	// RequestMoves says where this instance's runs go that are on engines which leave.
+	RequestMoves(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
+	// LastContact returns when any instance last heard an engine.
+	LastContact(ctx context.Context, engine string) (time.Time, error)
+	// ScheduleReport says that what runs here has changed.
+	ScheduleReport()
+	// RecordOutcome tells how a run ended at an engine.
+	RecordOutcome(engine string, o fleet.Outcome)
+	// RecordPlainOutcome tells how a request ended at a target of a plain service.
+	RecordPlainOutcome(service, target string, o fleet.Outcome)
+	// RequestPermit asks for leave to send a request to a target that has named a limit. One that must be sent is only counted.
+	RequestPermit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
+	// ReportLimit tells of the limit that an answer of a target named, or no longer named; changed says that it is news here.
+	ReportLimit(t fleet.Info, changed bool)
+	// RecordPrefill tells how long a first event took.
+	RecordPrefill(r owner.PrefillSample)
 }
 
 // Gateway serves callers. It is an http.Handler.
