--- a/lib/owner/book.go
+++ b/lib/owner/book.go
@@ -58,18 +58,18 @@
 }
 
 const (
-	// askLife is how long an ask waits that is not heard again: its caller has left, or another owner was found.
-	askLife = 500 * time.Millisecond
-	// answerLife is how long an answer is kept for an ask that comes again because the answer was lost.
-	answerLife = 3 * time.Second
-	// backupFree is the share of an engine's memory that must stay free for it to hold a copy of another's run. With copies
+	// requestTTL is how long an ask waits that is not heard again: its caller has left, or another owner was found.
+	requestTTL = 500 * time.Millisecond
+	// answerTTL is how long an answer is kept for an ask that comes again because the answer was lost.
+	answerTTL = 3 * time.Second
+	// backupMinFree is the share of an engine's memory that must stay free for it to hold a copy of another's run. With copies
 	// of every run the engines' memory fills up and runs are preempted, which costs more than the copies save.
-	backupFree = 0.7
-	// waitingMax bounds the asks that wait. Each step looks at all of them, 50 times a second.
-	waitingMax = 2048
+	backupMinFree = 0.7
+	// maxWaiting bounds the asks that wait. Each step looks at all of them, 50 times a second.
+	maxWaiting = 2048
 )
 
-type answered struct {
+type sentAnswer struct {
 	Answer
 	at time.Time
 }
@@ -78,29 +78,29 @@
 type Ledger struct {
 	random func(n int64) int64 // up to n, n left out; nil: math/rand
 
-	self    string // this instance, whose own runs the fleet counts without being told
-	fleet   *fleet.Fleet
-	reading *admit.PrefillRates
-
-	mu      sync.Mutex
-	holders map[string]map[string]*holder // by shard, instance
-	asks    []*waiting                    // in the order in which they are looked at
-	kept    map[string]map[string]bool    // by shard: the engines kept for the first that wait
-	done    map[Key]answered
-	turned  map[uint64]time.Time // when streams may come back that were told to, by print
-	serial  uint64
-	steps   map[uint64]planned // of moves, by run
+	self         string // this instance, whose own runs the fleet counts without being told
+	fleet        *fleet.Fleet
+	prefillRates *admit.PrefillRates
+
+	mu       sync.Mutex
+	holders  map[string]map[string]*holder // by shard, instance
+	waiting  []*waitingRequest             // in the order in which they are looked at
+	reserved map[string]map[string]bool    // by shard: the engines kept for the first that wait
+	answers  map[Key]sentAnswer
+	rejected map[uint64]time.Time // when streams may come back that were told to, by print
+	serial   uint64
+	moves    map[uint64]plannedMove // of moves, by run
 }
 
 // NewLedger returns an empty Book of an instance that decides by what f believes. Reports go into f as its peers' loads.
-func NewLedger(self string, f *fleet.Fleet, reading *admit.PrefillRates) *Ledger {
+func NewLedger(self string, f *fleet.Fleet, rates *admit.PrefillRates) *Ledger {
 	return &Ledger{
-		self: self, fleet: f, reading: reading,
-		holders: make(map[string]map[string]*holder),
-		kept:    make(map[string]map[string]bool),
-		done:    make(map[Key]answered),
-		turned:  make(map[uint64]time.Time),
-		steps:   make(map[uint64]planned),
+		self: self, fleet: f, prefillRates: rates,
+		holders:  make(map[string]map[string]*holder),
+		reserved: make(map[string]map[string]bool),
+		answers:  make(map[Key]sentAnswer),
+		rejected: make(map[uint64]time.Time),
+		moves:    make(map[uint64]plannedMove),
 	}
 }
 
@@ -116,43 +116,43 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.holder(r.Shard, r.Instance)
-	if h == nil || !h.fresh(now, &r) {
+	if h == nil || !h.isNewer(now, &r) {
 		return false
 	}
-	r.bounded()
-	h.take(now, &r)
-	b.tell(now, h)
-	b.learn(now, h, &r)
+	r.clamp()
+	h.apply(now, &r)
+	b.publish(now, h)
+	b.applyObservations(now, h, &r)
 	return true
 }
 
-// learn takes in what a report says of engines beside their load.
-func (b *Ledger) learn(now time.Time, h *holder, r *Report) {
+// applyObservations takes in what a report says of engines beside their load.
+func (b *Ledger) applyObservations(now time.Time, h *holder, r *Report) {
 	for _, run := range r.Runs {
 		if run.Unread == 0 {
 			b.fleet.RecordContact(now.Add(-run.SinceContact), run.Target)
 		}
 	}
-	if h.own {
+	if h.local {
 		return // it has learnt from its own sends
 	}
 	for _, o := range r.Outcomes {
 		last := h.outcomes[o.Target]
 		h.outcomes[o.Target] = o
-		b.learnOutcome(now, o.Target, fleet.Served, o.Served-last.Served)
-		b.learnOutcome(now, o.Target, fleet.Failed, o.Failed-last.Failed)
-		b.learnOutcome(now, o.Target, fleet.Unreachable, o.Unreachable-last.Unreachable)
+		b.recordOutcomes(now, o.Target, fleet.Served, o.Served-last.Served)
+		b.recordOutcomes(now, o.Target, fleet.Failed, o.Failed-last.Failed)
+		b.recordOutcomes(now, o.Target, fleet.Unreachable, o.Unreachable-last.Unreachable)
 	}
 	for _, m := range r.PrefillSamples {
-		b.reading.Observe(m.Service, m.Unread, m.Took)
+		b.prefillRates.Observe(m.Service, m.Unread, m.Took)
 	}
 }
 
-// outcomesMax bounds what one report teaches of one target: more are hardly one instance's since its last report.
-const outcomesMax = 8
+// maxNewOutcomes bounds what one report teaches of one target: more are hardly one instance's since its last report.
+const maxNewOutcomes = 8
 
-func (b *Ledger) learnOutcome(now time.Time, target string, o fleet.Outcome, n uint32) {
-	for range min(n, outcomesMax) {
+func (b *Ledger) recordOutcomes(now time.Time, target string, o fleet.Outcome, n uint32) {
+	for range min(n, maxNewOutcomes) {
 		b.fleet.RecordOutcome(now, target, o)
 	}
 }
@@ -163,15 +163,15 @@
 		b.holders[shard] = make(map[string]*holder)
 	}
 	h := b.holders[shard][instance]
-	if h == nil && len(b.holders[shard]) < holdersMax {
-		h = &holder{name: instance + " " + shard, own: instance == b.self, outcomes: make(map[string]Outcomes)}
+	if h == nil && len(b.holders[shard]) < maxHolders {
+		h = &holder{name: instance + " " + shard, local: instance == b.self, outcomes: make(map[string]Outcomes)}
 		b.holders[shard][instance] = h
 	}
 	return h
 }
 
-func (b *Ledger) tell(now time.Time, h *holder) {
-	if h.own {
+func (b *Ledger) publish(now time.Time, h *holder) {
+	if h.local {
 		return
 	}
 	loads, sizes := h.loads()
@@ -183,21 +183,21 @@
 func (b *Ledger) Place(now time.Time, s *Shard, a PlaceRequest) (answer Answer, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if old, known := b.done[a.Key]; known {
+	if old, known := b.answers[a.Key]; known {
 		return old.Answer, true
 	}
-	i := slices.IndexFunc(b.asks, func(w *waiting) bool { return w.Key == a.Key })
+	i := slices.IndexFunc(b.waiting, func(w *waitingRequest) bool { return w.Key == a.Key })
 	if i >= 0 {
-		b.asks[i].heard = now
+		b.waiting[i].lastSeen = now
 		return Answer{}, false
 	}
-	b.cameBack(now, &a)
+	b.markReturned(now, &a)
 	answer, ok = b.decide(now, s, &a)
-	if !ok && b.hasNoTurn(now, s, &a) {
-		return b.settle(now, s, &a, b.placer().Reject(a.Stream)), true
+	if !ok && b.cannotStartInTime(now, s, &a) {
+		return b.recordDecision(now, s, &a, b.placer().Reject(a.Stream)), true
 	}
-	if !ok && len(b.asks) < waitingMax {
-		b.wait(&waiting{PlaceRequest: a, shard: s, heard: now})
+	if !ok && len(b.waiting) < maxWaiting {
+		b.enqueue(&waitingRequest{PlaceRequest: a, shard: s, lastSeen: now})
 	}
 	return answer, ok
 }
@@ -208,30 +208,30 @@
 	if d.Action == admit.Wait {
 		return Answer{}, false
 	}
-	return b.settle(now, s, a, d), true
+	return b.recordDecision(now, s, a, d), true
 }
 
-// settle makes a decision the answer to an ask, and counts what it gives away.
-func (b *Ledger) settle(now time.Time, s *Shard, a *PlaceRequest, d admit.Decision) Answer {
+// recordDecision makes a decision the answer to an ask, and counts what it gives away.
+func (b *Ledger) recordDecision(now time.Time, s *Shard, a *PlaceRequest, d admit.Decision) Answer {
 	out := Answer{Key: a.Key, Addr: a.ReplyAddr, Describe: a.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
 	switch d.Action {
 	case admit.Admit:
 		b.grant(now, s, a, &out)
 	case admit.RetryLater:
-		b.turnAway(now, a, d.RetryAfter)
+		b.rememberRejection(now, a, d.RetryAfter)
 	}
-	b.done[a.Key] = answered{Answer: out, at: now}
+	b.answers[a.Key] = sentAnswer{Answer: out, at: now}
 	return out
 }
 
 func (b *Ledger) placer() *admit.Placer {
-	return &admit.Placer{Fleet: b.fleet, Prefill: b.reading, Acquire: b.fleet.Choose, Random: b.random}
+	return &admit.Placer{Fleet: b.fleet, Prefill: b.prefillRates, Acquire: b.fleet.Choose, Random: b.random}
 }
 
 func (b *Ledger) choose(now time.Time, s *Shard, a *PlaceRequest) admit.Decision {
 	need := a.Stream.Need
 	need.Among = s.Engines()
-	need.Reserved = b.kept[s.Key]
+	need.Reserved = b.reserved[s.Key]
 	if a.Mode == Admit {
 		p := b.placer()
 		stream := a.Stream
@@ -252,45 +252,45 @@
 func (b *Ledger) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for key, a := range b.done {
-		if now.Sub(a.at) > answerLife {
-			delete(b.done, key)
+	for key, a := range b.answers {
+		if now.Sub(a.at) > answerTTL {
+			delete(b.answers, key)
 		}
 	}
-	b.forgetTurned(now)
-	for id, p := range b.steps {
-		if now.Sub(p.at) > stepLife {
-			delete(b.steps, id)
+	b.expireRejections(now)
+	for id, p := range b.moves {
+		if now.Sub(p.at) > moveTTL {
+			delete(b.moves, id)
 		}
 	}
 	for _, list := range b.holders {
 		for instance, h := range list {
-			b.age(now, list, instance, h)
+			b.expire(now, list, instance, h)
 		}
 	}
 }
 
-func (b *Ledger) age(now time.Time, list map[string]*holder, instance string, h *holder) {
+func (b *Ledger) expire(now time.Time, list map[string]*holder, instance string, h *holder) {
 	n := len(h.grants)
-	h.settle(now, 0)
+	h.dropGrants(now, 0)
 	switch {
-	case now.Sub(h.at) > reportLife && len(h.grants) == 0:
+	case now.Sub(h.lastReport) > reportTTL && len(h.grants) == 0:
 		delete(list, instance)
-		h.runs, h.held = nil, nil
-		b.tell(now, h)
+		h.runs, h.copies = nil, nil
+		b.publish(now, h)
 	case len(h.grants) < n:
-		b.tell(now, h)
+		b.publish(now, h)
 	}
 }
 
 // Runs lists what instances have told of their runs on some engines.
-func (b *Ledger) runs(engines map[string]bool) []moveplan.Run {
+func (b *Ledger) runsOn(engines map[string]bool) []moveplan.Run {
 	var out []moveplan.Run
 	for _, list := range b.holders {
 		for _, h := range list {
 			for _, r := range h.runs {
 				if engines[r.Target] && !r.Pinned {
-					out = append(out, r.moving())
+					out = append(out, r.toPlan())
 				}
 			}
 		}
@@ -305,7 +305,7 @@
 	defer b.mu.Unlock()
 	var out []string
 	for _, h := range b.holders[shard] {
-		if !h.own && h.uses(engines) {
+		if !h.local && h.uses(engines) {
 			out = append(out, h.addr)
 		}
 	}
@@ -315,5 +315,5 @@
 // uses reports whether the instance has runs or copies on some engines.
 func (h *holder) uses(engines map[string]bool) bool {
 	return slices.ContainsFunc(h.runs, func(r Run) bool { return engines[r.Target] }) ||
-		slices.ContainsFunc(h.held, func(m Copy) bool { return engines[m.Target] })
+		slices.ContainsFunc(h.copies, func(m Copy) bool { return engines[m.Target] })
 }
--- a/lib/owner/book_test.go
+++ b/lib/owner/book_test.go
@@ -16,8 +16,8 @@
 
 const kv = 10_000
 
-// testBook is an owner's account of n engines of kv tokens.
-func testBook(n int) (*Ledger, *fleet.Fleet, *Shard) {
+// newTestLedger is an owner's account of n engines of kv tokens.
+func newTestLedger(n int) (*Ledger, *fleet.Fleet, *Shard) {
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 	f.SetRandom(func() float64 { return 0 })
@@ -26,7 +26,7 @@
 	return NewLedger("owner", f, new(admit.PrefillRates)), f, l.HomeShard("s", "z0", "owner")
 }
 
-func ask(instance string, id uint64, tokens int) PlaceRequest {
+func placeRequest(instance string, id uint64, tokens int) PlaceRequest {
 	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
 	return PlaceRequest{
 		Key: Key{Instance: instance, Incarnation: 1, ID: id}, Run: 100 + id,
@@ -40,11 +40,11 @@
 
 // Many instances ask within a millisecond, before any of them can tell what it was given. Each grant counts from the
 // moment it is given: the engines are filled evenly and the one too many waits.
-func TestGrantsCountAtOnce(t *testing.T) {
-	b, f, s := testBook(4)
+func TestGrantsCountFromDecision(t *testing.T) {
+	b, f, s := newTestLedger(4)
 	given := make(map[string]int)
 	for i := range 8 {
-		a, ok := b.Place(t0, s, ask(fmt.Sprint("i", i), 1, 4500))
+		a, ok := b.Place(t0, s, placeRequest(fmt.Sprint("i", i), 1, 4500))
 		must.True(t, ok)
 		must.Eq(t, admit.Admit, a.Action)
 		given[a.Target]++
@@ -52,7 +52,7 @@
 	for id, n := range given {
 		must.Eq(t, 2, n, must.Sprint(id))
 	}
-	_, ok := b.Place(t0, s, ask("late", 1, 4500))
+	_, ok := b.Place(t0, s, placeRequest("late", 1, 4500))
 	must.False(t, ok)
 	must.True(t, b.HasWaiting())
 	must.Greater(t, 0.8, f.Utilization(s.Engines(), 0))
@@ -60,14 +60,14 @@
 
 // An answer is lost, and the housekeeping runs before the ask comes again: it is sent every 0.05 s, and after 0.2 s while it waits. A
 // second grant would count the run twice until its instance tells of it, and turn away as much as it takes.
-func TestAskThatComesAgainLaterIsAnsweredAsBefore(t *testing.T) {
-	b, f, s := testBook(1)
-	first, ok := b.Place(t0, s, ask("i", 1, 6000))
+func TestRetransmittedRequestKeepsAnswerAfterTick(t *testing.T) {
+	b, f, s := newTestLedger(1)
+	first, ok := b.Place(t0, s, placeRequest("i", 1, 6000))
 	must.True(t, ok)
 	for _, later := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, time.Second} {
 		now := t0.Add(later)
 		b.Tick(now)
-		again, ok := b.Place(now, s, ask("i", 1, 6000))
+		again, ok := b.Place(now, s, placeRequest("i", 1, 6000))
 		must.True(t, ok, must.Sprint(later))
 		must.Eq(t, first.Serial, again.Serial, must.Sprint(later))
 		must.Eq(t, first.Target, again.Target, must.Sprint(later))
@@ -76,12 +76,12 @@
 }
 
 // An answer is lost and the ask comes again. It is answered as before: a second grant would count the run twice.
-func TestAskThatComesAgainIsAnsweredAsBefore(t *testing.T) {
-	b, f, s := testBook(4)
-	first, ok := b.Place(t0, s, ask("i", 1, 4000))
+func TestRetransmittedRequestIsAnsweredOnce(t *testing.T) {
+	b, f, s := newTestLedger(4)
+	first, ok := b.Place(t0, s, placeRequest("i", 1, 4000))
 	must.True(t, ok)
 	fill := f.Utilization(s.Engines(), 0)
-	again, ok := b.Place(t0.Add(50*time.Millisecond), s, ask("i", 1, 4000))
+	again, ok := b.Place(t0.Add(50*time.Millisecond), s, placeRequest("i", 1, 4000))
 	must.True(t, ok)
 	must.Eq(t, first.Target, again.Target)
 	must.Eq(t, first.Serial, again.Serial)
@@ -91,16 +91,16 @@
 
 // A grant is counted until its instance tells of the run, and not beside it. One that its instance has and does not use,
 // or that was lost on the way, is free again.
-func TestGrantPassesToTheReport(t *testing.T) {
-	b, f, s := testBook(1)
+func TestReportReplacesGrant(t *testing.T) {
+	b, f, s := newTestLedger(1)
 	e := s.Engines()[0]
-	a, _ := b.Place(t0, s, ask("i", 1, 3000))
+	a, _ := b.Place(t0, s, placeRequest("i", 1, 3000))
 	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 	run := Run{ID: 101, Target: e, Tokens: 3000}
 	must.True(t, b.Report(t0, report(s, "i", 1, run)))
 	must.Eq(t, fleet.Load{Runs: 1, Tokens: 3000}, f.KnownState(t0, e).Load)
 
-	a, _ = b.Place(t0, s, ask("i", 2, 2000))
+	a, _ = b.Place(t0, s, placeRequest("i", 2, 2000))
 	r := report(s, "i", 2, run)
 	r.LastGrant = a.Serial
 	must.True(t, b.Report(t0.Add(10*time.Millisecond), r)) // the run is about to be entered
@@ -109,23 +109,23 @@
 	must.True(t, b.Report(t0.Add(200*time.Millisecond), r))
 	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 
-	_, ok := b.Place(t0.Add(200*time.Millisecond), s, ask("lost", 1, 2000))
+	_, ok := b.Place(t0.Add(200*time.Millisecond), s, placeRequest("lost", 1, 2000))
 	must.True(t, ok)
-	b.Tick(t0.Add(200*time.Millisecond + grantLife))
+	b.Tick(t0.Add(200*time.Millisecond + grantTTL))
 	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 }
 
 // An engine is full and a stream waits. The runs there end, and the stream goes at the next look, without being asked again.
 // One whose caller has left is not heard again and gets nothing.
-func TestWaitingStreamTakesWhatFreesUp(t *testing.T) {
-	b, _, s := testBook(1)
+func TestWaitingStreamGetsFreedCapacity(t *testing.T) {
+	b, _, s := newTestLedger(1)
 	b.Report(t0, report(s, "i", 1, Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}))
-	_, ok := b.Place(t0, s, ask("a", 1, 3000))
+	_, ok := b.Place(t0, s, placeRequest("a", 1, 3000))
 	must.False(t, ok)
-	_, ok = b.Place(t0, s, ask("gone", 1, 3000))
+	_, ok = b.Place(t0, s, placeRequest("gone", 1, 3000))
 	must.False(t, ok)
 	must.SliceEmpty(t, b.DecideWaiting(t0.Add(20*time.Millisecond)))
-	_, ok = b.Place(t0.Add(200*time.Millisecond), s, ask("a", 1, 3000))
+	_, ok = b.Place(t0.Add(200*time.Millisecond), s, placeRequest("a", 1, 3000))
 	must.False(t, ok)
 	b.Report(t0.Add(210*time.Millisecond), report(s, "i", 2))
 	got := b.DecideWaiting(t0.Add(220 * time.Millisecond))
@@ -133,7 +133,7 @@
 	must.Eq(t, "a", got[0].Instance)
 
 	b.Report(t0.Add(230*time.Millisecond), report(s, "i", 3, Run{ID: 1, Target: s.Engines()[0], Tokens: 9900}))
-	late := ask("late", 1, 3000)
+	late := placeRequest("late", 1, 3000)
 	late.Stream.Arrived = t0.Add(240 * time.Millisecond)
 	_, ok = b.Place(t0.Add(240*time.Millisecond), s, late)
 	must.False(t, ok)
@@ -144,10 +144,10 @@
 
 // What finds no room in its part of the aim is told to come back, with a time from one second to all that its caller keeps
 // to.
-func TestStreamWithoutRoomIsTurnedAway(t *testing.T) {
-	b, _, s := testBook(1)
+func TestStreamWithoutCapacityIsRejected(t *testing.T) {
+	b, _, s := newTestLedger(1)
 	b.Report(t0, report(s, "i", 1, Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}))
-	late := ask("a", 1, 3000)
+	late := placeRequest("a", 1, 3000)
 	late.Stream.Arrived = t0.Add(-time.Second)
 	a, ok := b.Place(t0, s, late)
 	must.True(t, ok)
@@ -155,12 +155,12 @@
 	must.GreaterEq(t, time.Second, a.After)
 	must.LessEq(t, 10*time.Second, a.After)
 	// A run that an engine has turned back takes the best one, however full; one that moves only one that holds it.
-	again := ask("a", 2, 3000)
+	again := placeRequest("a", 2, 3000)
 	again.Mode = Any
 	a, ok = b.Place(t0, s, again)
 	must.True(t, ok)
 	must.Eq(t, admit.Admit, a.Action)
-	room := ask("a", 3, 3000)
+	room := placeRequest("a", 3, 3000)
 	room.Mode = MustFit
 	a, ok = b.Place(t0, s, room)
 	must.True(t, ok)
@@ -169,8 +169,8 @@
 
 // Reports overtake each other, come twice, or come late from a process that was replaced. Only a newer one counts; once an
 // instance is silent, any does: its clock may have been set back before it was started again.
-func TestOnlyNewerReportsCount(t *testing.T) {
-	b, f, s := testBook(1)
+func TestStaleReportsAreIgnored(t *testing.T) {
+	b, f, s := newTestLedger(1)
 	e := s.Engines()[0]
 	must.True(t, b.Report(t0, report(s, "i", 5, Run{ID: 1, Target: e, Tokens: 500})))
 	must.False(t, b.Report(t0, report(s, "i", 5)))
@@ -180,35 +180,35 @@
 	must.True(t, b.Report(t0, newer))
 	must.False(t, b.Report(t0, report(s, "i", 9)))
 	must.Eq(t, 0, f.KnownState(t0, e).Load.Runs)
-	must.True(t, b.Report(t0.Add(reportLife+time.Millisecond), report(s, "i", 1)))
+	must.True(t, b.Report(t0.Add(reportTTL+time.Millisecond), report(s, "i", 1)))
 }
 
 // Reports that claim absurd sums, engines that nobody knows, or come from thousands of made-up instances make choices
 // worse; they overflow nothing, and what is kept of them is bounded.
 func TestAbsurdReportsAreBounded(t *testing.T) {
-	b, f, s := testBook(2)
+	b, f, s := newTestLedger(2)
 	e := s.Engines()[0]
 	huge := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Remaining: 1 << 62}
 	must.True(t, b.Report(t0, report(s, "liar", 1, huge, Run{ID: 2, Target: "nobody", Tokens: 5})))
 	load := f.KnownState(t0, e).Load
-	must.Eq(t, 2*tokensMax, load.Tokens)
+	must.Eq(t, 2*maxTokens, load.Tokens)
 	must.Eq(t, 0, load.Unread)
-	a, ok := b.Place(t0, s, ask("i", 1, 3000))
+	a, ok := b.Place(t0, s, placeRequest("i", 1, 3000))
 	must.True(t, ok)
 	must.Eq(t, s.Engines()[1], a.Target)
-	for i := range holdersMax + 10 {
+	for i := range maxHolders + 10 {
 		b.Report(t0, report(s, fmt.Sprint("made up ", i), 1))
 	}
-	must.MapLen(t, holdersMax, b.holders[s.Key])
-	b.Tick(t0.Add(2 * reportLife))
+	must.MapLen(t, maxHolders, b.holders[s.Key])
+	b.Tick(t0.Add(2 * reportTTL))
 	must.MapEmpty(t, b.holders[s.Key])
 	must.Eq(t, 0, f.KnownState(t0, e).Load.Runs)
 }
 
 // Hundreds of instances send a stream to one engine every minute each: none could learn alone that it fails what it is sent.
 // The owner learns from all of them, and sends less there after a few failures.
-func TestOwnerLearnsFromAllOutcomes(t *testing.T) {
-	b, _, s := testBook(2)
+func TestOwnerCombinesOutcomesOfAllInstances(t *testing.T) {
+	b, _, s := newTestLedger(2)
 	bad := s.Engines()[0]
 	for i := range 12 {
 		r := report(s, fmt.Sprint("i", i), 1)
@@ -218,15 +218,15 @@
 		must.True(t, b.Report(t0, r))
 	}
 	for i := range 3 {
-		a, _ := b.Place(t0, s, ask("i", uint64(i), 1000))
+		a, _ := b.Place(t0, s, placeRequest("i", uint64(i), 1000))
 		must.Eq(t, s.Engines()[1], a.Target)
 	}
 }
 
 // Two instances have runs on an engine that leaves. The owner plans them together, so that no link carries two copies at a
 // time, and room counts where they go before they are there.
-func TestMovesArePlannedForAllInstances(t *testing.T) {
-	b, f, s := testBook(3)
+func TestMovesArePlannedAcrossInstances(t *testing.T) {
+	b, f, s := newTestLedger(3)
 	e := s.Engines()[0]
 	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, Tokens: 2000, Expected: 1000}, Run{ID: 3, Target: e, Tokens: 10, Pinned: true}))
 	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, Tokens: 3000, Expected: 1000}))
@@ -260,8 +260,8 @@
 }
 
 // An engine is heard by some instance's run although this one's are silent: it is busy, not dark.
-func TestEngineIsHeardByAnyInstance(t *testing.T) {
-	b, f, s := testBook(1)
+func TestEngineContactThroughAnyInstance(t *testing.T) {
+	b, f, s := newTestLedger(1)
 	e := s.Engines()[0]
 	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, SinceContact: 900 * time.Millisecond}))
 	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, SinceContact: 20 * time.Millisecond}, Run{ID: 3, Target: e, Unread: 10}))
@@ -270,7 +270,7 @@
 
 // BenchmarkPlace is one placement by the owner of 32 engines that 60 instances have five runs each on.
 func BenchmarkPlace(b *testing.B) {
-	book, f, s := testBook(32)
+	book, f, s := newTestLedger(32)
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: 1 << 20}})
 	for i := range 60 {
 		var runs []Run
@@ -283,55 +283,55 @@
 	id := uint64(1000)
 	for b.Loop() {
 		id++
-		a := ask("x", id, 3000)
+		a := placeRequest("x", id, 3000)
 		a.Stream.Arrived = t0
 		book.Place(t0, s, a)
-		book.done = make(map[Key]answered)
+		book.answers = make(map[Key]sentAnswer)
 		book.holders[s.Key]["x"].grants = nil
-		book.tell(t0, book.holders[s.Key]["x"])
+		book.publish(t0, book.holders[s.Key]["x"])
 	}
 }
 
 // Engines are nearly full, and a large prompt waits for the room of two small ones. Small streams that come later would take
 // each piece of room as it frees up. One engine is kept for the large one until it fits; the small ones take the others.
-func TestRoomIsKeptForTheFirstThatWaits(t *testing.T) {
-	b, _, s := testBook(2)
-	roomy, other := s.Engines()[0], s.Engines()[1]
-	runs := []Run{{ID: 1, Target: roomy, Tokens: 3000}, {ID: 2, Target: roomy, Tokens: 3000}, {ID: 3, Target: other, Tokens: 7000}}
+func TestEngineIsReservedForFirstWaiting(t *testing.T) {
+	b, _, s := newTestLedger(2)
+	reserved, other := s.Engines()[0], s.Engines()[1]
+	runs := []Run{{ID: 1, Target: reserved, Tokens: 3000}, {ID: 2, Target: reserved, Tokens: 3000}, {ID: 3, Target: other, Tokens: 7000}}
 	b.Report(t0, report(s, "i", 1, runs...))
-	_, ok := b.Place(t0, s, ask("large", 1, 6000))
+	_, ok := b.Place(t0, s, placeRequest("large", 1, 6000))
 	must.False(t, ok)
 	must.SliceEmpty(t, b.DecideWaiting(t0))
-	a, ok := b.Place(t0, s, ask("small", 1, 2000))
+	a, ok := b.Place(t0, s, placeRequest("small", 1, 2000))
 	must.True(t, ok)
 	must.Eq(t, other, a.Target)
-	_, ok = b.Place(t0, s, ask("small", 2, 2000))
+	_, ok = b.Place(t0, s, placeRequest("small", 2, 2000))
 	must.False(t, ok)
 	b.Report(t0.Add(50*time.Millisecond), report(s, "i", 2, runs[1:]...))
 	got := b.DecideWaiting(t0.Add(60 * time.Millisecond))
 	must.Len(t, 1, got)
 	must.Eq(t, "large", got[0].Instance)
-	must.Eq(t, roomy, got[0].Target)
+	must.Eq(t, reserved, got[0].Target)
 }
 
 // Two large prompts wait for a shard of many engines. Small streams that come meanwhile leave the two roomiest engines to them, and
 // take the others' room; in a shard of half the engines they leave one.
-func TestLargeShardsKeepMoreEngines(t *testing.T) {
-	for engines, left := range map[int]int{2 * keepPer: 2, 2*keepPer - 1: 1} {
-		b, _, s := testBook(engines)
+func TestLargeShardsReserveMoreEngines(t *testing.T) {
+	for engines, left := range map[int]int{2 * enginesPerReserved: 2, 2*enginesPerReserved - 1: 1} {
+		b, _, s := newTestLedger(engines)
 		var full []Run
 		for i, id := range s.Engines() {
 			full = append(full, Run{ID: uint64(i + 1), Target: id, Tokens: 6000})
 		}
 		b.Report(t0, report(s, "i", 1, full...))
 		for i := range uint64(2) {
-			_, ok := b.Place(t0, s, ask("large", 1+i, 5000))
+			_, ok := b.Place(t0, s, placeRequest("large", 1+i, 5000))
 			must.False(t, ok)
 		}
 		must.SliceEmpty(t, b.DecideWaiting(t0))
 		small := 0
 		for i := range uint64(2 * engines) {
-			if _, ok := b.Place(t0, s, ask("small", 1+i, 3000)); ok {
+			if _, ok := b.Place(t0, s, placeRequest("small", 1+i, 3000)); ok {
 				small++
 			}
 		}
@@ -342,11 +342,11 @@
 // Small streams have waited a little longer than a large one, and room for either frees up now and then. In the order of their ends the
 // small ones would take it each time, until the large one is told to come back; it is looked at first. Between two of a size
 // the one that stops waiting sooner goes first.
-func TestLargeStreamsAreLookedAtSooner(t *testing.T) {
-	b, _, s := testBook(1)
+func TestLargeStreamsGoFirst(t *testing.T) {
+	b, _, s := newTestLedger(1)
 	b.Report(t0, report(s, "i", 1, Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}))
 	for i, tokens := range []int{1000, 1000, 9000} {
-		a := ask(fmt.Sprint("s", i), 1, tokens)
+		a := placeRequest(fmt.Sprint("s", i), 1, tokens)
 		a.Stream.Arrived = t0.Add(time.Duration(i) * 100 * time.Millisecond)
 		_, ok := b.Place(a.Stream.Arrived, s, a)
 		must.False(t, ok)
@@ -366,12 +366,12 @@
 // A stream was told to come back, and does so while one waits that came after it and can still begin in time. That one takes the
 // room that frees up first; the one that came back is past its aim, so it waits for longer, and has room in the end in place of
 // a second refusal. One that comes back sooner than told is refused as any other: who asks again at once gains nothing by it.
-func TestWhoComesBackAsToldWaitsForLonger(t *testing.T) {
+func TestStreamThatReturnsAsToldWaitsLonger(t *testing.T) {
 	for wait, asTold := range map[time.Duration]bool{0: true, -time.Second: false} {
-		b, _, s := testBook(1)
+		b, _, s := newTestLedger(1)
 		full := Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}
 		b.Report(t0, report(s, "i", 1, full))
-		first := ask("turned away", 1, 5000)
+		first := placeRequest("turned away", 1, 5000)
 		first.Fingerprint = 77
 		first.Stream.Arrived = t0.Add(-time.Second)
 		a, _ := b.Place(t0, s, first)
@@ -379,12 +379,12 @@
 
 		now := t0.Add(a.After + wait)
 		b.Report(now, report(s, "i", 2, full))
-		back := ask("back", 1, 5000)
+		back := placeRequest("back", 1, 5000)
 		back.Fingerprint = 77
 		back.Stream.Arrived = now
 		_, ok := b.Place(now, s, back)
 		must.False(t, ok)
-		other := ask("other", 1, 5000)
+		other := placeRequest("other", 1, 5000)
 		other.Stream.Arrived = now.Add(10 * time.Millisecond)
 		_, ok = b.Place(now.Add(10*time.Millisecond), s, other)
 		must.False(t, ok)
@@ -416,13 +416,13 @@
 
 // A stream that came back is about to be refused a second time when one comes that can wait for longer. Room that frees up is
 // for the first.
-func TestWhoIsRefusedSoonerGoesFirst(t *testing.T) {
-	b, _, s := testBook(1)
+func TestEarlierDeadlineGoesFirst(t *testing.T) {
+	b, _, s := newTestLedger(1)
 	b.Report(t0, report(s, "i", 1, Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}))
-	fresh := ask("fresh", 1, 6000)
+	fresh := placeRequest("fresh", 1, 6000)
 	_, ok := b.Place(t0, s, fresh)
 	must.False(t, ok)
-	back := ask("back", 1, 6000)
+	back := placeRequest("back", 1, 6000)
 	back.Stream.IsRetry = true
 	back.Stream.Arrived = t0.Add(-2500 * time.Millisecond)
 	_, ok = b.Place(t0, s, back)
--- a/lib/owner/candidates.go
+++ b/lib/owner/candidates.go
@@ -8,9 +8,9 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// candidates is how many instances rank to own a shard: the owner, one that is told as much, and one more for when both
+// candidateCount is how many instances rank to own a shard: the owner, one that is told as much, and one more for when both
 // are gone.
-const candidates = 3
+const candidateCount = 3
 
 // Candidates ranks instances for shards. It is not changed once it is made.
 type Candidates struct {
@@ -21,7 +21,7 @@
 
 // tiers are the numbers of a domain's instances, by whether they have half of the largest capacity there or more.
 type tiers struct {
-	most         uint32
+	maxCapacity  uint32
 	strong, weak []int
 }
 
@@ -33,8 +33,8 @@
 		if c.domains[in.Domain] == nil {
 			c.domains[in.Domain] = new(tiers)
 		}
-		c.domains[in.Domain].most = max(c.domains[in.Domain].most, in.Capacity)
-		c.domains[""].most = max(c.domains[""].most, in.Capacity)
+		c.domains[in.Domain].maxCapacity = max(c.domains[in.Domain].maxCapacity, in.Capacity)
+		c.domains[""].maxCapacity = max(c.domains[""].maxCapacity, in.Capacity)
 	}
 	for i, in := range instances {
 		c.domains[in.Domain].add(i, in.Capacity)
@@ -46,7 +46,7 @@
 }
 
 func (t *tiers) add(i int, capacity uint32) {
-	if capacity >= t.most/2 {
+	if capacity >= t.maxCapacity/2 {
 		t.strong = append(t.strong, i)
 	} else {
 		t.weak = append(t.weak, i)
@@ -60,11 +60,11 @@
 	if near == nil {
 		near = new(tiers)
 	}
-	out := c.Top(domain, key, candidates)
-	if domain != "" && len(out) < candidates {
-		far := c.beyond(domain, near.most)
-		out = c.best(out, candidates, far.strong, key)
-		out = c.best(out, candidates, far.weak, key)
+	out := c.Top(domain, key, candidateCount)
+	if domain != "" && len(out) < candidateCount {
+		far := c.otherDomains(domain, near.maxCapacity)
+		out = c.appendTop(out, candidateCount, far.strong, key)
+		out = c.appendTop(out, candidateCount, far.weak, key)
 	}
 	return out
 }
@@ -76,7 +76,7 @@
 	if near == nil {
 		return nil
 	}
-	return c.best(c.best(nil, n, near.strong, key), n, near.weak, key)
+	return c.appendTop(c.appendTop(nil, n, near.strong, key), n, near.weak, key)
 }
 
 // Count returns how many instances are in a failure domain.
@@ -93,9 +93,9 @@
 	return slices.DeleteFunc(out, func(d string) bool { return d == "" })
 }
 
-// beyond are the instances of other domains, against the largest capacity of one.
-func (c *Candidates) beyond(domain string, most uint32) *tiers {
-	far := &tiers{most: most}
+// otherDomains are the instances of other domains, against the largest capacity of one.
+func (c *Candidates) otherDomains(domain string, maxCapacity uint32) *tiers {
+	far := &tiers{maxCapacity: maxCapacity}
 	for i, in := range c.instances {
 		if in.Domain != domain {
 			far.add(i, in.Capacity)
@@ -104,27 +104,27 @@
 	return far
 }
 
-// best appends the first in rank of some instances until there are n.
-func (c *Candidates) best(out []Instance, n int, among []int, key uint64) []Instance {
-	better := func(a, b int) int {
+// appendTop appends the first in rank of some instances until there are n.
+func (c *Candidates) appendTop(out []Instance, n int, among []int, key uint64) []Instance {
+	compare := func(a, b int) int {
 		return cmp.Compare(rendezvous.Rank(key, c.hashes[among[b]]), rendezvous.Rank(key, c.hashes[among[a]]))
 	}
-	for _, i := range first(len(among), n-len(out), better) {
+	for _, i := range topK(len(among), n-len(out), compare) {
 		out = append(out, c.instances[among[i]])
 	}
 	return out
 }
 
-// first returns the k best of the numbers below n, in order.
-func first(n, k int, better func(a, b int) int) []int {
+// topK returns the k best of the numbers below n, in order.
+func topK(n, k int, compare func(a, b int) int) []int {
 	if k <= 0 {
 		return nil
 	}
 	out := make([]int, 0, k+1)
 	for i := range n {
-		at, _ := slices.BinarySearchFunc(out, i, better)
-		if at < k {
-			out = slices.Insert(out, at, i)
+		rank, _ := slices.BinarySearchFunc(out, i, compare)
+		if rank < k {
+			out = slices.Insert(out, rank, i)
 			out = out[:min(k, len(out))]
 		}
 	}
--- a/lib/owner/desk.go
+++ b/lib/owner/desk.go
@@ -27,12 +27,12 @@
 	self  string
 	fleet *fleet.Fleet
 
-	mu     sync.Mutex
-	passed map[Key]passedOn
+	mu        sync.Mutex
+	forwarded map[Key]forwarding
 }
 
-// passedOn is where an ask went, so that it goes there again when it comes again.
-type passedOn struct {
+// forwarding is where an ask went, so that it goes there again when it comes again.
+type forwarding struct {
 	shard *Shard
 	to    Instance
 	hops  int // when it came
@@ -49,21 +49,21 @@
 }
 
 // NewCoordinator returns the desk of an instance that decides by what f believes and starts now.
-func NewCoordinator(self string, f *fleet.Fleet, reading *admit.PrefillRates, now time.Time) *Coordinator {
+func NewCoordinator(self string, f *fleet.Fleet, rates *admit.PrefillRates, now time.Time) *Coordinator {
 	return &Coordinator{
-		Ledger: NewLedger(self, f, reading), Peers: NewPeers(self, now), self: self, fleet: f, passed: make(map[Key]passedOn),
+		Ledger: NewLedger(self, f, rates), Peers: NewPeers(self, now), self: self, fleet: f, forwarded: make(map[Key]forwarding),
 	}
 }
 
 // Handle takes an ask for a shard.
 func (d *Coordinator) Handle(now time.Time, s *Shard, a PlaceRequest) Disposition {
-	if p, ok := d.wentTo(now, &a); ok {
-		return passTo(a, p.shard, p.to)
+	if p, ok := d.earlierForward(now, &a); ok {
+		return forwardTo(a, p.shard, p.to)
 	}
 	if !d.Knows(a.Key) && a.Hops < maxHops {
 		to, other := d.route(now, s, &a)
 		if other != nil {
-			return d.pass(now, a, to, *other)
+			return d.forward(now, a, to, *other)
 		}
 		s = to
 	}
@@ -71,7 +71,7 @@
 	if ok && (a.Mode != MustFit || answer.Action == admit.Admit) {
 		return Disposition{Answer: answer}
 	}
-	if r, ok := d.elsewhere(now, s, a); ok {
+	if r, ok := d.forwardToCapacity(now, s, a); ok {
 		return r
 	}
 	if ok {
@@ -89,15 +89,15 @@
 	if a.Hops > 1 {
 		return s, nil // it comes from another shard already
 	}
-	n, by, ok := d.PickLessLoaded(now, s, d.part(s))
+	n, by, ok := d.PickLessLoaded(now, s, d.used(s))
 	if !ok {
 		return s, nil
 	}
-	return n, d.other(n, by)
+	return n, d.otherInstance(n, by)
 }
 
-// other returns the instance that owns a shard, if it is another; nil: this one does.
-func (d *Coordinator) other(s *Shard, name string) *Instance {
+// otherInstance returns the instance that owns a shard, if it is another; nil: this one does.
+func (d *Coordinator) otherInstance(s *Shard, name string) *Instance {
 	for i, in := range s.Ranked {
 		if in.Name == name && name != d.self {
 			return &s.Ranked[i]
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// elsewhere passes an ask on that waits here, if another shard has room for it.
-func (d *Coordinator) elsewhere(now time.Time, s *Shard, a PlaceRequest) (Disposition, bool) {
+// forwardToCapacity passes an ask on that waits here, if another shard has room for it.
+func (d *Coordinator) forwardToCapacity(now time.Time, s *Shard, a PlaceRequest) (Disposition, bool) {
 	if a.Hops >= maxHops {
 		return Disposition{}, false
 	}
@@ -116,35 +116,35 @@
 	if !ok {
 		return Disposition{}, false
 	}
-	to := d.other(n, by)
+	to := d.otherInstance(n, by)
 	if to == nil {
 		return Disposition{}, false
 	}
-	d.drop(a.Key)
-	return d.pass(now, a, n, *to), true
+	d.dropWaiting(a.Key)
+	return d.forward(now, a, n, *to), true
 }
 
-func (d *Coordinator) pass(now time.Time, a PlaceRequest, s *Shard, to Instance) Disposition {
+func (d *Coordinator) forward(now time.Time, a PlaceRequest, s *Shard, to Instance) Disposition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.passed[a.Key] = passedOn{shard: s, to: to, hops: a.Hops, at: now}
-	return passTo(a, s, to)
+	d.forwarded[a.Key] = forwarding{shard: s, to: to, hops: a.Hops, at: now}
+	return forwardTo(a, s, to)
 }
 
-func passTo(a PlaceRequest, s *Shard, to Instance) Disposition {
+func forwardTo(a PlaceRequest, s *Shard, to Instance) Disposition {
 	a.Hops++
 	return Disposition{Forward: true, Request: a, Shard: s, To: to}
 }
 
-// wentTo tells where an ask was passed on that has come again. One that has come back from there, after more hops, stays: two
+// earlierForward tells where an ask was passed on that has come again. One that has come back from there, after more hops, stays: two
 // owners would else pass it to and fro. Where it went to an owner that has fallen silent since, it is decided anew.
-func (d *Coordinator) wentTo(now time.Time, a *PlaceRequest) (passedOn, bool) {
+func (d *Coordinator) earlierForward(now time.Time, a *PlaceRequest) (forwarding, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p, ok := d.passed[a.Key]
+	p, ok := d.forwarded[a.Key]
 	if ok && (a.Hops > p.hops || d.IsSilent(now, p.to.Name)) {
-		delete(d.passed, a.Key)
-		return passedOn{}, false
+		delete(d.forwarded, a.Key)
+		return forwarding{}, false
 	}
 	return p, ok
 }
@@ -152,8 +152,8 @@
 // ForwardWaiting passes on what waits here and has room elsewhere.
 func (d *Coordinator) ForwardWaiting(now time.Time) []Disposition {
 	var out []Disposition
-	for _, w := range d.waitingNow() {
-		if r, ok := d.elsewhere(now, w.shard, w.PlaceRequest); ok {
+	for _, w := range d.waitingRequests() {
+		if r, ok := d.forwardToCapacity(now, w.shard, w.PlaceRequest); ok {
 			out = append(out, r)
 		}
 	}
@@ -165,22 +165,22 @@
 	d.Ledger.Tick(now)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for k, p := range d.passed {
-		if now.Sub(p.at) > answerLife {
-			delete(d.passed, k)
+	for k, p := range d.forwarded {
+		if now.Sub(p.at) > answerTTL {
+			delete(d.forwarded, k)
 		}
 	}
 }
 
-// part is how full a shard is, with what waits for it. Without that, two full shards look alike though twice as much waits
+// used is how full a shard is, with what waits for it. Without that, two full shards look alike though twice as much waits
 // for one.
-func (d *Coordinator) part(s *Shard) float64 {
-	return d.fleet.Utilization(s.Engines(), d.waitingFor(s.Key))
+func (d *Coordinator) used(s *Shard) float64 {
+	return d.fleet.Utilization(s.Engines(), d.waitingTokens(s.Key))
 }
 
 // UpdateFill tells how full a shard is that this instance owns, to others and to itself.
 func (d *Coordinator) UpdateFill(now time.Time, s *Shard) Fill {
-	f := Fill{Used: d.part(s), LargestFree: d.fleet.MaxFreeTokens(s.Engines())}
+	f := Fill{Used: d.used(s), LargestFree: d.fleet.MaxFreeTokens(s.Engines())}
 	d.SetFill(now, s.Key, f)
 	return f
 }
--- a/lib/owner/layout.go
+++ b/lib/owner/layout.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// neighbours bounds the shards that an owner tells how full its own are, and passes streams on to.
-const neighbours = 8
+// maxNeighbours bounds the shards that an owner tells how full its own are, and passes streams on to.
+const maxNeighbours = 8
 
 // Instance is one that may own shards.
 type Instance struct {
@@ -70,8 +70,8 @@
 	services map[string]*division
 	plain    map[string]*Shard // by service
 
-	mu     sync.Mutex
-	ranked map[string][]*Shard // by instance
+	mu         sync.Mutex
+	byInstance map[string][]*Shard // by instance
 }
 
 // division is how a service's engines are divided.
@@ -123,10 +123,10 @@
 		list = d.shards
 	}
 	var best *Shard
-	key, most := rendezvous.Hash(name), uint64(0)
+	key, bestRank := rendezvous.Hash(name), uint64(0)
 	for _, s := range list {
-		if rank := rendezvous.Rank(key, s.hash); best == nil || rank > most {
-			best, most = s, rank
+		if rank := rendezvous.Rank(key, s.hash); best == nil || rank > bestRank {
+			best, bestRank = s, rank
 		}
 	}
 	return best
@@ -147,7 +147,7 @@
 func (l *Layout) CandidateShards(instance string) []*Shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if out, ok := l.ranked[instance]; ok {
+	if out, ok := l.byInstance[instance]; ok {
 		return out
 	}
 	var out []*Shard
@@ -156,7 +156,7 @@
 			out = append(out, s)
 		}
 	}
-	l.ranked[instance] = out
+	l.byInstance[instance] = out
 	return out
 }
 
@@ -174,17 +174,17 @@
 			others = append(others, o)
 		}
 	}
-	far := min(len(others), max(neighbours/2, neighbours-len(same)))
-	return append(s.best(same, neighbours-far), s.best(others, far)...)
+	far := min(len(others), max(maxNeighbours/2, maxNeighbours-len(same)))
+	return append(s.topRanked(same, maxNeighbours-far), s.topRanked(others, far)...)
 }
 
-// best returns the first n in rank of some shards.
-func (s *Shard) best(among []*Shard, n int) []*Shard {
-	better := func(a, b int) int {
+// topRanked returns the first n in rank of some shards.
+func (s *Shard) topRanked(among []*Shard, n int) []*Shard {
+	compare := func(a, b int) int {
 		return cmp.Compare(rendezvous.Rank(s.hash, among[b].hash), rendezvous.Rank(s.hash, among[a].hash))
 	}
-	out := make([]*Shard, 0, neighbours)
-	for _, i := range first(len(among), n, better) {
+	out := make([]*Shard, 0, maxNeighbours)
+	for _, i := range topK(len(among), n, compare) {
 		out = append(out, among[i])
 	}
 	return out
--- a/lib/owner/layout_test.go
+++ b/lib/owner/layout_test.go
@@ -32,7 +32,7 @@
 
 // Instances hear of engines and of each other in any order. All must ask the same owner: two owners of one shard give the
 // same room away twice.
-func TestLayoutDependsOnTheSetsAlone(t *testing.T) {
+func TestLayoutIsIndependentOfOrder(t *testing.T) {
 	es, ins := engines(128, 5), instances(295, 5)
 	want := NewLayout(es, ins)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -58,8 +58,8 @@
 	l := NewLayout(engines(128, 5), instances(295, 5))
 	must.SliceLen(t, 5, l.All())
 	for _, s := range l.All() {
-		must.LessEq(t, shardLimit, len(s.Engines()))
-		must.Len(t, candidates, s.Ranked)
+		must.LessEq(t, maxShardEngines, len(s.Engines()))
+		must.Len(t, candidateCount, s.Ranked)
 		must.Len(t, 4, s.Neighbours())
 		for _, in := range s.Ranked {
 			must.Eq(t, s.Domain, in.Domain)
@@ -76,7 +76,7 @@
 }
 
 // An engine that leaves is in a shard for its runs' sake, and is not chosen from it.
-func TestLeavingEnginesStayInAShard(t *testing.T) {
+func TestLeavingEnginesKeepTheirShard(t *testing.T) {
 	es := engines(128, 5)
 	l := NewLayout(es[1:], instances(295, 5))
 	s := l.ShardOf(es[0])
@@ -86,13 +86,13 @@
 }
 
 // At the size that is designed for no instance owns many shards, and none looks to more than a few others.
-func TestLayoutOfManyEngines(t *testing.T) {
+func TestLayoutBalanceAtDesignSize(t *testing.T) {
 	l := NewLayout(engines(12_000, 21), instances(430, 21))
 	owned := make(map[string]int)
 	most := 0
 	for _, s := range l.All() {
-		must.LessEq(t, 2*shardLimit, len(s.Engines())) // by hash, some have more than the mean
-		must.LessEq(t, neighbours, len(s.Neighbours()))
+		must.LessEq(t, 2*maxShardEngines, len(s.Engines())) // by hash, some have more than the mean
+		must.LessEq(t, maxNeighbours, len(s.Neighbours()))
 		owned[s.Ranked[0].Name]++
 		most = max(most, owned[s.Ranked[0].Name])
 	}
@@ -109,7 +109,7 @@
 
 // A sixth of the engines leaves again and again, and others come. The shards stay the same ones: with another number of them
 // all owners would change, and what they were told.
-func TestShardsStayWhileEnginesComeAndGo(t *testing.T) {
+func TestShardsAreStableUnderEngineChurn(t *testing.T) {
 	for _, n := range []int{8, 72, 295} {
 		all := engines(max(12, n/2), 5)
 		want := NewLayout(all, instances(n, 5))
--- a/lib/owner/members.go
+++ b/lib/owner/members.go
@@ -7,9 +7,9 @@
 
 // members are the ids of a shard's engines, sorted. Readers have a list that is not changed any more; a change replaces it.
 type members struct {
-	ids   atomic.Pointer[[]string]
-	draft []string // the next list, while it is changed
-	open  bool     // draft is a copy
+	ids     atomic.Pointer[[]string]
+	next    []string // the next list, while it is changed
+	editing bool     // draft is a copy
 }
 
 func newMembers(ids []string) *members {
@@ -23,10 +23,10 @@
 
 // edit returns the list to change; publish puts it in force.
 func (m *members) edit() *[]string {
-	if !m.open {
-		m.draft, m.open = slices.Clone(m.list()), true
+	if !m.editing {
+		m.next, m.editing = slices.Clone(m.list()), true
 	}
-	return &m.draft
+	return &m.next
 }
 
 func (m *members) add(id string) {
@@ -44,9 +44,9 @@
 }
 
 func (m *members) publish() {
-	if m.open {
-		ids := m.draft
+	if m.editing {
+		ids := m.next
 		m.ids.Store(&ids)
-		m.draft, m.open = nil, false
+		m.next, m.editing = nil, false
 	}
 }
--- a/lib/owner/moves.go
+++ b/lib/owner/moves.go
@@ -8,10 +8,10 @@
 	"anvilwick.example/anvilwick/lib/moveplan"
 )
 
-// stepLife is how long a planned move is told to those who ask for it.
-const stepLife = 5 * time.Second
+// moveTTL is how long a planned move is told to those who ask for it.
+const moveTTL = 5 * time.Second
 
-type planned struct {
+type plannedMove struct {
 	moveplan.Step
 	at time.Time
 }
@@ -27,18 +27,18 @@
 		ids[e.ID] = true
 		engines[i] = moveplan.Engine{ID: e.ID, Domain: e.Domain}
 	}
-	var rooms []moveplan.Engine
+	var destinations []moveplan.Engine
 	for _, r := range b.fleet.MoveCandidates(now, s.Service, s.Engines()) {
 		if !ids[r.ID] {
-			rooms = append(rooms, moveplan.Engine{ID: r.ID, Domain: r.Domain, Free: r.Free})
+			destinations = append(destinations, moveplan.Engine{ID: r.ID, Domain: r.Domain, Free: r.Free})
 		}
 	}
-	runs := slices.DeleteFunc(b.runs(ids), func(r moveplan.Run) bool {
-		_, known := b.steps[r.ID]
+	runs := slices.DeleteFunc(b.runsOn(ids), func(r moveplan.Run) bool {
+		_, known := b.moves[r.ID]
 		return known
 	})
-	for _, step := range moveplan.Plan(runs, engines, rooms, link) {
-		b.steps[step.Run.ID] = planned{Step: step, at: now}
+	for _, step := range moveplan.Plan(runs, engines, destinations, link) {
+		b.moves[step.Run.ID] = plannedMove{Step: step, at: now}
 	}
 }
 
@@ -50,25 +50,25 @@
 	h := b.holder(s.Key, instance)
 	var out []moveplan.Step
 	for _, id := range runs {
-		p, ok := b.steps[id]
+		p, ok := b.moves[id]
 		if !ok {
 			continue
 		}
 		step := p.Step
 		step.Start = max(0, step.Start-now.Sub(p.at))
 		out = append(out, step)
-		if h != nil && !h.own && step.To != "" {
-			b.reserve(now, h, step)
+		if h != nil && !h.local && step.To != "" {
+			b.reserveDestination(now, h, step)
 		}
 	}
 	if h != nil {
-		b.tell(now, h)
+		b.publish(now, h)
 	}
 	return out
 }
 
-// reserve counts a run's room at its destination, once.
-func (b *Ledger) reserve(now time.Time, h *holder, step moveplan.Step) {
+// reserveDestination counts a run's room at its destination, once.
+func (b *Ledger) reserveDestination(now time.Time, h *holder, step moveplan.Step) {
 	for _, g := range h.grants {
 		if g.run == step.Run.ID && g.target == step.To {
 			return
@@ -76,7 +76,7 @@
 	}
 	b.serial++
 	size := step.Run.Tokens + step.Run.Expected
-	h.give(now, grant{
+	h.addGrant(now, grant{
 		serial: b.serial, run: step.Run.ID, target: step.To, at: now,
 		load: fleet.Load{Tokens: size}, size: fleet.Size{Held: step.Run.Tokens, Remaining: step.Run.Expected},
 	})
--- a/lib/owner/partition.go
+++ b/lib/owner/partition.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// poolInstances and poolEngines are how many instances and engines one owner decides for: what it is told and asked grows
+	// pooledMaxInstances and poolEngines are how many instances and engines one owner decides for: what it is told and asked grows
 	// with the streams. The first is the narrower on most sites, since instances that are gone stay listed: a bound on engines
 	// that come and go by a third would change all owners each time that it is crossed, and with them what is known.
-	poolInstances = 160
-	poolEngines   = 256
-	// shardLimit is the most engines of a shard of a larger site.
-	shardLimit = 64
+	pooledMaxInstances = 160
+	pooledMaxEngines   = 256
+	// maxShardEngines is the most engines of a shard of a larger site.
+	maxShardEngines = 64
 )
 
 // Partition divides the engines of services into shards as they come and go. A change costs what it changes: the list of one shard;
 // a domain is divided anew only when the number of its shards changes, and all are ranked anew when instances change. It is safe
 // for concurrent use.
 type Partition struct {
-	mu       sync.Mutex
-	cands    *Candidates
-	services map[string]*parts // of engines, by service
-	plain    []string          // services without engines
-	told     Division          // by one that knows all engines; nil: this instance does
-	layout   *Layout
+	mu         sync.Mutex
+	candidates *Candidates
+	services   map[string]*serviceEngines // of engines, by service
+	plain      []string                   // services without engines
+	received   Division                   // by one that knows all engines; nil: this instance does
+	layout     *Layout
 }
 
 // Division is the number of shards of each service and failure domain; of the empty domain, if one shard is for all.
 type Division map[string]map[string]int
 
-// parts are a service's engines as they are divided.
-type parts struct {
+// serviceEngines are a service's engines as they are divided.
+type serviceEngines struct {
 	domainOf map[string]string     // by engine
 	counts   map[string]int        // engines by failure domain
 	pooled   bool                  // one shard for all, under the empty domain
@@ -46,8 +46,8 @@
 
 // NewPartition returns a Partition without services and instances.
 func NewPartition() *Partition {
-	p := &Partition{cands: NewCandidates(nil), services: make(map[string]*parts)}
-	p.rank()
+	p := &Partition{candidates: NewCandidates(nil), services: make(map[string]*serviceEngines)}
+	p.buildLayout()
 	return p
 }
 
@@ -73,28 +73,28 @@
 func (p *Partition) SetInstances(instances []Instance) *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cands = NewCandidates(instances)
+	p.candidates = NewCandidates(instances)
 	for service, s := range p.services {
 		p.divide(service, s)
 	}
-	return p.rank()
+	return p.buildLayout()
 }
 
 // SetDivision takes in how one divides the engines that knows all of them, while this instance holds a part; nil: it holds all itself. It
 // returns the layout that is in force then.
-func (p *Partition) SetDivision(told Division) *Layout {
+func (p *Partition) SetDivision(received Division) *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if told == nil && p.told == nil {
+	if received == nil && p.received == nil {
 		return p.layout
 	}
-	p.told = told
+	p.received = received
 	changed := false
 	for service, s := range p.services {
 		changed = p.divide(service, s) || changed
 	}
 	if changed {
-		p.rank()
+		p.buildLayout()
 	}
 	return p.layout
 }
@@ -117,9 +117,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.plain = plain
-	p.services = make(map[string]*parts, len(engines))
+	p.services = make(map[string]*serviceEngines, len(engines))
 	for _, service := range engines {
-		p.services[service] = &parts{
+		p.services[service] = &serviceEngines{
 			domainOf: make(map[string]string), counts: make(map[string]int), split: make(map[string][]*members),
 		}
 	}
@@ -130,9 +130,9 @@
 		}
 	}
 	for service, s := range p.services {
-		p.redivide(service, s)
+		p.divideAll(service, s)
 	}
-	return p.rank()
+	return p.buildLayout()
 }
 
 // Update takes in engines that take requests from now on, and others that take none any more. It returns the layout in force, which
@@ -160,21 +160,21 @@
 		changed = p.divide(service, s) || changed || p.empty(service, s) == (p.layout.services[service] != nil)
 	}
 	if changed {
-		p.rank()
+		p.buildLayout()
 	}
 	return p.layout
 }
 
-func (s *parts) add(id, domain string, touched map[*members]bool) {
+func (s *serviceEngines) add(id, domain string, touched map[*members]bool) {
 	s.domainOf[id] = domain
 	s.counts[domain]++
-	if m := s.shardOf(id, domain); m != nil {
+	if m := s.membersOf(id, domain); m != nil {
 		m.add(id)
 		touched[m] = true
 	}
 }
 
-func (s *parts) remove(id string, touched map[*members]bool) {
+func (s *serviceEngines) remove(id string, touched map[*members]bool) {
 	domain, known := s.domainOf[id]
 	if !known {
 		return
@@ -183,14 +183,14 @@
 	if s.counts[domain]--; s.counts[domain] == 0 {
 		delete(s.counts, domain)
 	}
-	if m := s.shardOf(id, domain); m != nil {
+	if m := s.membersOf(id, domain); m != nil {
 		m.remove(id)
 		touched[m] = true
 	}
 }
 
-// shardOf returns the list that an engine is in; nil when its domain has none yet.
-func (s *parts) shardOf(id, domain string) *members {
+// membersOf returns the list that an engine is in; nil when its domain has none yet.
+func (s *serviceEngines) membersOf(id, domain string) *members {
 	if s.pooled {
 		domain = ""
 	}
@@ -203,12 +203,12 @@
 
 // divide makes one shard on a small site, else shards that each lie in one failure domain: copies of runs take twice as
 // long between domains, and what a domain loses is then one owner's business. It reports whether that changes the shards.
-func (p *Partition) divide(service string, s *parts) bool {
-	if told := p.told[service]; told != nil {
-		return s.divideAs(told)
+func (p *Partition) divide(service string, s *serviceEngines) bool {
+	if received := p.received[service]; received != nil {
+		return s.divideBy(received)
 	}
-	if p.pools(s) != s.pooled || s.pooled && len(s.split[""]) == 0 {
-		p.redivide(service, s)
+	if p.fitsOneShard(s) != s.pooled || s.pooled && len(s.split[""]) == 0 {
+		p.divideAll(service, s)
 		return true
 	}
 	if s.pooled {
@@ -222,48 +222,48 @@
 		}
 	}
 	for domain, count := range s.counts {
-		if n := shardsFor(count); n != len(s.split[domain]) {
-			s.split[domain] = splitInto(n, s.in(domain))
+		if n := shardCount(count); n != len(s.split[domain]) {
+			s.split[domain] = splitByHash(n, s.enginesIn(domain))
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (p *Partition) pools(s *parts) bool {
-	return len(p.cands.instances) <= poolInstances && len(s.domainOf) <= poolEngines
+func (p *Partition) fitsOneShard(s *serviceEngines) bool {
+	return len(p.candidates.instances) <= pooledMaxInstances && len(s.domainOf) <= pooledMaxEngines
 }
 
-// redivide divides all engines of a service anew.
-func (p *Partition) redivide(service string, s *parts) {
-	if told := p.told[service]; told != nil {
-		s.divideAs(told)
+// divideAll divides all engines of a service anew.
+func (p *Partition) divideAll(service string, s *serviceEngines) {
+	if received := p.received[service]; received != nil {
+		s.divideBy(received)
 		return
 	}
-	s.pooled = p.pools(s)
+	s.pooled = p.fitsOneShard(s)
 	clear(s.split)
 	if s.pooled {
-		s.split[""] = splitInto(1, slices.Collect(maps.Keys(s.domainOf)))
+		s.split[""] = splitByHash(1, slices.Collect(maps.Keys(s.domainOf)))
 		return
 	}
 	for domain, count := range s.counts {
-		s.split[domain] = splitInto(shardsFor(count), s.in(domain))
+		s.split[domain] = splitByHash(shardCount(count), s.enginesIn(domain))
 	}
 }
 
-// divideAs divides the engines into as many shards as are told, and reports whether that changes them.
-func (s *parts) divideAs(told map[string]int) bool {
-	changed := s.pooled != (told[""] > 0)
-	s.pooled = told[""] > 0
+// divideBy divides the engines into as many shards as are told, and reports whether that changes them.
+func (s *serviceEngines) divideBy(counts map[string]int) bool {
+	changed := s.pooled != (counts[""] > 0)
+	s.pooled = counts[""] > 0
 	for domain := range s.split {
-		if told[domain] == 0 {
+		if counts[domain] == 0 {
 			delete(s.split, domain)
 			changed = true
 		}
 	}
-	for domain, n := range told {
+	for domain, n := range counts {
 		if n != len(s.split[domain]) {
-			s.split[domain] = splitInto(n, s.in(domain))
+			s.split[domain] = splitByHash(n, s.enginesIn(domain))
 			changed = true
 		}
 	}
@@ -271,32 +271,32 @@
 }
 
 // empty reports whether a service has no engines that take requests.
-func (p *Partition) empty(service string, s *parts) bool {
-	return len(s.domainOf) == 0 && p.told[service] == nil
+func (p *Partition) empty(service string, s *serviceEngines) bool {
+	return len(s.domainOf) == 0 && p.received[service] == nil
 }
 
-// in lists the engines of a failure domain; all, where one shard is for all.
-func (s *parts) in(domain string) []string {
+// enginesIn lists the engines of a failure domain; all, where one shard is for all.
+func (s *serviceEngines) enginesIn(domain string) []string {
 	out := make([]string, 0, s.counts[domain])
-	for id, at := range s.domainOf {
-		if at == domain || s.pooled {
+	for id, engineDomain := range s.domainOf {
+		if engineDomain == domain || s.pooled {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// shardsFor is the number of shards of so many engines. It is a power of two, so that it changes at few sizes.
-func shardsFor(engines int) int {
+// shardCount is the number of shards of so many engines. It is a power of two, so that it changes at few sizes.
+func shardCount(engines int) int {
 	n := 1
-	for n*shardLimit < engines {
+	for n*maxShardEngines < engines {
 		n *= 2
 	}
 	return n
 }
 
-// splitInto divides engines by the hash of their names.
-func splitInto(n int, ids []string) []*members {
+// splitByHash divides engines by the hash of their names.
+func splitByHash(n int, ids []string) []*members {
 	lists := make([][]string, n)
 	for _, id := range ids {
 		i := rendezvous.Hash(id) % uint64(n)
@@ -309,11 +309,11 @@
 	return out
 }
 
-// rank makes the layout of the shards as they are divided now.
-func (p *Partition) rank() *Layout {
+// buildLayout makes the layout of the shards as they are divided now.
+func (p *Partition) buildLayout() *Layout {
 	l := &Layout{
 		shards: make(map[string]*Shard), services: make(map[string]*division), plain: make(map[string]*Shard, len(p.plain)),
-		ranked: make(map[string][]*Shard),
+		byInstance: make(map[string][]*Shard),
 	}
 	for service, s := range p.services {
 		if !p.empty(service, s) {
@@ -332,7 +332,7 @@
 	return l
 }
 
-func (p *Partition) division(service string, s *parts) *division {
+func (p *Partition) division(service string, s *serviceEngines) *division {
 	d := &division{domains: make(map[string][]*Shard, len(s.split))}
 	for domain, list := range s.split {
 		for i, m := range list {
@@ -350,5 +350,5 @@
 
 func (p *Partition) shard(key, service, domain string, m *members) *Shard {
 	hash := rendezvous.Hash(key)
-	return &Shard{Key: key, Service: service, Domain: domain, Ranked: p.cands.rank(domain, hash), hash: hash, members: m}
+	return &Shard{Key: key, Service: service, Domain: domain, Ranked: p.candidates.rank(domain, hash), hash: hash, members: m}
 }
--- a/lib/owner/partition_test.go
+++ b/lib/owner/partition_test.go
@@ -12,8 +12,8 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// partition is of a fleet of some size, with one service.
-func partition(nEngines, nInstances int) (*Partition, []fleet.Info) {
+// newTestPartition is of a fleet of some size, with one service.
+func newTestPartition(nEngines, nInstances int) (*Partition, []fleet.Info) {
 	p := NewPartition()
 	p.SetInstances(instances(nInstances, 5))
 	all := engines(nEngines, 5)
@@ -23,10 +23,10 @@
 
 // All engines of a fleet were divided anew whenever one came or went: 22 ms and 8.8 MB at each of 985 instances before 10,000 engines.
 // A change costs the same whatever the size of the fleet.
-func TestChangeCostsWhatItChanges(t *testing.T) {
+func TestUpdateCostIsIndependentOfFleetSize(t *testing.T) {
 	var allocated []uint64
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
-		p, all := partition(size.engines, size.instances)
+		p, all := newTestPartition(size.engines, size.instances)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		const changes = 100
@@ -46,7 +46,7 @@
 }
 
 // Engines come and go in any order, by any updates, and instances, too: the shards are the same as if all had been divided at once.
-func TestUpdatesEndInTheSameShards(t *testing.T) {
+func TestIncrementalUpdatesMatchFullLayout(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	for _, n := range []int{20, 300, 3_000} {
 		p := NewPartition()
@@ -79,16 +79,16 @@
 }
 
 // A service loses its last engine, and has one again later.
-func TestServiceWithoutEngines(t *testing.T) {
-	p, all := partition(1, 3)
+func TestServiceLosesItsLastEngine(t *testing.T) {
+	p, all := newTestPartition(1, 3)
 	must.NotNil(t, p.Layout().HomeShard("s", "z0", "i000"))
 	must.Nil(t, p.Update(nil, all).HomeShard("s", "z0", "i000"))
 	must.Eq(t, []string{all[0].ID}, p.Update(all, nil).HomeShard("s", "z0", "i000").Engines())
 }
 
 // An engine starts again in another failure domain under its id. It is in one shard only.
-func TestEngineThatChangesItsDomain(t *testing.T) {
-	p, all := partition(1_000, 200)
+func TestEngineChangesDomain(t *testing.T) {
+	p, all := newTestPartition(1_000, 200)
 	moved := all[0]
 	moved.Domain = "z3"
 	before := p.Layout().ShardOf(all[0])
@@ -100,7 +100,7 @@
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
 		b.Run(fmt.Sprintf("%dx%d", size.engines, size.instances), func(b *testing.B) {
-			p, all := partition(size.engines, size.instances)
+			p, all := newTestPartition(size.engines, size.instances)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one := all[i%len(all) : i%len(all)+1]
@@ -114,7 +114,7 @@
 func BenchmarkSetInstances(b *testing.B) {
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
 		b.Run(fmt.Sprintf("%dx%d", size.engines, size.instances), func(b *testing.B) {
-			p, _ := partition(size.engines, size.instances)
+			p, _ := newTestPartition(size.engines, size.instances)
 			list := instances(size.instances, 5)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/lib/owner/peers.go
+++ b/lib/owner/peers.go
@@ -9,26 +9,26 @@
 const (
 	// HeartbeatInterval is the period at which owners tell each other that they live and how full their shards are.
 	HeartbeatInterval = 100 * time.Millisecond
-	// beatLife is how long an owner without a beat is believed to live: three may be lost or late.
-	beatLife = 350 * time.Millisecond
-	// fillLife is how long a shard is believed to be as full as was told.
-	fillLife = 600 * time.Millisecond
+	// heartbeatTTL is how long an owner without a beat is believed to live: three may be lost or late.
+	heartbeatTTL = 350 * time.Millisecond
+	// fillTTL is how long a shard is believed to be as full as was told.
+	fillTTL = 600 * time.Millisecond
 	// RemoteDomainFactor is how many times more seldom a fill is told to other failure domains, and how many times longer it is believed there:
 	// bytes between domains cost, and few streams go there.
 	RemoteDomainFactor = 5
-	// suspectFor and suspectMax bound how long an owner that did not answer is asked after all others: each time twice as
+	// suspectMin and suspectMax bound how long an owner that did not answer is asked after all others: each time twice as
 	// long. One that is gone for good stays listed, and costs whoever asks it first 0.15 s.
-	suspectFor = 2 * time.Second
+	suspectMin = 2 * time.Second
 	suspectMax = time.Minute
-	// coldFor is how long an owner that has just started, woken or been cut off has been told too little to decide: what
+	// coldPeriod is how long an owner that has just started, woken or been cut off has been told too little to decide: what
 	// the others have on its engines comes with their next reports.
-	coldFor = ReportInterval + 200*time.Millisecond
+	coldPeriod = ReportInterval + 200*time.Millisecond
 	// alone is the silence of all other candidates after which an owner takes itself to have been cut off.
-	aloneFor = time.Second
-	// passMargin is how much fuller than another shard, as a part of its memory, one must be for a stream to be passed on.
+	isolationTimeout = time.Second
+	// forwardMargin is how much fuller than another shard, as a part of its memory, one must be for a stream to be passed on.
 	// Fills are told ten times a second, and a stream takes under a hundredth of a shard: with less of a margin streams
 	// would be passed to and fro.
-	passMargin = 0.08
+	forwardMargin = 0.08
 )
 
 // Heartbeat is what an instance that ranks to own shards tells the others that do.
@@ -46,7 +46,7 @@
 	LargestFree int     // tokens that a run may take on the roomiest of its engines
 }
 
-type beat struct {
+type receivedHeartbeat struct {
 	Heartbeat
 	at time.Time
 }
@@ -56,7 +56,7 @@
 	step  time.Duration
 }
 
-type fill struct {
+type receivedFill struct {
 	Fill
 	owner string
 	at    time.Time
@@ -67,20 +67,20 @@
 	self   string
 	random func() float64
 
-	mu       sync.Mutex
-	beats    map[string]beat
-	fills    map[string]fill // by shard
-	suspects map[string]suspect
-	cold     time.Time // until then this instance is cold
-	heard    time.Time // when any beat last came
-	leaving  bool
+	mu            sync.Mutex
+	heartbeats    map[string]receivedHeartbeat
+	fills         map[string]receivedFill // by shard
+	suspects      map[string]suspect
+	coldUntil     time.Time // until then this instance is cold
+	lastHeartbeat time.Time // when any beat last came
+	leaving       bool
 }
 
 // NewPeers returns the beliefs of an instance that starts now.
 func NewPeers(self string, now time.Time) *Peers {
 	return &Peers{
-		self: self, random: rand.Float64, cold: now.Add(coldFor),
-		beats: make(map[string]beat), fills: make(map[string]fill), suspects: make(map[string]suspect),
+		self: self, random: rand.Float64, coldUntil: now.Add(coldPeriod),
+		heartbeats: make(map[string]receivedHeartbeat), fills: make(map[string]receivedFill), suspects: make(map[string]suspect),
 	}
 }
 
@@ -95,18 +95,18 @@
 func (p *Peers) ReceiveHeartbeat(now time.Time, b Heartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old, known := p.beats[b.Instance]
-	if b.Instance == p.self || known && now.Sub(old.at) <= beatLife && b.Incarnation < old.Incarnation {
+	old, known := p.heartbeats[b.Instance]
+	if b.Instance == p.self || known && now.Sub(old.at) <= heartbeatTTL && b.Incarnation < old.Incarnation {
 		return
 	}
-	if now.Sub(p.heard) > aloneFor {
-		p.cold = now.Add(coldFor)
+	if now.Sub(p.lastHeartbeat) > isolationTimeout {
+		p.coldUntil = now.Add(coldPeriod)
 	}
-	p.heard = now
-	p.beats[b.Instance] = beat{Heartbeat: b, at: now}
+	p.lastHeartbeat = now
+	p.heartbeats[b.Instance] = receivedHeartbeat{Heartbeat: b, at: now}
 	delete(p.suspects, b.Instance)
 	for key, f := range b.Fills {
-		p.fills[key] = fill{Fill: f, owner: b.Instance, at: now}
+		p.fills[key] = receivedFill{Fill: f, owner: b.Instance, at: now}
 	}
 }
 
@@ -114,7 +114,7 @@
 func (p *Peers) MarkStalled(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cold = now.Add(coldFor)
+	p.coldUntil = now.Add(coldPeriod)
 }
 
 // Leave says that this instance stops.
@@ -128,7 +128,7 @@
 func (p *Peers) State(now time.Time) (cold, leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.cold), p.leaving
+	return now.Before(p.coldUntil), p.leaving
 }
 
 // Suspect notes that an instance did not answer.
@@ -136,7 +136,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.suspects[name]
-	s.step = min(max(2*s.step, suspectFor), suspectMax)
+	s.step = min(max(2*s.step, suspectMin), suspectMax)
 	s.until = now.Add(s.step)
 	p.suspects[name] = s
 }
@@ -169,11 +169,11 @@
 func (p *Peers) ActingOwner(now time.Time, s *Shard) (Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	member := s.IsCandidate(p.self)
+	isCandidate := s.IsCandidate(p.self)
 	var cold *Instance
 	for i, in := range s.Ranked {
 		alive, isCold := p.alive(now, in.Name)
-		if !member {
+		if !isCandidate {
 			alive = true
 		}
 		if !alive {
@@ -194,10 +194,10 @@
 
 func (p *Peers) alive(now time.Time, name string) (alive, cold bool) {
 	if name == p.self {
-		return !p.leaving, now.Before(p.cold)
+		return !p.leaving, now.Before(p.coldUntil)
 	}
-	b, ok := p.beats[name]
-	return ok && now.Sub(b.at) < beatLife && !b.Leaving, b.Cold
+	b, ok := p.heartbeats[name]
+	return ok && now.Sub(b.at) < heartbeatTTL && !b.Leaving, b.Cold
 }
 
 // LastKnownOwner returns the candidate of a shard that last told how full it is; ok is false if none has lately.
@@ -205,7 +205,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f, known := p.fills[s.Key]
-	if !known || now.Sub(f.at) > RemoteDomainFactor*fillLife {
+	if !known || now.Sub(f.at) > RemoteDomainFactor*fillTTL {
 		return Instance{}, false
 	}
 	for _, in := range s.Ranked {
@@ -220,22 +220,22 @@
 func (p *Peers) IsSilent(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b, heard := p.beats[name]
-	return heard && (now.Sub(b.at) >= beatLife || b.Leaving)
+	b, heard := p.heartbeats[name]
+	return heard && (now.Sub(b.at) >= heartbeatTTL || b.Leaving)
 }
 
 // PickLessLoaded returns the shard to which a stream is passed on from one that is full to part own, and its owner; ok is false when it
 // stays. It is drawn from the emptier ones, by how much emptier each is: they are told some tens of milliseconds late, and
 // all owners would else pass theirs to the same.
-func (p *Peers) PickLessLoaded(now time.Time, s *Shard, own float64) (to *Shard, owner string, ok bool) {
-	return p.draw(now, s, func(f *fill) float64 { return own - passMargin - f.Used })
+func (p *Peers) PickLessLoaded(now time.Time, s *Shard, used float64) (to *Shard, owner string, ok bool) {
+	return p.pickWeighted(now, s, func(f *receivedFill) float64 { return used - forwardMargin - f.Used })
 }
 
 // PickWithCapacity returns a shard with an engine that has room for a stream of some tokens, and its owner. Of several it is drawn by
 // how much room there is. The room is taken off what is believed, so that streams that wait here together are not all
 // passed on to the same.
 func (p *Peers) PickWithCapacity(now time.Time, s *Shard, tokens int) (to *Shard, owner string, ok bool) {
-	to, owner, ok = p.draw(now, s, func(f *fill) float64 {
+	to, owner, ok = p.pickWeighted(now, s, func(f *receivedFill) float64 {
 		if f.LargestFree < tokens {
 			return 0
 		}
@@ -251,17 +251,17 @@
 	return to, owner, ok
 }
 
-// draw draws one of a shard's neighbours by weight; those that weigh nothing are left out.
-func (p *Peers) draw(now time.Time, s *Shard, weigh func(*fill) float64) (to *Shard, owner string, ok bool) {
+// pickWeighted draws one of a shard's neighbours by weight; those that weigh nothing are left out.
+func (p *Peers) pickWeighted(now time.Time, s *Shard, weightOf func(*receivedFill) float64) (to *Shard, owner string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum := 0.0
 	for _, n := range s.Neighbours() {
 		f, known := p.fills[n.Key]
-		if !known || now.Sub(f.at) > fillLifeAt(s, n) {
+		if !known || now.Sub(f.at) > fillTTLBetween(s, n) {
 			continue
 		}
-		weight := weigh(&f)
+		weight := weightOf(&f)
 		if weight <= 0 {
 			continue
 		}
@@ -273,17 +273,17 @@
 	return to, owner, ok
 }
 
-// fillLifeAt is how long a shard's owner believes what it was told of another.
-func fillLifeAt(s, other *Shard) time.Duration {
+// fillTTLBetween is how long a shard's owner believes what it was told of another.
+func fillTTLBetween(s, other *Shard) time.Duration {
 	if other.Domain != s.Domain {
-		return RemoteDomainFactor * fillLife
+		return RemoteDomainFactor * fillTTL
 	}
-	return fillLife
+	return fillTTL
 }
 
 // SetFill notes how full a shard is that this instance owns.
 func (p *Peers) SetFill(now time.Time, shard string, f Fill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fills[shard] = fill{Fill: f, owner: p.self, at: now}
+	p.fills[shard] = receivedFill{Fill: f, owner: p.self, at: now}
 }
--- a/lib/owner/places_test.go
+++ b/lib/owner/places_test.go
@@ -13,7 +13,7 @@
 
 // Twenty engines come back at once, cold and empty, beside two that are full. Hundreds of streams are asked for within two seconds: the
 // cold ones are used from the start, none gets more in any second than it bears, and what is too much waits.
-func TestReturnedEnginesAreNeitherStarvedNorTrampled(t *testing.T) {
+func TestColdEnginesAreUsedWithinTheirRate(t *testing.T) {
 	const cold, rate = 20, 2.0
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv, ColdFor: 5 * time.Second, ColdRate: rate}})
@@ -37,7 +37,7 @@
 		now := t0.Add(at)
 		for range 3 {
 			id++
-			q := ask(fmt.Sprint("i", id%70), id, 100)
+			q := placeRequest(fmt.Sprint("i", id%70), id, 100)
 			q.Stream.Arrived = now
 			a, ok := b.Place(now, s, q)
 			take(now, a, ok)
@@ -63,7 +63,7 @@
 
 // A stream is bound to a region where engines are full, beside idle ones elsewhere. It waits for its own; a copy of it stays there,
 // too.
-func TestStreamsWaitInTheirRegion(t *testing.T) {
+func TestRegionBoundStreamsWaitInRegion(t *testing.T) {
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 	f.SetRegions(map[string]string{"z0": "north", "z1": "south"})
@@ -74,7 +74,7 @@
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
 	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
 	bound := func(id uint64) PlaceRequest {
-		a := ask("i", id, 1000)
+		a := placeRequest("i", id, 1000)
 		a.Stream.Need.Regions = []string{"south"}
 		a.Backup = 1000
 		return a
--- a/lib/owner/report.go
+++ b/lib/owner/report.go
@@ -58,17 +58,17 @@
 	// ReportInterval is the period of an instance's reports while it has something on a shard's engines; a change is told
 	// sooner. It bounds how old the news is by which a dark engine is told from a busy one.
 	ReportInterval = 500 * time.Millisecond
-	// reportLife is how long a report is believed: two may be lost.
-	reportLife = 1500 * time.Millisecond
-	// grantLife is how long a grant counts that its instance has not told of.
-	grantLife = time.Second
-	// enterTime is how long a run may take from the grant's arrival until its instance tells of it.
-	enterTime = 100 * time.Millisecond
-	// tokensMax bounds, in tokens, what one run is believed to take. No engine is that large; sums of absurd reports must
+	// reportTTL is how long a report is believed: two may be lost.
+	reportTTL = 1500 * time.Millisecond
+	// grantTTL is how long a grant counts that its instance has not told of.
+	grantTTL = time.Second
+	// runStartDelay is how long a run may take from the grant's arrival until its instance tells of it.
+	runStartDelay = 100 * time.Millisecond
+	// maxTokens bounds, in tokens, what one run is believed to take. No engine is that large; sums of absurd reports must
 	// not overflow.
-	tokensMax = 1 << 24
-	// holdersMax bounds the instances that a Book believes, for each shard.
-	holdersMax = 4096
+	maxTokens = 1 << 24
+	// maxHolders bounds the instances that a Book believes, for each shard.
+	maxHolders = 4096
 )
 
 // grant is room that the owner has given and that is not told of yet.
@@ -84,49 +84,49 @@
 // holder is what is known of one instance on one shard.
 type holder struct {
 	name        string // in the fleet
-	own         bool   // it is this instance
+	local       bool   // it is this instance
 	incarnation uint64
 	seq         uint64
-	at          time.Time
+	lastReport  time.Time
 	addr        string
 	runs        []Run
-	held        []Copy
+	copies      []Copy
 	grants      []grant
 	outcomes    map[string]Outcomes
 }
 
-// fresh reports whether a report is newer than the last. A lower incarnation counts once the old one is silent: it is a
+// isNewer reports whether a report is newer than the last. A lower incarnation counts once the old one is silent: it is a
 // time of day, which may have been set back.
-func (h *holder) fresh(now time.Time, r *Report) bool {
-	if now.Sub(h.at) > reportLife {
+func (h *holder) isNewer(now time.Time, r *Report) bool {
+	if now.Sub(h.lastReport) > reportTTL {
 		return true
 	}
 	return r.Incarnation > h.incarnation || r.Incarnation == h.incarnation && r.Seq > h.seq
 }
 
-func (h *holder) take(now time.Time, r *Report) {
+func (h *holder) apply(now time.Time, r *Report) {
 	if r.Incarnation != h.incarnation {
 		h.grants = nil
 		h.outcomes = make(map[string]Outcomes)
 	}
-	h.incarnation, h.seq, h.at = r.Incarnation, r.Seq, now
-	h.addr, h.runs, h.held = r.ReplyAddr, r.Runs, r.Copies
-	h.settle(now, r.LastGrant)
+	h.incarnation, h.seq, h.lastReport = r.Incarnation, r.Seq, now
+	h.addr, h.runs, h.copies = r.ReplyAddr, r.Runs, r.Copies
+	h.dropGrants(now, r.LastGrant)
 }
 
-// settle drops the grants that the report contains, or that the instance has and no longer uses.
-func (h *holder) settle(now time.Time, seen uint64) {
-	told := make(map[uint64]bool, len(h.runs)+len(h.held))
+// dropGrants drops the grants that the report contains, or that the instance has and no longer uses.
+func (h *holder) dropGrants(now time.Time, seen uint64) {
+	reported := make(map[uint64]bool, len(h.runs)+len(h.copies))
 	for _, r := range h.runs {
-		told[r.ID] = true
+		reported[r.ID] = true
 	}
-	for _, m := range h.held {
-		told[m.Run] = true
+	for _, m := range h.copies {
+		reported[m.Run] = true
 	}
 	kept := h.grants[:0]
 	for _, g := range h.grants {
-		used := g.serial <= seen && now.Sub(g.at) > enterTime
-		if !told[g.run] && !used && now.Sub(g.at) < grantLife {
+		used := g.serial <= seen && now.Sub(g.at) > runStartDelay
+		if !reported[g.run] && !used && now.Sub(g.at) < grantTTL {
 			kept = append(kept, g)
 		}
 	}
@@ -147,7 +147,7 @@
 	for _, r := range h.runs {
 		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Held: r.Tokens, Remaining: r.Remaining})
 	}
-	for _, m := range h.held {
+	for _, m := range h.copies {
 		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Held: m.Tokens})
 	}
 	for _, g := range h.grants {
@@ -156,37 +156,37 @@
 	return loads, sizes
 }
 
-// bounded cuts what a report claims to what can be.
-func (r *Report) bounded() {
+// clamp cuts what a report claims to what can be.
+func (r *Report) clamp() {
 	for i := range r.Runs {
 		m := &r.Runs[i]
-		m.Tokens, m.Expected = bound(m.Tokens), bound(m.Expected)
-		m.Unread, m.Remaining = bound(m.Unread), bound(m.Remaining)
+		m.Tokens, m.Expected = clampTokens(m.Tokens), clampTokens(m.Expected)
+		m.Unread, m.Remaining = clampTokens(m.Unread), clampTokens(m.Remaining)
 	}
 	for i := range r.Copies {
-		r.Copies[i].Tokens = bound(r.Copies[i].Tokens)
+		r.Copies[i].Tokens = clampTokens(r.Copies[i].Tokens)
 	}
 }
 
-func bound(n int) int { return min(max(n, 0), tokensMax) }
+func clampTokens(n int) int { return min(max(n, 0), maxTokens) }
 
-// moving is the run as plans of moves see it.
-func (r Run) moving() moveplan.Run {
+// toPlan is the run as plans of moves see it.
+func (r Run) toPlan() moveplan.Run {
 	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Prefilling: r.Unread > 0}
 }
 
 // ByShard sorts what an instance has by shards, as of tells them. What is on no shard's engines is left out.
-func ByShard(of func(engine string) *Shard, runs []Run, held []Copy) map[string]Report {
+func ByShard(shardOf func(engine string) *Shard, runs []Run, copies []Copy) map[string]Report {
 	out := make(map[string]Report)
 	for _, r := range runs {
-		if s := of(r.Target); s != nil {
+		if s := shardOf(r.Target); s != nil {
 			rep := out[s.Key]
 			rep.Runs = append(rep.Runs, r)
 			out[s.Key] = rep
 		}
 	}
-	for _, h := range held {
-		if s := of(h.Target); s != nil {
+	for _, h := range copies {
+		if s := shardOf(h.Target); s != nil {
 			rep := out[s.Key]
 			rep.Copies = append(rep.Copies, h)
 			out[s.Key] = rep
--- a/lib/ownerlink/call.go
+++ b/lib/ownerlink/call.go
@@ -15,26 +15,26 @@
 
 // call is a question to the owner of a shard.
 type call struct {
-	l     *Link
-	id    uint64
-	shard *owner.Shard
-	body  *ownerpb.Datagram
-	got   chan *ownerpb.Datagram
+	l       *Link
+	id      uint64
+	shard   *owner.Shard
+	body    *ownerpb.Datagram
+	replies chan *ownerpb.Datagram
 
 	start  time.Time
 	waited bool // an owner said that the ask waits
 }
 
-// answersKept is the buffer of a call: answers to its first sends may all come late.
-const answersKept = 4
+// replyBuffer is the buffer of a call: answers to its first sends may all come late.
+const replyBuffer = 4
 
 func (l *Link) newCall(s *owner.Shard) *call {
-	c := &call{l: l, shard: s, body: l.own(), got: make(chan *ownerpb.Datagram, answersKept), start: time.Now()}
+	c := &call{l: l, shard: s, body: l.newDatagram(), replies: make(chan *ownerpb.Datagram, replyBuffer), start: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastID++
 	c.id = l.lastID
-	l.calls[c.id] = c.got
+	l.calls[c.id] = c.replies
 	return c
 }
 
@@ -44,10 +44,10 @@
 	delete(c.l.calls, c.id)
 }
 
-// do asks one candidate after another until one answers.
-func (c *call) do(ctx context.Context) (*ownerpb.Datagram, error) {
+// query asks one candidate after another until one answers.
+func (c *call) query(ctx context.Context) (*ownerpb.Datagram, error) {
 	for _, to := range c.l.Coordinator.QueryOrder(time.Now(), c.shard) {
-		d := c.try(ctx, to)
+		d := c.queryOne(ctx, to)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -56,29 +56,29 @@
 		}
 		c.l.Coordinator.Suspect(time.Now(), to.Name)
 	}
-	alone.Inc()
+	unanswered.Inc()
 	return nil, ErrNoOwner
 }
 
-// try asks one candidate; nil: it does not answer. One that says that the ask waits is asked again now and then.
-func (c *call) try(ctx context.Context, to owner.Instance) *ownerpb.Datagram {
-	pause := tryTimeout
+// queryOne asks one candidate; nil: it does not answer. One that says that the ask waits is asked again now and then.
+func (c *call) queryOne(ctx context.Context, to owner.Instance) *ownerpb.Datagram {
+	pause := answerTimeout
 	t := time.NewTimer(pause)
 	defer t.Stop()
-	for left := tries; left > 0; left-- {
+	for triesLeft := maxTries; triesLeft > 0; triesLeft-- {
 		c.sendTo(to)
-		for again := false; !again; {
+		for resend := false; !resend; {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-t.C:
-				again = true
-			case d := <-c.got:
-				if !waits(d) {
+				resend = true
+			case d := <-c.replies:
+				if !isWaiting(d) {
 					return d
 				}
 				c.waited = true
-				left, pause = tries, waitAgain
+				triesLeft, pause = maxTries, waitingResend
 			}
 		}
 		t.Reset(pause)
@@ -86,16 +86,16 @@
 	return nil
 }
 
-func waits(d *ownerpb.Datagram) bool {
+func isWaiting(d *ownerpb.Datagram) bool {
 	a := d.GetAnswer()
 	return a != nil && a.Action == uint32(admit.Wait)
 }
 
-// observe counts how long the answer took.
-func (c *call) observe() {
-	h := answeredIn
+// observeLatency counts how long the answer took.
+func (c *call) observeLatency() {
+	h := answerTime
 	if c.waited {
-		h = answeredLate
+		h = waitedAnswerTime
 	}
 	h.Update(time.Since(c.start).Seconds())
 }
@@ -111,13 +111,13 @@
 // deliver hands an answer to the call that it is for.
 func (l *Link) deliver(id uint64, d *ownerpb.Datagram) bool {
 	l.mu.Lock()
-	got := l.calls[id]
+	replies := l.calls[id]
 	l.mu.Unlock()
-	if got == nil {
+	if replies == nil {
 		return false
 	}
 	select {
-	case got <- d:
+	case replies <- d:
 	default:
 	}
 	return true
@@ -125,26 +125,26 @@
 
 // Place asks for an engine for a run of a service. ErrAlone says that this instance decides by itself.
 func (l *Link) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
-	s := l.home(&a.Stream.Need)
+	s := l.homeShard(&a.Stream.Need)
 	if s == nil {
 		return owner.Answer{}, ErrNoOwner
 	}
 	c := l.newCall(s)
 	defer c.close()
 	a.ID, a.Describe = c.id, l.HasPartialList()
-	c.body.Body = &ownerpb.Datagram_Ask{Ask: encodeAsk(&a, s.Key, time.Now())}
-	d, err := c.do(ctx)
+	c.body.Body = &ownerpb.Datagram_Ask{Ask: encodePlaceRequest(&a, s.Key, time.Now())}
+	d, err := c.query(ctx)
 	if err != nil {
 		return owner.Answer{}, err
 	}
-	c.observe()
+	c.observeLatency()
 	answer := decodeAnswer(d.GetAnswer(), s.Service)
-	l.granted(answer.TargetInfo, answer.BackupInfo)
+	l.learnTargets(answer.TargetInfo, answer.BackupInfo)
 	return answer, nil
 }
 
-// granted hands on what owners say of targets that this instance may not know.
-func (l *Link) granted(targets ...fleet.Info) {
+// learnTargets hands on what owners say of targets that this instance may not know.
+func (l *Link) learnTargets(targets ...fleet.Info) {
 	for _, t := range targets {
 		if t.Addr != "" && l.HasPartialList() {
 			l.OnGranted(t)
@@ -152,14 +152,14 @@
 	}
 }
 
-// home returns the shard that this instance asks first for a request: one of its own failure domain, unless the request may not go there.
-func (l *Link) home(need *fleet.Need) *owner.Shard {
+// homeShard returns the shard that this instance asks first for a request: one of its own failure domain, unless the request may not go there.
+func (l *Link) homeShard(need *fleet.Need) *owner.Shard {
 	layout := l.layout.Load()
-	domain, own, most := l.Self.Domain, rendezvous.Hash(l.Self.Name), uint64(0)
+	domain, selfHash, bestRank := l.Self.Domain, rendezvous.Hash(l.Self.Name), uint64(0)
 	if !l.Fleet.DomainAllowed(domain, need.Regions) {
 		for _, other := range layout.Domains(need.Service) {
-			if rank := rendezvous.Rank(own, rendezvous.Hash(other)); rank > most && l.Fleet.DomainAllowed(other, need.Regions) {
-				domain, most = other, rank
+			if rank := rendezvous.Rank(selfHash, rendezvous.Hash(other)); rank > bestRank && l.Fleet.DomainAllowed(other, need.Regions) {
+				domain, bestRank = other, rank
 			}
 		}
 	}
@@ -178,31 +178,31 @@
 	}
 	reports := l.reports()
 	var steps []moveplan.Step
-	var failed error
+	var errs error
 	for s, list := range left {
 		r, ok := reports[s.Key]
 		if !ok {
 			continue
 		}
-		some, err := l.planOf(ctx, s, list, &r)
-		steps = append(steps, some...)
-		failed = errors.Join(failed, err)
+		planned, err := l.requestMovesOf(ctx, s, list, &r)
+		steps = append(steps, planned...)
+		errs = errors.Join(errs, err)
 	}
-	return steps, failed
+	return steps, errs
 }
 
-func (l *Link) planOf(ctx context.Context, s *owner.Shard, left []*ownerpb.Left, r *owner.Report) ([]moveplan.Step, error) {
+func (l *Link) requestMovesOf(ctx context.Context, s *owner.Shard, left []*ownerpb.Left, r *owner.Report) ([]moveplan.Step, error) {
 	c := l.newCall(s)
 	defer c.close()
-	ask := &ownerpb.MovesAsk{Id: c.id, Left: left, Report: l.encodeReport(r, "")}
-	c.body.Body = &ownerpb.Datagram_MovesAsk{MovesAsk: ask}
-	fit(c.body, ask.Report)
-	d, err := c.do(ctx)
+	req := &ownerpb.MovesAsk{Id: c.id, Left: left, Report: l.encodeReport(r, "")}
+	c.body.Body = &ownerpb.Datagram_MovesAsk{MovesAsk: req}
+	truncateReport(c.body, req.Report)
+	d, err := c.query(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, m := range d.GetMoves().GetMoves() {
-		l.granted(decodeTarget(m.To, s.Service, m.ToInfo))
+		l.learnTargets(decodeTarget(m.To, s.Service, m.ToInfo))
 	}
 	return decodeMoves(d.GetMoves()), nil
 }
@@ -216,7 +216,7 @@
 	c := l.newCall(s)
 	defer c.close()
 	c.body.Body = &ownerpb.Datagram_HeardAsk{HeardAsk: &ownerpb.HeardAsk{Id: c.id, Target: engine}}
-	d, err := c.do(ctx)
+	d, err := c.query(ctx)
 	if err != nil || !d.GetHeard().GetKnown() {
 		return time.Time{}, err
 	}
--- a/lib/ownerlink/handle.go
+++ b/lib/ownerlink/handle.go
@@ -14,47 +14,47 @@
 
 func (l *Link) handle(d *ownerpb.Datagram) {
 	if d.Instance == "" {
-		l.tellBad("anonymous", errNoBody)
+		l.reportBad("anonymous", errNoBody)
 		return
 	}
 	switch body := d.Body.(type) {
 	case *ownerpb.Datagram_Ask:
-		l.handleAsk(d, body.Ask)
+		l.handlePlaceRequest(d, body.Ask)
 	case *ownerpb.Datagram_Answer:
 		l.handleAnswer(d, body.Answer)
 	case *ownerpb.Datagram_Report:
 		l.handleReport(d, body.Report)
 	case *ownerpb.Datagram_Beat:
-		l.handleBeat(d, body.Beat)
+		l.handleHeartbeat(d, body.Beat)
 	case *ownerpb.Datagram_Blames:
 		l.OnBlames(body.Blames.Blames)
 	case *ownerpb.Datagram_LeftTold:
 		l.handleLeft(body.LeftTold)
 	case *ownerpb.Datagram_MovesAsk:
-		l.handleMovesAsk(d, body.MovesAsk)
+		l.handleMovesRequest(d, body.MovesAsk)
 	case *ownerpb.Datagram_Moves:
-		l.handleOther(d, body.Moves.Id)
+		l.handleReply(d, body.Moves.Id)
 	case *ownerpb.Datagram_HeardAsk:
-		l.handleHeardAsk(d, body.HeardAsk)
+		l.handleContactRequest(d, body.HeardAsk)
 	case *ownerpb.Datagram_Heard:
-		l.handleOther(d, body.Heard.Id)
+		l.handleReply(d, body.Heard.Id)
 	case *ownerpb.Datagram_Counts:
 		l.handleCounts(d, body.Counts)
 	case *ownerpb.Datagram_Suspects:
 		l.handleSuspects(body.Suspects)
 	case *ownerpb.Datagram_PermitAsk:
-		l.handlePermitAsk(d, body.PermitAsk)
+		l.handlePermitRequest(d, body.PermitAsk)
 	case *ownerpb.Datagram_Permit:
-		l.handleOther(d, body.Permit.Id)
+		l.handleReply(d, body.Permit.Id)
 	case *ownerpb.Datagram_Limits:
 		l.handleLimits(body.Limits)
 	default:
-		l.tellBad("unknown", errNoBody)
+		l.reportBad("unknown", errNoBody)
 	}
 }
 
-// handleAsk decides an ask for a shard that this instance owns, and passes on one for another's.
-func (l *Link) handleAsk(d *ownerpb.Datagram, a *ownerpb.Ask) {
+// handlePlaceRequest decides an ask for a shard that this instance owns, and passes on one for another's.
+func (l *Link) handlePlaceRequest(d *ownerpb.Datagram, a *ownerpb.Ask) {
 	layout := l.layout.Load()
 	s := layout.Shard(a.Shard)
 	if s == nil {
@@ -66,17 +66,17 @@
 		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: a.Id}, Addr: d.Addr, Action: admit.Fallback})
 		return
 	}
-	l.settle(l.Coordinator.Handle(now, s, decodeAsk(d, now)))
+	l.respond(l.Coordinator.Handle(now, s, decodePlaceRequest(d, now)))
 }
 
-// settle answers an ask or passes it on.
-func (l *Link) settle(r owner.Disposition) {
+// respond answers an ask or passes it on.
+func (l *Link) respond(r owner.Disposition) {
 	if r.Forward {
-		l.passOn(r)
+		l.forward(r)
 		return
 	}
 	if r.Answer.Action == admit.Wait {
-		l.waiting()
+		l.notifyWaiting()
 	}
 	l.answer(&r.Answer)
 }
@@ -87,11 +87,11 @@
 	return to, ok && to.Name != l.Self.Name
 }
 
-// passOn sends an ask to the owner that should decide it, which answers the asker.
-func (l *Link) passOn(r owner.Disposition) {
+// forward sends an ask to the owner that should decide it, which answers the asker.
+func (l *Link) forward(r owner.Disposition) {
 	l.send(r.To.Addr, &ownerpb.Datagram{
 		Instance: r.Request.Instance, Incarnation: r.Request.Incarnation, Addr: r.Request.ReplyAddr,
-		Body: &ownerpb.Datagram_Ask{Ask: encodeAsk(&r.Request, r.Shard.Key, time.Now())},
+		Body: &ownerpb.Datagram_Ask{Ask: encodePlaceRequest(&r.Request, r.Shard.Key, time.Now())},
 	})
 }
 
@@ -100,7 +100,7 @@
 		a.TargetInfo, _ = l.Fleet.Info(a.Target)
 		a.BackupInfo, _ = l.Fleet.Info(a.Backup)
 	}
-	d := l.own()
+	d := l.newDatagram()
 	d.Body = &ownerpb.Datagram_Answer{Answer: encodeAnswer(a)}
 	l.reply(a.Instance, a.Addr, a.ID, d)
 }
@@ -117,42 +117,42 @@
 func (l *Link) handleAnswer(d *ownerpb.Datagram, a *ownerpb.Answer) {
 	l.Coordinator.ClearSuspect(d.Instance)
 	l.mu.Lock()
-	l.seen[d.Instance] = max(l.seen[d.Instance], a.Serial)
+	l.lastGrants[d.Instance] = max(l.lastGrants[d.Instance], a.Serial)
 	l.mu.Unlock()
 	if !l.deliver(a.Id, d) && a.Serial > 0 {
 		l.ScheduleReport() // nobody uses what was granted: the next report says so
 	}
 }
 
-func (l *Link) handleOther(d *ownerpb.Datagram, id uint64) {
+func (l *Link) handleReply(d *ownerpb.Datagram, id uint64) {
 	l.Coordinator.ClearSuspect(d.Instance)
 	l.deliver(id, d)
 }
 
-func (l *Link) handleHeardAsk(d *ownerpb.Datagram, a *ownerpb.HeardAsk) {
+func (l *Link) handleContactRequest(d *ownerpb.Datagram, a *ownerpb.HeardAsk) {
 	heard := &ownerpb.Heard{Id: a.Id}
 	if at := l.Fleet.LastContact(a.Target); !at.IsZero() {
 		heard.Known, heard.AgoMs = true, ms(time.Since(at))
 	}
-	out := l.own()
+	out := l.newDatagram()
 	out.Body = &ownerpb.Datagram_Heard{Heard: heard}
 	l.reply(d.Instance, d.Addr, a.Id, out)
 }
 
-func (l *Link) waiting() { notify(l.waits) }
+func (l *Link) notifyWaiting() { notify(l.waitingAdded) }
 
-// step looks at the asks that wait here for as long as there are any.
-func (l *Link) step(ctx context.Context) {
-	t := time.NewTicker(stepEvery)
+// decideLoop looks at the asks that wait here for as long as there are any.
+func (l *Link) decideLoop(ctx context.Context) {
+	t := time.NewTicker(decideInterval)
 	defer t.Stop()
-	var passed time.Time
+	var lastForward time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.waits:
+		case <-l.waitingAdded:
 		}
-		t.Reset(stepEvery)
+		t.Reset(decideInterval)
 		for l.Coordinator.HasWaiting() {
 			select {
 			case <-ctx.Done():
@@ -161,9 +161,9 @@
 				for _, a := range l.Coordinator.DecideWaiting(now) {
 					l.answer(&a)
 				}
-				if now.Sub(passed) >= owner.ForwardInterval {
-					passed = now
-					l.passWaiting(now)
+				if now.Sub(lastForward) >= owner.ForwardInterval {
+					lastForward = now
+					l.forwardWaiting(now)
 				}
 			}
 		}
@@ -171,8 +171,8 @@
 	}
 }
 
-func (l *Link) passWaiting(now time.Time) {
+func (l *Link) forwardWaiting(now time.Time) {
 	for _, r := range l.Coordinator.ForwardWaiting(now) {
-		l.passOn(r)
+		l.forward(r)
 	}
 }
--- a/lib/ownerlink/kinds.go
+++ b/lib/ownerlink/kinds.go
@@ -13,22 +13,22 @@
 
 const (
 	kindOther kind = iota
-	kindAsk
+	kindPlaceRequest
 	kindAnswer
 	kindReport
-	kindBeat
+	kindHeartbeat
 	kindBlames
 	kindMoves
-	kindHeard
+	kindContact
 	kindLeft
 	kindCounts
 	kindSuspects
 	kindPermit
 	kindLimits
-	kinds // how many there are
+	kindCount // how many there are
 )
 
-var kindNames = [kinds]string{
+var kindNames = [kindCount]string{
 	"other", "ask", "answer", "report", "beat", "blames", "moves", "heard", "left", "counts", "suspects", "permit", "limits",
 }
 
@@ -41,14 +41,14 @@
 }
 
 var (
-	sent     = newTraffic("out")
-	received = newTraffic("in")
-	spread   = newTraffic("spread") // to all others, by way of neighbours
+	sent       = newTraffic("out")
+	received   = newTraffic("in")
+	broadcasts = newTraffic("spread") // to all others, by way of neighbours
 )
 
-func newTraffic(way string) (out [kinds]traffic) {
+func newTraffic(direction string) (out [kindCount]traffic) {
 	for k, name := range kindNames {
-		labels := fmt.Sprintf("{way=%q,kind=%q}", way, name)
+		labels := fmt.Sprintf("{way=%q,kind=%q}", direction, name)
 		out[k] = traffic{
 			datagrams: metrics.NewCounter("anvilwick_owner_datagrams_total" + labels),
 			bytes:     metrics.NewCounter("anvilwick_owner_bytes_total" + labels),
@@ -60,19 +60,19 @@
 func kindOf(d *ownerpb.Datagram) kind {
 	switch d.Body.(type) {
 	case *ownerpb.Datagram_Ask:
-		return kindAsk
+		return kindPlaceRequest
 	case *ownerpb.Datagram_Answer:
 		return kindAnswer
 	case *ownerpb.Datagram_Report:
 		return kindReport
 	case *ownerpb.Datagram_Beat:
-		return kindBeat
+		return kindHeartbeat
 	case *ownerpb.Datagram_Blames:
 		return kindBlames
 	case *ownerpb.Datagram_Moves, *ownerpb.Datagram_MovesAsk:
 		return kindMoves
 	case *ownerpb.Datagram_Heard, *ownerpb.Datagram_HeardAsk:
-		return kindHeard
+		return kindContact
 	case *ownerpb.Datagram_LeftTold:
 		return kindLeft
 	case *ownerpb.Datagram_Counts:
--- a/lib/ownerlink/left.go
+++ b/lib/ownerlink/left.go
@@ -16,16 +16,16 @@
 		return
 	}
 	if to, other := l.otherOwner(time.Now(), s); other {
-		d := l.leftTold(left)
+		d := l.newLeftDatagram(left)
 		d.GetLeftTold().PassOn = true
 		l.send(to.Addr, d)
 		return
 	}
-	l.tellAll(l.leftTold(left))
+	l.broadcast(l.newLeftDatagram(left))
 }
 
-func (l *Link) leftTold(left ...*ownerpb.Left) *ownerpb.Datagram {
-	d := l.own()
+func (l *Link) newLeftDatagram(left ...*ownerpb.Left) *ownerpb.Datagram {
+	d := l.newDatagram()
 	d.Body = &ownerpb.Datagram_LeftTold{LeftTold: &ownerpb.LeftTold{Left: left}}
 	return d
 }
@@ -38,22 +38,22 @@
 		return
 	}
 	var left []*ownerpb.Left
-	told := make(map[string]bool)
-	look := func(target string) {
+	named := make(map[string]bool)
+	addIfLeft := func(target string) {
 		t, known := l.Fleet.Info(target)
-		if known && !told[t.ID] && l.Fleet.IsLeaving(t.ID) && !l.Fleet.IsPresumedGone(t.ID) {
-			told[t.ID] = true
+		if known && !named[t.ID] && l.Fleet.IsLeaving(t.ID) && !l.Fleet.IsPresumedGone(t.ID) {
+			named[t.ID] = true
 			left = append(left, &ownerpb.Left{Target: t.ID, Born: t.Born})
 		}
 	}
 	for _, run := range r.Runs {
-		look(run.Target)
+		addIfLeft(run.Target)
 	}
 	for _, held := range r.Held {
-		look(held.Target)
+		addIfLeft(held.Target)
 	}
 	if len(left) > 0 {
-		l.send(d.Addr, l.leftTold(left...))
+		l.send(d.Addr, l.newLeftDatagram(left...))
 	}
 }
 
@@ -65,7 +65,7 @@
 		if s == nil || !s.IsCandidate(l.Self.Name) {
 			continue
 		}
-		d := l.leftTold(&ownerpb.Left{Target: e.ID, Born: e.Born, Lives: true})
+		d := l.newLeftDatagram(&ownerpb.Left{Target: e.ID, Born: e.Born, Lives: true})
 		for _, addr := range l.Coordinator.Users(s.Key, map[string]bool{e.ID: true}) {
 			l.send(addr, d)
 		}
@@ -80,7 +80,7 @@
 			continue
 		}
 		if l.OnLeft(e.Target, e.Born) && body.PassOn {
-			l.tellAll(l.leftTold(e))
+			l.broadcast(l.newLeftDatagram(e))
 		}
 	}
 }
--- a/lib/ownerlink/link.go
+++ b/lib/ownerlink/link.go
@@ -21,36 +21,36 @@
 
 var (
 	badDatagrams = metrics.NewCounter(`anvilwick_owner_bad_datagrams_total`)
-	alone        = metrics.NewCounter(`anvilwick_owner_unanswered_total`)
+	unanswered   = metrics.NewCounter(`anvilwick_owner_unanswered_total`)
 
 	// Together they are the age of what a choice rests on: from a change until it is told, and the way of an ask and back,
 	// of which its owner decides in the middle.
-	reportDelay  = metrics.NewHistogram(`anvilwick_owner_report_delay_seconds`)
-	answeredIn   = metrics.NewHistogram(`anvilwick_owner_answer_seconds{waited="no"}`)
-	answeredLate = metrics.NewHistogram(`anvilwick_owner_answer_seconds{waited="yes"}`)
+	reportDelay      = metrics.NewHistogram(`anvilwick_owner_report_delay_seconds`)
+	answerTime       = metrics.NewHistogram(`anvilwick_owner_answer_seconds{waited="no"}`)
+	waitedAnswerTime = metrics.NewHistogram(`anvilwick_owner_answer_seconds{waited="yes"}`)
 )
 
 const (
-	// tryTimeout is the wait for an answer to one datagram: some milliseconds on the way, and the rest for an instance whose
+	// answerTimeout is the wait for an answer to one datagram: some milliseconds on the way, and the rest for an instance whose
 	// processor is busy.
-	tryTimeout = 50 * time.Millisecond
-	// tries is how often an owner is asked before the next one is: of links that lose a fortieth of their datagrams one ask
+	answerTimeout = 50 * time.Millisecond
+	// maxTries is how often an owner is asked before the next one is: of links that lose a fortieth of their datagrams one ask
 	// in ten thousand goes unanswered.
-	tries = 3
-	// waitAgain is the period at which an ask that waits is sent again, so that its owner knows that it is still wanted.
-	waitAgain = 200 * time.Millisecond
-	// stepEvery is the pause between two looks at the asks that wait here.
-	stepEvery = 10 * time.Millisecond
-	// reportGap keeps changes in quick succession to one report.
-	reportGap = 15 * time.Millisecond
-	// planWait is how long a plan of moves waits for other engines that leave with the first.
-	planWait = 15 * time.Millisecond
-	// stallTime is the lateness of a beat from which this instance takes itself to have stood still.
-	stallTime = 400 * time.Millisecond
+	maxTries = 3
+	// waitingResend is the period at which an ask that waits is sent again, so that its owner knows that it is still wanted.
+	waitingResend = 200 * time.Millisecond
+	// decideInterval is the pause between two looks at the asks that wait here.
+	decideInterval = 10 * time.Millisecond
+	// reportDelayMin keeps changes in quick succession to one report.
+	reportDelayMin = 15 * time.Millisecond
+	// planDelay is how long a plan of moves waits for other engines that leave with the first.
+	planDelay = 15 * time.Millisecond
+	// stallThreshold is the lateness of a beat from which this instance takes itself to have stood still.
+	stallThreshold = 400 * time.Millisecond
 	// maxDatagram is the largest datagram in bytes. A longer report is cut by leaving runs out.
 	maxDatagram = 16 << 10
-	// leftTold bounds the targets that one beat names.
-	leftTold = 64
+	// maxLeftPerHeartbeat bounds the targets that one beat names.
+	maxLeftPerHeartbeat = 64
 )
 
 // ErrNoOwner says that no owner answers.
@@ -90,31 +90,31 @@
 // Link sends and receives. Make it with New.
 type Link struct {
 	Config
-	conn   PacketConn
-	layout atomic.Pointer[owner.Layout]
-	wake   chan struct{} // a report is due
-	waits  chan struct{} // asks wait here
-	laid   chan struct{} // a layout was put in force
+	conn          PacketConn
+	layout        atomic.Pointer[owner.Layout]
+	reportDue     chan struct{} // a report is due
+	waitingAdded  chan struct{} // asks wait here
+	layoutChanged chan struct{} // a layout was put in force
 	// changedAt is the first change that has not been told yet.
 	changedAt atomic.Pointer[time.Time]
 
-	mu       sync.Mutex
-	lastID   uint64
-	calls    map[uint64]chan *ownerpb.Datagram
-	addrs    map[string]netip.AddrPort
-	seen     map[string]uint64 // newest grant, by owner
-	bad      map[string]bool
-	plans    map[string]*plan // under way, by shard
-	outcomes map[string]*outcomes
-	readings []owner.PrefillSample
-	named    map[string]string // addresses of all instances, this one too, by name
-	strong   []string          // those with half of the largest capacity or more
-	plain    plainOutcomes
-	limits   map[string]toldLimit // by target
+	mu             sync.Mutex
+	lastID         uint64
+	calls          map[uint64]chan *ownerpb.Datagram
+	addrs          map[string]netip.AddrPort
+	lastGrants     map[string]uint64 // newest grant, by owner
+	reportedBad    map[string]bool
+	plans          map[string]*plan // under way, by shard
+	outcomes       map[string]*outcomes
+	prefillSamples []owner.PrefillSample
+	addrByName     map[string]string // addresses of all instances, this one too, by name
+	highCapacity   []string          // those with half of the largest capacity or more
+	plain          plainOutcomes
+	sentLimits     map[string]sentLimit // by target
 
 	// Of the goroutine that beats:
-	fills  map[string]toldFill // of the shards that it owns
-	leftAt time.Time           // when it last told of targets that have left
+	sentFills       map[string]sentFill // of the shards that it owns
+	leftAnnouncedAt time.Time           // when it last told of targets that have left
 }
 
 // PacketConn sends and receives datagrams, as *net.UDPConn does.
@@ -146,10 +146,10 @@
 		cfg.Self.Addr = conn.LocalAddr().String() // the port was chosen by the system
 	}
 	l := &Link{
-		Config: cfg, conn: conn, wake: make(chan struct{}, 1), waits: make(chan struct{}, 1), laid: make(chan struct{}, 1),
+		Config: cfg, conn: conn, reportDue: make(chan struct{}, 1), waitingAdded: make(chan struct{}, 1), layoutChanged: make(chan struct{}, 1),
 		calls: make(map[uint64]chan *ownerpb.Datagram), addrs: make(map[string]netip.AddrPort),
-		seen: make(map[string]uint64), bad: make(map[string]bool), plans: make(map[string]*plan),
-		outcomes: make(map[string]*outcomes), plain: newPlainOutcomes(), limits: make(map[string]toldLimit), fills: make(map[string]toldFill),
+		lastGrants: make(map[string]uint64), reportedBad: make(map[string]bool), plans: make(map[string]*plan),
+		outcomes: make(map[string]*outcomes), plain: newPlainOutcomes(), sentLimits: make(map[string]sentLimit), sentFills: make(map[string]sentFill),
 	}
 	l.layout.Store(owner.NewPartition().Layout())
 	return l, nil
@@ -159,7 +159,7 @@
 func (l *Link) SetLayout(layout *owner.Layout) {
 	if l.layout.Swap(layout) != layout {
 		l.ScheduleReport()
-		notify(l.laid)
+		notify(l.layoutChanged)
 	}
 }
 
@@ -174,11 +174,11 @@
 // SetPeers replaces the instances that are listed.
 func (l *Link) SetPeers(instances []owner.Instance) error {
 	addrs := make(map[string]netip.AddrPort, len(instances))
-	named := make(map[string]string, len(instances))
-	var strong []string
-	most := uint32(0)
+	addrByName := make(map[string]string, len(instances))
+	var highCapacity []string
+	maxCapacity := uint32(0)
 	for _, in := range instances {
-		most = max(most, in.Capacity)
+		maxCapacity = max(maxCapacity, in.Capacity)
 	}
 	var bad error
 	for _, in := range instances {
@@ -188,13 +188,13 @@
 			continue
 		}
 		addrs[in.Addr] = at
-		named[in.Name] = in.Addr
-		if in.Capacity >= most/2 {
-			strong = append(strong, in.Name)
+		addrByName[in.Name] = in.Addr
+		if in.Capacity >= maxCapacity/2 {
+			highCapacity = append(highCapacity, in.Name)
 		}
 	}
 	l.mu.Lock()
-	l.addrs, l.named, l.strong = addrs, named, strong
+	l.addrs, l.addrByName, l.highCapacity = addrs, addrByName, highCapacity
 	l.mu.Unlock()
 	return bad
 }
@@ -203,7 +203,7 @@
 func (l *Link) ScheduleReport() {
 	now := time.Now()
 	l.changedAt.CompareAndSwap(nil, &now)
-	notify(l.wake)
+	notify(l.reportDue)
 }
 
 // Run sends and receives until ctx is done.
@@ -211,7 +211,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = l.conn.Close() })
 	defer stop()
 	var work sync.WaitGroup
-	for _, f := range []func(context.Context){l.receive, l.report, l.beat, l.step, l.judge} {
+	for _, f := range []func(context.Context){l.receiveLoop, l.reportLoop, l.heartbeatLoop, l.decideLoop, l.judgeLoop} {
 		work.Go(func() { f(ctx) })
 	}
 	work.Wait()
@@ -220,28 +220,28 @@
 // Close ends a Link that was never run.
 func (l *Link) Close() { _ = l.conn.Close() }
 
-func (l *Link) receive(ctx context.Context) {
+func (l *Link) receiveLoop(ctx context.Context) {
 	b := make([]byte, 64<<10)
 	for ctx.Err() == nil {
 		n, _, err := l.conn.ReadFromUDPAddrPort(b)
 		if err != nil {
 			if ctx.Err() == nil {
-				time.Sleep(reportGap)
+				time.Sleep(reportDelayMin)
 			}
 			continue
 		}
-		l.take(b[:n])
+		l.receiveDatagram(b[:n])
 	}
 }
 
-// tellBad tells of a kind of bad datagram once: a sender that is wrong is wrong many times a second.
-func (l *Link) tellBad(cause string, err error) {
+// reportBad tells of a kind of bad datagram once: a sender that is wrong is wrong many times a second.
+func (l *Link) reportBad(cause string, err error) {
 	badDatagrams.Inc()
 	l.mu.Lock()
-	told := l.bad[cause]
-	l.bad[cause] = true
+	known := l.reportedBad[cause]
+	l.reportedBad[cause] = true
 	l.mu.Unlock()
-	if !told && l.OnBadDatagram != nil {
+	if !known && l.OnBadDatagram != nil {
 		l.OnBadDatagram(cause, err)
 	}
 }
@@ -254,7 +254,7 @@
 	}
 	b, err := proto.Marshal(d)
 	if err != nil {
-		l.tellBad("unencodable", err)
+		l.reportBad("unencodable", err)
 		return
 	}
 	l.sendBytes(at, kindOf(d), b)
@@ -275,52 +275,52 @@
 	}
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		l.tellBad("address", err)
+		l.reportBad("address", err)
 		return at, false
 	}
 	return at, true
 }
 
-// able lists the instances with half of the largest capacity or more: others' reports do not slow them down.
-func (l *Link) able() []string {
+// highCapacityNames lists the instances with half of the largest capacity or more: others' reports do not slow them down.
+func (l *Link) highCapacityNames() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.strong
+	return l.highCapacity
 }
 
 func (l *Link) addrOf(instance string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.named[instance]
+	return l.addrByName[instance]
 }
 
-// tellAll tells all other instances.
-func (l *Link) tellAll(d *ownerpb.Datagram) {
+// broadcast tells all other instances.
+func (l *Link) broadcast(d *ownerpb.Datagram) {
 	b, err := proto.Marshal(d)
 	if err != nil {
-		l.tellBad("unencodable", err)
+		l.reportBad("unencodable", err)
 		return
 	}
-	spread[kindOf(d)].add(len(b))
+	broadcasts[kindOf(d)].add(len(b))
 	l.Broadcast(b)
 }
 
 // ReceiveBroadcast takes in what another instance tells all.
-func (l *Link) ReceiveBroadcast(b []byte) { l.take(b) }
+func (l *Link) ReceiveBroadcast(b []byte) { l.receiveDatagram(b) }
 
-// take takes in a datagram.
-func (l *Link) take(b []byte) {
+// receiveDatagram takes in a datagram.
+func (l *Link) receiveDatagram(b []byte) {
 	var d ownerpb.Datagram
 	if err := proto.Unmarshal(b, &d); err != nil {
 		received[kindOther].add(len(b))
-		l.tellBad("undecodable", err)
+		l.reportBad("undecodable", err)
 		return
 	}
 	received[kindOf(&d)].add(len(b))
 	l.handle(&d)
 }
 
-// own is a datagram of this instance, without a body.
-func (l *Link) own() *ownerpb.Datagram {
+// newDatagram is a datagram of this instance, without a body.
+func (l *Link) newDatagram() *ownerpb.Datagram {
 	return &ownerpb.Datagram{Instance: l.Self.Name, Incarnation: l.Incarnation, Addr: l.Self.Addr}
 }
--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -26,10 +26,10 @@
 // member is an instance with its link, on loopback.
 type member struct {
 	*Link
-	runs   atomic.Pointer[[]owner.Run]
-	left   chan string
-	known  sync.Map // targets that it was told of
-	blamed atomic.Int32
+	runs      atomic.Pointer[[]owner.Run]
+	left      chan string
+	knownLeft sync.Map // targets that it was told of
+	blamed    atomic.Int32
 
 	restarted chan string
 	stop      context.CancelFunc
@@ -63,7 +63,7 @@
 			return moveplan.Link{TokensPerSecond: 10_000, CrossDomainFactor: 2}, true
 		},
 		OnLeft: func(id string, _ int64) bool {
-			if _, known := m.known.LoadOrStore(id, true); known {
+			if _, known := m.knownLeft.LoadOrStore(id, true); known {
 				return false
 			}
 			m.left <- id
@@ -117,7 +117,7 @@
 		m.SetLayout(layout)
 	}
 	for _, m := range members {
-		m.Broadcast = func(b []byte) { spreadAmong(members, m, b) }
+		m.Broadcast = func(b []byte) { broadcastAmong(members, m, b) }
 	}
 	for _, name := range running {
 		members[name].start(t)
@@ -125,8 +125,8 @@
 	return members, layout.HomeShard("s", "z0", "a")
 }
 
-// spreadAmong hands what one member tells all to the others that run.
-func spreadAmong(members map[string]*member, from *member, b []byte) {
+// broadcastAmong hands what one member tells all to the others that run.
+func broadcastAmong(members map[string]*member, from *member, b []byte) {
 	for _, m := range members {
 		if m != from && m.running.Load() {
 			m.ReceiveBroadcast(b)
@@ -134,7 +134,7 @@
 	}
 }
 
-func ask(tokens int) owner.PlaceRequest {
+func placeRequest(tokens int) owner.PlaceRequest {
 	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
 	return owner.PlaceRequest{Run: 7, Stream: admit.Stream{Arrived: time.Now(), Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need}}
 }
@@ -151,11 +151,11 @@
 
 // Streams of all instances are placed on one account: two that each hold most of an engine go to different ones, whoever
 // asks, and the third waits until a run ends.
-func TestAllInstancesPlaceOnOneAccount(t *testing.T) {
+func TestInstancesShareOneLedger(t *testing.T) {
 	members, s := site(t, 2, "a", "b", "c")
 	used := make(map[string]bool)
 	for _, name := range []string{"a", "b"} {
-		got, err := members[name].Place(t.Context(), ask(8000))
+		got, err := members[name].Place(t.Context(), placeRequest(8000))
 		must.NoError(t, err)
 		must.Eq(t, admit.Admit, got.Action)
 		used[got.Target] = true
@@ -170,7 +170,7 @@
 		members["a"].ScheduleReport()
 	})
 	start := time.Now()
-	got, err := members["c"].Place(t.Context(), ask(8000))
+	got, err := members["c"].Place(t.Context(), placeRequest(8000))
 	must.NoError(t, err)
 	must.Eq(t, admit.Admit, got.Action)
 	must.Greater(t, 90*time.Millisecond, time.Since(start))
@@ -178,7 +178,7 @@
 
 // The owner dies without a word. Those who ask wait for three lost answers, once; the second in rank was told what runs
 // where and does not give the same room away again.
-func TestSecondInRankKnowsWhatRuns(t *testing.T) {
+func TestSecondCandidateKnowsRuns(t *testing.T) {
 	members, s := site(t, 2, "a", "b", "c")
 	first, third := members[s.Ranked[0].Name], members[s.Ranked[2].Name]
 	third.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 8000}})
@@ -188,36 +188,36 @@
 	first.stop()
 	<-first.done
 	start := time.Now()
-	got, err := third.Place(t.Context(), ask(8000))
+	got, err := third.Place(t.Context(), placeRequest(8000))
 	must.NoError(t, err)
 	must.Eq(t, "e1", got.Target)
 	must.Less(t, 2*time.Second, time.Since(start))
 	start = time.Now()
-	_, err = third.Place(t.Context(), ask(100))
+	_, err = third.Place(t.Context(), placeRequest(100))
 	must.NoError(t, err)
 	must.Less(t, 150*time.Millisecond, time.Since(start))
 }
 
 // Nobody answers: the instance is told so within half a second, and decides alone.
-func TestNobodyAnswers(t *testing.T) {
+func TestNoOwnerAnswers(t *testing.T) {
 	members, s := site(t, 2)
 	last := members[s.Ranked[2].Name]
 	// Its own link does not run either, but it can ask itself: it is a candidate.
-	got, err := last.Place(t.Context(), ask(100))
+	got, err := last.Place(t.Context(), placeRequest(100))
 	must.NoError(t, err)
 	must.Eq(t, admit.Admit, got.Action)
 	stranger := newMember(t, "x")
 	stranger.SetLayout(members["a"].layout.Load())
 	stranger.start(t)
 	start := time.Now()
-	_, err = stranger.Place(t.Context(), ask(100))
+	_, err = stranger.Place(t.Context(), placeRequest(100))
 	must.ErrorIs(t, err, ErrNoOwner)
 	must.Less(t, 3*time.Second, time.Since(start))
 }
 
 // An ask reaches an instance that does not own the shard, because its sender has lost the owner. It is passed on, and the
 // owner answers the sender.
-func TestAskIsPassedOnToTheOwner(t *testing.T) {
+func TestRequestIsForwardedToOwner(t *testing.T) {
 	members, s := site(t, 2, "a", "b", "c")
 	first, second := s.Ranked[0].Name, members[s.Ranked[1].Name]
 	third := members[s.Ranked[2].Name]
@@ -226,14 +226,14 @@
 		return other && to.Name == first
 	})
 	third.Coordinator.Suspect(time.Now(), first)
-	_, err := third.Place(t.Context(), ask(500))
+	_, err := third.Place(t.Context(), placeRequest(500))
 	must.NoError(t, err)
 	must.Eq(t, first, third.Coordinator.QueryOrder(time.Now(), s)[0].Name) // it has answered
 	must.Positive(t, members[first].Fleet.Utilization(s.Engines(), 0))
 }
 
 // Two instances have runs on an engine that leaves, and only one of them has seen it. Both are told where their runs go.
-func TestMovesAreToldToAllThatHaveRunsThere(t *testing.T) {
+func TestMovesReachAllAffectedInstances(t *testing.T) {
 	members, s := site(t, 3, "a", "b", "c")
 	asks, other := members[s.Ranked[1].Name], members[s.Ranked[2].Name]
 	asks.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 2000}})
@@ -265,7 +265,7 @@
 }
 
 // Whatever comes by datagram, the link goes on: garbage, kinds and shards that nobody knows, absent parts.
-func TestAnyDatagramIsSurvived(t *testing.T) {
+func TestArbitraryDatagramsAreHandled(t *testing.T) {
 	members, s := site(t, 2, "a")
 	a := members["a"]
 	to := netip.MustParseAddrPort(a.Self.Addr)
@@ -314,7 +314,7 @@
 	})
 	// It still answers itself.
 	eventually(t, func() bool {
-		_, err := a.Place(t.Context(), ask(10))
+		_, err := a.Place(t.Context(), placeRequest(10))
 		return err == nil
 	})
 }
--- a/lib/ownerlink/moves.go
+++ b/lib/ownerlink/moves.go
@@ -10,9 +10,9 @@
 
 // plan is one of moves that is about to be made, with those who ask for it.
 type plan struct {
-	shard   *owner.Shard
-	engines []fleet.Info
-	asks    []*ownerpb.Datagram
+	shard    *owner.Shard
+	engines  []fleet.Info
+	requests []*ownerpb.Datagram
 }
 
 // PlanLeaving plans the moves of the runs on engines that leave, where this instance may be asked for them. Engines that leave
@@ -30,7 +30,7 @@
 		if p == nil {
 			p = &plan{shard: s}
 			l.plans[s.Key] = p
-			time.AfterFunc(planWait, func() { l.makePlan(p) })
+			time.AfterFunc(planDelay, func() { l.makePlan(p) })
 		}
 		p.engines = append(p.engines, e)
 	}
@@ -45,22 +45,22 @@
 		engines := p.engines
 		l.mu.Unlock()
 		l.Coordinator.Plan(time.Now(), p.shard, engines, link)
-		l.tellLeaving(p.shard, engines)
+		l.notifyUsers(p.shard, engines)
 	}
 	l.mu.Lock()
 	if l.plans[p.shard.Key] == p {
 		delete(l.plans, p.shard.Key)
 	}
-	asks := p.asks
+	requests := p.requests
 	l.mu.Unlock()
-	for _, d := range asks {
-		l.tellMoves(p.shard, d)
+	for _, d := range requests {
+		l.replyMoves(p.shard, d)
 	}
 }
 
-// tellLeaving tells the instances that have runs on engines which leave. While the list of targets is away, they have it
+// notifyUsers tells the instances that have runs on engines which leave. While the list of targets is away, they have it
 // from nobody else.
-func (l *Link) tellLeaving(s *owner.Shard, engines []fleet.Info) {
+func (l *Link) notifyUsers(s *owner.Shard, engines []fleet.Info) {
 	var left []*ownerpb.Left
 	ids := make(map[string]bool, len(engines))
 	for _, e := range engines {
@@ -73,21 +73,21 @@
 	if len(left) == 0 {
 		return
 	}
-	d := l.leftTold(left...)
+	d := l.newLeftDatagram(left...)
 	for _, addr := range l.Coordinator.Users(s.Key, ids) {
 		l.send(addr, d)
 	}
 }
 
-func (l *Link) handleMovesAsk(d *ownerpb.Datagram, a *ownerpb.MovesAsk) {
+func (l *Link) handleMovesRequest(d *ownerpb.Datagram, a *ownerpb.MovesAsk) {
 	if a.Report == nil {
-		l.tellBad("moves_ask", errNoBody)
+		l.reportBad("moves_ask", errNoBody)
 		return
 	}
 	now := time.Now()
 	s := l.layout.Load().Shard(a.Report.Shard)
 	if s == nil {
-		l.tellMoves(&owner.Shard{}, d)
+		l.replyMoves(&owner.Shard{}, d)
 		return
 	}
 	if to, ok := l.otherOwner(now, s); ok && !a.PassedOn {
@@ -104,21 +104,21 @@
 	l.mu.Lock()
 	p := l.plans[s.Key]
 	if p != nil {
-		p.asks = append(p.asks, d)
+		p.requests = append(p.requests, d)
 	}
 	l.mu.Unlock()
 	if p == nil {
-		l.tellMoves(s, d)
+		l.replyMoves(s, d)
 	}
 }
 
-func (l *Link) tellMoves(s *owner.Shard, d *ownerpb.Datagram) {
+func (l *Link) replyMoves(s *owner.Shard, d *ownerpb.Datagram) {
 	a := d.GetMovesAsk()
 	runs := make([]uint64, len(a.Report.Runs))
 	for i, r := range a.Report.Runs {
 		runs[i] = r.Id
 	}
-	out := l.own()
+	out := l.newDatagram()
 	moves := encodeMoves(l.Coordinator.Moves(time.Now(), s, d.Instance, runs))
 	if a.Report.Describe {
 		for _, m := range moves {
--- a/lib/ownerlink/permits_test.go
+++ b/lib/ownerlink/permits_test.go
@@ -12,8 +12,8 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// agreed waits until all members take the first in rank for the owner: until its beats come, each that ranks takes itself for it.
-func agreed(t *testing.T, members map[string]*member, s *owner.Shard) {
+// awaitAgreement waits until all members take the first in rank for the owner: until its beats come, each that ranks takes itself for it.
+func awaitAgreement(t *testing.T, members map[string]*member, s *owner.Shard) {
 	t.Helper()
 	for name, m := range members {
 		eventually(t, func() bool {
@@ -42,7 +42,7 @@
 	return members, plain[0], layout.PermitShard(plain[0])
 }
 
-func hear(m *member, t fleet.Info, perSecond float64) bool {
+func receiveLimit(m *member, t fleet.Info, perSecond float64) bool {
 	now := time.Now()
 	w := fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: perSecond}, RequestedAt: now, ReceivedAt: now}
 	changed := m.Fleet.ApplyLimit(t.ID, w)
@@ -51,11 +51,11 @@
 }
 
 // One instance hears a limit. All others know of it before they send anything there, and of its end.
-func TestAllAreToldOfALimitAndItsEnd(t *testing.T) {
+func TestLimitAndItsEndReachAllInstances(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
-	agreed(t, members, s)
+	awaitAgreement(t, members, s)
 	last := members[s.Ranked[2].Name]
-	must.True(t, hear(last, p1, 5))
+	must.True(t, receiveLimit(last, p1, 5))
 	for _, m := range members {
 		eventually(t, func() bool { return m.Fleet.LimitOf("p1").Limit == fleet.Limit{On: true, PerSecond: 5} })
 	}
@@ -70,7 +70,7 @@
 
 // All three instances ask for as many permits as they can: together they get what the target takes. When the owner is gone the next in
 // rank gives them.
-func TestPermitsOfAllInstancesAreWithinALimit(t *testing.T) {
+func TestPermitsOfAllInstancesStayWithinLimit(t *testing.T) {
 	for name, running := range map[string][]int{"all": {0, 1, 2}, "owner gone": {1, 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +79,7 @@
 				members[s.Ranked[i].Name].start(t)
 			}
 			for _, i := range running {
-				hear(members[s.Ranked[i].Name], p1, 10)
+				receiveLimit(members[s.Ranked[i].Name], p1, 10)
 			}
 			given := 0
 			for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -96,7 +96,7 @@
 }
 
 // An owner that was just started knows of no limit. It learns of it from those who ask.
-func TestOwnerLearnsOfALimitFromAsks(t *testing.T) {
+func TestOwnerLearnsLimitFromPermitRequests(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	now := time.Now()
 	asker := members[s.Ranked[1].Name]
@@ -114,10 +114,10 @@
 }
 
 // Senseless words of limits change nothing, and nothing breaks.
-func TestBadLimitsAreLeftOut(t *testing.T) {
+func TestInvalidLimitsAreIgnored(t *testing.T) {
 	members, p1, _ := limitedSite(t, "a")
 	m := members["a"]
-	hear(m, p1, 5)
+	receiveLimit(m, p1, 5)
 	for _, w := range []*ownerpb.LimitWord{
 		nil,
 		{},
@@ -127,7 +127,7 @@
 		{Target: "p1", On: true, PerSecond: math.Inf(1)},
 		{Target: "p1", AskedAgoUs: math.MaxUint64, HeardAgoUs: math.MaxUint64},
 	} {
-		d := m.own()
+		d := m.newDatagram()
 		d.Instance = "b"
 		d.Body = &ownerpb.Datagram_Limits{Limits: &ownerpb.Limits{Words: []*ownerpb.LimitWord{w}}}
 		m.handle(d)
@@ -135,7 +135,7 @@
 		m.handle(d)
 		must.Eq(t, fleet.Limit{On: true, PerSecond: 5}, m.Fleet.LimitOf("p1").Limit)
 	}
-	d := m.own()
+	d := m.newDatagram()
 	d.Instance = "b"
 	d.Body = &ownerpb.Datagram_Limits{}
 	m.handle(d)
@@ -144,10 +144,10 @@
 }
 
 // One instance hears from a plain target that it leaves. The others, which may not hear it for long, are told.
-func TestAllAreToldOfATargetThatSaysItLeaves(t *testing.T) {
+func TestLeavingTargetIsAnnouncedToAll(t *testing.T) {
 	for rank := range 3 {
 		members, p1, s := limitedSite(t, "a", "b", "c")
-		agreed(t, members, s)
+		awaitAgreement(t, members, s)
 		members[s.Ranked[rank].Name].NotifyLeaving(p1)
 		for i := range 3 {
 			if i == rank {
--- a/lib/ownerlink/report.go
+++ b/lib/ownerlink/report.go
@@ -9,11 +9,11 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// outcomesTold is how long a target's outcomes are reported after the last: until a lost report has been made up for.
-const outcomesTold = 4 * owner.ReportInterval
+// outcomesReportedFor is how long a target's outcomes are reported after the last: until a lost report has been made up for.
+const outcomesReportedFor = 4 * owner.ReportInterval
 
-// reportedTo is how many of a shard's candidates are told what instances have there: the owner, and the one that takes over.
-const reportedTo = 2
+// reportedCandidates is how many of a shard's candidates are told what instances have there: the owner, and the one that takes over.
+const reportedCandidates = 2
 
 type outcomes struct {
 	owner.Outcomes
@@ -49,13 +49,13 @@
 func (l *Link) RecordPrefill(r owner.PrefillSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.readings) < readingsMax {
-		l.readings = append(l.readings, r)
+	if len(l.prefillSamples) < maxPrefillSamples {
+		l.prefillSamples = append(l.prefillSamples, r)
 	}
 }
 
-// readingsMax bounds the readings of one report.
-const readingsMax = 32
+// maxPrefillSamples bounds the readings of one report.
+const maxPrefillSamples = 32
 
 // shardOf returns the shard that an engine is in; nil when there is none.
 func (l *Link) shardOf(engine string) *owner.Shard {
@@ -88,7 +88,7 @@
 	l.lastID++
 	for target, c := range l.outcomes {
 		s := l.shardOf(target)
-		if s == nil || now.Sub(c.changed) > outcomesTold {
+		if s == nil || now.Sub(c.changed) > outcomesReportedFor {
 			delete(l.outcomes, target)
 			continue
 		}
@@ -103,57 +103,57 @@
 	return out
 }
 
-// takeReadings returns the readings of services since the last call.
-func (l *Link) takeReadings() []owner.PrefillSample {
+// takePrefillSamples returns the readings of services since the last call.
+func (l *Link) takePrefillSamples() []owner.PrefillSample {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := l.readings
-	l.readings = nil
+	out := l.prefillSamples
+	l.prefillSamples = nil
 	return out
 }
 
-// report tells owners what this instance has, when it changes and every owner.ReportEvery. What has nothing on a shard says
+// reportLoop tells owners what this instance has, when it changes and every owner.ReportEvery. What has nothing on a shard says
 // so once and is silent.
-func (l *Link) report(ctx context.Context) {
+func (l *Link) reportLoop(ctx context.Context) {
 	t := time.NewTicker(owner.ReportInterval)
 	defer t.Stop()
-	told := make(map[string]bool)
+	reported := make(map[string]bool)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 			l.Coordinator.Tick(time.Now())
-		case <-l.wake:
-			time.Sleep(reportGap)
+		case <-l.reportDue:
+			time.Sleep(reportDelayMin)
 		}
-		l.tell(told)
+		l.sendReports(reported)
 	}
 }
 
-// tell sends a report for each shard that this instance has something on, or had when it last told.
-func (l *Link) tell(told map[string]bool) {
+// sendReports sends a report for each shard that this instance has something on, or had when it last told.
+func (l *Link) sendReports(reported map[string]bool) {
 	if at := l.changedAt.Swap(nil); at != nil {
 		reportDelay.Update(time.Since(*at).Seconds())
 	}
 	reports := l.reports()
-	for key := range told {
+	for key := range reported {
 		if _, ok := reports[key]; !ok {
 			reports[key] = owner.Report{Shard: key, Instance: l.Self.Name, Incarnation: l.Incarnation, Seq: l.nextID()}
 		}
 	}
-	clear(told)
+	clear(reported)
 	layout := l.layout.Load()
-	readings := l.takeReadings()
+	samples := l.takePrefillSamples()
 	for key, r := range reports {
 		if len(r.Runs)+len(r.Copies)+len(r.Outcomes) > 0 {
-			told[key] = true
+			reported[key] = true
 		}
 		s := layout.Shard(key)
 		if s == nil {
 			continue
 		}
-		for _, m := range readings {
+		for _, m := range samples {
 			if m.Service == s.Service {
 				r.PrefillSamples = append(r.PrefillSamples, m)
 			}
@@ -170,15 +170,15 @@
 }
 
 func (l *Link) sendReport(s *owner.Shard, r owner.Report) {
-	for _, to := range s.Ranked[:min(reportedTo, len(s.Ranked))] {
+	for _, to := range s.Ranked[:min(reportedCandidates, len(s.Ranked))] {
 		if to.Name == l.Self.Name {
 			l.Coordinator.Report(time.Now(), r)
 			continue
 		}
-		d := l.own()
+		d := l.newDatagram()
 		body := l.encodeReport(&r, to.Name)
 		d.Body = &ownerpb.Datagram_Report{Report: body}
-		fit(d, body)
+		truncateReport(d, body)
 		l.send(to.Addr, d)
 	}
 }
@@ -186,7 +186,7 @@
 // encodeReport adds what the receiver has granted.
 func (l *Link) encodeReport(r *owner.Report, to string) *ownerpb.Report {
 	l.mu.Lock()
-	r.LastGrant = l.seen[to]
+	r.LastGrant = l.lastGrants[to]
 	l.mu.Unlock()
 	return encodeReport(r)
 }
@@ -194,7 +194,7 @@
 // BroadcastBlames tells all instances of contents that killed targets. Deaths are rare, and until all know, each may send
 // such a content to another target.
 func (l *Link) BroadcastBlames(blames []*ownerpb.Blame) {
-	d := l.own()
+	d := l.newDatagram()
 	d.Body = &ownerpb.Datagram_Blames{Blames: &ownerpb.Blames{Blames: blames}}
-	l.tellAll(d)
+	l.broadcast(d)
 }
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -19,7 +19,7 @@
 
 func tokens(n int) uint32 { return uint32(min(max(0, n), 1<<31)) }
 
-func encodeAsk(a *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
+func encodePlaceRequest(a *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
 	n := &a.Stream.Need
 	out := &ownerpb.Ask{
 		Id: a.ID, Shard: shard, Hops: uint32(a.Hops), Run: a.Run, Mode: uint32(a.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
@@ -34,7 +34,7 @@
 	return out
 }
 
-func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
+func decodePlaceRequest(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
 	a := d.GetAsk()
 	need := fleet.Need{
 		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), PreferredDomain: a.Near,
@@ -134,8 +134,8 @@
 	return out
 }
 
-// fit cuts a report to a datagram by leaving runs out.
-func fit(d *ownerpb.Datagram, r *ownerpb.Report) {
+// truncateReport cuts a report to a datagram by leaving runs out.
+func truncateReport(d *ownerpb.Datagram, r *ownerpb.Report) {
 	for proto.Size(d) > maxDatagram && len(r.Runs) > 0 {
 		r.Runs = r.Runs[:len(r.Runs)/2]
 	}
--- a/lib/ownerlink/wire_test.go
+++ b/lib/ownerlink/wire_test.go
@@ -15,7 +15,7 @@
 
 // An ask is passed on to an owner that has room. What decides there is all that was known here: a part that is lost on the way,
 // as that the caller came back, would have the stream refused a second time.
-func TestAskArrivesWhole(t *testing.T) {
+func TestPlaceRequestRoundTrip(t *testing.T) {
 	now := time.Now()
 	sent := owner.PlaceRequest{
 		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, ReplyAddr: "127.0.0.1:1", Run: 11, Mode: owner.MustFit, Backup: 13, Hops: 2, Fingerprint: 17,
@@ -29,10 +29,10 @@
 	}
 	b, err := proto.Marshal(&ownerpb.Datagram{
 		Instance: sent.Instance, Incarnation: sent.Incarnation, Addr: sent.ReplyAddr,
-		Body: &ownerpb.Datagram_Ask{Ask: encodeAsk(&sent, "shard", now)},
+		Body: &ownerpb.Datagram_Ask{Ask: encodePlaceRequest(&sent, "shard", now)},
 	})
 	must.NoError(t, err)
 	var d ownerpb.Datagram
 	must.NoError(t, proto.Unmarshal(b, &d))
-	must.Eq(t, sent, decodeAsk(&d, now))
+	must.Eq(t, sent, decodePlaceRequest(&d, now))
 }
--- a/lib/pick/pick.go
+++ b/lib/pick/pick.go
@@ -40,35 +40,35 @@
 	cfg     Config
 	mu      sync.Mutex
 	names   []string
-	targets map[string]*state
+	targets map[string]*targetState
 }
 
-type state struct {
-	spec     Target
-	report   Report
-	taken    time.Time // when the report's figures were true, on our clock
-	own      int       // own calls in progress
-	starts   []time.Time
-	ends     []time.Time
-	leaving  bool
-	reported bool
-	rests    time.Time // it wants nothing from this instance until then
+type targetState struct {
+	spec        Target
+	report      Report
+	reportTime  time.Time // when the report's figures were true, on our clock
+	ownCalls    int       // own calls in progress
+	starts      []time.Time
+	ends        []time.Time
+	leaving     bool
+	reported    bool
+	pausedUntil time.Time // it wants nothing from this instance until then
 }
 
 // New returns a Table without targets.
-func New(cfg Config) *Table { return &Table{cfg: cfg, targets: make(map[string]*state)} }
+func New(cfg Config) *Table { return &Table{cfg: cfg, targets: make(map[string]*targetState)} }
 
 // SetTargets replaces the targets and keeps what is known of those that stay. A target that is gone gets no new call;
 // its calls in progress may still end.
 func (t *Table) SetTargets(specs []Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	kept := make(map[string]*state, len(specs))
+	kept := make(map[string]*targetState, len(specs))
 	t.names = t.names[:0]
 	for _, sp := range specs {
 		s := t.targets[sp.Name]
 		if s == nil {
-			s = &state{}
+			s = &targetState{}
 		}
 		s.spec = sp
 		kept[sp.Name] = s
@@ -83,13 +83,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.targets[target]
-	taken := now.Add(-r.Age)
-	if s == nil || s.reported && taken.Before(s.taken) {
+	reportTime := now.Add(-r.Age)
+	if s == nil || s.reported && reportTime.Before(s.reportTime) {
 		return
 	}
-	s.report, s.taken, s.reported, s.leaving = r, taken, true, r.Leaving
-	s.starts = after(s.starts, taken)
-	s.ends = after(s.ends, taken)
+	s.report, s.reportTime, s.reported, s.leaving = r, reportTime, true, r.Leaving
+	s.starts = dropUntil(s.starts, reportTime)
+	s.ends = dropUntil(s.ends, reportTime)
 }
 
 // CallStarted notes a call of ours to target; Done its end.
@@ -97,8 +97,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.targets[target]; s != nil {
-		s.own++
-		s.starts = append(after(s.starts, now.Add(-t.cfg.MaxLag)), now)
+		s.ownCalls++
+		s.starts = append(dropUntil(s.starts, now.Add(-t.cfg.MaxLag)), now)
 	}
 }
 
@@ -107,13 +107,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.targets[target]; s != nil {
-		s.own = max(0, s.own-1)
-		s.ends = append(after(s.ends, now.Add(-t.cfg.MaxLag)), now)
+		s.ownCalls = max(0, s.ownCalls-1)
+		s.ends = append(dropUntil(s.ends, now.Add(-t.cfg.MaxLag)), now)
 	}
 }
 
-// after drops the times up to cut; times are in order.
-func after(times []time.Time, cut time.Time) []time.Time {
+// dropUntil drops the times up to cut; times are in order.
+func dropUntil(times []time.Time, cut time.Time) []time.Time {
 	i := 0
 	for i < len(times) && !times[i].After(cut) {
 		i++
@@ -132,8 +132,8 @@
 func (t *Table) PauseUntil(target string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.targets[target]; s != nil && until.After(s.rests) {
-		s.rests = until
+	if s := t.targets[target]; s != nil && until.After(s.pausedUntil) {
+		s.pausedUntil = until
 	}
 }
 
@@ -152,7 +152,7 @@
 		return b, okFar
 	case !okFar:
 		return a, true
-	case t.muchWorse(now, a, b):
+	case t.muchMoreLoaded(now, a, b):
 		return b, true
 	}
 	return a, true
@@ -162,7 +162,7 @@
 func (t *Table) candidates(now time.Time, q Query) (near, far []string) {
 	for _, name := range t.names {
 		s := t.targets[name]
-		if s.spec.Draining || s.leaving || now.Before(s.rests) || slices.Contains(q.Avoid, name) {
+		if s.spec.Draining || s.leaving || now.Before(s.pausedUntil) || slices.Contains(q.Avoid, name) {
 			continue
 		}
 		if q.Usable != nil && !q.Usable(name) {
@@ -195,7 +195,7 @@
 	return names[i], true
 }
 
-func (t *Table) muchWorse(now time.Time, near, far string) bool {
+func (t *Table) muchMoreLoaded(now time.Time, near, far string) bool {
 	a, b := t.load(now, near), t.load(now, far)
 	return a > b*t.cfg.DomainFactor && a > b+t.cfg.DomainSlack
 }
@@ -214,9 +214,9 @@
 }
 
 // running corrects the report by our own calls that started and ended since it was true.
-func (t *Table) running(now time.Time, s *state) int {
-	if !s.reported || now.Sub(s.taken) > t.cfg.StaleAfter {
-		return s.own
+func (t *Table) running(now time.Time, s *targetState) int {
+	if !s.reported || now.Sub(s.reportTime) > t.cfg.StaleAfter {
+		return s.ownCalls
 	}
-	return max(s.own, s.report.Running+len(s.starts)-len(s.ends))
+	return max(s.ownCalls, s.report.Running+len(s.starts)-len(s.ends))
 }
--- a/lib/pick/pick_test.go
+++ b/lib/pick/pick_test.go
@@ -39,7 +39,7 @@
 
 // What callers see with reports five seconds old: the target that looked idle is not overrun, for each call that was
 // sent since counts.
-func TestOwnCallsCorrectLaggingReports(t *testing.T) {
+func TestLocalCallsCorrectStaleReports(t *testing.T) {
 	tab := table(t0, 0, 4, 4, 4)
 	rng := rand.New(rand.NewPCG(1, 1))
 	sent := make(map[string]int)
@@ -55,7 +55,7 @@
 }
 
 // A report that is older than the call does not hide the call; one that is younger has counted it.
-func TestReportAgeDecidesWhatItHasSeen(t *testing.T) {
+func TestReportAgeDecidesWhichCallsItIncludes(t *testing.T) {
 	tab := table(t0, 0, 3)
 	for range 4 {
 		tab.CallStarted(t0.Add(time.Second), "t0")
@@ -71,7 +71,7 @@
 	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t0"])
 }
 
-func TestPrefersOwnDomainUnlessMarkedlyWorse(t *testing.T) {
+func TestPrefersLocalDomainUnlessMuchMoreLoaded(t *testing.T) {
 	tab := table(t0, 4, 3, 4, 3)
 	got := picks(tab, t0, pick.Query{FailureDomain: "d0"}, 50)
 	must.Eq(t, 50, got["t0"]+got["t2"])
@@ -93,7 +93,7 @@
 }
 
 // A frozen report must not draw calls for ever: when it is stale, own calls alone count.
-func TestStaleReportIsNotBelieved(t *testing.T) {
+func TestStaleReportIsIgnored(t *testing.T) {
 	tab := table(t0, 0, 9)
 	now := t0.Add(pick.DefaultConfig.StaleAfter + time.Second)
 	for range 2 {
@@ -116,7 +116,7 @@
 }
 
 // A target turns this instance away for a stated time. It gets no call until then, also when there is no other.
-func TestTargetThatTurnsAwayIsLeftAloneForItsTime(t *testing.T) {
+func TestPausedTargetGetsNoCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tab := table(now, 0, 5)
 	busy := picks(tab, now, pick.Query{}, 50)
--- a/lib/shard/owner.go
+++ b/lib/shard/owner.go
@@ -36,7 +36,7 @@
 	if len(workers) == 0 {
 		return out
 	}
-	limit := int(math.Ceil(overload * float64(len(ids)) / float64(len(workers))))
+	limit := int(math.Ceil(maxOverMean * float64(len(ids)) / float64(len(workers))))
 	hashes := make([]uint64, len(workers))
 	for i, m := range workers {
 		hashes[i] = rendezvous.Hash(m.Instance)
@@ -57,21 +57,21 @@
 	return out
 }
 
-// overload is how far over the mean a member may be loaded.
-const overload = 1.25
+// maxOverMean is how far over the mean a member may be loaded.
+const maxOverMean = 1.25
 
-type hashed struct {
+type hashedID struct {
 	id   ID
 	hash uint64
 }
 
 // byRank orders shards the same way everywhere.
-func byRank(ids []ID) []hashed {
-	out := make([]hashed, len(ids))
+func byRank(ids []ID) []hashedID {
+	out := make([]hashedID, len(ids))
 	for i, id := range ids {
-		out[i] = hashed{id, rendezvous.Hash(id.String())}
+		out[i] = hashedID{id, rendezvous.Hash(id.String())}
 	}
-	slices.SortFunc(out, func(a, b hashed) int { return cmp.Compare(a.hash, b.hash) })
+	slices.SortFunc(out, func(a, b hashedID) int { return cmp.Compare(a.hash, b.hash) })
 	return out
 }
 
--- a/lib/shard/shard.go
+++ b/lib/shard/shard.go
@@ -28,9 +28,9 @@
 	Targets []string // sorted
 }
 
-// slack is the share of places that stays free when the count of shards is chosen, as one part in so many. Without
+// spareFraction is the share of places that stays free when the count of shards is chosen, as one part in so many. Without
 // it almost every shard would be full, and one new target would push others from shard to shard.
-const slack = 5
+const spareFraction = 5
 
 // Split puts the targets into shards of at most limit each. It depends on the set alone. A target goes to the shard
 // that ranks highest for it and has room, so one target more or less moves few others, and one shard more takes from
@@ -42,7 +42,7 @@
 		shards[i].ID = ID{Service: service, Index: uint32(i)}
 	}
 	for _, name := range byHash(targets) {
-		i := firstWithRoom(shards, name, limit)
+		i := bestWithCapacity(shards, name, limit)
 		shards[i].Targets = append(shards[i].Targets, name)
 	}
 	for i := range shards {
@@ -59,7 +59,7 @@
 	if limit <= 0 || targets <= limit {
 		return 1
 	}
-	usable := max(1, limit-limit/slack)
+	usable := max(1, limit-limit/spareFraction)
 	return (targets + usable - 1) / usable
 }
 
@@ -72,7 +72,7 @@
 	return slices.Compact(out)
 }
 
-func firstWithRoom(shards []Shard, target string, limit int) int {
+func bestWithCapacity(shards []Shard, target string, limit int) int {
 	best, bestRank := -1, uint64(0)
 	h := rendezvous.Hash(target)
 	for i := range shards {
--- a/lib/shard/shard_test.go
+++ b/lib/shard/shard_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func TestSplitHoldsEachTargetOnceWithinTheLimit(t *testing.T) {
+func TestSplitAssignsEachTargetOnceWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := names("t", rapid.IntRange(0, 300).Draw(t, "targets"))
 		limit := rapid.IntRange(1, 40).Draw(t, "limit")
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestSplitDependsOnTheSetAlone(t *testing.T) {
+func TestSplitIsIndependentOfOrder(t *testing.T) {
 	targets := names("t", 200)
 	want := Split("svc", targets, 32)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
@@ -56,7 +56,7 @@
 	must.Len(t, 2, Split("svc", names("t", 33), 32))
 }
 
-func moved(a, b []Shard) int {
+func countMoved(a, b []Shard) int {
 	n := 0
 	for _, s := range a {
 		for _, target := range s.Targets {
@@ -76,7 +76,7 @@
 	worst := 0
 	for i := range 100 {
 		without := slices.Concat(targets[:i*30], targets[i*30+1:])
-		worst = max(worst, moved(before, Split("svc", without, 32)))
+		worst = max(worst, countMoved(before, Split("svc", without, 32)))
 	}
 	t.Logf("targets=3000 shards=%d worst moved by one target less: %d", len(before), worst)
 	must.LessEq(t, 100, worst)
