--- a/lib/owner/book.go
+++ b/lib/owner/book.go
@@ -105,32 +105,32 @@
 }
 
 // setRandom replaces the source of chance.
-func (b *Ledger) setRandom(random func(n int64) int64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.random = random
+func (l *Ledger) setRandom(random func(n int64) int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.random = random
 }
 
 // Report takes in a report and reports whether it was newer than the last of its instance.
-func (b *Ledger) Report(now time.Time, r Report) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h := b.holder(r.Shard, r.Instance)
+func (l *Ledger) Report(now time.Time, r Report) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	h := l.holder(r.Shard, r.Instance)
 	if h == nil || !h.isNewer(now, &r) {
 		return false
 	}
 	r.clamp()
 	h.apply(now, &r)
-	b.publish(now, h)
-	b.applyObservations(now, h, &r)
+	l.publish(now, h)
+	l.applyObservations(now, h, &r)
 	return true
 }
 
 // applyObservations takes in what a report says of engines beside their load.
-func (b *Ledger) applyObservations(now time.Time, h *holder, r *Report) {
+func (l *Ledger) applyObservations(now time.Time, h *holder, r *Report) {
 	for _, run := range r.Runs {
 		if run.Unread == 0 {
-			b.fleet.RecordContact(now.Add(-run.SinceContact), run.Target)
+			l.fleet.RecordContact(now.Add(-run.SinceContact), run.Target)
 		}
 	}
 	if h.local {
@@ -139,109 +139,109 @@
 	for _, o := range r.Outcomes {
 		last := h.outcomes[o.Target]
 		h.outcomes[o.Target] = o
-		b.recordOutcomes(now, o.Target, fleet.Served, o.Served-last.Served)
-		b.recordOutcomes(now, o.Target, fleet.Failed, o.Failed-last.Failed)
-		b.recordOutcomes(now, o.Target, fleet.Unreachable, o.Unreachable-last.Unreachable)
+		l.recordOutcomes(now, o.Target, fleet.Served, o.Served-last.Served)
+		l.recordOutcomes(now, o.Target, fleet.Failed, o.Failed-last.Failed)
+		l.recordOutcomes(now, o.Target, fleet.Unreachable, o.Unreachable-last.Unreachable)
 	}
 	for _, m := range r.PrefillSamples {
-		b.prefillRates.Observe(m.Service, m.Unread, m.Took)
+		l.prefillRates.Observe(m.Service, m.Unread, m.Took)
 	}
 }
 
 // maxNewOutcomes bounds what one report teaches of one target: more are hardly one instance's since its last report.
 const maxNewOutcomes = 8
 
-func (b *Ledger) recordOutcomes(now time.Time, target string, o fleet.Outcome, n uint32) {
+func (l *Ledger) recordOutcomes(now time.Time, target string, o fleet.Outcome, n uint32) {
 	for range min(n, maxNewOutcomes) {
-		b.fleet.RecordOutcome(now, target, o)
+		l.fleet.RecordOutcome(now, target, o)
 	}
 }
 
 // holder returns what is known of an instance on a shard; nil when too many are known already.
-func (b *Ledger) holder(shard, instance string) *holder {
-	if b.holders[shard] == nil {
-		b.holders[shard] = make(map[string]*holder)
+func (l *Ledger) holder(shard, instance string) *holder {
+	if l.holders[shard] == nil {
+		l.holders[shard] = make(map[string]*holder)
 	}
-	h := b.holders[shard][instance]
-	if h == nil && len(b.holders[shard]) < maxHolders {
-		h = &holder{name: instance + " " + shard, local: instance == b.self, outcomes: make(map[string]Outcomes)}
-		b.holders[shard][instance] = h
+	h := l.holders[shard][instance]
+	if h == nil && len(l.holders[shard]) < maxHolders {
+		h = &holder{name: instance + " " + shard, local: instance == l.self, outcomes: make(map[string]Outcomes)}
+		l.holders[shard][instance] = h
 	}
 	return h
 }
 
-func (b *Ledger) publish(now time.Time, h *holder) {
+func (l *Ledger) publish(now time.Time, h *holder) {
 	if h.local {
 		return
 	}
 	loads, sizes := h.loads()
-	b.fleet.SetPeerLoad(now, h.name, loads, sizes)
+	l.fleet.SetPeerLoad(now, h.name, loads, sizes)
 }
 
 // Place decides an ask, or lets it wait: ok is false then, and Step decides it later. An ask that comes again is answered
 // as before.
-func (b *Ledger) Place(now time.Time, s *Shard, a PlaceRequest) (answer Answer, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if old, known := b.answers[a.Key]; known {
+func (l *Ledger) Place(now time.Time, s *Shard, req PlaceRequest) (answer Answer, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if old, known := l.answers[req.Key]; known {
 		return old.Answer, true
 	}
-	i := slices.IndexFunc(b.waiting, func(w *waitingRequest) bool { return w.Key == a.Key })
+	i := slices.IndexFunc(l.waiting, func(w *waitingRequest) bool { return w.Key == req.Key })
 	if i >= 0 {
-		b.waiting[i].lastSeen = now
+		l.waiting[i].lastSeen = now
 		return Answer{}, false
 	}
-	b.markReturned(now, &a)
-	answer, ok = b.decide(now, s, &a)
-	if !ok && b.cannotStartInTime(now, s, &a) {
-		return b.recordDecision(now, s, &a, b.placer().Reject(a.Stream)), true
+	l.markReturned(now, &req)
+	answer, ok = l.decide(now, s, &req)
+	if !ok && l.cannotStartInTime(now, s, &req) {
+		return l.recordDecision(now, s, &req, l.placer().Reject(req.Stream)), true
 	}
-	if !ok && len(b.waiting) < maxWaiting {
-		b.enqueue(&waitingRequest{PlaceRequest: a, shard: s, lastSeen: now})
+	if !ok && len(l.waiting) < maxWaiting {
+		l.enqueue(&waitingRequest{PlaceRequest: req, shard: s, lastSeen: now})
 	}
 	return answer, ok
 }
 
 // decide answers an ask, unless it should wait.
-func (b *Ledger) decide(now time.Time, s *Shard, a *PlaceRequest) (Answer, bool) {
-	d := b.choose(now, s, a)
+func (l *Ledger) decide(now time.Time, s *Shard, req *PlaceRequest) (Answer, bool) {
+	d := l.choose(now, s, req)
 	if d.Action == admit.Wait {
 		return Answer{}, false
 	}
-	return b.recordDecision(now, s, a, d), true
+	return l.recordDecision(now, s, req, d), true
 }
 
 // recordDecision makes a decision the answer to an ask, and counts what it gives away.
-func (b *Ledger) recordDecision(now time.Time, s *Shard, a *PlaceRequest, d admit.Decision) Answer {
-	out := Answer{Key: a.Key, Addr: a.ReplyAddr, Describe: a.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
+func (l *Ledger) recordDecision(now time.Time, s *Shard, req *PlaceRequest, d admit.Decision) Answer {
+	out := Answer{Key: req.Key, Addr: req.ReplyAddr, Describe: req.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
 	switch d.Action {
 	case admit.Admit:
-		b.grant(now, s, a, &out)
+		l.grant(now, s, req, &out)
 	case admit.RetryLater:
-		b.rememberRejection(now, a, d.RetryAfter)
+		l.rememberRejection(now, req, d.RetryAfter)
 	}
-	b.answers[a.Key] = sentAnswer{Answer: out, at: now}
+	l.answers[req.Key] = sentAnswer{Answer: out, at: now}
 	return out
 }
 
-func (b *Ledger) placer() *admit.Placer {
-	return &admit.Placer{Fleet: b.fleet, Prefill: b.prefillRates, Acquire: b.fleet.Choose, Random: b.random}
+func (l *Ledger) placer() *admit.Placer {
+	return &admit.Placer{Fleet: l.fleet, Prefill: l.prefillRates, Acquire: l.fleet.Choose, Random: l.random}
 }
 
-func (b *Ledger) choose(now time.Time, s *Shard, a *PlaceRequest) admit.Decision {
-	need := a.Stream.Need
+func (l *Ledger) choose(now time.Time, s *Shard, req *PlaceRequest) admit.Decision {
+	need := req.Stream.Need
 	need.Among = s.Engines()
-	need.Reserved = b.reserved[s.Key]
-	if a.Mode == Admit {
-		p := b.placer()
-		stream := a.Stream
+	need.Reserved = l.reserved[s.Key]
+	if req.Mode == Admit {
+		p := l.placer()
+		stream := req.Stream
 		stream.Need = need
 		if d := p.Step(now, stream); d.Action != admit.Fallback {
 			return d
 		}
 	}
-	need.RequireMemory = a.Mode == MustFit
-	target, ok := b.fleet.Choose(now, need)
+	need.RequireMemory = req.Mode == MustFit
+	target, ok := l.fleet.Choose(now, need)
 	if !ok {
 		return admit.Decision{Action: admit.Fallback}
 	}
@@ -249,44 +249,44 @@
 }
 
 // Tick forgets what is too old to be believed.
-func (b *Ledger) Tick(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for key, a := range b.answers {
+func (l *Ledger) Tick(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for key, a := range l.answers {
 		if now.Sub(a.at) > answerTTL {
-			delete(b.answers, key)
+			delete(l.answers, key)
 		}
 	}
-	b.expireRejections(now)
-	for id, p := range b.moves {
+	l.expireRejections(now)
+	for id, p := range l.moves {
 		if now.Sub(p.at) > moveTTL {
-			delete(b.moves, id)
+			delete(l.moves, id)
 		}
 	}
-	for _, list := range b.holders {
+	for _, list := range l.holders {
 		for instance, h := range list {
-			b.expire(now, list, instance, h)
+			l.expire(now, list, instance, h)
 		}
 	}
 }
 
-func (b *Ledger) expire(now time.Time, list map[string]*holder, instance string, h *holder) {
+func (l *Ledger) expire(now time.Time, list map[string]*holder, instance string, h *holder) {
 	n := len(h.grants)
 	h.dropGrants(now, 0)
 	switch {
 	case now.Sub(h.lastReport) > reportTTL && len(h.grants) == 0:
 		delete(list, instance)
 		h.runs, h.copies = nil, nil
-		b.publish(now, h)
+		l.publish(now, h)
 	case len(h.grants) < n:
-		b.publish(now, h)
+		l.publish(now, h)
 	}
 }
 
 // Runs lists what instances have told of their runs on some engines.
-func (b *Ledger) runsOn(engines map[string]bool) []moveplan.Run {
+func (l *Ledger) runsOn(engines map[string]bool) []moveplan.Run {
 	var out []moveplan.Run
-	for _, list := range b.holders {
+	for _, list := range l.holders {
 		for _, h := range list {
 			for _, r := range h.runs {
 				if engines[r.Target] && !r.Pinned {
@@ -300,11 +300,11 @@
 }
 
 // Users returns where instances are told that have runs or copies on some engines of a shard, this one left out.
-func (b *Ledger) Users(shard string, engines map[string]bool) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *Ledger) Users(shard string, engines map[string]bool) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var out []string
-	for _, h := range b.holders[shard] {
+	for _, h := range l.holders[shard] {
 		if !h.local && h.uses(engines) {
 			out = append(out, h.addr)
 		}
--- a/lib/owner/book_test.go
+++ b/lib/owner/book_test.go
@@ -294,7 +294,7 @@
 
 // Engines are nearly full, and a large prompt waits for the room of two small ones. Small streams that come later would take
 // each piece of room as it frees up. One engine is kept for the large one until it fits; the small ones take the others.
-func TestEngineIsReservedForFirstWaiting(t *testing.T) {
+func TestRoomIsKeptForTheFirstThatWaits(t *testing.T) {
 	b, _, s := newTestLedger(2)
 	reserved, other := s.Engines()[0], s.Engines()[1]
 	runs := []Run{{ID: 1, Target: reserved, Tokens: 3000}, {ID: 2, Target: reserved, Tokens: 3000}, {ID: 3, Target: other, Tokens: 7000}}
@@ -316,7 +316,7 @@
 
 // Two large prompts wait for a shard of many engines. Small streams that come meanwhile leave the two roomiest engines to them, and
 // take the others' room; in a shard of half the engines they leave one.
-func TestLargeShardsReserveMoreEngines(t *testing.T) {
+func TestLargeShardsKeepMoreEngines(t *testing.T) {
 	for engines, left := range map[int]int{2 * enginesPerReserved: 2, 2*enginesPerReserved - 1: 1} {
 		b, _, s := newTestLedger(engines)
 		var full []Run
@@ -342,7 +342,7 @@
 // Small streams have waited a little longer than a large one, and room for either frees up now and then. In the order of their ends the
 // small ones would take it each time, until the large one is told to come back; it is looked at first. Between two of a size
 // the one that stops waiting sooner goes first.
-func TestLargeStreamsGoFirst(t *testing.T) {
+func TestLargeStreamsAreLookedAtSooner(t *testing.T) {
 	b, _, s := newTestLedger(1)
 	b.Report(t0, report(s, "i", 1, Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}))
 	for i, tokens := range []int{1000, 1000, 9000} {
@@ -366,7 +366,7 @@
 // A stream was told to come back, and does so while one waits that came after it and can still begin in time. That one takes the
 // room that frees up first; the one that came back is past its aim, so it waits for longer, and has room in the end in place of
 // a second refusal. One that comes back sooner than told is refused as any other: who asks again at once gains nothing by it.
-func TestStreamThatReturnsAsToldWaitsLonger(t *testing.T) {
+func TestWhoComesBackAsToldWaitsForLonger(t *testing.T) {
 	for wait, asTold := range map[time.Duration]bool{0: true, -time.Second: false} {
 		b, _, s := newTestLedger(1)
 		full := Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}
--- a/lib/owner/desk.go
+++ b/lib/owner/desk.go
@@ -56,50 +56,50 @@
 }
 
 // Handle takes an ask for a shard.
-func (d *Coordinator) Handle(now time.Time, s *Shard, a PlaceRequest) Disposition {
-	if p, ok := d.earlierForward(now, &a); ok {
-		return forwardTo(a, p.shard, p.to)
+func (c *Coordinator) Handle(now time.Time, s *Shard, req PlaceRequest) Disposition {
+	if p, ok := c.earlierForward(now, &req); ok {
+		return forwardTo(req, p.shard, p.to)
 	}
-	if !d.Knows(a.Key) && a.Hops < maxHops {
-		to, other := d.route(now, s, &a)
+	if !c.Knows(req.Key) && req.Hops < maxHops {
+		to, other := c.route(now, s, &req)
 		if other != nil {
-			return d.forward(now, a, to, *other)
+			return c.forward(now, req, to, *other)
 		}
 		s = to
 	}
-	answer, ok := d.Place(now, s, a)
-	if ok && (a.Mode != MustFit || answer.Action == admit.Admit) {
+	answer, ok := c.Place(now, s, req)
+	if ok && (req.Mode != MustFit || answer.Action == admit.Admit) {
 		return Disposition{Answer: answer}
 	}
-	if r, ok := d.forwardToCapacity(now, s, a); ok {
+	if r, ok := c.forwardToCapacity(now, s, req); ok {
 		return r
 	}
 	if ok {
 		return Disposition{Answer: answer}
 	}
-	return Disposition{Answer: Answer{Key: a.Key, Addr: a.ReplyAddr, Action: admit.Wait}}
+	return Disposition{Answer: Answer{Key: req.Key, Addr: req.ReplyAddr, Action: admit.Wait}}
 }
 
 // route says which shard an ask is for, and who decides for it if that is another instance: the owner, or from a shard that
 // is fuller than others that of an emptier one.
-func (d *Coordinator) route(now time.Time, s *Shard, a *PlaceRequest) (*Shard, *Instance) {
-	if to, ok := d.ActingOwner(now, s); ok && to.Name != d.self && a.Hops == 0 {
+func (c *Coordinator) route(now time.Time, s *Shard, req *PlaceRequest) (*Shard, *Instance) {
+	if to, ok := c.ActingOwner(now, s); ok && to.Name != c.self && req.Hops == 0 {
 		return s, &to
 	}
-	if a.Hops > 1 {
+	if req.Hops > 1 {
 		return s, nil // it comes from another shard already
 	}
-	n, by, ok := d.PickLessLoaded(now, s, d.used(s))
+	n, by, ok := c.PickLessLoaded(now, s, c.used(s))
 	if !ok {
 		return s, nil
 	}
-	return n, d.otherInstance(n, by)
+	return n, c.otherInstance(n, by)
 }
 
 // otherInstance returns the instance that owns a shard, if it is another; nil: this one does.
-func (d *Coordinator) otherInstance(s *Shard, name string) *Instance {
+func (c *Coordinator) otherInstance(s *Shard, name string) *Instance {
 	for i, in := range s.Ranked {
-		if in.Name == name && name != d.self {
+		if in.Name == name && name != c.self {
 			return &s.Ranked[i]
 		}
 	}
@@ -107,53 +107,53 @@
 }
 
 // forwardToCapacity passes an ask on that waits here, if another shard has room for it.
-func (d *Coordinator) forwardToCapacity(now time.Time, s *Shard, a PlaceRequest) (Disposition, bool) {
-	if a.Hops >= maxHops {
+func (c *Coordinator) forwardToCapacity(now time.Time, s *Shard, req PlaceRequest) (Disposition, bool) {
+	if req.Hops >= maxHops {
 		return Disposition{}, false
 	}
-	size := a.Stream.Need.Peak
-	n, by, ok := d.PickWithCapacity(now, s, size.Held+size.Remaining)
+	size := req.Stream.Need.Peak
+	n, by, ok := c.PickWithCapacity(now, s, size.Held+size.Remaining)
 	if !ok {
 		return Disposition{}, false
 	}
-	to := d.otherInstance(n, by)
+	to := c.otherInstance(n, by)
 	if to == nil {
 		return Disposition{}, false
 	}
-	d.dropWaiting(a.Key)
-	return d.forward(now, a, n, *to), true
+	c.dropWaiting(req.Key)
+	return c.forward(now, req, n, *to), true
 }
 
-func (d *Coordinator) forward(now time.Time, a PlaceRequest, s *Shard, to Instance) Disposition {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.forwarded[a.Key] = forwarding{shard: s, to: to, hops: a.Hops, at: now}
-	return forwardTo(a, s, to)
+func (c *Coordinator) forward(now time.Time, req PlaceRequest, s *Shard, to Instance) Disposition {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.forwarded[req.Key] = forwarding{shard: s, to: to, hops: req.Hops, at: now}
+	return forwardTo(req, s, to)
 }
 
-func forwardTo(a PlaceRequest, s *Shard, to Instance) Disposition {
-	a.Hops++
-	return Disposition{Forward: true, Request: a, Shard: s, To: to}
+func forwardTo(req PlaceRequest, s *Shard, to Instance) Disposition {
+	req.Hops++
+	return Disposition{Forward: true, Request: req, Shard: s, To: to}
 }
 
 // earlierForward tells where an ask was passed on that has come again. One that has come back from there, after more hops, stays: two
 // owners would else pass it to and fro. Where it went to an owner that has fallen silent since, it is decided anew.
-func (d *Coordinator) earlierForward(now time.Time, a *PlaceRequest) (forwarding, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	p, ok := d.forwarded[a.Key]
-	if ok && (a.Hops > p.hops || d.IsSilent(now, p.to.Name)) {
-		delete(d.forwarded, a.Key)
+func (c *Coordinator) earlierForward(now time.Time, req *PlaceRequest) (forwarding, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p, ok := c.forwarded[req.Key]
+	if ok && (req.Hops > p.hops || c.IsSilent(now, p.to.Name)) {
+		delete(c.forwarded, req.Key)
 		return forwarding{}, false
 	}
 	return p, ok
 }
 
 // ForwardWaiting passes on what waits here and has room elsewhere.
-func (d *Coordinator) ForwardWaiting(now time.Time) []Disposition {
+func (c *Coordinator) ForwardWaiting(now time.Time) []Disposition {
 	var out []Disposition
-	for _, w := range d.waitingRequests() {
-		if r, ok := d.forwardToCapacity(now, w.shard, w.PlaceRequest); ok {
+	for _, w := range c.waitingRequests() {
+		if r, ok := c.forwardToCapacity(now, w.shard, w.PlaceRequest); ok {
 			out = append(out, r)
 		}
 	}
@@ -161,32 +161,32 @@
 }
 
 // Tick forgets what is too old to matter.
-func (d *Coordinator) Tick(now time.Time) {
-	d.Ledger.Tick(now)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for k, p := range d.forwarded {
+func (c *Coordinator) Tick(now time.Time) {
+	c.Ledger.Tick(now)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for k, p := range c.forwarded {
 		if now.Sub(p.at) > answerTTL {
-			delete(d.forwarded, k)
+			delete(c.forwarded, k)
 		}
 	}
 }
 
 // used is how full a shard is, with what waits for it. Without that, two full shards look alike though twice as much waits
 // for one.
-func (d *Coordinator) used(s *Shard) float64 {
-	return d.fleet.Utilization(s.Engines(), d.waitingTokens(s.Key))
+func (c *Coordinator) used(s *Shard) float64 {
+	return c.fleet.Utilization(s.Engines(), c.waitingTokens(s.Key))
 }
 
 // UpdateFill tells how full a shard is that this instance owns, to others and to itself.
-func (d *Coordinator) UpdateFill(now time.Time, s *Shard) Fill {
-	f := Fill{Used: d.used(s), LargestFree: d.fleet.MaxFreeTokens(s.Engines())}
-	d.SetFill(now, s.Key, f)
+func (c *Coordinator) UpdateFill(now time.Time, s *Shard) Fill {
+	f := Fill{Used: c.used(s), LargestFree: c.fleet.MaxFreeTokens(s.Engines())}
+	c.SetFill(now, s.Key, f)
 	return f
 }
 
 // SetRandom replaces the source of chance, so that a play can be repeated.
-func (d *Coordinator) SetRandom(r *rand.Rand) {
-	d.Ledger.setRandom(r.Int64N)
-	d.Peers.setRandom(r.Float64)
+func (c *Coordinator) SetRandom(r *rand.Rand) {
+	c.Ledger.setRandom(r.Int64N)
+	c.Peers.setRandom(r.Float64)
 }
--- a/lib/owner/desk_test.go
+++ b/lib/owner/desk_test.go
@@ -33,7 +33,7 @@
 
 // A stream comes to a full shard while another has room: it is passed on there at once, and its ask that comes again goes to
 // the same place. One that waits because nobody has room is passed on when another shard has some.
-func TestWaitingStreamIsForwardedToCapacity(t *testing.T) {
+func TestWaitingStreamIsPassedOnToRoom(t *testing.T) {
 	a, b, ofA, ofB := twoCoordinators()
 	a.Report(t0, Report{Shard: "a", Instance: "i", Incarnation: 1, Seq: 1, Runs: []Run{{ID: 1, Target: "ea", Tokens: 9000}}})
 	exchangeHeartbeats(t0, a, b, ofA, ofB)
@@ -85,7 +85,7 @@
 
 // An ask was passed on to the owner, which dies. When it comes again, the next in rank decides it: sent to the same one for as long as it is
 // remembered, it would go unanswered at every candidate, and its instance would decide alone.
-func TestRequestForwardedToDeadOwnerIsDecided(t *testing.T) {
+func TestAskThatWentToADeadOwnerIsDecided(t *testing.T) {
 	es := []fleet.Info{{ID: "e", Service: "s", Domain: "z"}}
 	s := &Shard{Key: "s", Service: "s", members: newMembers([]string{"e"}), Ranked: []Instance{{Name: "first"}, {Name: "second"}}}
 	f := fleet.New("z")
--- a/lib/owner/grant.go
+++ b/lib/owner/grant.go
@@ -7,40 +7,40 @@
 )
 
 // grant counts the run at its engine until its instance tells of it.
-func (b *Ledger) grant(now time.Time, s *Shard, a *PlaceRequest, out *Answer) {
-	h := b.holder(s.Key, a.Instance)
+func (l *Ledger) grant(now time.Time, s *Shard, req *PlaceRequest, out *Answer) {
+	h := l.holder(s.Key, req.Instance)
 	if h == nil {
 		return
 	}
-	h.startIncarnation(a.Incarnation)
-	need := &a.Stream.Need
-	b.serial++
-	out.Serial = b.serial
+	h.startIncarnation(req.Incarnation)
+	need := &req.Stream.Need
+	l.serial++
+	out.Serial = l.serial
 	size := need.Peak
 	if size.Held == 0 {
 		size = fleet.Size{Held: need.Tokens}
 	}
 	h.addGrant(now, grant{
-		serial: b.serial, run: a.Run, target: out.Target, size: size, at: now,
+		serial: l.serial, run: req.Run, target: out.Target, size: size, at: now,
 		load: fleet.Load{Runs: 1, Tokens: need.Tokens, Unread: need.Unread},
 	})
-	if a.Backup > 0 {
-		b.backup(now, s, a, out, h)
+	if req.Backup > 0 {
+		l.backup(now, s, req, out, h)
 	}
-	b.publish(now, h)
-	out.Estimate = b.fleet.KnownState(now, out.Target)
+	l.publish(now, h)
+	out.Estimate = l.fleet.KnownState(now, out.Target)
 }
 
 // backup finds an engine for a copy of the run.
-func (b *Ledger) backup(now time.Time, s *Shard, a *PlaceRequest, out *Answer, h *holder) {
-	need := fleet.Need{Service: s.Service, Tokens: a.Backup, Among: s.Engines(), Regions: a.Stream.Need.Regions}
-	engine, ok := b.fleet.ChooseForCopy(now, need, out.Target, backupMinFree)
+func (l *Ledger) backup(now time.Time, s *Shard, req *PlaceRequest, out *Answer, h *holder) {
+	need := fleet.Need{Service: s.Service, Tokens: req.Backup, Among: s.Engines(), Regions: req.Stream.Need.Regions}
+	engine, ok := l.fleet.ChooseForCopy(now, need, out.Target, backupMinFree)
 	if !ok {
 		return
 	}
 	out.Backup = engine.ID
 	h.addGrant(now, grant{
-		serial: b.serial, run: a.Run, target: engine.ID, at: now, load: fleet.Load{Tokens: a.Backup}, size: fleet.Size{Held: a.Backup},
+		serial: l.serial, run: req.Run, target: engine.ID, at: now, load: fleet.Load{Tokens: req.Backup}, size: fleet.Size{Held: req.Backup},
 	})
 }
 
--- a/lib/owner/limit_test.go
+++ b/lib/owner/limit_test.go
@@ -12,7 +12,7 @@
 
 // All engines of a shard take two streams a second, and thirty come at once. Those that can't have their turn before they would be
 // late are told so when they come; those told to wait are served, and no limit is passed.
-func TestStreamsBeyondLimitsAreRejectedAtOnce(t *testing.T) {
+func TestStreamsThatLimitsLeaveNoTurnAreRefusedAtOnce(t *testing.T) {
 	const n, perSecond, asked = 3, 2.0, 30
 	b, f, s := newTestLedger(n)
 	for _, id := range s.Engines() {
@@ -49,7 +49,7 @@
 }
 
 // One engine of a shard has no limit: streams wait for room as always.
-func TestStreamsWaitIfAnEngineHasNoLimit(t *testing.T) {
+func TestStreamsWaitWhereAnEngineHasNoLimit(t *testing.T) {
 	b, f, s := newTestLedger(2)
 	f.ApplyLimit(s.Engines()[0], fleet.LimitNotice{Limit: fleet.Limit{On: true}, RequestedAt: t0, ReceivedAt: t0})
 	for id := range uint64(6) {
--- a/lib/owner/moves.go
+++ b/lib/owner/moves.go
@@ -18,9 +18,9 @@
 
 // Plan plans the moves of all runs that instances have told of on engines which leave. Room at the
 // destinations counts from when the moves are told. Runs that are planned already keep their moves.
-func (b *Ledger) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *Ledger) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	ids := make(map[string]bool, len(leaving))
 	engines := make([]moveplan.Engine, len(leaving))
 	for i, e := range leaving {
@@ -28,29 +28,29 @@
 		engines[i] = moveplan.Engine{ID: e.ID, Domain: e.Domain}
 	}
 	var destinations []moveplan.Engine
-	for _, r := range b.fleet.MoveCandidates(now, s.Service, s.Engines()) {
+	for _, r := range l.fleet.MoveCandidates(now, s.Service, s.Engines()) {
 		if !ids[r.ID] {
 			destinations = append(destinations, moveplan.Engine{ID: r.ID, Domain: r.Domain, Free: r.Free})
 		}
 	}
-	runs := slices.DeleteFunc(b.runsOn(ids), func(r moveplan.Run) bool {
-		_, known := b.moves[r.ID]
+	runs := slices.DeleteFunc(l.runsOn(ids), func(r moveplan.Run) bool {
+		_, known := l.moves[r.ID]
 		return known
 	})
 	for _, step := range moveplan.Plan(runs, engines, destinations, link) {
-		b.moves[step.Run.ID] = plannedMove{Step: step, at: now}
+		l.moves[step.Run.ID] = plannedMove{Step: step, at: now}
 	}
 }
 
 // Moves returns the planned moves of an instance's runs, with their starts from now on, and counts room at the
 // destinations for it. A run that is in no plan has none.
-func (b *Ledger) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h := b.holder(s.Key, instance)
+func (l *Ledger) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	h := l.holder(s.Key, instance)
 	var out []moveplan.Step
 	for _, id := range runs {
-		p, ok := b.moves[id]
+		p, ok := l.moves[id]
 		if !ok {
 			continue
 		}
@@ -58,26 +58,26 @@
 		step.Start = max(0, step.Start-now.Sub(p.at))
 		out = append(out, step)
 		if h != nil && !h.local && step.To != "" {
-			b.reserveDestination(now, h, step)
+			l.reserveDestination(now, h, step)
 		}
 	}
 	if h != nil {
-		b.publish(now, h)
+		l.publish(now, h)
 	}
 	return out
 }
 
 // reserveDestination counts a run's room at its destination, once.
-func (b *Ledger) reserveDestination(now time.Time, h *holder, step moveplan.Step) {
+func (l *Ledger) reserveDestination(now time.Time, h *holder, step moveplan.Step) {
 	for _, g := range h.grants {
 		if g.run == step.Run.ID && g.target == step.To {
 			return
 		}
 	}
-	b.serial++
+	l.serial++
 	size := step.Run.Tokens + step.Run.Expected
 	h.addGrant(now, grant{
-		serial: b.serial, run: step.Run.ID, target: step.To, at: now,
+		serial: l.serial, run: step.Run.ID, target: step.To, at: now,
 		load: fleet.Load{Tokens: size}, size: fleet.Size{Held: step.Run.Tokens, Remaining: step.Run.Expected},
 	})
 }
--- a/lib/owner/places_test.go
+++ b/lib/owner/places_test.go
@@ -13,7 +13,7 @@
 
 // Twenty engines come back at once, cold and empty, beside two that are full. Hundreds of streams are asked for within two seconds: the
 // cold ones are used from the start, none gets more in any second than it bears, and what is too much waits.
-func TestColdEnginesAreUsedWithinTheirRate(t *testing.T) {
+func TestReturnedEnginesAreNeitherStarvedNorTrampled(t *testing.T) {
 	const cold, rate = 20, 2.0
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv, ColdFor: 5 * time.Second, ColdRate: rate}})
@@ -63,7 +63,7 @@
 
 // A stream is bound to a region where engines are full, beside idle ones elsewhere. It waits for its own; a copy of it stays there,
 // too.
-func TestRegionBoundStreamsWaitInRegion(t *testing.T) {
+func TestStreamsWaitInTheirRegion(t *testing.T) {
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 	f.SetRegions(map[string]string{"z0": "north", "z1": "south"})
--- a/lib/owner/turned.go
+++ b/lib/owner/turned.go
@@ -12,27 +12,27 @@
 )
 
 // rememberRejection remembers when a stream may come back.
-func (b *Ledger) rememberRejection(now time.Time, a *PlaceRequest, after time.Duration) {
-	if a.Fingerprint == 0 || len(b.rejected) >= maxRejections {
+func (l *Ledger) rememberRejection(now time.Time, req *PlaceRequest, after time.Duration) {
+	if req.Fingerprint == 0 || len(l.rejected) >= maxRejections {
 		return
 	}
-	b.rejected[a.Fingerprint] = now.Add(after)
+	l.rejected[req.Fingerprint] = now.Add(after)
 }
 
 // markReturned marks a stream whose caller was told to come back and does so as told.
-func (b *Ledger) markReturned(now time.Time, a *PlaceRequest) {
-	due, ok := b.rejected[a.Fingerprint]
+func (l *Ledger) markReturned(now time.Time, req *PlaceRequest) {
+	due, ok := l.rejected[req.Fingerprint]
 	if !ok || now.Before(due.Add(-earlyTolerance)) {
 		return
 	}
-	delete(b.rejected, a.Fingerprint)
-	a.Stream.IsRetry = true
+	delete(l.rejected, req.Fingerprint)
+	req.Stream.IsRetry = true
 }
 
-func (b *Ledger) expireRejections(now time.Time) {
-	for print, due := range b.rejected {
+func (l *Ledger) expireRejections(now time.Time) {
+	for print, due := range l.rejected {
 		if now.Sub(due) > rejectionTTL {
-			delete(b.rejected, print)
+			delete(l.rejected, print)
 		}
 	}
 }
--- a/lib/ownerlink/call.go
+++ b/lib/ownerlink/call.go
@@ -124,15 +124,15 @@
 }
 
 // Place asks for an engine for a run of a service. ErrAlone says that this instance decides by itself.
-func (l *Link) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
-	s := l.homeShard(&a.Stream.Need)
+func (l *Link) Place(ctx context.Context, req owner.PlaceRequest) (owner.Answer, error) {
+	s := l.homeShard(&req.Stream.Need)
 	if s == nil {
 		return owner.Answer{}, ErrNoOwner
 	}
 	c := l.newCall(s)
 	defer c.close()
-	a.ID, a.Describe = c.id, l.HasPartialList()
-	c.body.Body = &ownerpb.Datagram_Ask{Ask: encodePlaceRequest(&a, s.Key, time.Now())}
+	req.ID, req.Describe = c.id, l.HasPartialList()
+	c.body.Body = &ownerpb.Datagram_Ask{Ask: encodePlaceRequest(&req, s.Key, time.Now())}
 	d, err := c.query(ctx)
 	if err != nil {
 		return owner.Answer{}, err
--- a/lib/ownerlink/handle.go
+++ b/lib/ownerlink/handle.go
@@ -54,16 +54,16 @@
 }
 
 // handlePlaceRequest decides an ask for a shard that this instance owns, and passes on one for another's.
-func (l *Link) handlePlaceRequest(d *ownerpb.Datagram, a *ownerpb.Ask) {
+func (l *Link) handlePlaceRequest(d *ownerpb.Datagram, req *ownerpb.Ask) {
 	layout := l.layout.Load()
-	s := layout.Shard(a.Shard)
+	s := layout.Shard(req.Shard)
 	if s == nil {
 		// The asker's list of targets is a little older or newer.
-		s = layout.HomeShard(a.Service, l.Self.Domain, d.Instance)
+		s = layout.HomeShard(req.Service, l.Self.Domain, d.Instance)
 	}
 	now := time.Now()
 	if s == nil {
-		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: a.Id}, Addr: d.Addr, Action: admit.Fallback})
+		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: req.Id}, Addr: d.Addr, Action: admit.Fallback})
 		return
 	}
 	l.respond(l.Coordinator.Handle(now, s, decodePlaceRequest(d, now)))
@@ -129,14 +129,14 @@
 	l.deliver(id, d)
 }
 
-func (l *Link) handleContactRequest(d *ownerpb.Datagram, a *ownerpb.HeardAsk) {
-	heard := &ownerpb.Heard{Id: a.Id}
-	if at := l.Fleet.LastContact(a.Target); !at.IsZero() {
+func (l *Link) handleContactRequest(d *ownerpb.Datagram, req *ownerpb.HeardAsk) {
+	heard := &ownerpb.Heard{Id: req.Id}
+	if at := l.Fleet.LastContact(req.Target); !at.IsZero() {
 		heard.Known, heard.AgoMs = true, ms(time.Since(at))
 	}
 	out := l.newDatagram()
 	out.Body = &ownerpb.Datagram_Heard{Heard: heard}
-	l.reply(d.Instance, d.Addr, a.Id, out)
+	l.reply(d.Instance, d.Addr, req.Id, out)
 }
 
 func (l *Link) notifyWaiting() { notify(l.waitingAdded) }
--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -265,7 +265,7 @@
 }
 
 // Whatever comes by datagram, the link goes on: garbage, kinds and shards that nobody knows, absent parts.
-func TestArbitraryDatagramsAreHandled(t *testing.T) {
+func TestAnyDatagramIsSurvived(t *testing.T) {
 	members, s := site(t, 2, "a")
 	a := members["a"]
 	to := netip.MustParseAddrPort(a.Self.Addr)
--- a/lib/ownerlink/moves.go
+++ b/lib/ownerlink/moves.go
@@ -79,26 +79,26 @@
 	}
 }
 
-func (l *Link) handleMovesRequest(d *ownerpb.Datagram, a *ownerpb.MovesAsk) {
-	if a.Report == nil {
+func (l *Link) handleMovesRequest(d *ownerpb.Datagram, req *ownerpb.MovesAsk) {
+	if req.Report == nil {
 		l.reportBad("moves_ask", errNoBody)
 		return
 	}
 	now := time.Now()
-	s := l.layout.Load().Shard(a.Report.Shard)
+	s := l.layout.Load().Shard(req.Report.Shard)
 	if s == nil {
 		l.replyMoves(&owner.Shard{}, d)
 		return
 	}
-	if to, ok := l.otherOwner(now, s); ok && !a.PassedOn {
+	if to, ok := l.otherOwner(now, s); ok && !req.PassedOn {
 		l.send(to.Addr, &ownerpb.Datagram{
 			Instance: d.Instance, Incarnation: d.Incarnation, Addr: d.Addr,
-			Body: &ownerpb.Datagram_MovesAsk{MovesAsk: &ownerpb.MovesAsk{Id: a.Id, Left: a.Left, Report: a.Report, PassedOn: true}},
+			Body: &ownerpb.Datagram_MovesAsk{MovesAsk: &ownerpb.MovesAsk{Id: req.Id, Left: req.Left, Report: req.Report, PassedOn: true}},
 		})
 		return
 	}
-	l.Coordinator.Report(now, decodeReport(d, a.Report))
-	for _, e := range a.Left {
+	l.Coordinator.Report(now, decodeReport(d, req.Report))
+	for _, e := range req.Left {
 		l.OnLeft(e.Target, e.Born)
 	}
 	l.mu.Lock()
@@ -113,19 +113,19 @@
 }
 
 func (l *Link) replyMoves(s *owner.Shard, d *ownerpb.Datagram) {
-	a := d.GetMovesAsk()
-	runs := make([]uint64, len(a.Report.Runs))
-	for i, r := range a.Report.Runs {
+	req := d.GetMovesAsk()
+	runs := make([]uint64, len(req.Report.Runs))
+	for i, r := range req.Report.Runs {
 		runs[i] = r.Id
 	}
 	out := l.newDatagram()
 	moves := encodeMoves(l.Coordinator.Moves(time.Now(), s, d.Instance, runs))
-	if a.Report.Describe {
+	if req.Report.Describe {
 		for _, m := range moves {
 			to, _ := l.Fleet.Info(m.To)
 			m.ToInfo = encodeTarget(&to)
 		}
 	}
-	out.Body = &ownerpb.Datagram_Moves{Moves: &ownerpb.Moves{Id: a.Id, Moves: moves}}
-	l.reply(d.Instance, d.Addr, a.Id, out)
+	out.Body = &ownerpb.Datagram_Moves{Moves: &ownerpb.Moves{Id: req.Id, Moves: moves}}
+	l.reply(d.Instance, d.Addr, req.Id, out)
 }
--- a/lib/ownerlink/permits.go
+++ b/lib/ownerlink/permits.go
@@ -59,35 +59,35 @@
 }
 
 // handlePermitRequest answers for the targets that this instance owns, and passes on what is for another.
-func (l *Link) handlePermitRequest(d *ownerpb.Datagram, a *ownerpb.PermitAsk) {
+func (l *Link) handlePermitRequest(d *ownerpb.Datagram, req *ownerpb.PermitAsk) {
 	now := time.Now()
-	id := a.GetWord().GetTarget()
+	id := req.GetWord().GetTarget()
 	t, known := l.Fleet.Info(id)
 	if !known {
-		t = fleet.Info{ID: id, Service: a.GetService()}
+		t = fleet.Info{ID: id, Service: req.GetService()}
 	}
-	if s := l.layout.Load().PermitShard(t); s != nil && !a.GetPassedOn() {
+	if s := l.layout.Load().PermitShard(t); s != nil && !req.GetPassedOn() {
 		if to, other := l.otherOwner(now, s); other {
-			l.forwardPermitRequest(d, a, to)
+			l.forwardPermitRequest(d, req, to)
 			return
 		}
 	}
-	if l.applyLimit(now, a.GetWord()) {
+	if l.applyLimit(now, req.GetWord()) {
 		l.broadcastLimit(now, id)
 	}
-	p, known := l.Fleet.Permit(now, id, d.Instance, a.GetMust())
+	p, known := l.Fleet.Permit(now, id, d.Instance, req.GetMust())
 	out := l.newDatagram()
 	out.Body = &ownerpb.Datagram_Permit{Permit: &ownerpb.Permit{
-		Id: a.GetId(), Known: known, Given: p.Granted, AfterMs: ms(p.RetryAfter), Word: encodeLimit(id, l.Fleet.LimitOf(id), now),
+		Id: req.GetId(), Known: known, Given: p.Granted, AfterMs: ms(p.RetryAfter), Word: encodeLimit(id, l.Fleet.LimitOf(id), now),
 	}}
-	l.reply(d.Instance, d.Addr, a.GetId(), out)
+	l.reply(d.Instance, d.Addr, req.GetId(), out)
 }
 
-func (l *Link) forwardPermitRequest(d *ownerpb.Datagram, a *ownerpb.PermitAsk, to owner.Instance) {
+func (l *Link) forwardPermitRequest(d *ownerpb.Datagram, req *ownerpb.PermitAsk, to owner.Instance) {
 	l.send(to.Addr, &ownerpb.Datagram{
 		Instance: d.Instance, Incarnation: d.Incarnation, Addr: d.Addr,
 		Body: &ownerpb.Datagram_PermitAsk{PermitAsk: &ownerpb.PermitAsk{
-			Id: a.Id, Service: a.Service, Word: a.Word, Must: a.Must, PassedOn: true,
+			Id: req.Id, Service: req.Service, Word: req.Word, Must: req.Must, PassedOn: true,
 		}},
 	})
 }
--- a/lib/ownerlink/permits_test.go
+++ b/lib/ownerlink/permits_test.go
@@ -51,7 +51,7 @@
 }
 
 // One instance hears a limit. All others know of it before they send anything there, and of its end.
-func TestLimitAndItsEndReachAllInstances(t *testing.T) {
+func TestAllAreToldOfALimitAndItsEnd(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	awaitAgreement(t, members, s)
 	last := members[s.Ranked[2].Name]
@@ -70,7 +70,7 @@
 
 // All three instances ask for as many permits as they can: together they get what the target takes. When the owner is gone the next in
 // rank gives them.
-func TestPermitsOfAllInstancesStayWithinLimit(t *testing.T) {
+func TestPermitsOfAllInstancesAreWithinALimit(t *testing.T) {
 	for name, running := range map[string][]int{"all": {0, 1, 2}, "owner gone": {1, 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -144,7 +144,7 @@
 }
 
 // One instance hears from a plain target that it leaves. The others, which may not hear it for long, are told.
-func TestLeavingTargetIsAnnouncedToAll(t *testing.T) {
+func TestAllAreToldOfATargetThatSaysItLeaves(t *testing.T) {
 	for rank := range 3 {
 		members, p1, s := limitedSite(t, "a", "b", "c")
 		awaitAgreement(t, members, s)
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -19,13 +19,13 @@
 
 func tokens(n int) uint32 { return uint32(min(max(0, n), 1<<31)) }
 
-func encodePlaceRequest(a *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
-	n := &a.Stream.Need
+func encodePlaceRequest(req *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
+	n := &req.Stream.Need
 	out := &ownerpb.Ask{
-		Id: a.ID, Shard: shard, Hops: uint32(a.Hops), Run: a.Run, Mode: uint32(a.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
-		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(a.Stream.Objective),
-		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(a.Backup), Print: a.Fingerprint,
-		Back: a.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
+		Id: req.ID, Shard: shard, Hops: uint32(req.Hops), Run: req.Run, Mode: uint32(req.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
+		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(req.Stream.Objective),
+		AgeMs: ms(now.Sub(req.Stream.Arrived)), KeepsMs: ms(req.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(req.Backup), Print: req.Fingerprint,
+		Back: req.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: req.Describe,
 	}
 	for id := range n.Exclude {
 		out.Without = append(out.Without, id)
@@ -35,24 +35,24 @@
 }
 
 func decodePlaceRequest(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
-	a := d.GetAsk()
+	req := d.GetAsk()
 	need := fleet.Need{
-		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), PreferredDomain: a.Near,
-		Peak: fleet.Size{Held: int(a.Now), Remaining: int(a.Left)},
+		Service: req.Service, Tokens: int(req.Tokens), Unread: int(req.Unread), PreferredDomain: req.Near,
+		Peak: fleet.Size{Held: int(req.Now), Remaining: int(req.Left)},
 	}
-	if a.Bound {
-		need.Regions = append([]string{}, a.Regions...)
+	if req.Bound {
+		need.Regions = append([]string{}, req.Regions...)
 	}
-	if len(a.Without) > 0 {
-		need.Exclude = make(map[string]bool, len(a.Without))
-		for _, id := range a.Without {
+	if len(req.Without) > 0 {
+		need.Exclude = make(map[string]bool, len(req.Without))
+		for _, id := range req.Without {
 			need.Exclude[id] = true
 		}
 	}
 	return owner.PlaceRequest{
-		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
-		ReplyAddr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Fingerprint: a.Print, Describe: a.Describe,
-		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Objective: duration(a.AimMs), MaxRetryAfter: duration(a.KeepsMs), IsRetry: a.Back, Need: need},
+		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: req.Id},
+		ReplyAddr: d.Addr, Run: req.Run, Mode: owner.Mode(req.Mode), Backup: int(req.BackupTokens), Hops: int(req.Hops), Fingerprint: req.Print, Describe: req.Describe,
+		Stream: admit.Stream{Arrived: now.Add(-duration(req.AgeMs)), Objective: duration(req.AimMs), MaxRetryAfter: duration(req.KeepsMs), IsRetry: req.Back, Need: need},
 	}
 }
 
