--- a/lib/owner/book.go
+++ b/lib/owner/book.go
@@ -11,38 +11,38 @@
 	"anvilwick.example/anvilwick/lib/moveplan"
 )
 
-// Mode is what an ask wants.
+// Mode is the kind of engine that a placement request needs.
 type Mode uint8
 
 // Values of Mode.
 const (
-	Admit   Mode = iota // for a new stream: an engine that has room and reads it in time, or a time to come back
-	Any                 // for a run that an engine has turned back or lost: the best engine, however full
-	MustFit             // for a run that moves: an engine that holds it, or none
+	Admit   Mode = iota // new stream: an engine with free capacity that prefills it in time, or a time to retry
+	Any                 // run that an engine rejected or lost: the best engine, however full
+	MustFit             // run that is moved: an engine with capacity for it, or none
 )
 
-// Key names an ask. It is the same each time that it is sent.
+// Key identifies a placement request. It is the same for each retransmission.
 type Key struct {
 	Instance    string
 	Incarnation uint64
 	ID          uint64
 }
 
-// PlaceRequest is for an engine for one run.
+// PlaceRequest requests an engine for one run.
 type PlaceRequest struct {
 	Key
-	ReplyAddr   string // where the instance is answered
-	Run         uint64 // hash of the request's id
+	ReplyAddr   string // where the requesting instance receives the answer
+	Run         uint64 // hash of the caller's request ID
 	Mode        Mode
 	Stream      admit.Stream
-	Backup      int    // tokens of a copy that is wanted elsewhere; 0: none
-	Hops        int    // how often it was passed on
-	Fingerprint uint64 // names what is asked, the same when its caller comes back; 0: not known
+	Backup      int    // tokens of the backup copy wanted on another engine; 0: none
+	Hops        int    // how often the request was forwarded
+	Fingerprint uint64 // identifies the caller's request across retries; 0: unknown
 
-	Describe bool // the asker holds a part of the list of targets
+	Describe bool // the requesting instance holds only a part of the target list
 }
 
-// Answer is to an Ask.
+// Answer is the response to a PlaceRequest.
 type Answer struct {
 	Key
 	Addr     string
@@ -50,22 +50,22 @@
 	Target   string
 	After    time.Duration
 	Serial   uint64 // of the grant
-	Backup   string // engine for the copy; empty: none has room
+	Backup   string // engine for the backup copy; empty: no engine has capacity
 	Estimate fleet.KnownState
 
-	Describe               bool       // as in the ask
-	TargetInfo, BackupInfo fleet.Info // as the list has them, where the ask wants that
+	Describe               bool       // as in the request
+	TargetInfo, BackupInfo fleet.Info // target list entries, if the request asks for them
 }
 
 const (
-	// requestTTL is how long an ask waits that is not heard again: its caller has left, or another owner was found.
+	// requestTTL is how long a waiting request is kept without a retransmission: its caller has left, or another owner was found.
 	requestTTL = 500 * time.Millisecond
-	// answerTTL is how long an answer is kept for an ask that comes again because the answer was lost.
+	// answerTTL is how long an answer is kept for a request that is retransmitted because the answer was lost.
 	answerTTL = 3 * time.Second
-	// backupMinFree is the share of an engine's memory that must stay free for it to hold a copy of another's run. With copies
-	// of every run the engines' memory fills up and runs are preempted, which costs more than the copies save.
+	// backupMinFree is the share of an engine's memory that must be free for it to hold a backup copy of another engine's run. With
+	// copies of every run the engines' memory fills up and runs are preempted, which costs more than the copies save.
 	backupMinFree = 0.7
-	// maxWaiting bounds the asks that wait. Each step looks at all of them, 50 times a second.
+	// maxWaiting bounds the waiting requests. Each call of DecideWaiting visits all of them, 50 times a second.
 	maxWaiting = 2048
 )
 
@@ -74,25 +74,25 @@
 	at time.Time
 }
 
-// Ledger is an instance's account of the shards that it ranks to own. It is safe for concurrent use.
+// Ledger is an instance's account of the load on the shards that it is a candidate for. It is safe for concurrent use.
 type Ledger struct {
-	random func(n int64) int64 // up to n, n left out; nil: math/rand
+	random func(n int64) int64 // returns a number in [0, n); nil: math/rand
 
-	self         string // this instance, whose own runs the fleet counts without being told
+	self         string // this instance; the fleet counts its own runs without reports
 	fleet        *fleet.Fleet
 	prefillRates *admit.PrefillRates
 
 	mu       sync.Mutex
-	holders  map[string]map[string]*holder // by shard, instance
-	waiting  []*waitingRequest             // in the order in which they are looked at
-	reserved map[string]map[string]bool    // by shard: the engines kept for the first that wait
+	holders  map[string]map[string]*holder // by shard, then instance
+	waiting  []*waitingRequest             // in the order in which they are decided
+	reserved map[string]map[string]bool    // by shard: engines reserved for the first waiting requests
 	answers  map[Key]sentAnswer
-	rejected map[uint64]time.Time // when streams may come back that were told to, by print
+	rejected map[uint64]time.Time // earliest time of a retry, by fingerprint
 	serial   uint64
-	moves    map[uint64]plannedMove // of moves, by run
+	moves    map[uint64]plannedMove // by run
 }
 
-// NewLedger returns an empty Book of an instance that decides by what f believes. Reports go into f as its peers' loads.
+// NewLedger returns an empty Ledger that decides by the state of f. Reports are entered into f as the loads of its peers.
 func NewLedger(self string, f *fleet.Fleet, rates *admit.PrefillRates) *Ledger {
 	return &Ledger{
 		self: self, fleet: f, prefillRates: rates,
@@ -104,14 +104,14 @@
 	}
 }
 
-// setRandom replaces the source of chance.
+// setRandom replaces the random source.
 func (l *Ledger) setRandom(random func(n int64) int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.random = random
 }
 
-// Report takes in a report and reports whether it was newer than the last of its instance.
+// Report applies a report and returns whether it was newer than the last of its instance.
 func (l *Ledger) Report(now time.Time, r Report) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +126,7 @@
 	return true
 }
 
-// applyObservations takes in what a report says of engines beside their load.
+// applyObservations applies what a report says of engines besides their load.
 func (l *Ledger) applyObservations(now time.Time, h *holder, r *Report) {
 	for _, run := range r.Runs {
 		if run.Unread == 0 {
@@ -134,7 +134,7 @@
 		}
 	}
 	if h.local {
-		return // it has learnt from its own sends
+		return // local outcomes are recorded when they occur
 	}
 	for _, o := range r.Outcomes {
 		last := h.outcomes[o.Target]
@@ -148,7 +148,7 @@
 	}
 }
 
-// maxNewOutcomes bounds what one report teaches of one target: more are hardly one instance's since its last report.
+// maxNewOutcomes bounds the outcomes that one report adds for a target: one instance hardly has more since its last report.
 const maxNewOutcomes = 8
 
 func (l *Ledger) recordOutcomes(now time.Time, target string, o fleet.Outcome, n uint32) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// holder returns what is known of an instance on a shard; nil when too many are known already.
+// holder returns the state of an instance on a shard; nil when maxHolders instances are known already.
 func (l *Ledger) holder(shard, instance string) *holder {
 	if l.holders[shard] == nil {
 		l.holders[shard] = make(map[string]*holder)
@@ -178,8 +178,8 @@
 	l.fleet.SetPeerLoad(now, h.name, loads, sizes)
 }
 
-// Place decides an ask, or lets it wait: ok is false then, and Step decides it later. An ask that comes again is answered
-// as before.
+// Place decides a request, or enqueues it: ok is false then, and DecideWaiting decides it later. A retransmitted request gets
+// the same answer as before.
 func (l *Ledger) Place(now time.Time, s *Shard, req PlaceRequest) (answer Answer, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,7 +202,7 @@
 	return answer, ok
 }
 
-// decide answers an ask, unless it should wait.
+// decide answers a request, unless it should wait.
 func (l *Ledger) decide(now time.Time, s *Shard, req *PlaceRequest) (Answer, bool) {
 	d := l.choose(now, s, req)
 	if d.Action == admit.Wait {
@@ -211,7 +211,7 @@
 	return l.recordDecision(now, s, req, d), true
 }
 
-// recordDecision makes a decision the answer to an ask, and counts what it gives away.
+// recordDecision turns a decision into the answer to a request, and counts what it grants.
 func (l *Ledger) recordDecision(now time.Time, s *Shard, req *PlaceRequest, d admit.Decision) Answer {
 	out := Answer{Key: req.Key, Addr: req.ReplyAddr, Describe: req.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
 	switch d.Action {
@@ -248,7 +248,7 @@
 	return admit.Decision{Action: admit.Admit, Target: target}
 }
 
-// Tick forgets what is too old to be believed.
+// Tick removes expired state.
 func (l *Ledger) Tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -283,7 +283,7 @@
 	}
 }
 
-// Runs lists what instances have told of their runs on some engines.
+// runsOn lists the reported movable runs on some engines.
 func (l *Ledger) runsOn(engines map[string]bool) []moveplan.Run {
 	var out []moveplan.Run
 	for _, list := range l.holders {
@@ -299,7 +299,7 @@
 	return slices.CompactFunc(out, func(a, b moveplan.Run) bool { return a.ID == b.ID })
 }
 
-// Users returns where instances are told that have runs or copies on some engines of a shard, this one left out.
+// Users returns the reply addresses of the other instances that have runs or copies on some engines of a shard.
 func (l *Ledger) Users(shard string, engines map[string]bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lib/owner/candidates.go
+++ b/lib/owner/candidates.go
@@ -8,24 +8,24 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// candidateCount is how many instances rank to own a shard: the owner, one that is told as much, and one more for when both
+// candidateCount is the number of candidates for a shard: the owner, a second that receives the same reports, and a third for when both
 // are gone.
 const candidateCount = 3
 
-// Candidates ranks instances for shards. It is not changed once it is made.
+// Candidates ranks instances as owners of shards. It is immutable.
 type Candidates struct {
 	instances []Instance
 	hashes    []uint64
-	domains   map[string]*tiers // by failure domain; of all by the empty name
+	domains   map[string]*tiers // by failure domain; the empty name stands for all
 }
 
-// tiers are the numbers of a domain's instances, by whether they have half of the largest capacity there or more.
+// tiers are the indexes of a domain's instances: strong ones have at least half of the largest capacity there.
 type tiers struct {
 	maxCapacity  uint32
 	strong, weak []int
 }
 
-// NewCandidates returns the ranking of some instances.
+// NewCandidates returns the ranking of instances.
 func NewCandidates(instances []Instance) *Candidates {
 	c := &Candidates{instances: instances, hashes: make([]uint64, len(instances)), domains: map[string]*tiers{"": {}}}
 	for i, in := range instances {
@@ -53,8 +53,8 @@
 	}
 }
 
-// rank returns the first candidates for a shard: those of its failure domain first, then those with half of the largest
-// capacity or more, which many instances' asks do not slow down, then by rendezvous.
+// rank returns the candidates for a shard: instances of its failure domain first, then those with at least half of the largest
+// capacity, which requests of many instances do not slow down, then by rendezvous rank.
 func (c *Candidates) rank(domain string, key uint64) []Instance {
 	near := c.domains[domain]
 	if near == nil {
@@ -69,8 +69,8 @@
 	return out
 }
 
-// Top returns the first n instances of a failure domain for a key, of all by the empty name: those with half of the largest capacity
-// there or more, then by rendezvous.
+// Top returns the first n instances of a failure domain for a key, or of all domains if domain is empty: those with at least half
+// of the largest capacity there first, then by rendezvous rank.
 func (c *Candidates) Top(domain string, key uint64, n int) []Instance {
 	near := c.domains[domain]
 	if near == nil {
@@ -93,7 +93,7 @@
 	return slices.DeleteFunc(out, func(d string) bool { return d == "" })
 }
 
-// otherDomains are the instances of other domains, against the largest capacity of one.
+// otherDomains returns the instances of other domains, in tiers by the given largest capacity.
 func (c *Candidates) otherDomains(domain string, maxCapacity uint32) *tiers {
 	far := &tiers{maxCapacity: maxCapacity}
 	for i, in := range c.instances {
@@ -104,7 +104,7 @@
 	return far
 }
 
-// appendTop appends the first in rank of some instances until there are n.
+// appendTop appends the highest-ranked instances of among until out has n.
 func (c *Candidates) appendTop(out []Instance, n int, among []int, key uint64) []Instance {
 	compare := func(a, b int) int {
 		return cmp.Compare(rendezvous.Rank(key, c.hashes[among[b]]), rendezvous.Rank(key, c.hashes[among[a]]))
@@ -115,7 +115,7 @@
 	return out
 }
 
-// topK returns the k best of the numbers below n, in order.
+// topK returns the k first of the numbers below n by compare, in order.
 func topK(n, k int, compare func(a, b int) int) []int {
 	if k <= 0 {
 		return nil
--- a/lib/owner/desk.go
+++ b/lib/owner/desk.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxHops bounds how often an ask is passed on: to the owner, to an emptier shard, and to one with room.
+	// maxHops bounds how often a request is forwarded: to the owner, to a less loaded shard, and to one with free capacity.
 	maxHops = 3
-	// ForwardInterval is the pause between two looks at whether asks that wait have room elsewhere: as often as that is told.
+	// ForwardInterval is the pause between two searches for capacity elsewhere for waiting requests: fill levels are published as often.
 	ForwardInterval = HeartbeatInterval
 )
 
-// Coordinator is what an instance does with the asks that reach it. It is safe for concurrent use.
+// Coordinator handles the placement requests that reach an instance. It is safe for concurrent use.
 //
-// Load pattern: engines leave in groups, and a shard has no room for seconds while another has. Streams that waited in their shard
-// until they were told to come back would do so beside free engines. So what waits is passed on to room elsewhere.
+// Engines leave in groups, so that one shard may have no free capacity for seconds while another has. Streams that waited in their
+// shard only would be rejected beside free engines. Waiting requests are therefore forwarded to shards with capacity.
 type Coordinator struct {
 	*Ledger
 	*Peers
@@ -31,31 +31,31 @@
 	forwarded map[Key]forwarding
 }
 
-// forwarding is where an ask went, so that it goes there again when it comes again.
+// forwarding records where a request was sent, so that its retransmissions go to the same owner.
 type forwarding struct {
 	shard *Shard
 	to    Instance
-	hops  int // when it came
+	hops  int // hops of the request when it arrived
 	at    time.Time
 }
 
-// Disposition is what becomes of an ask: it is answered, or passed on to another owner, which answers.
+// Disposition is the result of handling a request: an answer, or the owner to forward the request to, which answers it.
 type Disposition struct {
 	Answer  Answer
 	Forward bool
-	Request PlaceRequest // with PassOn
-	Shard   *Shard       // with PassOn
-	To      Instance     // with PassOn
+	Request PlaceRequest // set with Forward
+	Shard   *Shard       // set with Forward
+	To      Instance     // set with Forward
 }
 
-// NewCoordinator returns the desk of an instance that decides by what f believes and starts now.
+// NewCoordinator returns the coordinator of an instance that starts now and decides by the state of f.
 func NewCoordinator(self string, f *fleet.Fleet, rates *admit.PrefillRates, now time.Time) *Coordinator {
 	return &Coordinator{
 		Ledger: NewLedger(self, f, rates), Peers: NewPeers(self, now), self: self, fleet: f, forwarded: make(map[Key]forwarding),
 	}
 }
 
-// Handle takes an ask for a shard.
+// Handle handles a request for a shard.
 func (c *Coordinator) Handle(now time.Time, s *Shard, req PlaceRequest) Disposition {
 	if p, ok := c.earlierForward(now, &req); ok {
 		return forwardTo(req, p.shard, p.to)
@@ -80,14 +80,14 @@
 	return Disposition{Answer: Answer{Key: req.Key, Addr: req.ReplyAddr, Action: admit.Wait}}
 }
 
-// route says which shard an ask is for, and who decides for it if that is another instance: the owner, or from a shard that
-// is fuller than others that of an emptier one.
+// route returns the shard that a request is for, and the instance that decides if it is another: the shard's owner, or the owner of
+// a less loaded shard.
 func (c *Coordinator) route(now time.Time, s *Shard, req *PlaceRequest) (*Shard, *Instance) {
 	if to, ok := c.ActingOwner(now, s); ok && to.Name != c.self && req.Hops == 0 {
 		return s, &to
 	}
 	if req.Hops > 1 {
-		return s, nil // it comes from another shard already
+		return s, nil // already forwarded by another shard
 	}
 	n, by, ok := c.PickLessLoaded(now, s, c.used(s))
 	if !ok {
@@ -96,7 +96,7 @@
 	return n, c.otherInstance(n, by)
 }
 
-// otherInstance returns the instance that owns a shard, if it is another; nil: this one does.
+// otherInstance returns the candidate of a shard with a name; nil if it is this instance.
 func (c *Coordinator) otherInstance(s *Shard, name string) *Instance {
 	for i, in := range s.Ranked {
 		if in.Name == name && name != c.self {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// forwardToCapacity passes an ask on that waits here, if another shard has room for it.
+// forwardToCapacity forwards a request that waits here, if another shard has capacity for it.
 func (c *Coordinator) forwardToCapacity(now time.Time, s *Shard, req PlaceRequest) (Disposition, bool) {
 	if req.Hops >= maxHops {
 		return Disposition{}, false
@@ -136,8 +136,8 @@
 	return Disposition{Forward: true, Request: req, Shard: s, To: to}
 }
 
-// earlierForward tells where an ask was passed on that has come again. One that has come back from there, after more hops, stays: two
-// owners would else pass it to and fro. Where it went to an owner that has fallen silent since, it is decided anew.
+// earlierForward returns where a retransmitted request was forwarded. One that has returned from there with more hops is handled
+// here: two owners would otherwise forward it to each other. If the owner it went to has fallen silent, it is decided anew.
 func (c *Coordinator) earlierForward(now time.Time, req *PlaceRequest) (forwarding, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,7 +149,7 @@
 	return p, ok
 }
 
-// ForwardWaiting passes on what waits here and has room elsewhere.
+// ForwardWaiting forwards the waiting requests for which another shard has capacity.
 func (c *Coordinator) ForwardWaiting(now time.Time) []Disposition {
 	var out []Disposition
 	for _, w := range c.waitingRequests() {
@@ -160,7 +160,7 @@
 	return out
 }
 
-// Tick forgets what is too old to matter.
+// Tick removes expired state.
 func (c *Coordinator) Tick(now time.Time) {
 	c.Ledger.Tick(now)
 	c.mu.Lock()
@@ -172,20 +172,20 @@
 	}
 }
 
-// used is how full a shard is, with what waits for it. Without that, two full shards look alike though twice as much waits
-// for one.
+// used is the used share of a shard's memory, waiting requests included. Without them, two full shards look alike even if twice as
+// much waits for one.
 func (c *Coordinator) used(s *Shard) float64 {
 	return c.fleet.Utilization(s.Engines(), c.waitingTokens(s.Key))
 }
 
-// UpdateFill tells how full a shard is that this instance owns, to others and to itself.
+// UpdateFill measures the fill level of a shard that this instance owns, records it and returns it for publication.
 func (c *Coordinator) UpdateFill(now time.Time, s *Shard) Fill {
 	f := Fill{Used: c.used(s), LargestFree: c.fleet.MaxFreeTokens(s.Engines())}
 	c.SetFill(now, s.Key, f)
 	return f
 }
 
-// SetRandom replaces the source of chance, so that a play can be repeated.
+// SetRandom replaces the random source, so that a simulation can be repeated.
 func (c *Coordinator) SetRandom(r *rand.Rand) {
 	c.Ledger.setRandom(r.Int64N)
 	c.Peers.setRandom(r.Float64)
--- a/lib/owner/grant.go
+++ b/lib/owner/grant.go
@@ -6,7 +6,7 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// grant counts the run at its engine until its instance tells of it.
+// grant counts the run at its engine until its instance reports it.
 func (l *Ledger) grant(now time.Time, s *Shard, req *PlaceRequest, out *Answer) {
 	h := l.holder(s.Key, req.Instance)
 	if h == nil {
@@ -31,7 +31,7 @@
 	out.Estimate = l.fleet.KnownState(now, out.Target)
 }
 
-// backup finds an engine for a copy of the run.
+// backup selects an engine for a backup copy of the run.
 func (l *Ledger) backup(now time.Time, s *Shard, req *PlaceRequest, out *Answer, h *holder) {
 	need := fleet.Need{Service: s.Service, Tokens: req.Backup, Among: s.Engines(), Regions: req.Stream.Need.Regions}
 	engine, ok := l.fleet.ChooseForCopy(now, need, out.Target, backupMinFree)
@@ -44,7 +44,7 @@
 	})
 }
 
-// startIncarnation forgets what an earlier life of the instance had.
+// startIncarnation drops the state of an earlier incarnation of the instance.
 func (h *holder) startIncarnation(incarnation uint64) {
 	if incarnation <= h.incarnation {
 		return
--- a/lib/owner/layout.go
+++ b/lib/owner/layout.go
@@ -11,34 +11,34 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// maxNeighbours bounds the shards that an owner tells how full its own are, and passes streams on to.
+// maxNeighbours bounds the shards to whose owners a shard's fill level is sent and to which its streams are forwarded.
 const maxNeighbours = 8
 
-// Instance is one that may own shards.
+// Instance is an instance that may own shards.
 type Instance struct {
 	Name     string
 	Domain   string // failure domain
 	Addr     string // for datagrams
-	Link     string // for streams between instances
-	Capacity uint32 // what it can carry for others, by its link and processor; to compare only
+	Link     string // address for streams between instances
+	Capacity uint32 // relative capacity for work on behalf of others, from its link and processor
 }
 
-// Shard is a part of a service's engines. All of them are in one failure domain, unless the service has so few that one
-// owner decides for all. Its engines change while it stands; all else of it is fixed.
+// Shard is a part of a service's engines. All of them are in one failure domain, unless the service is so small that one shard
+// holds all. Only its list of engines changes during its lifetime.
 type Shard struct {
-	Key     string // names it, the same at every instance
+	Key     string // identifies the shard; the same at every instance
 	Service string
-	Domain  string // of its engines; empty: all
+	Domain  string // of its engines; empty: all domains
 	Ranked  []Instance
 
 	hash    uint64 // of Key
 	members *members
-	all     []*Shard // of the service
+	all     []*Shard // all shards of the service
 	near    sync.Once
 	nearest []*Shard
 }
 
-// Engines returns the ids of the shard's engines that take requests, sorted. The list is not changed afterwards.
+// Engines returns the sorted IDs of the shard's engines that accept requests. The list is immutable.
 func (s *Shard) Engines() []string {
 	if s.members == nil {
 		return nil
@@ -46,7 +46,7 @@
 	return s.members.list()
 }
 
-// Neighbours returns other shards of the service, the nearest first.
+// Neighbours returns the other shards of the service that this one exchanges fill levels and streams with.
 func (s *Shard) Neighbours() []*Shard {
 	s.near.Do(func() {
 		if s.nearest == nil {
@@ -56,17 +56,17 @@
 	return s.nearest
 }
 
-// IsCandidate reports whether an instance ranks to own a shard.
+// IsCandidate reports whether an instance is a candidate for the shard.
 func (s *Shard) IsCandidate(instance string) bool {
 	return slices.ContainsFunc(s.Ranked, func(in Instance) bool { return in.Name == instance })
 }
 
-// Layout says which shards there are and who ranks to own them. Every instance works it out from the lists of targets and
-// instances alone. Where lists differ for a moment, two instances may decide for one shard, which costs room that both
-// give away and no promise.
+// Layout lists the shards and their candidates. Every instance computes it from the lists of targets and instances
+// alone. While lists differ, two instances may decide for one shard, which may overcommit capacity but breaks no guarantee
+// to callers.
 type Layout struct {
 	shards   map[string]*Shard // by key
-	all      []*Shard          // by key
+	all      []*Shard          // sorted by key
 	services map[string]*division
 	plain    map[string]*Shard // by service
 
@@ -74,22 +74,22 @@
 	byInstance map[string][]*Shard // by instance
 }
 
-// division is how a service's engines are divided.
+// division is the split of a service's engines into shards.
 type division struct {
-	shards  []*Shard            // by key
-	domains map[string][]*Shard // by failure domain and number; empty domain: one shard for all
+	shards  []*Shard            // sorted by key
+	domains map[string][]*Shard // by failure domain, then index; the empty domain holds one shard for all
 }
 
 // Shard returns a shard by its key; nil when there is none.
 func (l *Layout) Shard(key string) *Shard { return l.shards[key] }
 
-// All returns all shards, in the order of their keys.
+// All returns all shards, sorted by key.
 func (l *Layout) All() []*Shard { return l.all }
 
-// Plain returns who ranks to own the targets of plain services, by service.
+// Plain returns the candidates for the targets of plain services, by service.
 func (l *Layout) Plain() map[string]*Shard { return l.plain }
 
-// ShardOf returns the shard that an engine is in, also once it leaves; nil when its service has no engines that take requests.
+// ShardOf returns the shard of an engine, also while it leaves; nil when its service has no engines that accept requests.
 func (l *Layout) ShardOf(t fleet.Info) *Shard {
 	d := l.services[t.Service]
 	if d == nil {
@@ -103,7 +103,7 @@
 	return l.HomeShard(t.Service, t.Domain, t.ID)
 }
 
-// PermitShard returns the shard whose owner gives permits for a target; nil when there is none.
+// PermitShard returns the shard whose owner grants permits for a target; nil when there is none.
 func (l *Layout) PermitShard(t fleet.Info) *Shard {
 	if s := l.plain[t.Service]; s != nil {
 		return s
@@ -111,8 +111,8 @@
 	return l.ShardOf(t)
 }
 
-// HomeShard returns the shard that is the nearest to a name in a failure domain: what an instance asks first for a service. nil
-// when the service has no engines.
+// HomeShard returns the shard in a failure domain that ranks highest for a name: the one that an instance queries first for a
+// service. It is nil when the service has no engines.
 func (l *Layout) HomeShard(service, domain, name string) *Shard {
 	d := l.services[service]
 	if d == nil {
@@ -132,10 +132,10 @@
 	return best
 }
 
-// Services returns the services with shards, sorted.
+// Services returns the services that have shards, sorted.
 func (l *Layout) Services() []string { return slices.Sorted(maps.Keys(l.services)) }
 
-// Domains returns the failure domains in which a service has shards, sorted; an empty one, if one shard is for all.
+// Domains returns the failure domains in which a service has shards, sorted; one empty name if a single shard holds all engines.
 func (l *Layout) Domains(service string) []string {
 	if d := l.services[service]; d != nil {
 		return slices.Sorted(maps.Keys(d.domains))
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// CandidateShards returns the shards that an instance ranks to own, in the order of their keys.
+// CandidateShards returns the shards that an instance is a candidate for, sorted by key.
 func (l *Layout) CandidateShards(instance string) []*Shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,9 +160,9 @@
 	return out
 }
 
-// nearest returns the other shards of a service that a shard looks to when it is full: all of a small service, and of a
-// large one the same few from each side as far as ranks allow. At most half of these are of its own failure domain, which may be full,
-// evacuated or lost as a whole.
+// nearest returns the neighbours of a shard, to which it forwards streams when it is full: all other shards of a small service, and of
+// a large one a few, the same in both directions as far as ranks allow. At most half of these are of its own failure domain, which
+// may be full, evacuated or lost as a whole.
 func nearest(s *Shard, list []*Shard) []*Shard {
 	var same, others []*Shard
 	for _, o := range list {
@@ -178,7 +178,7 @@
 	return append(s.topRanked(same, maxNeighbours-far), s.topRanked(others, far)...)
 }
 
-// topRanked returns the first n in rank of some shards.
+// topRanked returns the n highest-ranked of some shards.
 func (s *Shard) topRanked(among []*Shard, n int) []*Shard {
 	compare := func(a, b int) int {
 		return cmp.Compare(rendezvous.Rank(s.hash, among[b].hash), rendezvous.Rank(s.hash, among[a].hash))
--- a/lib/owner/members.go
+++ b/lib/owner/members.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// members are the ids of a shard's engines, sorted. Readers have a list that is not changed any more; a change replaces it.
+// members is the sorted list of the IDs of a shard's engines. Readers get an immutable list; an edit replaces it.
 type members struct {
 	ids     atomic.Pointer[[]string]
-	next    []string // the next list, while it is changed
-	editing bool     // draft is a copy
+	next    []string // the next list while it is being edited
+	editing bool     // next is a private copy
 }
 
 func newMembers(ids []string) *members {
@@ -21,7 +21,7 @@
 
 func (m *members) list() []string { return *m.ids.Load() }
 
-// edit returns the list to change; publish puts it in force.
+// edit returns the list to be changed; publish makes it visible to readers.
 func (m *members) edit() *[]string {
 	if !m.editing {
 		m.next, m.editing = slices.Clone(m.list()), true
--- a/lib/owner/moves.go
+++ b/lib/owner/moves.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/moveplan"
 )
 
-// moveTTL is how long a planned move is told to those who ask for it.
+// moveTTL is how long a planned move is kept for requests.
 const moveTTL = 5 * time.Second
 
 type plannedMove struct {
@@ -16,8 +16,8 @@
 	at time.Time
 }
 
-// Plan plans the moves of all runs that instances have told of on engines which leave. Room at the
-// destinations counts from when the moves are told. Runs that are planned already keep their moves.
+// Plan plans the moves of all reported runs on engines that leave. Capacity at the destinations is counted once the moves are
+// sent to an instance. Runs with a planned move keep it.
 func (l *Ledger) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// Moves returns the planned moves of an instance's runs, with their starts from now on, and counts room at the
-// destinations for it. A run that is in no plan has none.
+// Moves returns the planned moves of an instance's runs, with their starts relative to now, and reserves capacity at the
+// destinations. Runs without a plan are left out.
 func (l *Ledger) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +67,7 @@
 	return out
 }
 
-// reserveDestination counts a run's room at its destination, once.
+// reserveDestination counts a run's memory at its destination, once.
 func (l *Ledger) reserveDestination(now time.Time, h *holder, step moveplan.Step) {
 	for _, g := range h.grants {
 		if g.run == step.Run.ID && g.target == step.To {
--- a/lib/owner/partition.go
+++ b/lib/owner/partition.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// pooledMaxInstances and poolEngines are how many instances and engines one owner decides for: what it is told and asked grows
-	// with the streams. The first is the narrower on most sites, since instances that are gone stay listed: a bound on engines
-	// that come and go by a third would change all owners each time that it is crossed, and with them what is known.
+	// pooledMaxInstances and pooledMaxEngines are the most instances and engines for which a service is one shard: an owner's traffic
+	// grows with the streams. On most sites the first is the tighter bound, since instances that are gone stay listed: if the number of
+	// engines decided, which varies by a third, each crossing would change all owners and lose their state.
 	pooledMaxInstances = 160
 	pooledMaxEngines   = 256
-	// maxShardEngines is the most engines of a shard of a larger site.
+	// maxShardEngines is the most engines of a shard on a larger site.
 	maxShardEngines = 64
 )
 
-// Partition divides the engines of services into shards as they come and go. A change costs what it changes: the list of one shard;
-// a domain is divided anew only when the number of its shards changes, and all are ranked anew when instances change. It is safe
-// for concurrent use.
+// Partition divides the engines of services into shards and keeps the division current. An update costs what it changes: the list of
+// one shard. A domain is divided anew only when the number of its shards changes, and candidates are ranked anew when instances
+// change. It is safe for concurrent use.
 type Partition struct {
 	mu         sync.Mutex
 	candidates *Candidates
-	services   map[string]*serviceEngines // of engines, by service
+	services   map[string]*serviceEngines // by service
 	plain      []string                   // services without engines
-	received   Division                   // by one that knows all engines; nil: this instance does
+	received   Division                   // from an instance that knows all engines; nil: computed here
 	layout     *Layout
 }
 
-// Division is the number of shards of each service and failure domain; of the empty domain, if one shard is for all.
+// Division is the number of shards by service and failure domain; the empty domain stands for one shard for all.
 type Division map[string]map[string]int
 
-// serviceEngines are a service's engines as they are divided.
+// serviceEngines holds a service's engines and their division into shards.
 type serviceEngines struct {
 	domainOf map[string]string     // by engine
-	counts   map[string]int        // engines by failure domain
+	counts   map[string]int        // number of engines by failure domain
 	pooled   bool                  // one shard for all, under the empty domain
-	split    map[string][]*members // by failure domain and number of the shard
+	split    map[string][]*members // by failure domain, then shard index
 }
 
 // NewPartition returns a Partition without services and instances.
@@ -51,7 +51,7 @@
 	return p
 }
 
-// NewLayout divides engines that take requests among instances.
+// NewLayout returns the layout of some engines and instances.
 func NewLayout(engines []fleet.Info, instances []Instance) *Layout {
 	p := NewPartition()
 	p.SetInstances(instances)
@@ -62,14 +62,14 @@
 	return p.SetServices(slices.Collect(maps.Keys(services)), nil, engines)
 }
 
-// Layout returns the layout in force.
+// Layout returns the current layout.
 func (p *Partition) Layout() *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.layout
 }
 
-// SetInstances replaces the instances that may own shards, and returns the layout that is in force then.
+// SetInstances replaces the instances that may own shards and returns the new layout.
 func (p *Partition) SetInstances(instances []Instance) *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,8 +80,8 @@
 	return p.buildLayout()
 }
 
-// SetDivision takes in how one divides the engines that knows all of them, while this instance holds a part; nil: it holds all itself. It
-// returns the layout that is in force then.
+// SetDivision applies the division computed by an instance that knows all engines, while this instance holds a part of the target
+// list; nil: this instance holds the whole list. It returns the current layout.
 func (p *Partition) SetDivision(received Division) *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,8 +111,8 @@
 	return out
 }
 
-// SetServices replaces the services with engines, those without, and all engines that take requests. It returns the layout that is in
-// force then.
+// SetServices replaces the services with engines, the plain services, and all engines that accept requests. It returns the new
+// layout.
 func (p *Partition) SetServices(engines, plain []string, ready []fleet.Info) *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,8 +135,8 @@
 	return p.buildLayout()
 }
 
-// Update takes in engines that take requests from now on, and others that take none any more. It returns the layout in force, which
-// is the same one as before unless shards have come or gone.
+// Update adds engines that now accept requests and removes others that no longer do. It returns the current layout, which is the
+// same as before unless shards were added or removed.
 func (p *Partition) Update(added, removed []fleet.Info) *Layout {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +189,7 @@
 	}
 }
 
-// membersOf returns the list that an engine is in; nil when its domain has none yet.
+// membersOf returns the list that contains an engine; nil when its domain has no shard yet.
 func (s *serviceEngines) membersOf(id, domain string) *members {
 	if s.pooled {
 		domain = ""
@@ -201,8 +201,8 @@
 	return list[rendezvous.Hash(id)%uint64(len(list))]
 }
 
-// divide makes one shard on a small site, else shards that each lie in one failure domain: copies of runs take twice as
-// long between domains, and what a domain loses is then one owner's business. It reports whether that changes the shards.
+// divide makes one shard on a small site, otherwise shards that each lie in one failure domain: copies of runs take twice as
+// long between domains, and the loss of a domain then concerns only its own owners. It reports whether the shards changed.
 func (p *Partition) divide(service string, s *serviceEngines) bool {
 	if received := p.received[service]; received != nil {
 		return s.divideBy(received)
@@ -251,7 +251,7 @@
 	}
 }
 
-// divideBy divides the engines into as many shards as are told, and reports whether that changes them.
+// divideBy divides the engines into the given numbers of shards and reports whether the shards changed.
 func (s *serviceEngines) divideBy(counts map[string]int) bool {
 	changed := s.pooled != (counts[""] > 0)
 	s.pooled = counts[""] > 0
@@ -270,12 +270,12 @@
 	return changed
 }
 
-// empty reports whether a service has no engines that take requests.
+// empty reports whether a service has no engines that accept requests.
 func (p *Partition) empty(service string, s *serviceEngines) bool {
 	return len(s.domainOf) == 0 && p.received[service] == nil
 }
 
-// enginesIn lists the engines of a failure domain; all, where one shard is for all.
+// enginesIn lists the engines of a failure domain; all engines if the service is one shard.
 func (s *serviceEngines) enginesIn(domain string) []string {
 	out := make([]string, 0, s.counts[domain])
 	for id, engineDomain := range s.domainOf {
@@ -286,7 +286,7 @@
 	return out
 }
 
-// shardCount is the number of shards of so many engines. It is a power of two, so that it changes at few sizes.
+// shardCount returns the number of shards for a number of engines. It is a power of two, so that it changes at few sizes.
 func shardCount(engines int) int {
 	n := 1
 	for n*maxShardEngines < engines {
@@ -309,7 +309,7 @@
 	return out
 }
 
-// buildLayout makes the layout of the shards as they are divided now.
+// buildLayout builds the layout of the current shards and puts it in force.
 func (p *Partition) buildLayout() *Layout {
 	l := &Layout{
 		shards: make(map[string]*Shard), services: make(map[string]*division), plain: make(map[string]*Shard, len(p.plain)),
--- a/lib/owner/peers.go
+++ b/lib/owner/peers.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	// HeartbeatInterval is the period at which owners tell each other that they live and how full their shards are.
+	// HeartbeatInterval is the period of the heartbeats between candidates, which carry the fill levels of their shards.
 	HeartbeatInterval = 100 * time.Millisecond
-	// heartbeatTTL is how long an owner without a beat is believed to live: three may be lost or late.
+	// heartbeatTTL is how long a candidate counts as alive after a heartbeat: three may be lost or late.
 	heartbeatTTL = 350 * time.Millisecond
-	// fillTTL is how long a shard is believed to be as full as was told.
+	// fillTTL is how long a published fill level is used.
 	fillTTL = 600 * time.Millisecond
-	// RemoteDomainFactor is how many times more seldom a fill is told to other failure domains, and how many times longer it is believed there:
-	// bytes between domains cost, and few streams go there.
+	// RemoteDomainFactor multiplies the interval at which fill levels are sent to other failure domains, and how long they are used there:
+	// traffic between domains costs money, and few streams are forwarded there.
 	RemoteDomainFactor = 5
-	// suspectMin and suspectMax bound how long an owner that did not answer is asked after all others: each time twice as
-	// long. One that is gone for good stays listed, and costs whoever asks it first 0.15 s.
+	// suspectMin and suspectMax bound how long an owner that did not answer is queried after all others, doubled each time. An owner
+	// that is gone for good stays listed, and costs an instance that queries it first 0.15 s.
 	suspectMin = 2 * time.Second
 	suspectMax = time.Minute
-	// coldPeriod is how long an owner that has just started, woken or been cut off has been told too little to decide: what
-	// the others have on its engines comes with their next reports.
+	// coldPeriod is how long an owner lacks the state to decide after it started, resumed or was isolated: the others report what
+	// they have on its engines within one report interval.
 	coldPeriod = ReportInterval + 200*time.Millisecond
-	// alone is the silence of all other candidates after which an owner takes itself to have been cut off.
+	// isolationTimeout is the silence of all other candidates after which an owner assumes that it was isolated.
 	isolationTimeout = time.Second
-	// forwardMargin is how much fuller than another shard, as a part of its memory, one must be for a stream to be passed on.
-	// Fills are told ten times a second, and a stream takes under a hundredth of a shard: with less of a margin streams
-	// would be passed to and fro.
+	// forwardMargin is the difference in fill level, as a share of memory, from which a stream is forwarded to a less loaded shard.
+	// Fill levels are sent ten times a second, and a stream takes under a hundredth of a shard: with a smaller margin streams
+	// would be forwarded back and forth.
 	forwardMargin = 0.08
 )
 
-// Heartbeat is what an instance that ranks to own shards tells the others that do.
+// Heartbeat is the periodic message between candidates for a shard.
 type Heartbeat struct {
 	Instance    string
 	Incarnation uint64
 	Cold        bool
 	Leaving     bool
-	Fills       map[string]Fill // of the shards that it owns, by key
+	Fills       map[string]Fill // of the shards that the instance owns, by key
 }
 
-// Fill is how full a shard is.
+// Fill is the fill level of a shard.
 type Fill struct {
-	Used        float64 // of its memory that is spoken for, prompts to read weighed in
-	LargestFree int     // tokens that a run may take on the roomiest of its engines
+	Used        float64 // share of its memory in use or reserved, with pending prefill weighed in
+	LargestFree int     // tokens that a run may take on the engine with the most free memory
 }
 
 type receivedHeartbeat struct {
@@ -62,7 +62,7 @@
 	at    time.Time
 }
 
-// Peers is what an instance believes of the others that rank to own shards. It is safe for concurrent use.
+// Peers holds the last known state of the other candidates. It is safe for concurrent use.
 type Peers struct {
 	self   string
 	random func() float64
@@ -72,11 +72,11 @@
 	fills         map[string]receivedFill // by shard
 	suspects      map[string]suspect
 	coldUntil     time.Time // until then this instance is cold
-	lastHeartbeat time.Time // when any beat last came
+	lastHeartbeat time.Time // when the last heartbeat of any instance arrived
 	leaving       bool
 }
 
-// NewPeers returns the beliefs of an instance that starts now.
+// NewPeers returns the empty state of an instance that starts now.
 func NewPeers(self string, now time.Time) *Peers {
 	return &Peers{
 		self: self, random: rand.Float64, coldUntil: now.Add(coldPeriod),
@@ -84,14 +84,14 @@
 	}
 }
 
-// setRandom replaces the source of chance, between 0 and 1.
+// setRandom replaces the random source, which returns numbers in [0, 1).
 func (p *Peers) setRandom(random func() float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.random = random
 }
 
-// ReceiveHeartbeat takes in a beat.
+// ReceiveHeartbeat applies a heartbeat.
 func (p *Peers) ReceiveHeartbeat(now time.Time, b Heartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,28 +110,28 @@
 	}
 }
 
-// MarkStalled says that this instance has stood still: what it was told is old.
+// MarkStalled records that this instance was stalled: the state that it received is outdated.
 func (p *Peers) MarkStalled(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.coldUntil = now.Add(coldPeriod)
 }
 
-// Leave says that this instance stops.
+// Leave records that this instance terminates.
 func (p *Peers) Leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = true
 }
 
-// State tells whether this instance is cold, and whether it stops.
+// State reports whether this instance is cold, and whether it terminates.
 func (p *Peers) State(now time.Time) (cold, leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Before(p.coldUntil), p.leaving
 }
 
-// Suspect notes that an instance did not answer.
+// Suspect records that an instance did not answer.
 func (p *Peers) Suspect(now time.Time, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,14 +141,14 @@
 	p.suspects[name] = s
 }
 
-// ClearSuspect notes that an instance has answered.
+// ClearSuspect records that an instance has answered.
 func (p *Peers) ClearSuspect(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.suspects, name)
 }
 
-// QueryOrder returns the candidates of a shard in the order in which to ask them: those that did not answer lately come last.
+// QueryOrder returns the candidates of a shard in the order in which to query them: suspects last.
 func (p *Peers) QueryOrder(now time.Time, s *Shard) []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,8 +164,8 @@
 	return append(out, last...)
 }
 
-// ActingOwner returns the candidate that decides for a shard: the first in rank that lives, stays and is not cold; where all
-// are cold, the first that lives. An instance that is no candidate takes the first for it.
+// ActingOwner returns the candidate that decides for a shard: the first in rank that is alive, not leaving and not cold; if all
+// are cold, the first that is alive. An instance that is no candidate itself assumes that all are alive.
 func (p *Peers) ActingOwner(now time.Time, s *Shard) (Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,7 +200,7 @@
 	return ok && now.Sub(b.at) < heartbeatTTL && !b.Leaving, b.Cold
 }
 
-// LastKnownOwner returns the candidate of a shard that last told how full it is; ok is false if none has lately.
+// LastKnownOwner returns the candidate of a shard that last sent its fill level; ok is false if none has recently.
 func (p *Peers) LastKnownOwner(now time.Time, s *Shard) (by Instance, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,7 +216,7 @@
 	return Instance{}, false
 }
 
-// IsSilent reports whether an instance has been heard, and is not any more or stops.
+// IsSilent reports whether an instance sent heartbeats before, and has stopped or is leaving.
 func (p *Peers) IsSilent(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,16 +224,16 @@
 	return heard && (now.Sub(b.at) >= heartbeatTTL || b.Leaving)
 }
 
-// PickLessLoaded returns the shard to which a stream is passed on from one that is full to part own, and its owner; ok is false when it
-// stays. It is drawn from the emptier ones, by how much emptier each is: they are told some tens of milliseconds late, and
-// all owners would else pass theirs to the same.
+// PickLessLoaded returns a shard to which a stream is forwarded from one with the given used share, and its owner; ok is false when
+// the stream stays. It is chosen at random among the less loaded shards, weighted by the difference: fill levels arrive some tens of
+// milliseconds late, and all owners would otherwise forward their streams to the same shard.
 func (p *Peers) PickLessLoaded(now time.Time, s *Shard, used float64) (to *Shard, owner string, ok bool) {
 	return p.pickWeighted(now, s, func(f *receivedFill) float64 { return used - forwardMargin - f.Used })
 }
 
-// PickWithCapacity returns a shard with an engine that has room for a stream of some tokens, and its owner. Of several it is drawn by
-// how much room there is. The room is taken off what is believed, so that streams that wait here together are not all
-// passed on to the same.
+// PickWithCapacity returns a shard with an engine that has capacity for a number of tokens, and its owner. It is chosen at random,
+// weighted by free capacity. The tokens are deducted from the last known fill level, so that streams that wait here together are not
+// all forwarded to the same shard.
 func (p *Peers) PickWithCapacity(now time.Time, s *Shard, tokens int) (to *Shard, owner string, ok bool) {
 	to, owner, ok = p.pickWeighted(now, s, func(f *receivedFill) float64 {
 		if f.LargestFree < tokens {
@@ -251,7 +251,7 @@
 	return to, owner, ok
 }
 
-// pickWeighted draws one of a shard's neighbours by weight; those that weigh nothing are left out.
+// pickWeighted chooses one of a shard's neighbours at random by weight; those without a positive weight are left out.
 func (p *Peers) pickWeighted(now time.Time, s *Shard, weightOf func(*receivedFill) float64) (to *Shard, owner string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,7 +273,7 @@
 	return to, owner, ok
 }
 
-// fillTTLBetween is how long a shard's owner believes what it was told of another.
+// fillTTLBetween is how long a shard's owner uses the fill level of another shard.
 func fillTTLBetween(s, other *Shard) time.Duration {
 	if other.Domain != s.Domain {
 		return RemoteDomainFactor * fillTTL
@@ -281,7 +281,7 @@
 	return fillTTL
 }
 
-// SetFill notes how full a shard is that this instance owns.
+// SetFill records the fill level of a shard that this instance owns.
 func (p *Peers) SetFill(now time.Time, shard string, f Fill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lib/owner/report.go
+++ b/lib/owner/report.go
@@ -7,32 +7,32 @@
 	"anvilwick.example/anvilwick/lib/moveplan"
 )
 
-// Run is a run of some instance on an engine.
+// Run is an instance's run on an engine.
 type Run struct {
-	ID           uint64 // hash of its request's id
+	ID           uint64 // hash of the caller's request ID
 	Target       string
-	Tokens       int // of engine memory that it holds
-	Expected     int // tokens that it is expected to add, as counted in loads
-	Unread       int // tokens of its prompt that are not known to be read yet
-	Remaining    int // tokens that it adds if it gets as long as its caller guesses
+	Tokens       int // of engine memory that it occupies
+	Expected     int // expected further tokens, as counted in loads
+	Unread       int // prompt tokens not known to be prefilled yet
+	Remaining    int // further tokens if it gets as long as its caller's hint
 	Pinned       bool
-	SinceContact time.Duration // since its engine was last heard on it
+	SinceContact time.Duration // time since its engine last sent anything for it
 }
 
-// Copy is engine memory that a copy of a run takes.
+// Copy is engine memory that is occupied by a copy of a run.
 type Copy struct {
 	Target string
 	Tokens int
 	Run    uint64
 }
 
-// Outcomes counts how requests of one instance ended at a target since that instance was started.
+// Outcomes counts the results of one instance's requests to a target since the instance started.
 type Outcomes struct {
 	Target                      string
 	Served, Failed, Unreachable uint32
 }
 
-// PrefillSample is how long a first event took after tokens of prompts were believed to be read before it.
+// PrefillSample is the time until a first event, and the prompt tokens assumed to be prefilled before it.
 type PrefillSample struct {
 	Service string
 	Unread  int
@@ -43,35 +43,35 @@
 type Report struct {
 	Shard          string
 	Instance       string
-	ReplyAddr      string // where the instance is answered
+	ReplyAddr      string // where the instance receives answers
 	Incarnation    uint64
-	Seq            uint64 // grows with each report of one incarnation
-	LastGrant      uint64 // newest grant of the receiver that the instance has
+	Seq            uint64 // increases with each report of one incarnation
+	LastGrant      uint64 // newest grant of the receiver that the instance has received
 	Runs           []Run
 	Copies         []Copy
 	Outcomes       []Outcomes
 	PrefillSamples []PrefillSample
-	Describe       bool // as in Ask
+	Describe       bool // as in PlaceRequest
 }
 
 const (
-	// ReportInterval is the period of an instance's reports while it has something on a shard's engines; a change is told
-	// sooner. It bounds how old the news is by which a dark engine is told from a busy one.
+	// ReportInterval is the period of an instance's reports while it has load on a shard's engines; changes are reported
+	// sooner. It bounds the age of the data that distinguishes an engine that is dark from one that is under load.
 	ReportInterval = 500 * time.Millisecond
-	// reportTTL is how long a report is believed: two may be lost.
+	// reportTTL is how long a report is used: two may be lost.
 	reportTTL = 1500 * time.Millisecond
-	// grantTTL is how long a grant counts that its instance has not told of.
+	// grantTTL is how long a grant counts that its instance has not reported.
 	grantTTL = time.Second
-	// runStartDelay is how long a run may take from the grant's arrival until its instance tells of it.
+	// runStartDelay is how long a run may take from the receipt of the grant until its instance reports it.
 	runStartDelay = 100 * time.Millisecond
-	// maxTokens bounds, in tokens, what one run is believed to take. No engine is that large; sums of absurd reports must
+	// maxTokens bounds the tokens that one run is assumed to take. No engine is that large; sums over implausible reports must
 	// not overflow.
 	maxTokens = 1 << 24
-	// maxHolders bounds the instances that a Book believes, for each shard.
+	// maxHolders bounds the instances that a Ledger tracks for each shard.
 	maxHolders = 4096
 )
 
-// grant is room that the owner has given and that is not told of yet.
+// grant is capacity that the owner has granted and the instance has not reported yet.
 type grant struct {
 	serial uint64
 	run    uint64
@@ -81,10 +81,10 @@
 	at     time.Time
 }
 
-// holder is what is known of one instance on one shard.
+// holder is the known state of one instance that holds load on a shard.
 type holder struct {
-	name        string // in the fleet
-	local       bool   // it is this instance
+	name        string // its name in the fleet
+	local       bool   // this instance
 	incarnation uint64
 	seq         uint64
 	lastReport  time.Time
@@ -95,8 +95,8 @@
 	outcomes    map[string]Outcomes
 }
 
-// isNewer reports whether a report is newer than the last. A lower incarnation counts once the old one is silent: it is a
-// time of day, which may have been set back.
+// isNewer reports whether a report is newer than the last. A lower incarnation is accepted once the old one is silent: it is a
+// time of day, and the clock may have been set back.
 func (h *holder) isNewer(now time.Time, r *Report) bool {
 	if now.Sub(h.lastReport) > reportTTL {
 		return true
@@ -114,7 +114,7 @@
 	h.dropGrants(now, r.LastGrant)
 }
 
-// dropGrants drops the grants that the report contains, or that the instance has and no longer uses.
+// dropGrants drops the grants that the report contains, that the instance received but no longer uses, or that have expired.
 func (h *holder) dropGrants(now time.Time, seen uint64) {
 	reported := make(map[uint64]bool, len(h.runs)+len(h.copies))
 	for _, r := range h.runs {
@@ -133,7 +133,7 @@
 	h.grants = kept
 }
 
-// loads adds up what the instance has on each engine.
+// loads sums the instance's load on each engine.
 func (h *holder) loads() (map[string]fleet.Load, map[string][]fleet.Size) {
 	loads, sizes := make(map[string]fleet.Load), make(map[string][]fleet.Size)
 	add := func(target string, l fleet.Load, s fleet.Size) {
@@ -156,7 +156,7 @@
 	return loads, sizes
 }
 
-// clamp cuts what a report claims to what can be.
+// clamp limits the values of a report to a plausible range.
 func (r *Report) clamp() {
 	for i := range r.Runs {
 		m := &r.Runs[i]
@@ -170,12 +170,12 @@
 
 func clampTokens(n int) int { return min(max(n, 0), maxTokens) }
 
-// toPlan is the run as plans of moves see it.
+// toPlan converts the run for the move planner.
 func (r Run) toPlan() moveplan.Run {
 	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Prefilling: r.Unread > 0}
 }
 
-// ByShard sorts what an instance has by shards, as of tells them. What is on no shard's engines is left out.
+// ByShard groups an instance's runs and copies by shard. Those on engines without a shard are left out.
 func ByShard(shardOf func(engine string) *Shard, runs []Run, copies []Copy) map[string]Report {
 	out := make(map[string]Report)
 	for _, r := range runs {
--- a/lib/owner/turned.go
+++ b/lib/owner/turned.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// rejectionTTL is how long a stream that was told to come back is remembered, beyond the time that it was told.
+	// rejectionTTL is how long a rejected stream is remembered beyond its retry time.
 	rejectionTTL = 5 * time.Second
-	// earlyTolerance is how much sooner than told one may come back. Who doesn't wait is not put before others for it.
+	// earlyTolerance is how much too early a retry may come. Callers that do not wait gain no priority.
 	earlyTolerance = 100 * time.Millisecond
 	// maxRejections bounds the streams that are remembered.
 	maxRejections = 4096
 )
 
-// rememberRejection remembers when a stream may come back.
+// rememberRejection records when a stream may be retried.
 func (l *Ledger) rememberRejection(now time.Time, req *PlaceRequest, after time.Duration) {
 	if req.Fingerprint == 0 || len(l.rejected) >= maxRejections {
 		return
@@ -19,7 +19,7 @@
 	l.rejected[req.Fingerprint] = now.Add(after)
 }
 
-// markReturned marks a stream whose caller was told to come back and does so as told.
+// markReturned marks a stream that is retried no earlier than its caller was told.
 func (l *Ledger) markReturned(now time.Time, req *PlaceRequest) {
 	due, ok := l.rejected[req.Fingerprint]
 	if !ok || now.Before(due.Add(-earlyTolerance)) {
--- a/lib/owner/wait.go
+++ b/lib/owner/wait.go
@@ -11,18 +11,18 @@
 	PlaceRequest
 	shard    *Shard
 	lastSeen time.Time
-	order    time.Time // the order in which those that wait are looked at
+	order    time.Time // position in the queue
 }
 
-// largeHeadStart is how many of its aims a stream that takes all of an engine's memory goes before a small one that stops waiting at the
-// same time.
+// largeHeadStart is the head start in the queue, as a share of its latency objective, of a stream that takes all of an engine's memory over
+// a small one that stops waiting at the same time.
 const largeHeadStart = 0.5
 
-// orderOf is a stream's place in the order: when it stops waiting, large ones sooner. A stream that can still begin in time goes before
-// one that has come back, until that would be refused again.
+// orderOf returns a stream's position in the queue: the time at which it stops waiting, earlier for large streams. Streams that can still
+// start in time go before a retried one, until that would be rejected again.
 //
-// Load pattern: memory is short, and small streams fit into what frees up at once while a large one needs what two runs leave.
-// Looked at in the order of their ends alone, it finds its room taken at each look until its wait is over.
+// When memory is short, small streams fit at once into what is released, while a large one needs the memory of two runs. Ordered
+// by deadline alone, a large stream would find its capacity taken each time until its wait is over.
 func (l *Ledger) orderOf(s *admit.Stream) time.Time {
 	due := s.WaitDeadline()
 	memory := l.fleet.Memory(s.Need.Service)
@@ -33,10 +33,10 @@
 	return due.Add(-time.Duration(largeHeadStart * part * float64(s.Objective)))
 }
 
-// cannotStartInTime reports whether a stream that would wait can't begin before its wait is over: all engines of its shard have limits, and those that
-// wait before it use up what they take.
+// cannotStartInTime reports whether a stream that would wait can't start before its wait is over: all engines of its shard have rate
+// limits, and the requests that wait ahead of it use them up.
 //
-// Load pattern: a whole service is in need and more streams come than it takes. Each that waits in vain could have come back sooner.
+// When a whole service is overloaded, more streams arrive than it accepts. A stream that waits in vain could have been retried sooner.
 func (l *Ledger) cannotStartInTime(now time.Time, s *Shard, req *PlaceRequest) bool {
 	perSecond, limited := l.fleet.TotalLimit(s.Engines())
 	if !limited || req.Mode != Admit {
@@ -51,7 +51,7 @@
 	return float64(before+1) > perSecond*req.Stream.WaitDeadline().Sub(now).Seconds()
 }
 
-// enqueue puts an ask among those that wait, in their order.
+// enqueue inserts a request into the queue.
 func (l *Ledger) enqueue(w *waitingRequest) {
 	w.order = l.orderOf(&w.Stream)
 	at, _ := slices.BinarySearchFunc(l.waiting, w.order, func(x *waitingRequest, turn time.Time) int { return x.order.Compare(turn) })
@@ -61,17 +61,17 @@
 	l.waiting = slices.Insert(l.waiting, at, w)
 }
 
-// HasWaiting reports whether asks wait.
+// HasWaiting reports whether requests wait.
 func (l *Ledger) HasWaiting() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting) > 0
 }
 
-// DecideWaiting decides what it can of the asks that wait, in their order, and returns the answers.
+// DecideWaiting decides the waiting requests that it can, in order, and returns the answers.
 //
-// For the first of each shard that still wait the roomiest engines are kept. Without that, small streams take what frees up
-// as it frees up, and a large prompt, which needs the room of two at one engine, is turned away.
+// For the first requests of each shard that still wait, the engines with the most free memory are reserved. Otherwise small streams take
+// memory as soon as it is released, and a large prompt, which needs the memory of two at one engine, is rejected.
 func (l *Ledger) DecideWaiting(now time.Time) []Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,14 +93,14 @@
 	return out
 }
 
-// dropWaiting forgets an ask that waits.
+// dropWaiting removes a waiting request.
 func (l *Ledger) dropWaiting(k Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waiting = slices.DeleteFunc(l.waiting, func(w *waitingRequest) bool { return w.Key == k })
 }
 
-// waitingTokens is how many tokens of engine memory the asks want that wait for a shard.
+// waitingTokens returns the tokens of engine memory that requests waiting for a shard need.
 func (l *Ledger) waitingTokens(shard string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,7 +113,7 @@
 	return sum
 }
 
-// waitingRequests lists the asks that wait, with their shards.
+// waitingRequests lists the waiting requests.
 func (l *Ledger) waitingRequests() []waitingRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,7 @@
 	return out
 }
 
-// Knows reports whether an ask has been decided here or waits here.
+// Knows reports whether a request has been decided here or waits here.
 func (l *Ledger) Knows(k Key) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,10 +132,10 @@
 	return done || slices.ContainsFunc(l.waiting, func(w *waitingRequest) bool { return w.Key == k })
 }
 
-// enginesPerReserved is how many engines of a shard there are for each that is kept: more serve large prompts sooner and others later.
+// enginesPerReserved is the number of a shard's engines for each reserved one: more reservations serve large prompts sooner, others later.
 const enginesPerReserved = 16
 
-// reserveEngine keeps the roomiest engine that is left for a stream that waits, if its shard may have one more kept.
+// reserveEngine reserves the engine with the most free memory for a waiting request, if the shard may have one more reserved.
 func (l *Ledger) reserveEngine(s *Shard) {
 	reserved := l.reserved[s.Key]
 	if len(reserved) >= max(1, len(s.Engines())/enginesPerReserved) {
