--- a/lib/ownerlink/beat.go
+++ b/lib/ownerlink/beat.go
@@ -9,13 +9,13 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// leftAnnouncedFor is how long owners are told of a target that was seen to leave: until a lost datagram has been made up for.
+// leftAnnouncedFor is how long a target that left is announced to owners: long enough to make up for a lost datagram.
 const leftAnnouncedFor = 2 * time.Second
 
-// leftInterval is how often within that time: hundreds leave each second of a release.
+// leftInterval is the period of these announcements: during a release hundreds of targets leave each second.
 const leftInterval = 500 * time.Millisecond
 
-// heartbeatLoop tells other owners that this instance lives, while it ranks to own a shard or the targets of a plain service.
+// heartbeatLoop sends heartbeats while this instance is a candidate for a shard or for the targets of a plain service.
 func (l *Link) heartbeatLoop(ctx context.Context) {
 	t := time.NewTicker(owner.HeartbeatInterval)
 	defer t.Stop()
@@ -28,7 +28,7 @@
 		case <-l.layoutChanged:
 		}
 		now := time.Now()
-		// A clock that does not count the time of a suspended machine shows it by the time of day.
+		// A monotonic clock that stops while the machine is suspended does not show the pause; the wall clock does.
 		if now.Sub(last) > period+stallThreshold || now.Round(0).Sub(last.Round(0)) > period+stallThreshold {
 			l.Coordinator.MarkStalled(now)
 		}
@@ -41,17 +41,17 @@
 	}
 }
 
-// idleInterval is the period at which an instance that ranks to own nothing looks whether it does now.
+// idleInterval is the period at which an instance that is no candidate checks whether it has become one.
 const idleInterval = time.Second
 
-// heartbeatBatch are those that an instance sends at one time, by receiver.
+// heartbeatBatch holds the heartbeats that an instance sends at one time, by receiver.
 type heartbeatBatch struct {
 	addrs map[string]string // by instance
 	fills map[string][]*ownerpb.Fill
 }
 
-// sendHeartbeats tells those that rank with this instance that it lives, and the owners of neighbouring shards how full its own are. It
-// reports whether there are any to tell.
+// sendHeartbeats sends heartbeats to the other candidates of this instance's shards, and its shards' fill levels to the owners of
+// their neighbours. It reports whether there are any receivers.
 func (l *Link) sendHeartbeats(now time.Time) bool {
 	out := heartbeatBatch{addrs: make(map[string]string), fills: make(map[string][]*ownerpb.Fill)}
 	layout := l.layout.Load()
@@ -82,7 +82,7 @@
 	return true
 }
 
-// leftToAnnounce lists the targets that others are told of now because they have left lately.
+// leftToAnnounce lists the targets that left recently, if an announcement is due.
 func (l *Link) leftToAnnounce(now time.Time) []*ownerpb.Left {
 	if now.Sub(l.leftAnnouncedAt) < leftInterval {
 		return nil
@@ -96,7 +96,7 @@
 	return out
 }
 
-// addFill adds how full a shard is that this instance owns, for the owners of its neighbours: when it changes, and now and then.
+// addFill adds the fill level of a shard that this instance owns, for the owners of its neighbours: when it changes, and periodically.
 func (l *Link) addFill(now time.Time, out *heartbeatBatch, s *owner.Shard) {
 	f := l.Coordinator.UpdateFill(now, s)
 	sendNear := l.fillDue(now, s.Key, f, 1)
@@ -117,7 +117,7 @@
 	}
 }
 
-// fillDue reports whether a fill is to be told now, where it is told so many times more seldom, and notes that it is.
+// fillDue reports whether a fill level is to be sent now, with intervals and thresholds multiplied by factor, and records that it is.
 func (l *Link) fillDue(now time.Time, key string, f owner.Fill, factor int) bool {
 	if !l.sentFills[key].due(now, f, factor) {
 		return false
@@ -126,22 +126,22 @@
 	return true
 }
 
-// sentFill is what was last told of a shard.
+// sentFill is the last sent fill level of a shard.
 type sentFill struct {
 	owner.Fill
 	at time.Time
 }
 
 const (
-	// fillInterval is how often a fill is told that does not change: it is believed for somewhat longer.
+	// fillInterval is the period at which an unchanged fill level is sent; its time to live is somewhat longer.
 	fillInterval = 400 * time.Millisecond
-	// fillStep is the change of a fill that is told at once, as a part of a shard's memory.
+	// fillStep is the change in the used share of a shard's memory that is sent at once.
 	fillStep = 0.02
-	// freeStep is the change of the room on the roomiest engine that is told at once, as a part of it.
+	// freeStep is the change in the free capacity of the engine with the most, as a share of it, that is sent at once.
 	freeStep = 0.1
 )
 
-// due reports whether a fill is to be told now.
+// due reports whether a fill level is to be sent now.
 func (t sentFill) due(now time.Time, f owner.Fill, factor int) bool {
 	scale := float64(factor)
 	if now.Sub(t.at) >= time.Duration(factor)*fillInterval || math.Abs(f.Used-t.Used) >= scale*fillStep {
@@ -156,7 +156,7 @@
 	}
 }
 
-// permille is the unit in which fills are told.
+// permille is the unit of fill levels on the wire.
 const permille = 1000
 
 func (l *Link) handleHeartbeat(d *ownerpb.Datagram, b *ownerpb.Beat) {
--- a/lib/ownerlink/call.go
+++ b/lib/ownerlink/call.go
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// call is a question to the owner of a shard.
+// call is a query to the owner of a shard.
 type call struct {
 	l       *Link
 	id      uint64
@@ -22,10 +22,10 @@
 	replies chan *ownerpb.Datagram
 
 	start  time.Time
-	waited bool // an owner said that the ask waits
+	waited bool // an owner answered that the request waits
 }
 
-// replyBuffer is the buffer of a call: answers to its first sends may all come late.
+// replyBuffer is the capacity of a call's channel: answers to its first datagrams may all arrive late.
 const replyBuffer = 4
 
 func (l *Link) newCall(s *owner.Shard) *call {
@@ -44,7 +44,7 @@
 	delete(c.l.calls, c.id)
 }
 
-// query asks one candidate after another until one answers.
+// query queries the candidates in turn until one answers.
 func (c *call) query(ctx context.Context) (*ownerpb.Datagram, error) {
 	for _, to := range c.l.Coordinator.QueryOrder(time.Now(), c.shard) {
 		d := c.queryOne(ctx, to)
@@ -60,7 +60,8 @@
 	return nil, ErrNoOwner
 }
 
-// queryOne asks one candidate; nil: it does not answer. One that says that the ask waits is asked again now and then.
+// queryOne queries one candidate; nil: it does not answer. While it answers that the request waits, the query is repeated at a longer
+// interval.
 func (c *call) queryOne(ctx context.Context, to owner.Instance) *ownerpb.Datagram {
 	pause := answerTimeout
 	t := time.NewTimer(pause)
@@ -91,7 +92,7 @@
 	return a != nil && a.Action == uint32(admit.Wait)
 }
 
-// observeLatency counts how long the answer took.
+// observeLatency records how long the answer took.
 func (c *call) observeLatency() {
 	h := answerTime
 	if c.waited {
@@ -108,7 +109,7 @@
 	c.l.send(to.Addr, c.body)
 }
 
-// deliver hands an answer to the call that it is for.
+// deliver passes an answer to the call that it belongs to.
 func (l *Link) deliver(id uint64, d *ownerpb.Datagram) bool {
 	l.mu.Lock()
 	replies := l.calls[id]
@@ -123,7 +124,7 @@
 	return true
 }
 
-// Place asks for an engine for a run of a service. ErrAlone says that this instance decides by itself.
+// Place requests an engine for a run of a service. ErrNoOwner means that this instance has to decide alone.
 func (l *Link) Place(ctx context.Context, req owner.PlaceRequest) (owner.Answer, error) {
 	s := l.homeShard(&req.Stream.Need)
 	if s == nil {
@@ -143,7 +144,7 @@
 	return answer, nil
 }
 
-// learnTargets hands on what owners say of targets that this instance may not know.
+// learnTargets passes on what owners report of targets that this instance may not know.
 func (l *Link) learnTargets(targets ...fleet.Info) {
 	for _, t := range targets {
 		if t.Addr != "" && l.HasPartialList() {
@@ -152,7 +153,8 @@
 	}
 }
 
-// homeShard returns the shard that this instance asks first for a request: one of its own failure domain, unless the request may not go there.
+// homeShard returns the shard that this instance queries first for a request: one of its own failure domain, unless the request may not
+// run there.
 func (l *Link) homeShard(need *fleet.Need) *owner.Shard {
 	layout := l.layout.Load()
 	domain, selfHash, bestRank := l.Self.Domain, rendezvous.Hash(l.Self.Name), uint64(0)
@@ -166,8 +168,8 @@
 	return layout.HomeShard(need.Service, domain, l.Self.Name)
 }
 
-// RequestMoves asks where this instance's runs go that are on engines which leave. Runs of which nothing is planned are left out;
-// an error says that some owner does not answer.
+// RequestMoves requests the planned moves of this instance's runs on engines that leave. Runs without a plan are left out;
+// an error means that some owner does not answer.
 func (l *Link) RequestMoves(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error) {
 	layout := l.layout.Load()
 	left := make(map[*owner.Shard][]*ownerpb.Left)
@@ -207,7 +209,7 @@
 	return decodeMoves(d.GetMoves()), nil
 }
 
-// LastContact asks when any instance last heard an engine; the zero time: nobody has.
+// LastContact returns when any instance last received something from an engine; the zero time: none has.
 func (l *Link) LastContact(ctx context.Context, engine string) (time.Time, error) {
 	s := l.shardOf(engine)
 	if s == nil {
--- a/lib/ownerlink/doc.go
+++ b/lib/ownerlink/doc.go
@@ -1,7 +1,7 @@
-// Package ownerlink carries lib/owner between instances by datagrams.
+// Package ownerlink exchanges the messages of lib/owner between instances by datagrams.
 //
-// An instance asks the owner of a shard and sends its ask again until it is answered; who does not answer is asked after
-// the others. What it has on a shard's engines it reports to the first two in rank, so that the second can take over.
-// For targets that take few requests a second an instance asks their owner for a permit, and owners tell all instances what such targets
-// say of themselves. Datagrams may be lost, come twice or late, or hold anything: what is wrong in one makes a choice worse, and no more.
+// An instance sends a request to the owner of a shard and retransmits it until it is answered; candidates that do not answer are queried
+// after the others. It reports what it has on a shard's engines to the first two candidates, so that the second can take over.
+// For targets with a rate limit an instance requests permits from their owner, and owners inform all instances of the limits that
+// such targets state. Datagrams may be lost, duplicated, late, or contain anything: a bad one makes a choice worse, and nothing else.
 package ownerlink
--- a/lib/ownerlink/handle.go
+++ b/lib/ownerlink/handle.go
@@ -53,12 +53,12 @@
 	}
 }
 
-// handlePlaceRequest decides an ask for a shard that this instance owns, and passes on one for another's.
+// handlePlaceRequest decides a request for a shard that this instance owns, and forwards others.
 func (l *Link) handlePlaceRequest(d *ownerpb.Datagram, req *ownerpb.Ask) {
 	layout := l.layout.Load()
 	s := layout.Shard(req.Shard)
 	if s == nil {
-		// The asker's list of targets is a little older or newer.
+		// The requesting instance's target list is slightly older or newer.
 		s = layout.HomeShard(req.Service, l.Self.Domain, d.Instance)
 	}
 	now := time.Now()
@@ -69,7 +69,7 @@
 	l.respond(l.Coordinator.Handle(now, s, decodePlaceRequest(d, now)))
 }
 
-// respond answers an ask or passes it on.
+// respond answers a request or forwards it.
 func (l *Link) respond(r owner.Disposition) {
 	if r.Forward {
 		l.forward(r)
@@ -81,13 +81,13 @@
 	l.answer(&r.Answer)
 }
 
-// otherOwner returns the instance that decides for a shard, if it is another.
+// otherOwner returns the acting owner of a shard, and whether that is another instance.
 func (l *Link) otherOwner(now time.Time, s *owner.Shard) (owner.Instance, bool) {
 	to, ok := l.Coordinator.ActingOwner(now, s)
 	return to, ok && to.Name != l.Self.Name
 }
 
-// forward sends an ask to the owner that should decide it, which answers the asker.
+// forward sends a request to the owner that should decide it, which answers the requesting instance.
 func (l *Link) forward(r owner.Disposition) {
 	l.send(r.To.Addr, &ownerpb.Datagram{
 		Instance: r.Request.Instance, Incarnation: r.Request.Incarnation, Addr: r.Request.ReplyAddr,
@@ -105,7 +105,7 @@
 	l.reply(a.Instance, a.Addr, a.ID, d)
 }
 
-// reply sends an answer, or hands it to this instance's own call.
+// reply sends an answer, or delivers it to this instance's own call.
 func (l *Link) reply(instance, addr string, id uint64, d *ownerpb.Datagram) {
 	if instance == l.Self.Name {
 		l.deliver(id, d)
@@ -120,7 +120,7 @@
 	l.lastGrants[d.Instance] = max(l.lastGrants[d.Instance], a.Serial)
 	l.mu.Unlock()
 	if !l.deliver(a.Id, d) && a.Serial > 0 {
-		l.ScheduleReport() // nobody uses what was granted: the next report says so
+		l.ScheduleReport() // nobody uses the grant; the next report tells the owner
 	}
 }
 
@@ -141,7 +141,7 @@
 
 func (l *Link) notifyWaiting() { notify(l.waitingAdded) }
 
-// decideLoop looks at the asks that wait here for as long as there are any.
+// decideLoop decides waiting requests periodically while there are any.
 func (l *Link) decideLoop(ctx context.Context) {
 	t := time.NewTicker(decideInterval)
 	defer t.Stop()
--- a/lib/ownerlink/kinds.go
+++ b/lib/ownerlink/kinds.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// kind is what a datagram is about.
+// kind is the message type of a datagram.
 type kind uint8
 
 const (
@@ -25,14 +25,14 @@
 	kindSuspects
 	kindPermit
 	kindLimits
-	kindCount // how many there are
+	kindCount // number of kinds
 )
 
 var kindNames = [kindCount]string{
 	"other", "ask", "answer", "report", "beat", "blames", "moves", "heard", "left", "counts", "suspects", "permit", "limits",
 }
 
-// traffic counts datagrams of a kind and their bytes.
+// traffic counts the datagrams of a kind and their bytes.
 type traffic struct{ datagrams, bytes *metrics.Counter }
 
 func (t *traffic) add(bytes int) {
@@ -43,7 +43,7 @@
 var (
 	sent       = newTraffic("out")
 	received   = newTraffic("in")
-	broadcasts = newTraffic("spread") // to all others, by way of neighbours
+	broadcasts = newTraffic("spread") // to all other instances, forwarded by neighbours
 )
 
 func newTraffic(direction string) (out [kindCount]traffic) {
--- a/lib/ownerlink/left.go
+++ b/lib/ownerlink/left.go
@@ -7,8 +7,8 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// NotifyLeaving tells others of a target that has said in an answer that it leaves: its owner, which tells all. They would each send it a
-// request before they hear it from the target.
+// NotifyLeaving reports a target that has announced in an answer that it leaves to its owner, which informs all instances. Otherwise
+// each of them would send it a request before receiving the announcement from the target.
 func (l *Link) NotifyLeaving(t fleet.Info) {
 	left := &ownerpb.Left{Target: t.ID, Born: t.Born}
 	s := l.layout.Load().PermitShard(t)
@@ -30,8 +30,8 @@
 	return d
 }
 
-// handleReport takes in what an instance has on engines, and tells it of those that have left if it may not hear that from the list. What
-// it was told before may have been lost.
+// handleReport applies an instance's report, and informs the instance of targets that left if its target list is partial. An earlier
+// message may have been lost.
 func (l *Link) handleReport(d *ownerpb.Datagram, r *ownerpb.Report) {
 	l.Coordinator.Report(time.Now(), decodeReport(d, r))
 	if !r.Describe {
@@ -57,7 +57,7 @@
 	}
 }
 
-// NotifyRestarted tells the instances that have runs on engines that these have started again, which ends the runs.
+// NotifyRestarted informs the instances that have runs on engines that these have restarted, which ends the runs.
 func (l *Link) NotifyRestarted(engines []fleet.Info) {
 	layout := l.layout.Load()
 	for _, e := range engines {
@@ -72,7 +72,7 @@
 	}
 }
 
-// handleLeft takes in what another instance saw, and tells all if it is asked to.
+// handleLeft applies another instance's observation, and forwards it to all instances if requested.
 func (l *Link) handleLeft(body *ownerpb.LeftTold) {
 	for _, e := range body.GetLeft() {
 		if e.Lives {
--- a/lib/ownerlink/link.go
+++ b/lib/ownerlink/link.go
@@ -23,79 +23,80 @@
 	badDatagrams = metrics.NewCounter(`anvilwick_owner_bad_datagrams_total`)
 	unanswered   = metrics.NewCounter(`anvilwick_owner_unanswered_total`)
 
-	// Together they are the age of what a choice rests on: from a change until it is told, and the way of an ask and back,
-	// of which its owner decides in the middle.
+	// Together they are the age of the data that a choice is based on: from a change until it is reported, and the round trip of
+	// a request, which its owner decides half-way.
 	reportDelay      = metrics.NewHistogram(`anvilwick_owner_report_delay_seconds`)
 	answerTime       = metrics.NewHistogram(`anvilwick_owner_answer_seconds{waited="no"}`)
 	waitedAnswerTime = metrics.NewHistogram(`anvilwick_owner_answer_seconds{waited="yes"}`)
 )
 
 const (
-	// answerTimeout is the wait for an answer to one datagram: some milliseconds on the way, and the rest for an instance whose
-	// processor is busy.
+	// answerTimeout is the wait for the answer to one datagram: some milliseconds of transit, and the rest for an instance whose
+	// processor is under load.
 	answerTimeout = 50 * time.Millisecond
-	// maxTries is how often an owner is asked before the next one is: of links that lose a fortieth of their datagrams one ask
+	// maxTries is how often an owner is queried before the next one is: on links that lose a fortieth of their datagrams, one request
 	// in ten thousand goes unanswered.
 	maxTries = 3
-	// waitingResend is the period at which an ask that waits is sent again, so that its owner knows that it is still wanted.
+	// waitingResend is the period at which a waiting request is retransmitted, so that its owner knows that it is still wanted.
 	waitingResend = 200 * time.Millisecond
-	// decideInterval is the pause between two looks at the asks that wait here.
+	// decideInterval is the period at which the waiting requests are decided.
 	decideInterval = 10 * time.Millisecond
-	// reportDelayMin keeps changes in quick succession to one report.
+	// reportDelayMin combines changes in quick succession into one report.
 	reportDelayMin = 15 * time.Millisecond
-	// planDelay is how long a plan of moves waits for other engines that leave with the first.
+	// planDelay is how long the planning of moves waits for other engines that leave with the first.
 	planDelay = 15 * time.Millisecond
-	// stallThreshold is the lateness of a beat from which this instance takes itself to have stood still.
+	// stallThreshold is the lateness of a heartbeat from which this instance assumes that it was stalled.
 	stallThreshold = 400 * time.Millisecond
-	// maxDatagram is the largest datagram in bytes. A longer report is cut by leaving runs out.
+	// maxDatagram is the size limit of a datagram in bytes. Runs are left out of a report that would exceed it.
 	maxDatagram = 16 << 10
-	// maxLeftPerHeartbeat bounds the targets that one beat names.
+	// maxLeftPerHeartbeat bounds the targets in one heartbeat.
 	maxLeftPerHeartbeat = 64
 )
 
-// ErrNoOwner says that no owner answers.
+// ErrNoOwner means that no owner answers.
 var ErrNoOwner = errors.New("ownerlink: no owner answers")
 
-// Config is what a Link works with.
+// Config holds the settings and callbacks of a Link.
 type Config struct {
 	Self        owner.Instance
 	Incarnation uint64
 	Fleet       *fleet.Fleet
 	Coordinator *owner.Coordinator
-	// Conn carries the datagrams; nil: a socket on Self.Addr.
+	// Conn sends and receives the datagrams; nil: a socket on Self.Addr.
 	Conn PacketConn
 
-	// Gather returns what this instance has on the engines of each shard, as shardOf tells them; the link adds what is its own.
+	// Gather returns what this instance has on the engines of each shard, grouped by shardOf; the link adds its own data.
 	Gather func(shardOf func(engine string) *owner.Shard) map[string]owner.Report
-	// MoveLink tells how a service's engines copy runs; ok is false when they don't.
+	// MoveLink returns the links over which a service's engines copy runs; ok is false when they do not copy.
 	MoveLink func(service string) (link moveplan.Link, ok bool)
-	// OnLeft is told of targets that another instance saw to leave, and reports whether that is news.
+	// OnLeft receives targets that another instance saw leaving, and reports whether that is new here.
 	OnLeft func(id string, born int64) bool
-	// OnRestarted is told of targets that another instance saw to have started again.
+	// OnRestarted receives targets that another instance saw restarted.
 	OnRestarted func(id string, born int64)
-	// OnGranted is told of targets that owners have found for this instance, where it holds a part of the list.
+	// OnGranted receives targets that owners selected for this instance, if it holds a part of the target list.
 	OnGranted func(fleet.Info)
-	// HasPartialList reports whether this instance holds no more than a part of the list of targets.
+	// HasPartialList reports whether this instance holds only a part of the target list.
 	HasPartialList func() bool
-	// Broadcast tells all other instances, which hand what it is given to TakeSpread.
+	// Broadcast sends a datagram to all other instances, which pass it to ReceiveBroadcast.
 	Broadcast func(datagram []byte)
-	// OnBlames is told what peers say of contents that killed targets.
+	// OnBlames receives peers' reports of contents that killed targets.
 	OnBlames func([]*ownerpb.Blame)
-	// OnSuspected is told when this instance begins to avoid a target by what all instances saw there; permille of its requests fail.
+	// OnSuspected is called when this instance begins to avoid a target because of the outcomes of all instances; permille of its
+	// requests fail.
 	OnSuspected func(target string, permille uint32)
-	// OnBadDatagram is told once of each kind of datagram that could not be used.
+	// OnBadDatagram is called once for each kind of datagram that could not be used.
 	OnBadDatagram func(cause string, err error)
 }
 
-// Link sends and receives. Make it with New.
+// Link sends and receives the datagrams of an instance. Create it with New.
 type Link struct {
 	Config
 	conn          PacketConn
 	layout        atomic.Pointer[owner.Layout]
 	reportDue     chan struct{} // a report is due
-	waitingAdded  chan struct{} // asks wait here
-	layoutChanged chan struct{} // a layout was put in force
-	// changedAt is the first change that has not been told yet.
+	waitingAdded  chan struct{} // requests were added to the waiting ones
+	layoutChanged chan struct{} // a layout was set
+	// changedAt is the first change that was not reported yet.
 	changedAt atomic.Pointer[time.Time]
 
 	mu             sync.Mutex
@@ -104,17 +105,17 @@
 	addrs          map[string]netip.AddrPort
 	lastGrants     map[string]uint64 // newest grant, by owner
 	reportedBad    map[string]bool
-	plans          map[string]*plan // under way, by shard
+	plans          map[string]*plan // in preparation, by shard
 	outcomes       map[string]*outcomes
 	prefillSamples []owner.PrefillSample
-	addrByName     map[string]string // addresses of all instances, this one too, by name
-	highCapacity   []string          // those with half of the largest capacity or more
+	addrByName     map[string]string // addresses of all instances including this one, by name
+	highCapacity   []string          // names of the instances with at least half of the largest capacity
 	plain          plainOutcomes
 	sentLimits     map[string]sentLimit // by target
 
-	// Of the goroutine that beats:
+	// Used by heartbeatLoop only:
 	sentFills       map[string]sentFill // of the shards that it owns
-	leftAnnouncedAt time.Time           // when it last told of targets that have left
+	leftAnnouncedAt time.Time           // when targets that left were last announced
 }
 
 // PacketConn sends and receives datagrams, as *net.UDPConn does.
@@ -133,7 +134,7 @@
 	return net.ListenUDP("udp4", at)
 }
 
-// New listens on Config.Self.Addr.
+// New opens the socket on Config.Self.Addr, unless Config.Conn is set.
 func New(cfg Config) (*Link, error) {
 	conn := cfg.Conn
 	if conn == nil {
@@ -143,19 +144,20 @@
 		}
 	}
 	if cfg.Self.Addr != conn.LocalAddr().String() {
-		cfg.Self.Addr = conn.LocalAddr().String() // the port was chosen by the system
+		cfg.Self.Addr = conn.LocalAddr().String() // the system chose the port
 	}
 	l := &Link{
 		Config: cfg, conn: conn, reportDue: make(chan struct{}, 1), waitingAdded: make(chan struct{}, 1), layoutChanged: make(chan struct{}, 1),
 		calls: make(map[uint64]chan *ownerpb.Datagram), addrs: make(map[string]netip.AddrPort),
 		lastGrants: make(map[string]uint64), reportedBad: make(map[string]bool), plans: make(map[string]*plan),
-		outcomes: make(map[string]*outcomes), plain: newPlainOutcomes(), sentLimits: make(map[string]sentLimit), sentFills: make(map[string]sentFill),
+		outcomes: make(map[string]*outcomes), plain: newPlainOutcomes(), sentLimits: make(map[string]sentLimit),
+		sentFills: make(map[string]sentFill),
 	}
 	l.layout.Store(owner.NewPartition().Layout())
 	return l, nil
 }
 
-// SetLayout puts a layout of shards in force.
+// SetLayout replaces the layout of shards.
 func (l *Link) SetLayout(layout *owner.Layout) {
 	if l.layout.Swap(layout) != layout {
 		l.ScheduleReport()
@@ -163,7 +165,7 @@
 	}
 }
 
-// notify leaves a note in a channel that holds one.
+// notify sends to a channel of capacity one without blocking.
 func notify(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -171,7 +173,7 @@
 	}
 }
 
-// SetPeers replaces the instances that are listed.
+// SetPeers replaces the known instances.
 func (l *Link) SetPeers(instances []owner.Instance) error {
 	addrs := make(map[string]netip.AddrPort, len(instances))
 	addrByName := make(map[string]string, len(instances))
@@ -199,7 +201,7 @@
 	return bad
 }
 
-// ScheduleReport asks for a report to be sent soon.
+// ScheduleReport has a report sent soon.
 func (l *Link) ScheduleReport() {
 	now := time.Now()
 	l.changedAt.CompareAndSwap(nil, &now)
@@ -234,7 +236,7 @@
 	}
 }
 
-// reportBad tells of a kind of bad datagram once: a sender that is wrong is wrong many times a second.
+// reportBad reports a kind of bad datagram once: a faulty sender repeats its fault many times a second.
 func (l *Link) reportBad(cause string, err error) {
 	badDatagrams.Inc()
 	l.mu.Lock()
@@ -246,7 +248,7 @@
 	}
 }
 
-// send sends a datagram; a failure shows itself as a missing answer.
+// send sends a datagram; a failure shows as a missing answer.
 func (l *Link) send(addr string, d *ownerpb.Datagram) {
 	at, ok := l.addr(addr)
 	if !ok {
@@ -281,7 +283,7 @@
 	return at, true
 }
 
-// highCapacityNames lists the instances with half of the largest capacity or more: others' reports do not slow them down.
+// highCapacityNames lists the instances with at least half of the largest capacity: reports of others do not slow them down.
 func (l *Link) highCapacityNames() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -294,7 +296,7 @@
 	return l.addrByName[instance]
 }
 
-// broadcast tells all other instances.
+// broadcast sends a datagram to all other instances.
 func (l *Link) broadcast(d *ownerpb.Datagram) {
 	b, err := proto.Marshal(d)
 	if err != nil {
@@ -305,10 +307,10 @@
 	l.Broadcast(b)
 }
 
-// ReceiveBroadcast takes in what another instance tells all.
+// ReceiveBroadcast handles a broadcast of another instance.
 func (l *Link) ReceiveBroadcast(b []byte) { l.receiveDatagram(b) }
 
-// receiveDatagram takes in a datagram.
+// receiveDatagram decodes and handles a datagram.
 func (l *Link) receiveDatagram(b []byte) {
 	var d ownerpb.Datagram
 	if err := proto.Unmarshal(b, &d); err != nil {
@@ -320,7 +322,7 @@
 	l.handle(&d)
 }
 
-// newDatagram is a datagram of this instance, without a body.
+// newDatagram returns a datagram from this instance, without a body.
 func (l *Link) newDatagram() *ownerpb.Datagram {
 	return &ownerpb.Datagram{Instance: l.Self.Name, Incarnation: l.Incarnation, Addr: l.Self.Addr}
 }
--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -136,7 +136,10 @@
 
 func placeRequest(tokens int) owner.PlaceRequest {
 	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
-	return owner.PlaceRequest{Run: 7, Stream: admit.Stream{Arrived: time.Now(), Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need}}
+	return owner.PlaceRequest{
+		Run:    7,
+		Stream: admit.Stream{Arrived: time.Now(), Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need},
+	}
 }
 
 func eventually(t *testing.T, cond func() bool) {
--- a/lib/ownerlink/moves.go
+++ b/lib/ownerlink/moves.go
@@ -8,15 +8,15 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// plan is one of moves that is about to be made, with those who ask for it.
+// plan is a plan of moves in preparation, with the requests that wait for it.
 type plan struct {
 	shard    *owner.Shard
 	engines  []fleet.Info
 	requests []*ownerpb.Datagram
 }
 
-// PlanLeaving plans the moves of the runs on engines that leave, where this instance may be asked for them. Engines that leave
-// with the first, some milliseconds later, come into the same plan: their runs share the links of the same destinations.
+// PlanLeaving plans the moves of the runs on engines that leave, for shards that this instance is a candidate for. Engines that leave
+// some milliseconds after the first are included in the same plan: their runs share the links of the same destinations.
 func (l *Link) PlanLeaving(engines []fleet.Info) {
 	layout := l.layout.Load()
 	l.mu.Lock()
@@ -58,14 +58,14 @@
 	}
 }
 
-// notifyUsers tells the instances that have runs on engines which leave. While the list of targets is away, they have it
-// from nobody else.
+// notifyUsers informs the instances that have runs on engines that leave. While the target list is unavailable, they learn of it in
+// no other way.
 func (l *Link) notifyUsers(s *owner.Shard, engines []fleet.Info) {
 	var left []*ownerpb.Left
 	ids := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		if l.Fleet.IsPresumedGone(e.ID) {
-			continue // others judge the missing entry by themselves, and would take this for the engine's own word
+			continue // others detect the missing entry themselves, and would take this for the engine's own announcement
 		}
 		left = append(left, &ownerpb.Left{Target: e.ID, Born: e.Born})
 		ids[e.ID] = true
--- a/lib/ownerlink/permits.go
+++ b/lib/ownerlink/permits.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// permitTimeout bounds the wait for a permit: one candidate that is gone, and the answer of the next.
+	// permitTimeout bounds the wait for a permit: the time-out of one dead candidate, and the answer of the next.
 	permitTimeout = maxTries*answerTimeout + 15*time.Millisecond
-	// limitResend is how often an owner is told again of a limit that holds on, and everybody of one that changes by little.
+	// limitResend is the interval at which an unchanged limit is repeated to its owner, and a slightly changed one to all instances.
 	limitResend = 500 * time.Millisecond
-	// limitStep is the part by which a limit changes that everybody is told of at once.
+	// limitStep is the relative change of a limit that is announced at once.
 	limitStep = 0.2
-	// maxSentLimits bounds the limits that a Link remembers to have told of.
+	// maxSentLimits bounds the limits that a Link remembers as announced.
 	maxSentLimits = 4096
 )
 
-// sentLimit is what was last told of a target's limit.
+// sentLimit is the last announced limit of a target.
 type sentLimit struct {
 	fleet.Limit
 	at time.Time
 }
 
-// due reports whether a limit is to be told now.
+// due reports whether a limit is to be announced now.
 func (t sentLimit) due(now time.Time, l fleet.Limit) bool {
 	if now.Sub(t.at) >= limitResend || l.On != t.On {
 		return true
@@ -34,7 +34,7 @@
 	return l.PerSecond < (1-limitStep)*t.PerSecond || l.PerSecond > (1+limitStep)*t.PerSecond
 }
 
-// RequestPermit asks a target's owner for leave to send it a request. ErrAlone says that none answers, or knows the target.
+// RequestPermit requests a permit to send a request to a target from its owner. ErrNoOwner means that none answers or knows the target.
 func (l *Link) RequestPermit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error) {
 	s := l.layout.Load().PermitShard(t)
 	if s == nil {
@@ -58,7 +58,7 @@
 	return fleet.Permit{Granted: p.GetGiven(), RetryAfter: duration(p.GetAfterMs())}, nil
 }
 
-// handlePermitRequest answers for the targets that this instance owns, and passes on what is for another.
+// handlePermitRequest answers for the targets that this instance owns, and forwards other requests.
 func (l *Link) handlePermitRequest(d *ownerpb.Datagram, req *ownerpb.PermitAsk) {
 	now := time.Now()
 	id := req.GetWord().GetTarget()
@@ -92,7 +92,7 @@
 	})
 }
 
-// ReportLimit tells a target's owner of the limit that an answer named, or no longer named. changed says that it is news to this instance.
+// ReportLimit reports the limit that a target's answer stated, or stated no longer, to its owner. changed means that it is new here.
 func (l *Link) ReportLimit(t fleet.Info, changed bool) {
 	now := time.Now()
 	s := l.layout.Load().PermitShard(t)
@@ -111,7 +111,7 @@
 	}
 }
 
-// limitDue reports whether a limit is to be told now, and notes that it is.
+// limitDue reports whether a limit is to be announced now, and records that it is.
 func (l *Link) limitDue(now time.Time, target string, limit fleet.Limit) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +125,7 @@
 	return true
 }
 
-// broadcastLimit tells all instances of a limit: those that have not been told go on as if there were none.
+// broadcastLimit sends a limit to all instances: those that do not know of it send as if there were none.
 func (l *Link) broadcastLimit(now time.Time, target string) {
 	report := l.Fleet.LimitOf(target)
 	if !l.limitDue(now, target, report.Limit) {
@@ -149,17 +149,18 @@
 	}
 }
 
-// applyLimit takes in a word of a limit and reports whether it is news.
+// applyLimit applies a received limit and reports whether it is new.
 func (l *Link) applyLimit(now time.Time, w *ownerpb.LimitWord) bool {
 	if w.GetTarget() == "" {
 		return false
 	}
 	return l.Fleet.ApplyLimit(w.Target, fleet.LimitNotice{
-		Limit: fleet.Limit{On: w.On, PerSecond: w.PerSecond}, RequestedAt: timeBefore(now, w.AskedAgoUs), ReceivedAt: timeBefore(now, w.HeardAgoUs), Relayed: true,
+		Limit:       fleet.Limit{On: w.On, PerSecond: w.PerSecond},
+		RequestedAt: timeBefore(now, w.AskedAgoUs), ReceivedAt: timeBefore(now, w.HeardAgoUs), Relayed: true,
 	})
 }
 
-// maxAge bounds an age that is told, so that a senseless one is not in the future.
+// maxAge bounds an age on the wire, so that an invalid one does not become a time in the future.
 const maxAge = 24 * time.Hour
 
 func timeBefore(now time.Time, agoUs uint64) time.Time {
@@ -170,7 +171,7 @@
 	return uint64(min(max(0, now.Sub(at)), maxAge).Microseconds())
 }
 
-// encodeLimit tells of a target's limit as it is known here.
+// encodeLimit encodes a target's limit as it is known here.
 func encodeLimit(target string, w fleet.LimitNotice, now time.Time) *ownerpb.LimitWord {
 	return &ownerpb.LimitWord{
 		Target: target, On: w.On, PerSecond: w.PerSecond, AskedAgoUs: ageMicros(now, w.RequestedAt), HeardAgoUs: ageMicros(now, w.ReceivedAt),
--- a/lib/ownerlink/report.go
+++ b/lib/ownerlink/report.go
@@ -9,10 +9,10 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// outcomesReportedFor is how long a target's outcomes are reported after the last: until a lost report has been made up for.
+// outcomesReportedFor is how long a target's outcomes are reported after the last: long enough to make up for a lost report.
 const outcomesReportedFor = 4 * owner.ReportInterval
 
-// reportedCandidates is how many of a shard's candidates are told what instances have there: the owner, and the one that takes over.
+// reportedCandidates is the number of a shard's candidates that receive reports: the owner, and the one that takes over.
 const reportedCandidates = 2
 
 type outcomes struct {
@@ -20,7 +20,7 @@
 	changed time.Time
 }
 
-// RecordOutcome counts how a request of this instance ended at a target.
+// RecordOutcome counts the result of this instance's request to a target.
 func (l *Link) RecordOutcome(target string, o fleet.Outcome) {
 	if l.shardOf(target) == nil {
 		return
@@ -45,7 +45,7 @@
 	c.changed = time.Now()
 }
 
-// RecordPrefill notes how long a first event took after tokens of prompts were believed to be read before it.
+// RecordPrefill records a prefill sample for the next report.
 func (l *Link) RecordPrefill(r owner.PrefillSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,10 +54,10 @@
 	}
 }
 
-// maxPrefillSamples bounds the readings of one report.
+// maxPrefillSamples bounds the samples in one report.
 const maxPrefillSamples = 32
 
-// shardOf returns the shard that an engine is in; nil when there is none.
+// shardOf returns the shard of an engine; nil when there is none.
 func (l *Link) shardOf(engine string) *owner.Shard {
 	t, known := l.Fleet.Info(engine)
 	if !known {
@@ -66,7 +66,7 @@
 	return l.layout.Load().ShardOf(t)
 }
 
-// OwnedEngines lists the engines that this instance decides for.
+// OwnedEngines lists the engines of the shards that this instance is the acting owner of.
 func (l *Link) OwnedEngines() []string {
 	var out []string
 	now := time.Now()
@@ -78,7 +78,7 @@
 	return out
 }
 
-// reports returns what this instance has on each shard now.
+// reports returns this instance's current report for each shard.
 func (l *Link) reports() map[string]owner.Report {
 	out := l.Gather(l.shardOf)
 	now := time.Now()
@@ -103,7 +103,7 @@
 	return out
 }
 
-// takePrefillSamples returns the readings of services since the last call.
+// takePrefillSamples returns the samples since the last call.
 func (l *Link) takePrefillSamples() []owner.PrefillSample {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +112,8 @@
 	return out
 }
 
-// reportLoop tells owners what this instance has, when it changes and every owner.ReportEvery. What has nothing on a shard says
-// so once and is silent.
+// reportLoop sends reports to owners on changes and every owner.ReportInterval. An instance that has nothing left on a shard reports
+// that once and is silent from then on.
 func (l *Link) reportLoop(ctx context.Context) {
 	t := time.NewTicker(owner.ReportInterval)
 	defer t.Stop()
@@ -131,7 +131,7 @@
 	}
 }
 
-// sendReports sends a report for each shard that this instance has something on, or had when it last told.
+// sendReports sends a report for each shard that this instance has something on, or had in the last report.
 func (l *Link) sendReports(reported map[string]bool) {
 	if at := l.changedAt.Swap(nil); at != nil {
 		reportDelay.Update(time.Since(*at).Seconds())
@@ -183,7 +183,7 @@
 	}
 }
 
-// encodeReport adds what the receiver has granted.
+// encodeReport adds the newest grant received from the receiver.
 func (l *Link) encodeReport(r *owner.Report, to string) *ownerpb.Report {
 	l.mu.Lock()
 	r.LastGrant = l.lastGrants[to]
@@ -191,7 +191,7 @@
 	return encodeReport(r)
 }
 
-// BroadcastBlames tells all instances of contents that killed targets. Deaths are rare, and until all know, each may send
+// BroadcastBlames sends contents that killed targets to all instances. Such deaths are rare, and until all know, each may send
 // such a content to another target.
 func (l *Link) BroadcastBlames(blames []*ownerpb.Blame) {
 	d := l.newDatagram()
--- a/lib/ownerlink/suspects.go
+++ b/lib/ownerlink/suspects.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// judgeInterval is the period at which outcomes at plain targets are told and judged on a small site.
+	// judgeInterval is the period at which outcomes at plain targets are sent and judged on a small site.
 	judgeInterval = 300 * time.Millisecond
-	// maxReportRate bounds the reports a second that one that judges gets for a service, but for a burst of reportsBurst of each instance.
-	// Where many instances have few requests each, all that they see is told at once.
+	// maxReportRate bounds the reports a second that an instance which judges a service receives, apart from a burst of reportBurst from
+	// each instance. Where many instances send few requests each, all outcomes are reported at once.
 	maxReportRate = 200
 	reportBurst   = 3
-	// verdictResend is how often a verdict that holds on is told again. It outlives one that is lost.
+	// verdictResend is the period at which a verdict is repeated while it holds. It leaves time to make up for a lost one.
 	verdictResend = suspect.VerdictTTL * 2 / 3
 )
 
 var suspectsAnnounced = metrics.NewCounter(`anvilwick_owner_suspects_told_total`)
 
-// plainOutcomes counts how this instance's requests ended at plain targets, and judges those of the services that it ranks for.
+// plainOutcomes counts the results of this instance's requests to plain targets, and judges those of the services assigned to it.
 type plainOutcomes struct {
 	mu          sync.Mutex
-	counts      map[string]map[string]*suspect.Count // by service, target
-	unsent      map[string]bool                      // services with outcomes that are not told yet
+	counts      map[string]map[string]*suspect.Count // by service, then target
+	unsent      map[string]bool                      // services with counts that were not sent yet
 	judge       *suspect.Detector
-	announced   map[string]time.Time // suspects, when they were last told
-	sendLimiter *rate.Limiter        // of this instance's counts
-	wake        chan struct{}        // there is something to tell or to judge
+	announced   map[string]time.Time // when each suspect was last announced
+	sendLimiter *rate.Limiter        // limits the messages with this instance's counts
+	wake        chan struct{}        // there are counts to send or verdicts to reach
 }
 
 func newPlainOutcomes() plainOutcomes {
@@ -68,14 +68,14 @@
 	notify(p.wake)
 }
 
-// hasWork reports whether there is something to tell or to judge.
+// hasWork reports whether there are counts to send or verdicts to reach.
 func (p *plainOutcomes) hasWork() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.unsent)+len(p.announced) > 0 || p.judge.Active()
 }
 
-// takeUnsent returns the counts that are to be told, and forgets targets that are gone.
+// takeUnsent returns the counts to be sent, and drops targets that are gone.
 func (p *plainOutcomes) takeUnsent(gone func(target string) bool) map[string][]suspect.Count {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +93,7 @@
 	return out
 }
 
-// dueVerdicts returns the verdicts that are to be told now.
+// dueVerdicts returns the verdicts to be announced now.
 func (p *plainOutcomes) dueVerdicts(now time.Time) []suspect.Verdict {
 	verdicts := p.judge.Verdicts(now)
 	out := verdicts[:0]
@@ -111,12 +111,12 @@
 	return out
 }
 
-// RecordPlainOutcome counts how a request of this instance ended at a target that nobody owns.
+// RecordPlainOutcome counts the result of this instance's request to a target without an owner.
 func (l *Link) RecordPlainOutcome(service, target string, o fleet.Outcome) {
 	l.plain.record(service, target, o)
 }
 
-// judgeLoop tells outcomes to those that judge, and verdicts to all. It rests while there is nothing to tell or to judge.
+// judgeLoop sends outcomes to the instances that judge, and verdicts to all. It blocks while there is nothing to send or judge.
 func (l *Link) judgeLoop(ctx context.Context) {
 	for {
 		select {
@@ -145,7 +145,7 @@
 	l.announceSuspects(now)
 }
 
-// countsInterval is how often this instance tells its counts when it always has some.
+// countsInterval is the period at which this instance sends its counts when it always has some.
 func (l *Link) countsInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 }
 
-// maxCounts bounds the targets that one datagram names: those that have failed most.
+// maxCounts bounds the targets in one datagram; those with the most failures are kept.
 const maxCounts = 128
 
 func (l *Link) handleCounts(d *ownerpb.Datagram, body *ownerpb.Counts) {
@@ -184,7 +184,7 @@
 	notify(l.plain.wake)
 }
 
-// announceSuspects tells all instances of targets that fail. They are few, and seldom.
+// announceSuspects informs all instances of targets that fail. Such messages are few and small.
 func (l *Link) announceSuspects(now time.Time) {
 	l.plain.mu.Lock()
 	verdicts := l.plain.dueVerdicts(now)
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -24,7 +24,8 @@
 	out := &ownerpb.Ask{
 		Id: req.ID, Shard: shard, Hops: uint32(req.Hops), Run: req.Run, Mode: uint32(req.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
 		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(req.Stream.Objective),
-		AgeMs: ms(now.Sub(req.Stream.Arrived)), KeepsMs: ms(req.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(req.Backup), Print: req.Fingerprint,
+		AgeMs: ms(now.Sub(req.Stream.Arrived)), KeepsMs: ms(req.Stream.MaxRetryAfter), Near: n.PreferredDomain,
+		BackupTokens: tokens(req.Backup), Print: req.Fingerprint,
 		Back: req.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: req.Describe,
 	}
 	for id := range n.Exclude {
@@ -51,8 +52,11 @@
 	}
 	return owner.PlaceRequest{
 		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: req.Id},
-		ReplyAddr: d.Addr, Run: req.Run, Mode: owner.Mode(req.Mode), Backup: int(req.BackupTokens), Hops: int(req.Hops), Fingerprint: req.Print, Describe: req.Describe,
-		Stream: admit.Stream{Arrived: now.Add(-duration(req.AgeMs)), Objective: duration(req.AimMs), MaxRetryAfter: duration(req.KeepsMs), IsRetry: req.Back, Need: need},
+		ReplyAddr: d.Addr, Run: req.Run, Mode: owner.Mode(req.Mode), Backup: int(req.BackupTokens), Hops: int(req.Hops),
+		Fingerprint: req.Print, Describe: req.Describe,
+		Stream: admit.Stream{
+			Arrived: now.Add(-duration(req.AgeMs)), Objective: duration(req.AimMs), MaxRetryAfter: duration(req.KeepsMs), IsRetry: req.Back, Need: need,
+		},
 	}
 }
 
@@ -65,7 +69,7 @@
 	}
 }
 
-// encodeTarget writes what the list says of a target; nil: nothing.
+// encodeTarget encodes the target list's entry of a target; nil if it has none.
 func encodeTarget(t *fleet.Info) *ownerpb.Target {
 	if t.Addr == "" {
 		return nil
@@ -115,7 +119,10 @@
 }
 
 func decodeReport(d *ownerpb.Datagram, r *ownerpb.Report) owner.Report {
-	out := owner.Report{Shard: r.Shard, Instance: d.Instance, ReplyAddr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, LastGrant: r.Seen, Describe: r.Describe}
+	out := owner.Report{
+		Shard: r.Shard, Instance: d.Instance, ReplyAddr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, LastGrant: r.Seen,
+		Describe: r.Describe,
+	}
 	for _, m := range r.Runs {
 		out.Runs = append(out.Runs, owner.Run{
 			ID: m.Id, Target: m.Target, Tokens: int(m.Tokens), Expected: int(m.Expected), Unread: int(m.Unread),
@@ -134,7 +141,7 @@
 	return out
 }
 
-// truncateReport cuts a report to a datagram by leaving runs out.
+// truncateReport leaves runs out of a report until it fits into a datagram.
 func truncateReport(d *ownerpb.Datagram, r *ownerpb.Report) {
 	for proto.Size(d) > maxDatagram && len(r.Runs) > 0 {
 		r.Runs = r.Runs[:len(r.Runs)/2]
--- a/lib/ownerlink/wire_test.go
+++ b/lib/ownerlink/wire_test.go
@@ -18,7 +18,8 @@
 func TestPlaceRequestRoundTrip(t *testing.T) {
 	now := time.Now()
 	sent := owner.PlaceRequest{
-		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, ReplyAddr: "127.0.0.1:1", Run: 11, Mode: owner.MustFit, Backup: 13, Hops: 2, Fingerprint: 17,
+		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, ReplyAddr: "127.0.0.1:1", Run: 11, Mode: owner.MustFit,
+		Backup: 13, Hops: 2, Fingerprint: 17,
 		Stream: admit.Stream{
 			Arrived: now.Add(-40 * time.Millisecond), Objective: time.Second, MaxRetryAfter: 2 * time.Second, IsRetry: true,
 			Need: fleet.Need{
