--- a/lib/owner/desk_test.go
+++ b/lib/owner/desk_test.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// twoCoordinators are the owners of two shards of one engine each, in two failure domains.
+// twoCoordinators returns the owners of two shards of one engine each, in two failure domains.
 func twoCoordinators() (a, b *Coordinator, ofA, ofB *Shard) {
 	es := []fleet.Info{{ID: "ea", Service: "s", Domain: "za"}, {ID: "eb", Service: "s", Domain: "zb"}}
 	ofA = &Shard{Key: "a", Service: "s", members: newMembers([]string{"ea"}), Ranked: []Instance{{Name: "a"}}}
@@ -25,14 +25,14 @@
 	return desk("a"), desk("b"), ofA, ofB
 }
 
-// exchangeHeartbeats tells each owner how full the other's shard is.
+// exchangeHeartbeats sends each owner the fill level of the other's shard.
 func exchangeHeartbeats(now time.Time, a, b *Coordinator, ofA, ofB *Shard) {
 	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Fills: map[string]Fill{"a": a.UpdateFill(now, ofA)}})
 	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b", Fills: map[string]Fill{"b": b.UpdateFill(now, ofB)}})
 }
 
-// A stream comes to a full shard while another has room: it is passed on there at once, and its ask that comes again goes to
-// the same place. One that waits because nobody has room is passed on when another shard has some.
+// A stream arrives at a full shard while another has free capacity: it is forwarded at once, and so are its retransmissions, to the
+// same owner. One that waits because no shard has capacity is forwarded once another shard has some.
 func TestWaitingStreamIsPassedOnToRoom(t *testing.T) {
 	a, b, ofA, ofB := twoCoordinators()
 	a.Report(t0, Report{Shard: "a", Instance: "i", Incarnation: 1, Seq: 1, Runs: []Run{{ID: 1, Target: "ea", Tokens: 9000}}})
@@ -58,8 +58,8 @@
 	must.False(t, a.HasWaiting())
 }
 
-// Each of two full shards believes that the other has room. An ask goes from one to the other and back and stays: passed
-// to and fro it would be two datagrams each few milliseconds, for as long as it waits.
+// Each of two full shards' owners has outdated state by which the other has free capacity. A request goes to the other and back, and
+// stays: a forwarding loop would cost two datagrams every few milliseconds for as long as it waits.
 func TestRequestIsNotForwardedInALoop(t *testing.T) {
 	a, b, ofA, _ := twoCoordinators()
 	for _, d := range []*Coordinator{a, b} {
@@ -83,8 +83,8 @@
 	must.SliceEmpty(t, b.ForwardWaiting(t0))
 }
 
-// An ask was passed on to the owner, which dies. When it comes again, the next in rank decides it: sent to the same one for as long as it is
-// remembered, it would go unanswered at every candidate, and its instance would decide alone.
+// A request was forwarded to the owner, which then dies. The next candidate decides the retransmission: while it went on forwarding to
+// the dead owner, no candidate would answer and the requesting instance would decide alone.
 func TestAskThatWentToADeadOwnerIsDecided(t *testing.T) {
 	es := []fleet.Info{{ID: "e", Service: "s", Domain: "z"}}
 	s := &Shard{Key: "s", Service: "s", members: newMembers([]string{"e"}), Ranked: []Instance{{Name: "first"}, {Name: "second"}}}
--- a/lib/owner/layout_test.go
+++ b/lib/owner/layout_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// instances are small ones, but for three large in each domain.
+// instances returns small instances, with three large ones in each domain.
 func instances(n, domains int) []Instance {
 	out := make([]Instance, n)
 	for i := range out {
@@ -30,8 +30,8 @@
 	return out
 }
 
-// Instances hear of engines and of each other in any order. All must ask the same owner: two owners of one shard give the
-// same room away twice.
+// Instances learn of engines and of each other in any order. All must agree on the owner: two owners of one shard would grant the same
+// capacity twice.
 func TestLayoutIsIndependentOfOrder(t *testing.T) {
 	es, ins := engines(128, 5), instances(295, 5)
 	want := NewLayout(es, ins)
@@ -47,8 +47,8 @@
 	}
 }
 
-// A few engines have one owner, which sees all of them. Of many each shard lies in one failure domain and is owned there, by
-// an instance that can carry it; it has neighbours to pass streams on to.
+// A few engines have one owner for all. Of many, each shard lies in one failure domain and is owned there by an instance with
+// sufficient capacity; it has neighbours to forward streams to.
 func TestShardsFollowDomainsAndCapacity(t *testing.T) {
 	few := NewLayout(engines(12, 3), instances(8, 3))
 	must.SliceLen(t, 1, few.All())
@@ -71,11 +71,11 @@
 	}
 	must.Nil(t, l.HomeShard("other", "z1", "i001"))
 	must.Nil(t, l.ShardOf(fleet.Info{ID: "nobody", Service: "other"}))
-	// A domain without engines asks some shard all the same.
+	// A domain without engines uses a shard of another one.
 	must.NotNil(t, l.HomeShard("s", "z9", "i001"))
 }
 
-// An engine that leaves is in a shard for its runs' sake, and is not chosen from it.
+// An engine that leaves stays assigned to a shard for its runs, but is not among the engines that the shard places streams on.
 func TestLeavingEnginesKeepTheirShard(t *testing.T) {
 	es := engines(128, 5)
 	l := NewLayout(es[1:], instances(295, 5))
@@ -85,7 +85,7 @@
 	must.SliceNotContains(t, s.Engines(), es[0].ID)
 }
 
-// At the size that is designed for no instance owns many shards, and none looks to more than a few others.
+// At the design size no instance owns many shards, and none exchanges fill levels with more than a few others.
 func TestLayoutBalanceAtDesignSize(t *testing.T) {
 	l := NewLayout(engines(12_000, 21), instances(430, 21))
 	owned := make(map[string]int)
@@ -107,8 +107,8 @@
 	}
 }
 
-// A sixth of the engines leaves again and again, and others come. The shards stay the same ones: with another number of them
-// all owners would change, and what they were told.
+// A sixth of the engines leaves repeatedly, and others arrive. The shards stay the same: another number of shards would change all
+// owners and lose the state reported to them.
 func TestShardsAreStableUnderEngineChurn(t *testing.T) {
 	for _, n := range []int{8, 72, 295} {
 		all := engines(max(12, n/2), 5)
--- a/lib/owner/limit_test.go
+++ b/lib/owner/limit_test.go
@@ -10,11 +10,11 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// All engines of a shard take two streams a second, and thirty come at once. Those that can't have their turn before they would be
-// late are told so when they come; those told to wait are served, and no limit is passed.
+// Every engine of a shard accepts two streams a second, and thirty arrive at once. Those that can't be served in time are rejected at
+// once; those that wait are served, and no limit is exceeded.
 func TestStreamsThatLimitsLeaveNoTurnAreRefusedAtOnce(t *testing.T) {
 	const n, perSecond, asked = 3, 2.0, 30
-	b, f, s := newTestLedger(n)
+	l, f, s := newTestLedger(n)
 	for _, id := range s.Engines() {
 		f.ApplyLimit(id, fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: perSecond}, RequestedAt: t0, ReceivedAt: t0})
 	}
@@ -29,16 +29,16 @@
 		refused++
 	}
 	for id := range uint64(asked) {
-		if a, ok := b.Place(t0, s, placeRequest("i", id, 100)); ok {
+		if a, ok := l.Place(t0, s, placeRequest("i", id, 100)); ok {
 			count(a)
 		}
 	}
 	atOnce := refused
-	for at := 10 * time.Millisecond; b.HasWaiting() && at < 2*time.Second; at += 10 * time.Millisecond {
+	for at := 10 * time.Millisecond; l.HasWaiting() && at < 2*time.Second; at += 10 * time.Millisecond {
 		for id := range uint64(asked) {
-			b.Place(t0.Add(at), s, placeRequest("i", id, 100)) // they are still wanted
+			l.Place(t0.Add(at), s, placeRequest("i", id, 100)) // retransmitted: they are still wanted
 		}
-		for _, a := range b.DecideWaiting(t0.Add(at)) {
+		for _, a := range l.DecideWaiting(t0.Add(at)) {
 			count(a)
 		}
 	}
@@ -48,15 +48,15 @@
 	must.LessEq(t, 3, refused-atOnce)
 }
 
-// One engine of a shard has no limit: streams wait for room as always.
+// One engine of a shard has no limit: streams wait for capacity as usual.
 func TestStreamsWaitWhereAnEngineHasNoLimit(t *testing.T) {
-	b, f, s := newTestLedger(2)
+	l, f, s := newTestLedger(2)
 	f.ApplyLimit(s.Engines()[0], fleet.LimitNotice{Limit: fleet.Limit{On: true}, RequestedAt: t0, ReceivedAt: t0})
 	for id := range uint64(6) {
-		a, ok := b.Place(t0, s, placeRequest("i", id, 9000))
+		a, ok := l.Place(t0, s, placeRequest("i", id, 9000))
 		if ok {
 			must.Eq(t, admit.Admit, a.Action)
 		}
 	}
-	must.True(t, b.HasWaiting())
+	must.True(t, l.HasWaiting())
 }
--- a/lib/owner/partition_test.go
+++ b/lib/owner/partition_test.go
@@ -12,7 +12,7 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// newTestPartition is of a fleet of some size, with one service.
+// newTestPartition returns a partition with one service of the given size, and its engines.
 func newTestPartition(nEngines, nInstances int) (*Partition, []fleet.Info) {
 	p := NewPartition()
 	p.SetInstances(instances(nInstances, 5))
@@ -21,8 +21,8 @@
 	return p, all
 }
 
-// All engines of a fleet were divided anew whenever one came or went: 22 ms and 8.8 MB at each of 985 instances before 10,000 engines.
-// A change costs the same whatever the size of the fleet.
+// All engines of a fleet were divided anew whenever one arrived or left: 22 ms and 8.8 MB at each of 985 instances with 10,000 engines.
+// The cost of an update must not depend on the size of the fleet.
 func TestUpdateCostIsIndependentOfFleetSize(t *testing.T) {
 	var allocated []uint64
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Engines come and go in any order, by any updates, and instances, too: the shards are the same as if all had been divided at once.
+// Engines arrive and leave in any order and grouping, and instances change: the shards are the same as if all had been divided at once.
 func TestIncrementalUpdatesMatchFullLayout(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	for _, n := range []int{20, 300, 3_000} {
@@ -59,7 +59,7 @@
 				p.SetInstances(instances(1+rng.IntN(300), 5))
 			}
 		}
-		p.Update(all[:5], all[:n/2]) // what leaves in the same update is gone
+		p.Update(all[:5], all[:n/2]) // an engine added and removed in one update is gone
 		p.Update(all[:n/4], nil)
 		list := instances(200, 5)
 		got := p.SetInstances(list)
@@ -78,7 +78,7 @@
 	}
 }
 
-// A service loses its last engine, and has one again later.
+// A service loses its last engine and gets one again later.
 func TestServiceLosesItsLastEngine(t *testing.T) {
 	p, all := newTestPartition(1, 3)
 	must.NotNil(t, p.Layout().HomeShard("s", "z0", "i000"))
@@ -86,7 +86,7 @@
 	must.Eq(t, []string{all[0].ID}, p.Update(all, nil).HomeShard("s", "z0", "i000").Engines())
 }
 
-// An engine starts again in another failure domain under its id. It is in one shard only.
+// An engine restarts under its ID in another failure domain. It is in one shard only.
 func TestEngineChangesDomain(t *testing.T) {
 	p, all := newTestPartition(1_000, 200)
 	moved := all[0]
--- a/lib/owner/peers_test.go
+++ b/lib/owner/peers_test.go
@@ -22,15 +22,15 @@
 	return in.Name
 }
 
-// The owner dies. The second in rank, which was told the same, takes over when beats stay away; when the first is back it
-// knows nothing, and decides only after it was told again.
+// The owner dies. The second candidate, which received the same reports, takes over when heartbeats stop. When the first is back, it
+// has no state, and decides only after it has received reports again.
 func TestSecondCandidateTakesOver(t *testing.T) {
 	s := shardOf("a", "b", "c")
 	b := NewPeers("b", t0)
 	now := t0.Add(coldPeriod)
 	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a"})
 	must.Eq(t, "a", actingOwner(t, b, now, s))
-	// It had heard nobody for as long as it lives, and is cold until it was told by all.
+	// It never received a heartbeat before, and is cold until it has received the reports of all.
 	now = now.Add(coldPeriod)
 	must.Eq(t, "b", actingOwner(t, b, now, s))
 	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1, Cold: true})
@@ -44,18 +44,18 @@
 	must.False(t, ok)
 }
 
-// All instances have just started. Somebody has to decide, although nobody knows much.
+// All instances have just started. One has to decide although none has state.
 func TestFirstColdCandidateDecides(t *testing.T) {
 	s := shardOf("a", "b")
 	a := NewPeers("a", t0)
 	a.ReceiveHeartbeat(t0, Heartbeat{Instance: "b", Cold: true})
 	must.Eq(t, "a", actingOwner(t, a, t0, s))
-	// One that is no candidate takes the first for the owner.
+	// An instance that is no candidate assumes that the first is the owner.
 	must.Eq(t, "a", actingOwner(t, NewPeers("x", t0), t0, s))
 }
 
-// An owner was cut off, or stood still, and comes back with what it was told before. It lets the second decide until it was
-// told again.
+// An owner was isolated or stalled, and resumes with outdated state. It leaves decisions to the second candidate until it has received
+// reports again.
 func TestIsolatedOrStalledOwnerIsCold(t *testing.T) {
 	s := shardOf("a", "b")
 	a := NewPeers("a", t0)
@@ -74,7 +74,7 @@
 	must.Eq(t, "b", actingOwner(t, a, now, s))
 }
 
-// An owner that did not answer is asked after the others for a while, until it is heard.
+// An owner that did not answer is queried after the others for a while, or until it answers.
 func TestUnresponsiveOwnersAreQueriedLast(t *testing.T) {
 	s := shardOf("a", "b", "c")
 	p := NewPeers("x", t0)
@@ -89,7 +89,7 @@
 	must.Eq(t, "bca", names(t0))
 	must.Eq(t, "abc", names(t0.Add(suspectMin)))
 	again := t0.Add(suspectMin)
-	p.Suspect(again, "a") // twice as long: it may be gone for good
+	p.Suspect(again, "a") // suspected twice as long: it may be gone for good
 	must.Eq(t, "bca", names(again.Add(2*suspectMin-1)))
 	must.Eq(t, "abc", names(again.Add(2*suspectMin)))
 	p.Suspect(again, "a")
@@ -99,8 +99,8 @@
 	must.Eq(t, "abc", names(again.Add(suspectMin)))
 }
 
-// A shard is fuller than others. Its streams go to the emptier ones, to each by how much emptier it is, and to none that is
-// hardly emptier or not heard of.
+// A shard has a higher fill level than others. Its streams are forwarded to less loaded ones, weighted by the difference, and to none
+// within the margin or without a known fill level.
 func TestStreamsAreForwardedToLessLoadedShards(t *testing.T) {
 	s := shardOf("a")
 	near, far, full, silent := &Shard{Key: "near"}, &Shard{Key: "far"}, &Shard{Key: "full"}, &Shard{Key: "silent"}
@@ -115,7 +115,7 @@
 		got[to.Key]++
 	}
 	must.MapLen(t, 2, got)
-	must.Between(t, 1.8, float64(got["far"])/float64(got["near"]), 3.2) // 0.52 to 0.22
+	must.Between(t, 1.8, float64(got["far"])/float64(got["near"]), 3.2) // margins of 0.52 and 0.22
 	_, _, ok := p.PickLessLoaded(t0, s, 0.25)
 	must.False(t, ok)
 	_, _, ok = p.PickLessLoaded(t0.Add(fillTTL+time.Millisecond), s, 0.8)
--- a/lib/owner/places_test.go
+++ b/lib/owner/places_test.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// Twenty engines come back at once, cold and empty, beside two that are full. Hundreds of streams are asked for within two seconds: the
-// cold ones are used from the start, none gets more in any second than it bears, and what is too much waits.
+// Twenty engines return at once, cold and empty, beside two that are full. Hundreds of streams are requested within two seconds: the
+// cold engines are used from the start, none exceeds its rate in any second, and the excess waits.
 func TestReturnedEnginesAreNeitherStarvedNorTrampled(t *testing.T) {
 	const cold, rate = 20, 2.0
 	f := fleet.New("z0")
@@ -24,7 +24,7 @@
 	f.Apply(t0, list, nil, 0)
 	f.SetPeerLoad(t0, "peer", nil, map[string][]fleet.Size{list[cold].ID: {{Held: kv}}, list[cold+1].ID: {{Held: kv}}})
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
+	ledger, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
 
 	given := make(map[string][]time.Time)
 	take := func(now time.Time, a Answer, ok bool) {
@@ -39,10 +39,10 @@
 			id++
 			q := placeRequest(fmt.Sprint("i", id%70), id, 100)
 			q.Stream.Arrived = now
-			a, ok := b.Place(now, s, q)
+			a, ok := ledger.Place(now, s, q)
 			take(now, a, ok)
 		}
-		for _, a := range b.DecideWaiting(now) {
+		for _, a := range ledger.DecideWaiting(now) {
 			take(now, a, true)
 		}
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// A stream is bound to a region where engines are full, beside idle ones elsewhere. It waits for its own; a copy of it stays there,
-// too.
+// A stream is bound to a region where engines are full, while engines elsewhere are idle. It waits for its own region, and its backup
+// copy stays there, too.
 func TestStreamsWaitInTheirRegion(t *testing.T) {
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
@@ -72,22 +72,22 @@
 		{ID: "s0", Service: "s", Domain: "z1", Slots: 8}, {ID: "s1", Service: "s", Domain: "z1", Slots: 8},
 	}, nil, 0)
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
+	ledger, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
 	bound := func(id uint64) PlaceRequest {
 		a := placeRequest("i", id, 1000)
 		a.Stream.Need.Regions = []string{"south"}
 		a.Backup = 1000
 		return a
 	}
-	a, ok := b.Place(t0, s, bound(1))
+	a, ok := ledger.Place(t0, s, bound(1))
 	must.True(t, ok)
 	must.StrHasPrefix(t, "s", a.Target)
 	must.StrHasPrefix(t, "s", a.Backup)
 	f.SetPeerLoad(t0, "peer", nil, map[string][]fleet.Size{"s0": {{Held: kv}}, "s1": {{Held: kv}}})
-	_, ok = b.Place(t0, s, bound(2))
+	_, ok = ledger.Place(t0, s, bound(2))
 	must.False(t, ok)
 	f.Evacuate("z1")
-	a, ok = b.Place(t0, s, bound(3))
-	must.True(t, ok) // in vain: it is not kept waiting
+	a, ok = ledger.Place(t0, s, bound(3))
+	must.True(t, ok) // no engine may run it, so it does not wait
 	must.Eq(t, admit.Fallback, a.Action)
 }
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -55,7 +55,8 @@
 		ReplyAddr: d.Addr, Run: req.Run, Mode: owner.Mode(req.Mode), Backup: int(req.BackupTokens), Hops: int(req.Hops),
 		Fingerprint: req.Print, Describe: req.Describe,
 		Stream: admit.Stream{
-			Arrived: now.Add(-duration(req.AgeMs)), Objective: duration(req.AimMs), MaxRetryAfter: duration(req.KeepsMs), IsRetry: req.Back, Need: need,
+			Arrived: now.Add(-duration(req.AgeMs)), Objective: duration(req.AimMs), MaxRetryAfter: duration(req.KeepsMs),
+			IsRetry: req.Back, Need: need,
 		},
 	}
 }
