--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -23,12 +23,12 @@
 
 const kv = 10_000
 
-// member is an instance with its link, on loopback.
+// member is an instance with a link on loopback.
 type member struct {
 	*Link
 	runs      atomic.Pointer[[]owner.Run]
 	left      chan string
-	knownLeft sync.Map // targets that it was told of
+	knownLeft sync.Map // targets whose leaving it was informed of
 	blamed    atomic.Int32
 
 	restarted chan string
@@ -38,7 +38,7 @@
 	running atomic.Bool
 }
 
-// newMember makes an instance that is not run yet.
+// newMember returns an instance that does not run yet.
 func newMember(t *testing.T, name string) *member {
 	t.Helper()
 	f := fleet.New("z0")
@@ -97,7 +97,7 @@
 	})
 }
 
-// site is some instances before n engines; running tells which of them run.
+// site returns three instances that share n engines; those in running are started.
 func site(t *testing.T, n int, running ...string) (map[string]*member, *owner.Shard) {
 	t.Helper()
 	members := make(map[string]*member)
@@ -125,7 +125,7 @@
 	return members, layout.HomeShard("s", "z0", "a")
 }
 
-// broadcastAmong hands what one member tells all to the others that run.
+// broadcastAmong delivers a member's broadcast to the other running members.
 func broadcastAmong(members map[string]*member, from *member, b []byte) {
 	for _, m := range members {
 		if m != from && m.running.Load() {
@@ -152,8 +152,8 @@
 	t.Fatal("condition not met in time")
 }
 
-// Streams of all instances are placed on one account: two that each hold most of an engine go to different ones, whoever
-// asks, and the third waits until a run ends.
+// Streams of all instances are placed on one ledger: two that each occupy most of an engine go to different ones, whichever instance
+// requests them, and the third waits until a run ends.
 func TestInstancesShareOneLedger(t *testing.T) {
 	members, s := site(t, 2, "a", "b", "c")
 	used := make(map[string]bool)
@@ -179,8 +179,8 @@
 	must.Greater(t, 90*time.Millisecond, time.Since(start))
 }
 
-// The owner dies without a word. Those who ask wait for three lost answers, once; the second in rank was told what runs
-// where and does not give the same room away again.
+// The owner dies without notice. A requesting instance waits for three time-outs, once; the second candidate has received the reports and
+// does not grant the same capacity again.
 func TestSecondCandidateKnowsRuns(t *testing.T) {
 	members, s := site(t, 2, "a", "b", "c")
 	first, third := members[s.Ranked[0].Name], members[s.Ranked[2].Name]
@@ -201,11 +201,11 @@
 	must.Less(t, 150*time.Millisecond, time.Since(start))
 }
 
-// Nobody answers: the instance is told so within half a second, and decides alone.
+// No candidate answers: the instance gets an error in time, and decides alone.
 func TestNoOwnerAnswers(t *testing.T) {
 	members, s := site(t, 2)
 	last := members[s.Ranked[2].Name]
-	// Its own link does not run either, but it can ask itself: it is a candidate.
+	// Its own link does not run either, but as a candidate it can answer its own request.
 	got, err := last.Place(t.Context(), placeRequest(100))
 	must.NoError(t, err)
 	must.Eq(t, admit.Admit, got.Action)
@@ -218,7 +218,7 @@
 	must.Less(t, 3*time.Second, time.Since(start))
 }
 
-// An ask reaches an instance that does not own the shard, because its sender has lost the owner. It is passed on, and the
+// A request reaches an instance that does not own the shard, because its sender suspects the owner. It is forwarded, and the
 // owner answers the sender.
 func TestRequestIsForwardedToOwner(t *testing.T) {
 	members, s := site(t, 2, "a", "b", "c")
@@ -231,11 +231,11 @@
 	third.Coordinator.Suspect(time.Now(), first)
 	_, err := third.Place(t.Context(), placeRequest(500))
 	must.NoError(t, err)
-	must.Eq(t, first, third.Coordinator.QueryOrder(time.Now(), s)[0].Name) // it has answered
+	must.Eq(t, first, third.Coordinator.QueryOrder(time.Now(), s)[0].Name) // it has answered, so it is no suspect
 	must.Positive(t, members[first].Fleet.Utilization(s.Engines(), 0))
 }
 
-// Two instances have runs on an engine that leaves, and only one of them has seen it. Both are told where their runs go.
+// Two instances have runs on an engine that leaves, and only one of them has seen it. Both receive the moves of their runs.
 func TestMovesReachAllAffectedInstances(t *testing.T) {
 	members, s := site(t, 3, "a", "b", "c")
 	asks, other := members[s.Ranked[1].Name], members[s.Ranked[2].Name]
@@ -257,17 +257,17 @@
 	more, err := other.RequestMoves(t.Context(), []fleet.Info{e0})
 	must.NoError(t, err)
 	must.Len(t, 1, more)
-	must.Positive(t, steps[0].Start+more[0].Start) // one after the other
+	must.Positive(t, steps[0].Start+more[0].Start) // the copies do not start together
 }
 
-// Blames reach everybody, also those who own nothing and ask nothing.
+// Blames reach all instances, including those that own no shard and request nothing.
 func TestBlamesReachAll(t *testing.T) {
 	members, _ := site(t, 1, "a", "b", "c")
 	members["a"].BroadcastBlames([]*ownerpb.Blame{{Fingerprint: 5}})
 	eventually(t, func() bool { return members["b"].blamed.Load()+members["c"].blamed.Load() == 2 })
 }
 
-// Whatever comes by datagram, the link goes on: garbage, kinds and shards that nobody knows, absent parts.
+// The link survives any datagram: garbage, unknown kinds and shards, missing parts.
 func TestAnyDatagramIsSurvived(t *testing.T) {
 	members, s := site(t, 2, "a")
 	a := members["a"]
@@ -315,7 +315,7 @@
 		_, err = conn.WriteToUDPAddrPort(b, to)
 		must.NoError(t, err)
 	})
-	// It still answers itself.
+	// It still answers its own requests.
 	eventually(t, func() bool {
 		_, err := a.Place(t.Context(), placeRequest(10))
 		return err == nil
--- a/lib/ownerlink/permits_test.go
+++ b/lib/ownerlink/permits_test.go
@@ -12,7 +12,8 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// awaitAgreement waits until all members take the first in rank for the owner: until its beats come, each that ranks takes itself for it.
+// awaitAgreement waits until all members consider the first candidate the owner: before its heartbeats arrive, each candidate considers
+// itself the owner.
 func awaitAgreement(t *testing.T, members map[string]*member, s *owner.Shard) {
 	t.Helper()
 	for name, m := range members {
@@ -23,7 +24,7 @@
 	}
 }
 
-// limitedSite is a site before two plain targets, of which the first names a limit.
+// limitedSite returns a site with two plain targets, of which the first states a limit.
 func limitedSite(t *testing.T, running ...string) (map[string]*member, fleet.Info, *owner.Shard) {
 	t.Helper()
 	members, _ := site(t, 1, running...)
@@ -50,7 +51,7 @@
 	return changed
 }
 
-// One instance hears a limit. All others know of it before they send anything there, and of its end.
+// One instance receives a limit. All others learn of it, and of its end, without a request to the target.
 func TestAllAreToldOfALimitAndItsEnd(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	awaitAgreement(t, members, s)
@@ -68,8 +69,8 @@
 	}
 }
 
-// All three instances ask for as many permits as they can: together they get what the target takes. When the owner is gone the next in
-// rank gives them.
+// All instances request as many permits as they can: together they get what the target accepts. When the owner is gone, the next
+// candidate grants them.
 func TestPermitsOfAllInstancesAreWithinALimit(t *testing.T) {
 	for name, running := range map[string][]int{"all": {0, 1, 2}, "owner gone": {1, 2}} {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// An owner that was just started knows of no limit. It learns of it from those who ask.
+// An owner that has just started knows no limit. It learns of it from permit requests.
 func TestOwnerLearnsLimitFromPermitRequests(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	now := time.Now()
@@ -113,7 +114,7 @@
 	must.True(t, members[s.Ranked[0].Name].Fleet.LimitOf("p1").On)
 }
 
-// Senseless words of limits change nothing, and nothing breaks.
+// Invalid limits change nothing and cause no failure.
 func TestInvalidLimitsAreIgnored(t *testing.T) {
 	members, p1, _ := limitedSite(t, "a")
 	m := members["a"]
@@ -143,7 +144,7 @@
 	m.handle(d)
 }
 
-// One instance hears from a plain target that it leaves. The others, which may not hear it for long, are told.
+// A plain target tells one instance that it leaves. The others, which may send it nothing for long, are informed.
 func TestAllAreToldOfATargetThatSaysItLeaves(t *testing.T) {
 	for rank := range 3 {
 		members, p1, s := limitedSite(t, "a", "b", "c")
@@ -151,13 +152,13 @@
 		members[s.Ranked[rank].Name].NotifyLeaving(p1)
 		for i := range 3 {
 			if i == rank {
-				continue // it knows
+				continue // it sent the announcement
 			}
 			select {
 			case id := <-members[s.Ranked[i].Name].left:
 				must.Eq(t, "p1", id)
 			case <-time.After(5 * time.Second):
-				t.Fatal("not told")
+				t.Fatal("instance was not informed of the leaving target")
 			}
 		}
 	}
--- a/lib/ownerlink/suspects_test.go
+++ b/lib/ownerlink/suspects_test.go
@@ -9,9 +9,8 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// Each of three instances has seen one request fail at a plain target, one of them none at all. The one that judges adds them up, and
-// all avoid the target; when the first in rank is gone, the next judges. Once it has been left alone for some seconds it is
-// tried again.
+// Two of up to three instances have seen requests fail at a plain target. The judging instance adds the failures up, and all avoid the
+// target; when the first candidate is gone, the next judges. After some seconds without requests the target is tried again.
 func TestTargetThatFailsIsAvoidedByAll(t *testing.T) {
 	for _, running := range [][]string{{"a", "b", "c"}, {"a", "b"}, {"b", "c"}, {"a", "c"}} {
 		t.Run(running[0]+running[1], func(t *testing.T) {
--- a/lib/ownerlink/wire_test.go
+++ b/lib/ownerlink/wire_test.go
@@ -13,8 +13,8 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// An ask is passed on to an owner that has room. What decides there is all that was known here: a part that is lost on the way,
-// as that the caller came back, would have the stream refused a second time.
+// A request is forwarded to an owner with capacity, which must decide on the same data: if a field such as IsRetry were lost on the
+// way, the stream would be rejected a second time.
 func TestPlaceRequestRoundTrip(t *testing.T) {
 	now := time.Now()
 	sent := owner.PlaceRequest{
--- a/lib/pick/pick.go
+++ b/lib/pick/pick.go
@@ -1,4 +1,4 @@
-// Package pick places calls on the targets of a plain service: two random choices over lagging load reports that are
+// Package pick places calls on the targets of a plain service: the better of two random choices, by lagging load reports
 // corrected by this instance's own calls, with a preference for its own failure domain.
 package pick
 
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Config holds the rule's numbers.
+// Config holds the parameters of the choice.
 type Config struct {
-	StaleAfter   time.Duration // an older report is not believed; own calls alone count then
-	MaxLag       time.Duration // how far back own calls are remembered to correct reports
-	DomainFactor float64       // another failure domain is taken when the own one's load is this many times larger
-	DomainSlack  float64       // and larger by at least this share of capacity
+	StaleAfter   time.Duration // older reports are ignored; only local calls count then
+	MaxLag       time.Duration // how long local calls are kept to correct reports
+	DomainFactor float64       // another failure domain is used if the local load is larger by this factor
+	DomainSlack  float64       // and by this share of capacity
 }
 
-// DefaultConfig suits reports some seconds old.
+// DefaultConfig is for reports that are some seconds old.
 var DefaultConfig = Config{StaleAfter: 15 * time.Second, MaxLag: 10 * time.Second, DomainFactor: 1.5, DomainSlack: 0.1}
 
-// Target is a target as settings give it.
+// Target is a target as configured.
 type Target struct {
 	Name          string
 	FailureDomain string
-	Draining      bool // operators' drain
+	Draining      bool // drained by an operator
 }
 
-// Report is a target's own view, Age old when it was received.
+// Report is a target's own load report, Age old when it was received.
 type Report struct {
 	Running  int
 	Capacity int
@@ -46,19 +46,19 @@
 type targetState struct {
 	spec        Target
 	report      Report
-	reportTime  time.Time // when the report's figures were true, on our clock
-	ownCalls    int       // own calls in progress
+	reportTime  time.Time // when the report was true, on the local clock
+	ownCalls    int       // local calls in progress
 	starts      []time.Time
 	ends        []time.Time
 	leaving     bool
 	reported    bool
-	pausedUntil time.Time // it wants nothing from this instance until then
+	pausedUntil time.Time // the target accepts nothing from this instance until then
 }
 
 // New returns a Table without targets.
 func New(cfg Config) *Table { return &Table{cfg: cfg, targets: make(map[string]*targetState)} }
 
-// SetTargets replaces the targets and keeps what is known of those that stay. A target that is gone gets no new call;
+// SetTargets replaces the targets and keeps the state of those that stay. A removed target gets no new call;
 // its calls in progress may still end.
 func (t *Table) SetTargets(specs []Target) {
 	t.mu.Lock()
@@ -78,7 +78,7 @@
 	t.targets = kept
 }
 
-// Report takes in a load report. A report older than the last is dropped.
+// Report applies a load report. A report older than the last is dropped.
 func (t *Table) Report(now time.Time, target string, r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +92,7 @@
 	s.ends = dropUntil(s.ends, reportTime)
 }
 
-// CallStarted notes a call of ours to target; Done its end.
+// CallStarted records a local call to target; CallDone its end.
 func (t *Table) CallStarted(now time.Time, target string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// CallDone notes the end of a call that Sent noted.
+// CallDone records the end of a call recorded by CallStarted.
 func (t *Table) CallDone(now time.Time, target string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// dropUntil drops the times up to cut; times are in order.
+// dropUntil drops the times up to cut from a sorted list.
 func dropUntil(times []time.Time, cut time.Time) []time.Time {
 	i := 0
 	for i < len(times) && !times[i].After(cut) {
@@ -121,14 +121,14 @@
 	return slices.Delete(times, 0, i)
 }
 
-// Query asks for a target.
+// Query holds the constraints of a choice.
 type Query struct {
-	FailureDomain string            // the asking instance's own; empty: no preference
+	FailureDomain string            // of the requesting instance; empty: no preference
 	Avoid         []string          // targets that failed this call
-	Usable        func(string) bool // further refusals, such as an open breaker; nil: none
+	Usable        func(string) bool // further conditions, such as a circuit breaker; nil: none
 }
 
-// PauseUntil notes that a target wants nothing from this instance until a time; of several the latest holds.
+// PauseUntil records that a target accepts nothing from this instance until a time; the latest one holds.
 func (t *Table) PauseUntil(target string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +139,7 @@
 
 // Pick chooses a target, or reports false when none may be used.
 //
-// Two random choices and not the least loaded of all: with reports seconds old, every instance would send to the
+// It takes the better of two random targets, not the least loaded of all: with reports seconds old, every instance would send to the
 // same target until the next report shows it full.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, q Query) (string, bool) {
 	t.mu.Lock()
@@ -158,7 +158,7 @@
 	return a, true
 }
 
-// candidates splits the usable targets by failure domain.
+// candidates returns the usable targets inside and outside the query's failure domain.
 func (t *Table) candidates(now time.Time, q Query) (near, far []string) {
 	for _, name := range t.names {
 		s := t.targets[name]
@@ -200,10 +200,10 @@
 	return a > b*t.cfg.DomainFactor && a > b+t.cfg.DomainSlack
 }
 
-// defaultCapacity stands in for a target that never reported.
+// defaultCapacity is assumed for a target that has not reported.
 const defaultCapacity = 16
 
-// load estimates the calls in progress on a target, as a share of its capacity.
+// load estimates the calls in progress on a target as a share of its capacity.
 func (t *Table) load(now time.Time, name string) float64 {
 	s := t.targets[name]
 	capacity := s.report.Capacity
@@ -213,7 +213,7 @@
 	return float64(t.running(now, s)) / float64(capacity)
 }
 
-// running corrects the report by our own calls that started and ended since it was true.
+// running corrects the report by the local calls that started and ended since.
 func (t *Table) running(now time.Time, s *targetState) int {
 	if !s.reported || now.Sub(s.reportTime) > t.cfg.StaleAfter {
 		return s.ownCalls
--- a/lib/pick/pick_test.go
+++ b/lib/pick/pick_test.go
@@ -37,8 +37,8 @@
 	return out
 }
 
-// What callers see with reports five seconds old: the target that looked idle is not overrun, for each call that was
-// sent since counts.
+// With reports five seconds old, the target that looked idle is not overloaded, since each call sent since the report is
+// counted.
 func TestLocalCallsCorrectStaleReports(t *testing.T) {
 	tab := table(t0, 0, 4, 4, 4)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -54,7 +54,7 @@
 	must.Between(t, 7, sent["t1"], 13)
 }
 
-// A report that is older than the call does not hide the call; one that is younger has counted it.
+// A report older than a call does not include it; a younger one does.
 func TestReportAgeDecidesWhichCallsItIncludes(t *testing.T) {
 	tab := table(t0, 0, 3)
 	for range 4 {
@@ -80,8 +80,8 @@
 	must.Eq(t, 50, got["t1"]+got["t3"])
 }
 
-// What callers see when targets leave, drain, fail or have an open breaker: no call goes there; with none left there is
-// no answer rather than a bad one.
+// No call goes to targets that leave, drain, failed or have an open circuit breaker; if none is left, Pick returns
+// none rather than an unusable one.
 func TestNeverPicksUnusableTargets(t *testing.T) {
 	tab := table(t0, 0, 0, 0, 0)
 	tab.SetTargets([]pick.Target{{Name: "t0", Draining: true}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}})
@@ -92,7 +92,7 @@
 	must.Eq(t, map[string]int{"t3": 20}, picks(tab, t0, q, 20))
 }
 
-// A frozen report must not draw calls for ever: when it is stale, own calls alone count.
+// A target whose reports have stopped must not attract calls for ever: once the report is stale, only local calls count.
 func TestStaleReportIsIgnored(t *testing.T) {
 	tab := table(t0, 0, 9)
 	now := t0.Add(pick.DefaultConfig.StaleAfter + time.Second)
@@ -115,7 +115,7 @@
 	// Output: dispatch-2
 }
 
-// A target turns this instance away for a stated time. It gets no call until then, also when there is no other.
+// A target rejects this instance for a stated time. It gets no call until then, even if there is no other target.
 func TestPausedTargetGetsNoCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tab := table(now, 0, 5)
--- a/lib/shard/owner.go
+++ b/lib/shard/owner.go
@@ -9,10 +9,10 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// Owner returns the member that ranks highest for a shard among those that may own anything. ok is false when there is
-// none. It is the owner where nothing else is known of the site's shards; Assign is what entries agree on.
+// Owner returns the member that ranks highest for a shard among the possible owners. ok is false when there is
+// none. It is used where the site's other shards are unknown; entries agree on owners through Assign.
 //
-// Failure domains play no part: an owner sees targets of all domains, and a millisecond between domains is far under
+// Failure domains play no part: an owner serves targets of all domains, and the millisecond between domains is far below
 // a scheduler's tick.
 func Owner(id ID, workers []member.Member) (owner member.Member, ok bool) {
 	h := rendezvous.Hash(id.String())
@@ -26,11 +26,11 @@
 	return owner, ok
 }
 
-// Assign returns the owner of every shard of a site. Each goes to the highest-ranked member that has room, so that none
-// owns more than overload times its part, rounded up. By rank alone one of 430 members would own eight times the mean,
+// Assign returns the owner of every shard of a site. Each shard goes to the highest-ranked member that is below its limit, so that none
+// owns more than maxOverMean times the mean, rounded up. By rank alone one of 430 members would own eight times the mean,
 // and poll eight times the targets.
 //
-// A member that comes or goes moves what it owns and a few more.
+// When a member is added or removed, the shards it owns and a few more change owner.
 func Assign(ids []ID, workers []member.Member) map[ID]member.Member {
 	out := make(map[ID]member.Member, len(ids))
 	if len(workers) == 0 {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// maxOverMean is how far over the mean a member may be loaded.
+// maxOverMean bounds a member's shards as a multiple of the mean.
 const maxOverMean = 1.25
 
 type hashedID struct {
@@ -65,7 +65,7 @@
 	hash uint64
 }
 
-// byRank orders shards the same way everywhere.
+// byRank sorts shards in an order that is the same at every entry.
 func byRank(ids []ID) []hashedID {
 	out := make([]hashedID, len(ids))
 	for i, id := range ids {
@@ -75,7 +75,7 @@
 	return out
 }
 
-// Find finds the shard that holds a target.
+// Find returns the shard that holds a target.
 func Find(shards []Shard, target string) (ID, bool) {
 	for _, s := range shards {
 		if _, ok := slices.BinarySearch(s.Targets, target); ok {
--- a/lib/shard/shard.go
+++ b/lib/shard/shard.go
@@ -1,8 +1,8 @@
-// Package shard splits the targets of a service into shards, and finds the entry that owns each.
+// Package shard splits the targets of a service into shards, and determines the entry that owns each.
 //
-// Both are computed by every entry from what it knows, with no message: targets come from the settings revision in
-// force and owners from the live members. Entries whose knowledge differs for a moment may take two entries for the
-// owner of one shard. That costs speed only; promises to callers don't rest on owners.
+// Every entry computes both from local data, without a message: targets come from the settings revision in
+// force and owners from the live members. Entries whose data differ for a moment may disagree on the owner
+// of a shard. That costs speed only; guarantees to callers don't rest on owners.
 package shard
 
 import (
@@ -28,13 +28,13 @@
 	Targets []string // sorted
 }
 
-// spareFraction is the share of places that stays free when the count of shards is chosen, as one part in so many. Without
-// it almost every shard would be full, and one new target would push others from shard to shard.
+// spareFraction is the divisor of the share of places that stays free when the number of shards is chosen. Without spare places
+// almost every shard would be full, and one new target would push others from shard to shard.
 const spareFraction = 5
 
-// Split puts the targets into shards of at most limit each. It depends on the set alone. A target goes to the shard
-// that ranks highest for it and has room, so one target more or less moves few others, and one shard more takes from
-// the others only what is its own.
+// Split puts the targets into shards of at most limit each. The result depends on the set alone. A target goes to the shard
+// that ranks highest for it and has a free place, so an added or removed target moves few others, and an added shard takes
+// from the others only the targets that rank it highest.
 func Split(service string, targets []string, limit int) []Shard {
 	count := countFor(len(targets), limit)
 	shards := make([]Shard, count)
@@ -51,7 +51,7 @@
 	return shards
 }
 
-// countFor is one shard while all fit, so that at today's size one owner sees one queue.
+// countFor returns the number of shards: one while all targets fit, so that on a small site one owner sees one queue.
 func countFor(targets, limit int) int {
 	if targets == 0 {
 		return 0
@@ -63,7 +63,7 @@
 	return (targets + usable - 1) / usable
 }
 
-// byHash orders the targets the same way everywhere, and without any bias to the first names.
+// byHash sorts the targets in an order that is the same at every entry and does not favour the first names.
 func byHash(targets []string) []string {
 	out := slices.Clone(targets)
 	slices.SortFunc(out, func(a, b string) int {
--- a/lib/shard/shard_test.go
+++ b/lib/shard/shard_test.go
@@ -68,8 +68,8 @@
 	return n
 }
 
-// Targets come and go all day at the letter's size. If one of them moved many others between shards, owners would
-// forget what they learned and every queue would be rebuilt.
+// At the design size targets are added and removed all day. If one of them moved many others between shards, owners would
+// lose what they learned and every queue would be rebuilt.
 func TestSplitIsStableUnderChanges(t *testing.T) {
 	targets := names("t", 3000)
 	before := Split("svc", targets, 32)
@@ -89,8 +89,8 @@
 	return ids
 }
 
-// At the letter's size no entry may own, and poll, many times its part, and an entry that is lost must not set all the
-// others moving.
+// At the design size no entry may own, and poll, many times the mean, and the loss of an entry must not move the shards of
+// all others.
 func TestAssignIsEvenAndMovesLittle(t *testing.T) {
 	ms := members(430)
 	ids := idsOf(Split("svc", names("t", 12000), 32))
