--- a/lib/owner/desk.go
+++ b/lib/owner/coordinator.go
@@ -77,7 +77,7 @@
 	if ok {
 		return Disposition{Answer: answer}
 	}
-	return Disposition{Answer: Answer{Key: req.Key, Addr: req.ReplyAddr, Action: admit.Wait}}
+	return Disposition{Answer: Answer{Key: req.Key, ReplyAddr: req.ReplyAddr, Action: admit.Wait}}
 }
 
 // route returns the shard that a request is for, and the instance that decides if it is another: the shard's owner, or the owner of
--- a/lib/owner/desk_test.go
+++ b/lib/owner/coordinator_test.go
@@ -16,13 +16,13 @@
 	ofA = &Shard{Key: "a", Service: "s", members: newMembers([]string{"ea"}), Ranked: []Instance{{Name: "a"}}}
 	ofB = &Shard{Key: "b", Service: "s", members: newMembers([]string{"eb"}), Ranked: []Instance{{Name: "b"}}}
 	ofA.nearest, ofB.nearest = []*Shard{ofB}, []*Shard{ofA}
-	desk := func(name string) *Coordinator {
+	newCoordinator := func(name string) *Coordinator {
 		f := fleet.New("z" + name)
 		f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 		f.Apply(t0, es, nil, 0)
 		return NewCoordinator(name, f, new(admit.PrefillRates), t0)
 	}
-	return desk("a"), desk("b"), ofA, ofB
+	return newCoordinator("a"), newCoordinator("b"), ofA, ofB
 }
 
 // exchangeHeartbeats sends each owner the fill level of the other's shard.
--- a/lib/owner/book.go
+++ b/lib/owner/ledger.go
@@ -45,13 +45,13 @@
 // Answer is the response to a PlaceRequest.
 type Answer struct {
 	Key
-	Addr     string
-	Action   admit.Action
-	Target   string
-	After    time.Duration
-	Serial   uint64 // of the grant
-	Backup   string // engine for the backup copy; empty: no engine has capacity
-	Estimate fleet.KnownState
+	ReplyAddr string
+	Action    admit.Action
+	Target    string
+	After     time.Duration
+	Serial    uint64 // of the grant
+	Backup    string // engine for the backup copy; empty: no engine has capacity
+	Estimate  fleet.KnownState
 
 	Describe               bool       // as in the request
 	TargetInfo, BackupInfo fleet.Info // target list entries, if the request asks for them
@@ -213,7 +213,7 @@
 
 // recordDecision turns a decision into the answer to a request, and counts what it grants.
 func (l *Ledger) recordDecision(now time.Time, s *Shard, req *PlaceRequest, d admit.Decision) Answer {
-	out := Answer{Key: req.Key, Addr: req.ReplyAddr, Describe: req.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
+	out := Answer{Key: req.Key, ReplyAddr: req.ReplyAddr, Describe: req.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
 	switch d.Action {
 	case admit.Admit:
 		l.grant(now, s, req, &out)
--- a/lib/owner/book_test.go
+++ b/lib/owner/ledger_test.go
@@ -188,8 +188,8 @@
 func TestAbsurdReportsAreBounded(t *testing.T) {
 	l, f, s := newTestLedger(2)
 	e := s.Engines()[0]
-	huge := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Remaining: 1 << 62}
-	must.True(t, l.Report(t0, report(s, "liar", 1, huge, Run{ID: 2, Target: "nobody", Tokens: 5})))
+	implausible := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Remaining: 1 << 62}
+	must.True(t, l.Report(t0, report(s, "liar", 1, implausible, Run{ID: 2, Target: "nobody", Tokens: 5})))
 	load := f.KnownState(t0, e).Load
 	must.Eq(t, 2*maxTokens, load.Tokens)
 	must.Eq(t, 0, load.Unread)
--- a/lib/owner/peers.go
+++ b/lib/owner/peers.go
@@ -220,8 +220,8 @@
 func (p *Peers) IsSilent(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b, heard := p.heartbeats[name]
-	return heard && (now.Sub(b.at) >= heartbeatTTL || b.Leaving)
+	b, known := p.heartbeats[name]
+	return known && (now.Sub(b.at) >= heartbeatTTL || b.Leaving)
 }
 
 // PickLessLoaded returns a shard to which a stream is forwarded from one with the given used share, and its owner; ok is false when
--- a/lib/owner/turned.go
+++ b/lib/owner/rejections.go
@@ -30,9 +30,9 @@
 }
 
 func (l *Ledger) expireRejections(now time.Time) {
-	for print, due := range l.rejected {
+	for fingerprint, due := range l.rejected {
 		if now.Sub(due) > rejectionTTL {
-			delete(l.rejected, print)
+			delete(l.rejected, fingerprint)
 		}
 	}
 }
--- a/lib/owner/wait.go
+++ b/lib/owner/wait.go
@@ -42,13 +42,13 @@
 	if !limited || req.Mode != Admit {
 		return false
 	}
-	turn, before := l.orderOf(&req.Stream), 0
+	turn, ahead := l.orderOf(&req.Stream), 0
 	for _, w := range l.waiting {
 		if w.shard.Key == s.Key && !w.order.After(turn) {
-			before++
+			ahead++
 		}
 	}
-	return float64(before+1) > perSecond*req.Stream.WaitDeadline().Sub(now).Seconds()
+	return float64(ahead+1) > perSecond*req.Stream.WaitDeadline().Sub(now).Seconds()
 }
 
 // enqueue inserts a request into the queue.
--- a/lib/ownerlink/handle.go
+++ b/lib/ownerlink/handle.go
@@ -10,11 +10,11 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-var errNoBody = errors.New("ownerlink: datagram of an unknown kind")
+var errMalformed = errors.New("ownerlink: datagram without a sender, or with an unknown or incomplete body")
 
 func (l *Link) handle(d *ownerpb.Datagram) {
 	if d.Instance == "" {
-		l.reportBad("anonymous", errNoBody)
+		l.reportBad("anonymous", errMalformed)
 		return
 	}
 	switch body := d.Body.(type) {
@@ -49,7 +49,7 @@
 	case *ownerpb.Datagram_Limits:
 		l.handleLimits(body.Limits)
 	default:
-		l.reportBad("unknown", errNoBody)
+		l.reportBad("unknown", errMalformed)
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 	now := time.Now()
 	if s == nil {
-		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: req.Id}, Addr: d.Addr, Action: admit.Fallback})
+		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: req.Id}, ReplyAddr: d.Addr, Action: admit.Fallback})
 		return
 	}
 	l.respond(l.Coordinator.Handle(now, s, decodePlaceRequest(d, now)))
@@ -102,7 +102,7 @@
 	}
 	d := l.newDatagram()
 	d.Body = &ownerpb.Datagram_Answer{Answer: encodeAnswer(a)}
-	l.reply(a.Instance, a.Addr, a.ID, d)
+	l.reply(a.Instance, a.ReplyAddr, a.ID, d)
 }
 
 // reply sends an answer, or delivers it to this instance's own call.
--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -238,17 +238,17 @@
 // Two instances have runs on an engine that leaves, and only one of them has seen it. Both receive the moves of their runs.
 func TestMovesReachAllAffectedInstances(t *testing.T) {
 	members, s := site(t, 3, "a", "b", "c")
-	asks, other := members[s.Ranked[1].Name], members[s.Ranked[2].Name]
-	asks.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 2000}})
+	requester, other := members[s.Ranked[1].Name], members[s.Ranked[2].Name]
+	requester.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 2000}})
 	other.runs.Store(&[]owner.Run{{ID: 2, Target: "e0", Tokens: 2000}})
-	for _, m := range []*member{asks, other} {
+	for _, m := range []*member{requester, other} {
 		m.ScheduleReport()
 	}
 	first := members[s.Ranked[0].Name]
 	eventually(t, func() bool { return first.Fleet.KnownState(time.Now(), "e0").Load.Runs == 2 })
 	e0, _ := first.Fleet.Info("e0")
 	first.PlanLeaving([]fleet.Info{e0})
-	steps, err := asks.RequestMoves(t.Context(), []fleet.Info{e0})
+	steps, err := requester.RequestMoves(t.Context(), []fleet.Info{e0})
 	must.NoError(t, err)
 	must.Len(t, 1, steps)
 	must.Eq(t, 1, steps[0].Run.ID)
--- a/lib/ownerlink/moves.go
+++ b/lib/ownerlink/moves.go
@@ -81,7 +81,7 @@
 
 func (l *Link) handleMovesRequest(d *ownerpb.Datagram, req *ownerpb.MovesAsk) {
 	if req.Report == nil {
-		l.reportBad("moves_ask", errNoBody)
+		l.reportBad("moves_ask", errMalformed)
 		return
 	}
 	now := time.Now()
