--- a/lib/entry/accept.go
+++ b/lib/entry/accept.go
@@ -14,10 +14,10 @@
 
 const (
 	maxRequestID = 64
-	startRetry   = time.Second // while no settings are in force yet
+	startRetry   = time.Second // Retry-After sent until the first settings are in force
 )
 
-// request is what is known of a caller's request while it is accepted.
+// request is the state of a caller's request during acceptance.
 type request struct {
 	id        string
 	accepted  time.Time
@@ -27,7 +27,8 @@
 	class     string
 }
 
-// accept opens a request and counts it as in progress until table.leave, or answers it with the refusal.
+// accept opens a request and counts it as in progress until table.leave. If the request is refused, it writes the
+// error response and returns false.
 func (s *Server) accept(w http.ResponseWriter, r *http.Request) (rq *request, ok bool) {
 	rq, err := s.open(w, r)
 	if err == nil {
@@ -40,7 +41,7 @@
 	return rq, true
 }
 
-// open reads the headers that every kind of request has, and finds its workspace.
+// open parses the headers common to all request kinds and authenticates the workspace.
 func (s *Server) open(w http.ResponseWriter, r *http.Request) (*request, *result.Error) {
 	rq := &request{id: requestID(r), accepted: s.now(), view: s.view.Load()}
 	w.Header().Set(callerapi.HeaderRequestID, rq.id)
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// policy returns the values for a service that the workspace may use.
+// policy returns the policy for a service, or an error if the workspace may not use the service.
 func (rq *request) policy(svc *settings.Service) (*settings.Policy, *result.Error) {
 	if !rq.workspace.MayUse(svc.Name) {
 		return nil, result.New(result.Forbidden, "service %q", svc.Name)
@@ -82,7 +83,7 @@
 	return rq.view.snap.Policy(svc.Name, rq.workspace.Name, rq.class), nil
 }
 
-// deadline returns the earlier of the caller's and the policy's; zero when there is neither.
+// deadline returns the earlier of the caller's deadline and the policy's, or the zero time if neither is set.
 func (rq *request) deadline(p *settings.Policy) time.Time {
 	left := rq.headers.Deadline
 	if left == 0 || (p.Deadline > 0 && p.Deadline < left) {
@@ -94,7 +95,7 @@
 	return rq.accepted.Add(left)
 }
 
-// requestID returns the caller's own id when it fits into a log line, else a new one.
+// requestID returns the caller's request ID if it is safe to log, else a new ID.
 func requestID(r *http.Request) string {
 	id := r.Header.Get(callerapi.HeaderRequestID)
 	if id == "" || len(id) > maxRequestID {
@@ -108,7 +109,7 @@
 	return id
 }
 
-// readBody reads a body of at most limit bytes.
+// readBody reads a request body of at most limit bytes; larger bodies yield BodyTooLarge.
 func readBody(w http.ResponseWriter, r *http.Request, limit int) ([]byte, *result.Error) {
 	if limit <= 0 || limit > maxBodyBytes {
 		limit = maxBodyBytes
--- a/lib/entry/apply_test.go
+++ b/lib/entry/apply_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A change that callers have already seen is taken back: a peer that was cut off, or a table's replica that lags, brings
-// an older revision after a newer one. The entry keeps the newer; one as new may come again.
+// A partitioned peer or a lagging table replica delivers an older settings revision after a newer one. Applying it would
+// revert a change that callers have already seen. The entry keeps the newer revision.
 func TestOlderRevisionIsNotApplied(t *testing.T) {
 	text := siteText("", true, nil, nil)
 	r := newRig(t, text, nil)
--- a/lib/entry/attempt.go
+++ b/lib/entry/attempt.go
@@ -17,22 +17,22 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errEngine is an error frame in a stream.
+// Causes of attempts that an engine's stream ended.
 var (
 	errEngine    = errors.New("the engine ended the stream with an error")
 	errPreempted = errors.New("the engine preempted the sequence")
 	errGap       = errors.New("a token is missing from the stream")
 )
 
-// attemptEnd tells how an attempt ended.
+// attemptEnd describes how an attempt ended.
 type attemptEnd struct {
 	reason  sched.EndReason
 	cause   error
-	final   *result.Error // the generation ends with it; nil: completed, or another attempt may follow
-	settled bool          // nothing to cancel at the engine: it ended or refused the attempt itself
+	final   *result.Error // ends the generation; nil: completed, or another attempt may follow
+	settled bool          // the engine ended or refused the attempt itself, so there is nothing to cancel
 }
 
-// endFrame keeps an end mark until [DONE] follows it.
+// endFrame holds the finish frame until [DONE] follows it.
 type endFrame struct {
 	generation ids.Generation
 	attempt    uint32
@@ -41,7 +41,7 @@
 	raw        []byte
 }
 
-// run is one attempt on its target.
+// attemptRun is one attempt running on its target.
 type run struct {
 	server   *Server
 	g        *generation
@@ -53,7 +53,7 @@
 	watch    uint64
 }
 
-// do sends the attempt and forwards its tokens until it ends.
+// execute sends the attempt and forwards its tokens until it ends.
 func (r *run) do() attemptEnd {
 	g := r.g
 	ctx, cancel := context.WithCancelCause(g.ctx)
@@ -87,7 +87,7 @@
 	return g.template.With(ext)
 }
 
-// openEnd classifies a failure before the first frame. Only a proof makes it "refused".
+// openEnd classifies a failure before the first frame. The attempt counts as not run only if the error proves it.
 func openEnd(ctx context.Context, g *generation, err error) attemptEnd {
 	var refusal *target.RefusedError
 	switch {
@@ -114,7 +114,7 @@
 	return end
 }
 
-// breakEnd names why a connection broke: by our own order, or by the target.
+// breakEnd maps a broken connection to its reason: cancelled by this entry, or broken by the target.
 func breakEnd(ctx context.Context, err error) attemptEnd {
 	switch cause := context.Cause(ctx); cause {
 	case errStalled:
@@ -128,7 +128,7 @@
 	}
 }
 
-// causeError is what the caller is told when the generation was cancelled as a whole.
+// causeError returns the error reported to the caller when the whole generation was cancelled.
 func causeError(cause error) *result.Error {
 	switch {
 	case errors.Is(cause, errDeadline):
@@ -145,7 +145,7 @@
 	return result.Wrap(result.CallerGone, cause, "deliver tokens")
 }
 
-// forward hands on frames until the attempt ends.
+// forward delivers frames to the caller until the attempt ends.
 func (r *run) forward(ctx context.Context, st *target.Stream) attemptEnd {
 	s, g := r.server, r.g
 	var end *endFrame
@@ -173,7 +173,7 @@
 	}
 }
 
-// token is the hot path: one call for each token.
+// handleToken delivers one token frame. It is the hot path, called once per token.
 func (r *run) token(f *target.Frame) stream.Verdict {
 	g := r.g
 	now := r.server.now()
@@ -206,8 +206,8 @@
 	}
 }
 
-// closeStream judges a stream that was closed by [DONE]. Without an end mark that counts every token it was cut short:
-// the caller would take a part for the whole.
+// closeStream classifies a stream that was closed by [DONE]. Unless a finish frame confirms the token count, the stream
+// was truncated, and the caller must not take the partial answer for the complete one.
 func (s *Server) closeStream(g *generation, end *endFrame) attemptEnd {
 	if end == nil {
 		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrCutShort}
--- a/lib/entry/rest.go
+++ b/lib/entry/backoff.go
@@ -9,22 +9,22 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errResting ends an attempt that was not sent.
+// errResting ends an attempt, unsent, at an engine whose Retry-After has not passed yet.
 var errResting = errors.Join(target.ErrNotSent, errors.New("the engine wants nothing from this entry for now"))
 
-// rests are the engines that have turned attempts of this entry away and named a time for which they want no others.
+// backoffs holds the engines that refused an attempt of this entry with a Retry-After, and when that time ends.
 type rests struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 	swept time.Time
 }
 
-// restsSweep is how often engines whose time is over are dropped, of which many never come back under their name.
+// backoffSweepInterval is the interval for removing expired entries; many engines never return under the same name.
 const restsSweep = time.Second
 
 func newRests() *rests { return &rests{until: make(map[string]time.Time)} }
 
-// note takes in how an attempt on an engine failed.
+// observe records the Retry-After of a refused attempt.
 func (r *rests) note(now time.Time, engine string, cause error) {
 	var refusal *target.RefusedError
 	if !errors.As(cause, &refusal) || refusal.RetryAfter <= 0 {
@@ -39,7 +39,7 @@
 	r.until[engine] = now.Add(refusal.RetryAfter)
 }
 
-// on reports whether an engine rests.
+// active reports whether an engine's Retry-After has not passed yet.
 func (r *rests) on(now time.Time, engine string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/entry/rest_test.go
+++ b/lib/entry/backoff_test.go
@@ -10,8 +10,8 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// Engines that rest come and go under new names for as long as an entry lives. Those whose time was over were kept for good where nobody
-// asked for them again.
+// Engines that asked for a back-off come and go under new names for as long as an entry lives. Expired entries of engines
+// that were never used again must be removed, or the map grows without bound.
 func TestRestsThatAreOverAreDropped(t *testing.T) {
 	r := newRests()
 	now := time.Now()
--- a/lib/entry/bench_test.go
+++ b/lib/entry/bench_test.go
@@ -23,12 +23,12 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// frames is an endless body of token frames.
+// frames is an endless response body of token frames.
 type frames struct {
 	gen  string
 	next uint32
 	buf  []byte
-	sent int // of buf
+	sent int // bytes of buf already read
 }
 
 func (f *frames) Read(p []byte) (int, error) {
@@ -53,8 +53,8 @@
 	return append(dst, "}}\n\n"...)
 }
 
-// BenchmarkForwardToken measures what the entry itself spends on one token: reading the event, parsing and judging the
-// frame, metrics, stall watch, and the event for the caller. The making of the frames and the network are left out.
+// BenchmarkForwardToken measures the entry's own cost per token: reading the event, parsing and checking the frame, metrics,
+// stall monitoring, and building the caller's event. Generating the frames and the network are not included.
 func BenchmarkForwardToken(b *testing.B) {
 	s := New(Options{Placer: nil})
 	g, sk := benchGeneration(s)
@@ -89,8 +89,8 @@
 	return g, sk
 }
 
-// BenchmarkStream measures processor time a token of whole streams over loopback: "direct" between a caller and an
-// engine, "entry" with the entry between them, all in this process. What the entry adds is the difference.
+// BenchmarkStream measures the CPU time per token of complete streams over loopback: "direct" between a caller and an engine,
+// "entry" with the entry in between, all in this process. The difference is the entry's overhead.
 func BenchmarkStream(b *testing.B) {
 	engine := httptest.NewServer(http.HandlerFunc(benchEngine))
 	defer engine.Close()
@@ -109,7 +109,7 @@
 	benchStep   = 10 * time.Millisecond
 )
 
-// benchEngine sends a token each step.
+// benchEngine sends one token every benchStep.
 func benchEngine(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		_, _ = io.WriteString(w, `{"incarnation":1}`)
@@ -129,7 +129,7 @@
 	fmt.Fprintf(w, `data: {"choices":[{"index":0,"finish_reason":"stop"}],"ext":{"generation":"%s","attempt":1,"index":%d}}`+"\n\ndata: [DONE]\n\n", gen, benchTokens)
 }
 
-// times is what callers saw.
+// latencies collects the latencies seen by callers.
 type times struct {
 	mu    sync.Mutex
 	first []time.Duration // request to first token
@@ -190,7 +190,7 @@
 	}
 }
 
-// processorTime returns what this process has used, user and system.
+// processorTime returns the user and system CPU time of this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/lib/entry/claimed.go
+++ b/lib/entry/claimed.go
@@ -12,14 +12,14 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// headerReplayed marks the answer of an earlier run, told again to a resend.
+// headerReplayed marks an answer replayed from an earlier run of the same key.
 const headerReplayed = "Idempotent-Replayed"
 
-// needsClaim reports whether a keyed generation must be claimed: unless its service says that generations are
-// idempotent, they are not.
+// needsClaim reports whether a keyed generation must be claimed. Generations count as non-idempotent unless the service
+// is configured as idempotent.
 func (a *asked) needsClaim() bool { return a.headers.Key != "" && !a.service.Idempotent }
 
-// claim makes a keyed generation known to all entries before any of it is sent.
+// claim registers a keyed generation in the claim table, visible to all entries, before any part of it is sent.
 func (s *Server) claim(ctx context.Context, g *generation, a *asked) (*claim.Summary, *result.Error) {
 	if !a.needsClaim() {
 		return nil, nil
@@ -41,16 +41,16 @@
 	}
 }
 
-// moveClaim makes this entry the holder of a restored generation's claim, before anything of it is sent. Two entries can
-// find the same record at once, and both would run the rest: the table lets only one of them by.
+// takeOverClaim makes this entry the holder of a restored generation's claim before any part of it is sent. Two entries
+// may read the same record concurrently and would both run the remainder; the claim table admits only one of them.
 //
-// An idempotent generation has no claim. Two entries that go on with it cost engine time only: each numbers its own
-// attempts and checks its own tokens, and no stream holds tokens of both.
+// An idempotent generation has no claim. If two entries resume it, only engine time is wasted: each numbers its own
+// attempts and checks its own tokens, so no stream mixes tokens of both.
 func (s *Server) moveClaim(ctx context.Context, g *generation, a *asked, rec *Record) (Claim, *result.Error) {
 	if !a.needsClaim() {
 		return nil, nil
 	}
-	// The record's body, since the caller may have sent the same content in other bytes.
+	// The fingerprint uses the record's body, since the caller may have sent the same content in different bytes.
 	req := a.claimRequest(g, rec.Path, rec.Request)
 	req.Owner = rec.Owner
 	c, sum, err := s.opts.Claims.TakeOver(ctx, req, rec.Attempt+restoreGap)
@@ -60,8 +60,8 @@
 	return c, err
 }
 
-// closeClaim keeps the outcome of a generation whose end is in its record, in case its entry died before its claim told
-// it. The caller doesn't wait for it: nothing is run.
+// closeClaim finishes the claim of a generation whose record is complete, in case its entry died before doing so. It
+// runs in the background; the caller doesn't wait, since nothing is run.
 func (s *Server) closeClaim(g *generation, a *asked, rec *Record) {
 	defer s.background.Done()
 	c, err := s.moveClaim(context.Background(), g, a, rec)
@@ -72,10 +72,10 @@
 	c.Finish(g.summary())
 }
 
-// markSent records in the claim that the attempt is about to leave. Once a token came, the claim names the engine that gave
-// it and says so for good; later attempts go on without the table, which may be down by then. Until then each attempt is
-// marked, also after one that may have run: an engine that took a request and never began it proves that truly, and the
-// claim may not rest on its word while another engine runs the rest.
+// markSent records in the claim that the attempt is about to be sent. Once a token has arrived, the claim permanently
+// names the engine that produced it, and later attempts proceed without the table, which may be down by then. Until then
+// every attempt is marked, even after one that may have run: an engine that received a request and never started it
+// truthfully reports "not run", and the claim must not rely on that while another engine runs the remainder.
 func (s *Server) markSent(g *generation, target string, number uint32) *result.Error {
 	if g.claim == nil || g.delivered() > 0 {
 		return nil
@@ -91,17 +91,17 @@
 	return err
 }
 
-// Superseded stops a generation that another entry goes on with: this one was frozen or cut off for so long that it was
-// taken for dead. Its claim is not its own any more, so it can't be settled; engines take the other's attempts for the
-// later ones. Run on, it would keep an engine busy for a text that is given elsewhere. Its caller is told to ask again with
-// the key; its record is no longer put, and the next request with the key is led to the other entry.
+// StopSuperseded stops a generation that another entry has resumed, because this entry was frozen or partitioned long
+// enough to be considered dead. Its claim is no longer held here and can't be settled, and engines treat the other
+// entry's attempts as newer. Continuing would occupy an engine for text that is delivered elsewhere. The caller is told
+// to retry with the key; the record is no longer written, and the next request with the key goes to the other entry.
 func (s *Server) Superseded(id ids.Generation) {
 	if g := s.table.lost(id); g != nil {
 		g.cancel(errTakenOver)
 	}
 }
 
-// settleClaim keeps the outcome of a generation. A key is free again only when nothing was run under it.
+// settleClaim records the outcome of a generation. The key is released only if nothing was run under it.
 func (g *generation) settleClaim() {
 	switch {
 	case g.claim == nil:
@@ -112,7 +112,7 @@
 	}
 }
 
-// summary is what a resend is told when nothing else of the generation is left.
+// summary returns the outcome kept in the claim, used for resends when nothing else of the generation is left.
 func (g *generation) summary() claim.Summary {
 	if g.err != nil {
 		return claim.Summary{Code: g.err.Code, Status: result.Lookup(g.err.Code).HTTP}
@@ -129,7 +129,7 @@
 
 const contentJSON = "application/json"
 
-// retold is what a resend of a finished request gets in place of a run.
+// replayedError returns the error for a resend of a finished request, in place of a run.
 func retold(sum *claim.Summary) *result.Error {
 	if sum.Code != result.OK {
 		return result.New(sum.Code, "as the first request with this %s was told", callerapi.HeaderKey)
@@ -137,7 +137,7 @@
 	return result.New(result.AnswerGone, "%s", callerapi.HeaderKey)
 }
 
-// writeKept writes the kept answer of an earlier run.
+// writeReplayed writes the stored answer of an earlier run.
 func writeKept(w http.ResponseWriter, sum *claim.Summary) {
 	h := w.Header()
 	h.Set("Content-Type", sum.ContentType)
--- a/lib/entry/claimed_test.go
+++ b/lib/entry/claimed_test.go
@@ -9,8 +9,8 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// A caller sends its key again long after the first request completed, and the answer was too large to keep. Told
-// "not run", it would send the work under a new key and have it done twice.
+// A caller resends its key long after the first request completed, and the answer was too large to keep. If it were told
+// "not run", it would resend the work under a new key and have it done twice.
 func TestResendWithoutAKeptAnswerIsToldThatItCompleted(t *testing.T) {
 	err := retold(&claim.Summary{Code: result.OK})
 	must.EqOp(t, result.AnswerGone, err.Code)
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -16,11 +16,11 @@
 	"anvilwick.example/anvilwick/lib/stream"
 )
 
-// restoreGap is added to the attempt number of a generation that is taken over from a dead entry, whose last attempts may
-// not be in its record.
+// restoreGap is added to the attempt number when a generation is taken over from a dead entry, because that entry's last
+// attempts may be missing from the record.
 const restoreGap = 16
 
-// serveCompletion answers a request for a generation, or goes on with one.
+// serveCompletion handles a completion request: it starts a generation, joins a running one, or resumes one.
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	rq, ok := s.accept(w, r)
 	if !ok {
@@ -44,7 +44,7 @@
 	s.deliver(w, r, g, sk)
 }
 
-// asked is a completion request with what its settings say.
+// completionRequest is a completion request with the settings that apply to it.
 type asked struct {
 	*request
 	conn       http.ResponseWriter
@@ -53,7 +53,7 @@
 	service    *settings.Service
 	policy     *settings.Policy
 	subject    Subject
-	kept       *claim.Summary // set when the answer of an earlier run is all there is to give
+	kept       *claim.Summary // set when only the stored answer of an earlier run can be returned
 }
 
 func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, rq *request) (*asked, *result.Error) {
@@ -83,8 +83,8 @@
 	return a, nil
 }
 
-// obtain returns the generation to deliver, and the sink that is attached to it: one in progress here under the
-// request's key, one taken over from an entry that died, or a new one.
+// obtain returns the generation to deliver with an attached sink: the one in progress here under the request's key, one
+// taken over from a dead entry, or a new one.
 func (s *Server) obtain(ctx context.Context, a *asked) (*generation, *sink, *result.Error) {
 	last := a.headers.LastEvent
 	if last != nil && (a.headers.Key == "" || !a.completion.Stream) {
@@ -99,7 +99,7 @@
 	return s.admit(ctx, a)
 }
 
-// newSink returns a sink for the request's connection, from the token on that its caller lacks.
+// newSink returns a sink for the request's connection, starting at the first token the caller lacks.
 func (a *asked) newSink() *sink {
 	sk := newSink(a.conn, a.policy, !a.completion.Stream)
 	if a.headers.LastEvent != nil {
@@ -108,15 +108,15 @@
 	return sk
 }
 
-// join attaches a caller that asks again to the generation of its key. One that was stopped for want of a caller goes on.
+// join attaches a returning caller to the generation of its key. A generation stopped for lack of a caller is resumed.
 func (s *Server) join(ctx context.Context, g *generation, a *asked) (*generation, *sink, *result.Error) {
 	if g.subject.Fingerprint != a.subject.Fingerprint || g.service.Name != a.service.Name {
 		return nil, nil, result.New(result.KeyReused, "%s", callerapi.HeaderKey)
 	}
 	last := a.headers.LastEvent
 	if last != nil && last.Generation != g.id && !g.owned() {
-		// Its id was only drawn. Whether the stream that the caller names can be gone on with is not known before the
-		// claim is: told that it is lost, the caller would give it up.
+		// The claim is still pending and may lead to another generation ID. UnknownStream would make the caller give up
+		// a stream that might still be resumable, so it is told to retry.
 		err := result.New(result.AlreadyRunning, "its claim is asked for")
 		err.RetryAfter = time.Second
 		return nil, nil, err
@@ -136,7 +136,7 @@
 	return g, sk, nil
 }
 
-// admit starts a new generation, or refuses it at once.
+// admit starts a new generation or refuses it immediately.
 func (s *Server) admit(ctx context.Context, a *asked) (*generation, *sink, *result.Error) {
 	g := s.newGeneration(a, ids.New(), stream.New)
 	if err := s.admission(ctx, g); err != nil {
@@ -159,8 +159,8 @@
 	return g, sk, nil
 }
 
-// notClaimed answers a request whose key is held or was finished elsewhere. What is left of the generation is given
-// from its record, when the holder is gone or done; else from the claim.
+// notClaimed handles a request whose key is held or was finished elsewhere. If the holder is gone or done, the generation
+// is restored from its record; otherwise the answer comes from the claim.
 func (s *Server) notClaimed(ctx context.Context, a *asked, g *generation, sk *sink, sum *claim.Summary, err *result.Error) (*generation, *sink, *result.Error) {
 	if sum != nil {
 		err = retold(sum)
@@ -175,7 +175,7 @@
 	}
 	open := sum == nil || result.Lookup(sum.Code).Again == result.AgainWithKey
 	if open && (terr.Code == result.AlreadyRunning || terr.Code == result.StoreDown) {
-		return nil, nil, terr // another goes on with it, or nobody can for now: neither an orphan nor given up
+		return nil, nil, terr // another entry runs it, or no entry can for now: not orphaned, and not to be given up
 	}
 	if sum != nil && sum.Code == result.OK && sum.Kept && !a.completion.Stream {
 		a.kept = sum
@@ -184,7 +184,7 @@
 	return nil, nil, err
 }
 
-// withdraw ends a generation that never started. Another connection may have joined it meanwhile and is told as well.
+// withdraw ends a generation that never started. Connections that joined it meanwhile receive the error too.
 func (s *Server) withdraw(g *generation, own *sink, err *result.Error) {
 	s.table.drop(g)
 	g.detach(own, s.now())
@@ -192,7 +192,7 @@
 	g.release()
 }
 
-// admission is the chain of checks before anything is sent.
+// admission runs the checks that precede sending: deadline, poison and limits.
 func (s *Server) admission(ctx context.Context, g *generation) *result.Error {
 	if !g.deadline.IsZero() && !s.now().Before(g.deadline) {
 		err := result.New(result.DeadlineTooNear, "it has passed")
@@ -207,7 +207,7 @@
 	return err
 }
 
-// takeOver goes on with a generation whose entry died, from the record that it left with a peer.
+// takeOver resumes a generation whose entry died, from the record it stored with a peer.
 func (s *Server) takeOver(ctx context.Context, a *asked) (*generation, *sink, *result.Error) {
 	rec, err := s.opts.Records.Get(ctx, a.workspace.Name, a.headers.Key)
 	if err != nil {
@@ -219,7 +219,7 @@
 	return s.goOn(ctx, a, rec)
 }
 
-// goOn runs the rest of a generation that nobody runs any more.
+// resume runs the remainder of a generation that no entry is running.
 func (s *Server) goOn(ctx context.Context, a *asked, rec *Record) (*generation, *sink, *result.Error) {
 	g, sk := s.restored(a, rec), a.newSink()
 	err := g.attach(s.now(), sk, true)
@@ -250,7 +250,7 @@
 	return g, sk, nil
 }
 
-// matches refuses a record that is not of the request: its key was used for something else.
+// matches returns an error if the record belongs to another request, that is, the key was reused.
 func matches(rec *Record, a *asked) *result.Error {
 	last := a.headers.LastEvent
 	switch {
@@ -262,7 +262,7 @@
 	return nil
 }
 
-// restored builds a generation from its record.
+// restored rebuilds a generation from its record.
 func (s *Server) restored(a *asked, rec *Record) *generation {
 	g := s.newGeneration(a, rec.Generation, func(id ids.Generation) *stream.State {
 		return stream.Restore(id, rec.Attempt+restoreGap, uint32(len(rec.Tokens)))
--- a/lib/entry/deliver.go
+++ b/lib/entry/deliver.go
@@ -10,23 +10,23 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// keepAlive is the time without an event after which a comment is sent, so that balancers keep the connection and a
-// caller that is gone is noticed.
+// keepAlive is the idle time after which an SSE comment is sent, so that load balancers keep the connection open and
+// disconnected callers are detected.
 const keepAlive = 15 * time.Second
 
 const keepAliveComment = ": waiting\n\n"
 
-// delivery is one connection's side of a generation.
+// delivery writes a generation to one caller connection.
 type delivery struct {
 	w       http.ResponseWriter
 	g       *generation
 	sink    *sink
 	buf     []byte
-	started bool // headers of the stream are sent
+	started bool // stream headers have been sent
 	idle    bool // nothing was written since the keep-alive timer last fired
 }
 
-// deliver answers the caller until the generation has ended or the caller is gone.
+// deliver writes the answer until the generation ends or the caller disconnects.
 func (s *Server) deliver(w http.ResponseWriter, r *http.Request, g *generation, sk *sink) {
 	d := &delivery{w: w, g: g, sink: sk, idle: true}
 	whole := d.loop(r)
@@ -39,15 +39,15 @@
 	panic(http.ErrAbortHandler)
 }
 
-// callerLeft ends a generation whose caller is gone, so that the engine's memory is free at once. A keyed one runs on for
-// a while, since its caller can come back for the rest.
+// callerLeft cancels a generation whose caller has disconnected, which frees the engine's memory at once. A keyed
+// generation keeps running for CallerGrace, since its caller may return for the rest.
 func (s *Server) callerLeft(g *generation, sk *sink) {
 	if g.detach(sk, s.now()) && g.key == "" {
 		g.cancel(errCallerGone)
 	}
 }
 
-// loop reports whether the answer was written to its end.
+// loop writes events as they arrive and reports whether the answer was written completely.
 func (d *delivery) loop(r *http.Request) bool {
 	timer := time.NewTimer(keepAlive)
 	defer timer.Stop()
@@ -69,7 +69,7 @@
 	}
 }
 
-// writeOut writes all that is buffered.
+// writeBuffered writes all buffered events.
 func (d *delivery) writeOut() (last, ok bool) {
 	d.g.mu.Lock()
 	d.buf = d.sink.take(d.buf)
@@ -111,7 +111,7 @@
 	return ok
 }
 
-// writeAnswer writes the whole answer of an unstreamed request. The generation has ended, so its fields are fixed.
+// writeAnswer writes the complete answer of a non-streamed request. The generation has ended, so its fields are fixed.
 func (d *delivery) writeAnswer() bool {
 	g := d.g
 	if g.err != nil {
@@ -130,7 +130,7 @@
 	return err == nil
 }
 
-// answer is the whole answer of a generation that ended well.
+// answer returns the complete answer of a generation that ended without error.
 func (g *generation) answer() callerapi.Answer {
 	usage := callerapi.Usage{PromptTokens: g.asked.PromptTokens(), CompletionTokens: g.text.Len()}
 	return g.shape.Answer(g.text.String(), g.finish, g.accepted.Unix(), usage)
--- a/lib/entry/finish.go
+++ b/lib/entry/finish.go
@@ -28,8 +28,8 @@
 	return err.Code
 }
 
-// truthful replaces a code whose promise does not hold. "Not run" is kept only when no engine may have executed any
-// part, whatever step of the way gave up in the end; and a deadline that passed before anything was sent is "not run".
+// correctOutcome replaces an error code whose outcome would be false. "Not run" is kept only if no engine can have
+// executed any part, whichever step failed last; a deadline that passed before anything was sent becomes "not run".
 func truthful(g *generation, err *result.Error) *result.Error {
 	if err == nil {
 		return nil
--- a/lib/entry/finish_test.go
+++ b/lib/entry/finish_test.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Whatever step gave up last, the caller is told "not run" exactly when no engine can have run a part.
+// Whichever step failed last, the caller is told "not run" exactly when no engine can have run any part.
 func TestTruthful(t *testing.T) {
 	must.Nil(t, truthful(&generation{mayHaveRun: true}, nil))
 	for _, in := range result.Table {
--- a/lib/entry/generation.go
+++ b/lib/entry/generation.go
@@ -18,25 +18,25 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// Causes that end a generation or one of its attempts.
+// Causes for cancelling a generation or one of its attempts.
 var (
-	errCallerGone = errors.New("the caller closed its connection")
-	errCallerSlow = errors.New("the caller reads too slowly")
-	errDeadline   = errors.New("the deadline passed")
+	errCallerGone = errors.New("caller closed its connection")
+	errCallerSlow = errors.New("caller reads too slowly")
+	errDeadline   = errors.New("deadline passed")
 	errStalled    = errors.New("no token within the stall bound")
-	errMoved      = errors.New("moved by the scheduler")
-	errTakenOver  = errors.New("another entry goes on with it")
-	errDiverged   = errors.New("the caller has other tokens than were decoded again")
+	errMoved      = errors.New("attempt moved by the scheduler")
+	errTakenOver  = errors.New("generation taken over by another entry")
+	errDiverged   = errors.New("tokens decoded again differ from those the caller received")
 )
 
-// generation is one caller's request for a text, over its whole life.
+// generation is one caller's completion request, from acceptance to its end, across all attempts.
 type generation struct {
-	// Fixed when it is accepted.
+	// Set at acceptance and not changed later.
 	id       ids.Generation
 	idText   string
 	request  string // request id, on every log line
 	subject  Subject
-	key      string // Idempotency-Key; empty: none
+	key      string // Idempotency-Key; empty if none
 	policy   *settings.Policy
 	view     *view
 	service  *settings.Service
@@ -46,33 +46,33 @@
 	shape    callerapi.Shape
 	prefixes []uint64
 	accepted time.Time
-	deadline time.Time // zero: none
+	deadline time.Time // zero if none
 	metrics  *entrymetrics.Pair
 	claim    Claim
 	release  func()
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	done     chan struct{} // closed when ended
+	done     chan struct{} // closed when the generation has ended
 
 	mu         sync.Mutex
 	state      *stream.State
 	text       stream.Text
-	sink       *sink     // nil: no caller attached, or an unstreamed answer
-	detached   time.Time // since when a keyed generation has had no caller; zero: it has one
+	sink       *sink     // nil while no caller is attached
+	detached   time.Time // when a keyed generation lost its caller; zero while one is attached
 	attempt    attempt
 	mayHaveRun bool          // some engine may have executed a part of it
-	lastToken  time.Time     // when the last token came, or the first grant
-	stalled    time.Duration // all stalls added up
-	reported   uint32        // tokens told to the placer
+	lastToken  time.Time     // time of the last token, or of the first send
+	stalled    time.Duration // sum of all stalls
+	reported   uint32        // token count last reported to the placer
 	reportedAt time.Time
-	begun      bool // run or finished by this entry, no longer only asked for; from then on it is recorded
-	recorded   int  // tokens given to Records
+	begun      bool // this entry runs or finishes it; set once the claim is held, and required before it is recorded
+	recorded   int  // token count last passed to Records
 	recordedAt time.Time
 	ended      bool
 	endedAt    time.Time
-	err        *result.Error // nil when ended well
-	finish     string        // finish reason of the end mark
-	finishRaw  []byte        // frame of the end mark
+	err        *result.Error // nil if it completed
+	finish     string        // finish reason from the finish frame
+	finishRaw  []byte        // raw finish frame
 }
 
 // attempt is the current attempt of a generation.
@@ -81,17 +81,17 @@
 	target    string
 	decisions chan sched.Action
 	cancel    context.CancelCauseFunc // nil while no target runs it
-	since     time.Time               // sent, or its last token
+	since     time.Time               // when it was sent, or its last token arrived
 	tokens    int
-	silent    bool // the stall monitor calls it overdue
+	silent    bool // reported as overdue by the stall monitor
 }
 
-// log returns a log entry that carries the request's id.
+// log adds the event name and the request and generation IDs to a log entry.
 func (g *generation) log(e *log.Entry, event string) *log.Entry {
 	return e.Str("event", event).Str("request", g.request).Str("generation", g.idText)
 }
 
-// decide takes a decision of the placer. It is called under the placer's lock and calls nothing back.
+// handleDecision receives a placer decision. It runs under the placer's lock and must not call back into the placer.
 func (g *generation) decide(a sched.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,29 +110,29 @@
 	}
 }
 
-// beginAt sets the number of the first attempt, before there is any.
+// setFirstAttempt sets the number of the first attempt. It must be called before any attempt begins.
 func (g *generation) beginAt(first uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state = stream.Restore(g.id, first-1, 0)
 }
 
-// own notes that the generation is this entry's to run and to record. Before its claim is held, a record would stand in
-// place of that of the entry which held it before, or holds it.
+// markOwned notes that this entry runs the generation and may record it. A record written before the claim is held would
+// overwrite that of the claim's previous or current holder.
 func (g *generation) own() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.begun = true
 }
 
-// owned reports whether own was called.
+// isOwned reports whether markOwned was called.
 func (g *generation) owned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.begun
 }
 
-// begin numbers the next attempt. The caller has fenced the one before.
+// beginAttempt allocates the next attempt number. The previous attempt must be fenced.
 func (g *generation) begin() (uint32, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,7 +144,7 @@
 	return n, nil
 }
 
-// start notes that the attempt is about to be sent to a target.
+// startAttempt notes that the attempt is about to be sent to a target.
 func (g *generation) start(target string, now time.Time, cancel context.CancelCauseFunc) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// stop fences the attempt: from here on no frame of it can be delivered.
+// fenceAttempt fences the current attempt: no later frame of it is delivered.
 func (g *generation) stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,21 +164,21 @@
 	g.attempt.cancel = nil
 }
 
-// noteRan notes that an engine may have executed a part.
+// markMayHaveRun notes that an engine may have executed a part.
 func (g *generation) noteRan() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.mayHaveRun = true
 }
 
-// ran reports whether an engine may have executed a part.
+// possiblyRan reports whether an engine may have executed a part.
 func (g *generation) ran() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.mayHaveRun
 }
 
-// token judges a token frame and, when it is the next one, hands it to the caller.
+// acceptToken checks a token frame and, if it is the next one, appends it to the caller's sink.
 func (g *generation) token(now time.Time, f *target.Frame) (stream.Verdict, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -199,8 +199,8 @@
 	return v, gap
 }
 
-// current reports whether a frame belongs to the current attempt. An error frame may leave out whose it is; the
-// connection then vouches for it.
+// isCurrent reports whether a frame belongs to the current attempt. An error frame may omit its generation and attempt;
+// it then belongs to the attempt of the connection it arrived on.
 func (g *generation) current(f *target.Frame) bool {
 	if f.Err != nil && f.Generation.IsZero() {
 		return true
@@ -210,7 +210,7 @@
 	return g.state.Current(f.Generation, f.Attempt)
 }
 
-// endMark judges the end mark, which counts when [DONE] has followed it.
+// acceptFinish checks the finish frame. It is called only after [DONE] has confirmed the frame.
 func (g *generation) endMark(f *endFrame) stream.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,7 +221,7 @@
 	return v
 }
 
-// end closes the generation with err, or well when err is nil, and tells the attached caller.
+// end closes the generation with err, or as completed when err is nil, and passes the end to the attached caller.
 func (g *generation) end(now time.Time, err *result.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -233,14 +233,14 @@
 	close(g.done)
 }
 
-// released reports whether the generation was stopped for want of a caller and can be gone on with. The caller holds mu,
-// or the generation has ended.
+// resumableLocked reports whether the generation was stopped for lack of a caller and can be resumed. The caller must
+// hold mu, unless the generation has ended.
 func (g *generation) released() bool {
 	return g.ended && g.key != "" && g.err != nil && g.err.Code != result.TakenOver &&
 		result.Lookup(g.err.Code).Again == result.AgainWithKey
 }
 
-// ending is the last bytes of the stream.
+// closingEvents returns the last bytes of the stream.
 func (g *generation) ending() []byte {
 	if g.err != nil {
 		return callerapi.AppendErrorEvent(nil, g.err, g.request)
@@ -252,7 +252,7 @@
 	return append(callerapi.AppendEvent(nil, g.idText, g.state.Next(), g.text.Digest(), raw), callerapi.Done...)
 }
 
-// offer appends the last token to the caller's sink, unless the caller has it.
+// offer appends the last token to the caller's sink, unless the caller already has it.
 func (g *generation) offer(now time.Time, index uint32, raw []byte) {
 	if g.sink == nil || g.sink.quiet {
 		return
@@ -266,8 +266,9 @@
 	}
 }
 
-// attach makes s the caller's connection. With takeover any other connection loses the stream; without, it keeps it. s
-// may ask for tokens that are not there yet: then the entry that gave them died, and they are decoded again.
+// attach makes s the caller's connection. With takeover it replaces any other connection; without, an existing connection
+// keeps the stream. s may start after tokens not decoded here yet: the entry that sent them died, and they are decoded
+// again.
 func (g *generation) attach(now time.Time, s *sink, takeover bool) *result.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -294,7 +295,7 @@
 	return nil
 }
 
-// replay gives s what was delivered before it came.
+// replay appends to s the tokens that were delivered before it attached.
 func (g *generation) replay(s *sink) *result.Error {
 	if s.quiet {
 		return nil
@@ -316,7 +317,7 @@
 	return nil
 }
 
-// detach notes that the connection of s is gone. It reports whether the generation now has no caller.
+// detach removes s when its connection is closed. It reports whether the generation now has no caller.
 func (g *generation) detach(s *sink, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -328,7 +329,7 @@
 	return true
 }
 
-// delivered returns the count of tokens delivered.
+// delivered returns the number of delivered tokens.
 func (g *generation) delivered() uint32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lib/entry/generation_test.go
+++ b/lib/entry/generation_test.go
@@ -40,9 +40,9 @@
 	must.Eq(t, 10, ans.Usage.CompletionTokens)
 }
 
-// The caller's answer stops in the middle because its engine is killed. The connection breaks without an end mark; the
-// entry fences that attempt and resumes at the next token on the other engine. The caller sees each token once, of one
-// generation, and the end mark.
+// An engine is killed in the middle of a stream, and the connection breaks without a finish frame. The entry must fence the
+// attempt and resume at the next token on the other engine. The caller sees each token once, of one generation, and the
+// finish frame.
 func TestEngineKilledMidStreamResumesElsewhere(t *testing.T) {
 	engines := []*engine.Server{startEngine(t, nil), startEngine(t, nil)}
 	r := newRig(t, siteText("", true, []string{engines[0].Addr(), engines[1].Addr()}, nil), nil)
@@ -60,7 +60,7 @@
 	must.True(t, killed)
 }
 
-// runningOn returns which engine runs the only generation in progress.
+// runningOn returns the index of the engine that runs the only generation in progress.
 func (r *rig) runningOn() int {
 	for _, g := range r.server.table.running(nil) {
 		g.mu.Lock()
@@ -71,8 +71,8 @@
 	return 0
 }
 
-// A stream is cut by the engine while the engine lives on. Without the check for the end mark the caller would take a
-// part for the whole.
+// The engine ends a stream early while it stays alive. Without the check for the finish frame, the caller would take the
+// partial answer for the complete one.
 func TestCutWithoutEndMarkIsResumed(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
@@ -87,8 +87,8 @@
 	st.whole(t, prompt, 60)
 }
 
-// The engine repeats frames and sends frames of an older attempt beside the right ones, as a link that delivers late and
-// twice would. The caller must see each token once.
+// The engine repeats frames and interleaves frames of an older attempt, as with late and duplicate delivery. The caller must
+// see each token once.
 func TestRepeatedAndLateFramesAreDropped(t *testing.T) {
 	e := startEngine(t, nil)
 	e.Order(engine.Fault{Kind: engine.FaultRepeat})
@@ -99,8 +99,8 @@
 	st.whole(t, prompt, 50)
 }
 
-// The link to the engine carries nothing for longer than the stall bound, but does not break. Nothing tells the entry
-// but time: it gives up on the attempt and resumes on the other engine, though the first would still have answered.
+// The link to the engine carries nothing for longer than the stall bound but does not break, so only a timeout reveals it.
+// The entry must cancel the attempt and resume on the other engine, although the first would still have answered.
 func TestStalledLinkIsLeft(t *testing.T) {
 	engines := []*engine.Server{startEngine(t, nil), startEngine(t, nil)}
 	r := newRig(t, siteText("", true, []string{engines[0].Addr(), engines[1].Addr()}, nil), nil)
@@ -117,8 +117,8 @@
 	st.whole(t, prompt, 60)
 }
 
-// The service's engines can't resume. When the stream breaks, the caller has a part of an answer that nobody can go on
-// with. Starting over into the same stream would mix two answers, so it ends with a numbered error and no [DONE].
+// The service's engines can't resume, and the stream breaks. Restarting into the same stream would mix two answers, so the
+// stream must end with a numbered error and no [DONE].
 func TestBreakWithoutResumeEndsTruthfully(t *testing.T) {
 	e := startEngine(t, func(c *engine.Config) { c.NoResume = true })
 	r := newRig(t, siteText("", false, []string{e.Addr()}, nil), nil)
@@ -135,7 +135,7 @@
 	must.Eq(t, result.FailedRan.String(), st.err.Outcome)
 }
 
-// No engine can be reached: nothing was sent, so the caller is told at once that it was not run, and when to come back.
+// No engine is reachable and nothing was sent: the caller must be told at once that nothing was run, and when to retry.
 func TestNoEngineIsNotRun(t *testing.T) {
 	r := newRig(t, siteText("  max_attempts: 2\n  max_wait: 300ms\n", true, []string{"127.0.0.1:1"}, nil), nil)
 	resp := r.send(context.Background(), ask{prompt: "nobody", stream: true})
@@ -146,7 +146,7 @@
 	must.Eq(t, result.NoTarget, e.Code)
 }
 
-// The caller goes away in the middle. The engine's memory must be free soon, not when the answer would have ended.
+// The caller disconnects mid-stream. The engine's memory must be freed soon, not when the answer would have ended.
 func TestCallerGoneCancelsAtTheEngine(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -22,12 +22,12 @@
 
 const (
 	deathProbeTimeout = 300 * time.Millisecond
-	lifeFresh         = time.Minute      // how long an engine's incarnation is believed
-	plainDeathSpan    = 30 * time.Second // plain services have no incarnation; deaths within it count as one
-	maxSettles        = 4                // waits for peers to tell who else was aboard
+	lifeFresh         = time.Minute      // how long a reported engine incarnation stays valid
+	plainDeathSpan    = 30 * time.Second // plain services have no incarnation; deaths within this window count as one
+	maxSettles        = 4                // waits for peers to report which other requests ran on a dead target
 )
 
-// outcomeOf says what an attempt's end tells of the link to its target.
+// outcomeOf maps an attempt's end reason to a breaker outcome for the target's link.
 func outcomeOf(r sched.EndReason) breaker.Outcome {
 	switch r {
 	case sched.EndCompleted:
@@ -38,8 +38,9 @@
 	return breaker.Ignored
 }
 
-// clean refuses content that is known to kill the targets that run it. Just after a second death it waits, a bounded
-// time, until peers have told who else was aboard: an innocent request must not be refused for its neighbour.
+// checkPoison refuses content known to kill the targets that run it. Right after a second death it waits, for a bounded
+// time, until peers have reported which other requests ran there: an innocent request must not be refused because it
+// ran beside the cause.
 func (s *Server) clean(ctx context.Context, fingerprint uint64) *result.Error {
 	for range maxSettles {
 		verdict, wait := s.opts.Poison.Check(s.now(), fingerprint)
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// pause waits d, or less when ctx ends.
+// pause waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -67,7 +68,7 @@
 	}
 }
 
-// lives remembers the incarnation of engines, so that one death has one name at every entry that saw it.
+// incarnations caches the incarnations of engines, so that every entry identifies the same engine death by the same number.
 type lives struct {
 	mu   sync.Mutex
 	seen map[string]life
@@ -93,10 +94,10 @@
 	return seen, ok
 }
 
-// NoteLife tells the incarnation that an engine reported.
+// NoteIncarnation records the incarnation that an engine reported.
 func (s *Server) NoteLife(name string, incarnation uint64) { s.lives.note(s.now(), name, incarnation) }
 
-// learnLife asks an engine for its incarnation in the background, unless it is known.
+// refreshIncarnation queries an engine's incarnation in the background if no valid one is cached.
 func (s *Server) learnLife(c *target.Client) {
 	seen, ok := s.lives.get(c.Name())
 	if ok && s.now().Sub(seen.at) < lifeFresh {
@@ -110,7 +111,8 @@
 }
 
 // engineDied reports whether the engine process that ran an attempt is gone: nothing listens on its address, or another
-// incarnation answers there. A cut link, a lost answer or a slow engine says nothing about the content, and is no death.
+// incarnation answers there. A broken link, a lost answer or a slow engine is no evidence against the content and does
+// not count as a death.
 func (s *Server) engineDied(ctx context.Context, c *target.Client) (incarnation uint64, died bool) {
 	seen, _ := s.lives.get(c.Name())
 	ctx, cancel := context.WithTimeout(ctx, deathProbeTimeout)
@@ -123,8 +125,8 @@
 	return seen.incarnation, seen.incarnation != 0 && rep.Incarnation != seen.incarnation
 }
 
-// settlePoison tells how an attempt ended to the table that looks for content that kills. Each attempt that was aboard
-// tells a death; the table counts it once.
+// reportAttemptToPoison reports an attempt's end to the poison table. Every attempt that was running reports the death;
+// the table counts it once.
 func (s *Server) settlePoison(g *generation, c *target.Client, ran poison.Run, reason sched.EndReason) {
 	switch reason {
 	case sched.EndCompleted:
@@ -144,7 +146,7 @@
 	s.opts.Poison.Lost(s.now(), ran, incarnation)
 }
 
-// picks holds the load of plain services' targets.
+// pickTables holds the load-balancing tables of plain services, by service name.
 type picks struct {
 	mu     sync.Mutex
 	tables map[string]*pick.Table
@@ -152,7 +154,7 @@
 
 func newPicks() *picks { return &picks{tables: make(map[string]*pick.Table)} }
 
-// apply takes up a revision's plain services.
+// apply updates the tables for the plain services of a settings revision.
 func (p *picks) apply(snap *settings.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,14 +191,14 @@
 	return p.tables[service]
 }
 
-// ServiceReport takes a load report of a plain service's target.
+// UpdateServiceLoad applies a load report of a plain service's target.
 func (s *Server) ServiceReport(service, name string, rep pick.Report) {
 	if t := s.picks.table(service); t != nil {
 		t.Report(s.now(), name, rep)
 	}
 }
 
-// pickTarget chooses the target of a plain call; avoid holds those that failed it.
+// pickTarget chooses the target of a plain call; avoid lists the targets on which it already failed.
 func (s *Server) pickTarget(service string, avoid []string) (string, bool) {
 	t := s.picks.table(service)
 	if t == nil {
@@ -211,7 +213,7 @@
 	})
 }
 
-// avoidFor joins the targets that failed a request with those on which its content must not meet another suspect.
+// targetsToAvoid joins the targets that failed a request with those where its content would run beside another suspect.
 func (s *Server) avoidFor(failed []string, fingerprint uint64) []string {
 	apart := s.opts.Poison.Avoid(s.now(), fingerprint)
 	if len(apart) == 0 {
--- a/lib/entry/guards_test.go
+++ b/lib/entry/guards_test.go
@@ -15,9 +15,9 @@
 	"anvilwick.example/anvilwick/lib/standin/plain"
 )
 
-// One request crashes each engine that runs it, and its caller sends it again under new keys. After two deaths that
-// content is refused, not run, with a time to come back; the third engine lives, and an innocent answer that ran beside it
-// reaches its caller whole.
+// One request crashes every engine that runs it, and its caller resends it under new keys. After two engine deaths the
+// content must be refused as not run, with a Retry-After. The third engine must survive, and an innocent request that ran
+// beside the poisoned one must complete.
 func TestPoisonIsRefusedAndTheInnocentGoOn(t *testing.T) {
 	var addrs []string
 	for range 3 {
@@ -54,7 +54,7 @@
 	must.Eq(t, result.NotRun.String(), readError(t, again).Outcome)
 }
 
-// lastError returns the error that a request ended with, whether it came as an answer or in its stream.
+// lastError returns the error that a request ended with, from the response body or the stream.
 func lastError(t *testing.T, resp *http.Response) callerapi.ErrorDetail {
 	t.Helper()
 	if resp.StatusCode != http.StatusOK {
@@ -66,8 +66,8 @@
 	return *st.err
 }
 
-// A target fails call after call. Its breaker opens, and callers get the other target's answer at once with no failed try
-// before it.
+// A target fails call after call. Its breaker must open, and callers then get the other target's answer without a failed try
+// first.
 func TestOpenBreakerSparesCallers(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("  retry_budget: 1\n", true, nil, []string{a.Addr(), b.Addr()}), nil)
--- a/lib/entry/hedge.go
+++ b/lib/entry/hedge.go
@@ -11,10 +11,10 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errOvertaken cancels a call whose answer another target gave first.
+// errOvertaken cancels a hedged call that another target answered first.
 var errOvertaken = errors.New("another target answered first")
 
-// sending is one call under way at one target.
+// hedgedCall is one of the concurrent calls made for a hedged request.
 type sending struct {
 	name   string
 	resp   *http.Response
@@ -22,12 +22,12 @@
 	cancel context.CancelCauseFunc
 }
 
-// sendHedged sends an idempotent call, and again to another target when the first is silent for the stall floor. The first
-// answer counts.
+// sendHedged sends an idempotent call and, if the target has not answered within the stall floor, sends it to another
+// target too. The first answer is used.
 //
-// A target that is frozen, or whose link stalls, keeps its connections and answers nothing. A status check without a
-// deadline would wait as long as it does, beside a healthy target. A bound on the wait would fail calls that are only
-// slow; the second call leaves the first running, and is paid for out of the retry budget.
+// A frozen target, or one behind a stalled link, keeps its connections open and never answers. Without a second call, a
+// status check without a deadline would wait for that target although a healthy one is available. A timeout instead would
+// fail calls that are merely slow; the second call leaves the first running and is charged to the retry budget.
 func (s *Server) sendHedged(ctx context.Context, pc *plainCall, name string, try uint32, avoid []string) (*http.Response, string, error) {
 	most := max(1, pc.policy.MaxAttempts)
 	answers := make(chan *sending, most)
@@ -49,7 +49,7 @@
 			if failed = graver(failed, got); left == 0 {
 				return nil, failed.name, failed.err
 			}
-			quiet.Reset(pc.policy.StallFloor) // the others may still answer; or a further one
+			quiet.Reset(pc.policy.StallFloor) // wait for the remaining calls, or hedge again
 		case <-quiet.C:
 			if len(under) == most {
 				continue
@@ -63,7 +63,8 @@
 	}
 }
 
-// graver returns the failure that says more: one call that was never sent does not prove that another was not.
+// moreSevere returns the failure to report. That of a sent call takes precedence: a call that was never sent does not
+// prove that another was not.
 func graver(a, b *sending) *sending {
 	if a == nil || errors.Is(a.err, target.ErrNotSent) {
 		return b
@@ -71,7 +72,7 @@
 	return a
 }
 
-// second picks a target for the second call, if the retry budget allows one.
+// hedgeTarget picks a target for a further call, if the retry budget allows one.
 func (s *Server) second(pc *plainCall, avoid []string) (string, bool) {
 	name, ok := s.pickTarget(pc.service.Name, s.avoidFor(avoid, pc.subject.Fingerprint))
 	if !ok {
@@ -94,7 +95,7 @@
 	return snd
 }
 
-// overtake ends the calls other than the one whose answer counts, and drops what they bring.
+// cancelOthers cancels all calls except the winner and closes the answers they still return.
 func overtake(under []*sending, got *sending, answers <-chan *sending, left int) {
 	for _, snd := range under {
 		if snd != got {
@@ -113,7 +114,7 @@
 	}()
 }
 
-// sentBody releases the call's context when its answer has been read.
+// cancelOnClose releases the call's context when the answer's body is closed.
 type sentBody struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
--- a/lib/entry/hedge_test.go
+++ b/lib/entry/hedge_test.go
@@ -10,8 +10,8 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// Both calls of a hedged one fail, the later one without a byte sent. Told of that one alone, the caller would hear "not
-// run" of a call that the other target may have run.
+// Both calls of a hedged request fail, the later one without a byte sent. If only that failure were reported, the caller
+// would be told "not run" although the other target may have run the call.
 func TestFailureOfASentCallCountsMore(t *testing.T) {
 	sent := &sending{err: errors.New("broken")}
 	unsent := &sending{err: fmt.Errorf("%w: refused", target.ErrNotSent)}
--- a/lib/entry/invariant_test.go
+++ b/lib/entry/invariant_test.go
@@ -13,8 +13,8 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// A defect of ours lets a token through out of its turn. The last check before the caller sees it: the breach is counted
-// and that one stream ends with its own code, with nothing out of order written.
+// A bug in this program lets a token through out of order. The last check before the caller must catch it: the violation is
+// counted and only that stream ends, with its own code and nothing out of order written.
 func TestTokenOutOfTurnStopsTheStream(t *testing.T) {
 	told := 0
 	invariant.SetHook(func(string, string) { told++ })
--- a/lib/entry/keyed_test.go
+++ b/lib/entry/keyed_test.go
@@ -18,12 +18,12 @@
 	"anvilwick.example/anvilwick/lib/standin/engine"
 )
 
-// memoryRecords is a Records that two entries of a test share.
+// memoryRecords is an in-memory Records shared by the entries of a test.
 type memoryRecords struct {
 	mu   sync.Mutex
 	recs map[string]*Record
-	stop bool // entries can't put any more
-	lag  int  // last tokens of each record that got lost
+	stop bool // Put is ignored
+	lag  int  // number of last tokens that Get omits from each record
 }
 
 func newMemoryRecords() *memoryRecords { return &memoryRecords{recs: map[string]*Record{}} }
@@ -63,7 +63,7 @@
 	}
 }
 
-// readSome reads n tokens and then drops the connection.
+// readSome reads n tokens and then closes the connection.
 func readSome(t *testing.T, r *rig, a ask, st *story, n int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,8 +78,8 @@
 	}
 }
 
-// The caller's connection breaks in the middle of a keyed stream. It asks again with its key and the last event it saw,
-// and gets the rest of the same generation, which went on meanwhile: each token once.
+// The caller's connection breaks in the middle of a keyed stream. It reconnects with its key and Last-Event-ID, and must get
+// the rest of the same generation, which kept running: each token once.
 func TestCallerComesBackToTheSameEntry(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), withKeys(newMemoryStore().claims("e1"), newMemoryRecords()))
@@ -96,7 +96,7 @@
 	must.Eq(t, st.text.String(), again.text.String(), must.Sprint("a resend must give the same generation"))
 }
 
-// The caller asks again with its key while its first connection still stands: nothing new is started.
+// The caller sends its key again while its first connection is still open: nothing new may be started.
 func TestSecondRequestOfARunningKey(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), withKeys(newMemoryStore().claims("e1"), newMemoryRecords()))
@@ -113,9 +113,9 @@
 	st.whole(t, prompt, 60)
 }
 
-// The entry that holds the caller dies. The caller asks another entry with its key and the last event it saw. That entry
-// has only a record which lags by some tokens; it lets an engine decode them again, and proves by the digest in the
-// event id that they are the ones the caller has, before it sends the next.
+// The entry that serves the caller dies. The caller asks another entry with its key and Last-Event-ID. That entry has only a
+// record that lags by some tokens. It must let an engine decode them again, and verify by the digest in the event ID that
+// they are the caller's tokens, before it sends the next one.
 func TestCallerComesBackThroughAnotherEntry(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
@@ -138,14 +138,14 @@
 	st.whole(t, prompt, 80)
 }
 
-// excess returns how many tokens the only record holds beyond n.
+// excess returns the number of tokens that the only record holds beyond n.
 func (m *memoryRecords) excess(n int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(0, len(m.recs["k"].Tokens)-n)
 }
 
-// die stops an entry as a crash would: no record and no claim of it changes any more, and its attempts end.
+// crash stops an entry like a crash: its records and claims no longer change, and its attempts end.
 func die(t *testing.T, r *rig, way *gate, records *memoryRecords) {
 	t.Helper()
 	way.shut()
@@ -158,8 +158,8 @@
 	eventually(t, "first entry idle", func() bool { _, n := r.server.Counts(); return n == 0 })
 }
 
-// The same, but the engine decodes other tokens the second time. The caller would get the middle of one answer after the
-// start of another; it is told instead that the stream can't be resumed.
+// As above, but the engine decodes different tokens the second time. The caller would get the start of one answer and the
+// rest of another; it must be told instead that the stream can't be resumed.
 func TestOtherTokensAreNotPassedForTheRest(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
@@ -182,8 +182,8 @@
 	must.SliceContains(t, []result.Code{result.CannotResume, result.UnknownStream}, code)
 }
 
-// Without Last-Event-ID, an unfinished claim whose entry died still leads to the rest of its generation by the record,
-// from the first token on, and never to a second run.
+// Even without Last-Event-ID, a key whose claim is unfinished and whose entry died must lead to the recorded generation, from
+// its first token, and never to a second run.
 func TestClaimedKeyOfADeadEntryIsTakenOver(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
@@ -202,9 +202,9 @@
 	must.StrHasPrefix(t, st.text.String(), again.text.String())
 }
 
-// The caller of a keyed stream stays away for longer than its grace. The engine's memory is freed; when the caller comes
-// back, through the same entry or, with the first one alive, through another, the rest is decoded after the tokens that it
-// has, and it sees each token once.
+// The caller of a keyed stream stays away for longer than CallerGrace, and the engine's memory is freed. When it returns,
+// through the same entry or through another while the first is alive, decoding must continue after the caller's tokens, and
+// it sees each token once.
 func TestCallerComesBackAfterItsGrace(t *testing.T) {
 	for _, back := range []string{"same entry", "another entry"} {
 		t.Run(back, func(t *testing.T) {
@@ -227,7 +227,7 @@
 				rep, err := first.server.Client("planner-1").Load(context.Background())
 				return err == nil && rep.Running == 0
 			})
-			eventually(t, "the caller's absence in the table", func() bool { return store.holds(`"code":4004`) == 1 })
+			eventually(t, "caller_gone in the claim", func() bool { return store.holds(`"code":4004`) == 1 })
 			resp := entries[back].send(context.Background(), ask{prompt: prompt, stream: true, key: "k", last: st.lastID})
 			must.Eq(t, http.StatusOK, resp.StatusCode)
 			st.read(t, eventsOf(resp), nil)
@@ -236,8 +236,8 @@
 	}
 }
 
-// A caller that stops reading holds a buffer here and memory at the engine. Both are given up after the bounds of its
-// settings, long before the answer would have ended.
+// A caller that stops reading occupies a buffer here and memory at the engine. Both must be released after the configured
+// bounds, long before the answer would have ended.
 func TestSlowCallerIsGivenUp(t *testing.T) {
 	e := startEngine(t, func(c *engine.Config) {
 		c.Engine.StepBase, c.Engine.StepPerSeq, c.Engine.StepPerContext = 50*time.Microsecond, 0, 0
@@ -255,7 +255,7 @@
 	})
 	eventually(t, "given up", func() bool { _, n := r.server.Counts(); return n == 0 })
 	must.Eq(t, result.CallerTooSlow, g.err.Code)
-	must.Less(t, 10000, g.text.Len(), must.Sprint("tokens that the engine made for nobody"))
+	must.Less(t, 10000, g.text.Len(), must.Sprint("tokens decoded after the caller stopped reading"))
 }
 
 // sendUnread sends a completion request on a connection with a small window and reads nothing of the answer.
@@ -271,7 +271,7 @@
 	must.NoError(t, err)
 }
 
-// A keyed answer that was whole is told again by another entry, from its claim, when no record is left; the engine runs
+// A keyed answer completed and no record is left. Another entry must answer a resend from the claim, and the engine runs
 // nothing.
 func TestFinishedGenerationIsAnsweredFromItsClaim(t *testing.T) {
 	e := startEngine(t, nil)
@@ -292,8 +292,8 @@
 	must.Eq(t, result.KeyReused, readError(t, streamed).Code)
 }
 
-// A keyed generation was marked as sent, and then its claim was released because no engine had taken it. The caller's
-// resend must number its attempts after that one; begun from 1 again it is stopped as out of order.
+// A keyed generation was marked as sent, and its claim was then released because no engine had accepted it. The resend must
+// number its attempts after that one; starting from 1 again, it would be stopped as out of order.
 func TestReleasedGenerationRunsWhenItIsSentAgain(t *testing.T) {
 	addr := freeAddr(t)
 	store := newMemoryStore()
@@ -305,9 +305,9 @@
 	eventually(t, "a whole answer", func() bool { return r.send(t.Context(), a).StatusCode == http.StatusOK })
 }
 
-// A keyed stream was whole, its record and its answer are gone, and its caller never saw the end: its connection broke. It
-// asks again, with and without the last event it has. The stream ran. Told "refused, not run", the caller would ask for it
-// under a new key, and pay for it and get it twice.
+// A keyed stream completed, its record and answer are gone, and its caller lost the connection before the end. The caller
+// resends, with and without its last event ID. If it were told "refused, not run", it would resend under a new key and pay
+// for the stream twice.
 func TestResendOfALostStreamIsNotToldNotRun(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
@@ -327,9 +327,9 @@
 	}
 }
 
-// A keyed generation is sent to an engine that takes it and gives no token; it goes on at another engine, and then its entry
-// dies. Asked by the next entry, the first engine proves that it never ran it. Were the claim still to name that engine, the
-// proof would let the key run a second time from the start, beside the tokens that its caller has.
+// A keyed generation is sent to an engine that accepts it and gives no token; it continues on another engine, and then its
+// entry dies. The next entry asks the first engine, which proves that it never ran the generation. If the claim still named
+// that engine, the proof would let the key run a second time from the start.
 func TestClaimNamesTheEngineThatRanFirst(t *testing.T) {
 	a, b := startEngine(t, nil), startEngine(t, nil)
 	store := newMemoryStore()
--- a/lib/entry/moved_test.go
+++ b/lib/entry/moved_test.go
@@ -16,7 +16,7 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// mover is a Placer through which a test can preempt what was granted.
+// preemptingPlacer is a Placer that lets a test preempt granted attempts.
 type mover struct {
 	placer.Placer
 	mu     sync.Mutex
@@ -39,7 +39,7 @@
 	m.Placer.End(service, g, attempt, tokens, reason)
 }
 
-// preempt takes the place of an attempt away: 0 is the current one, 1 the one before.
+// preempt preempts an attempt: 0 is the current one, 1 the one before.
 func (m *mover) preempt(back uint32) {
 	m.mu.Lock()
 	r, notify := m.last, m.notify
@@ -47,8 +47,8 @@
 	notify(sched.Action{Kind: sched.ActPreempt, Gen: r.Gen, Attempt: r.Attempt - back})
 }
 
-// The owner of the engines takes a running answer's place away, twice, and once for an attempt that is long over. The
-// caller sees only a pause: each token once, of one generation.
+// The engines' owner preempts a running attempt twice, and once an attempt that ended long ago. The caller may only see a
+// pause: each token once, of one generation.
 func TestMovedGenerationGoesOn(t *testing.T) {
 	a, b := startEngine(t, nil), startEngine(t, nil)
 	m := &mover{}
@@ -70,7 +70,7 @@
 	must.Eq(t, []sched.EndReason{sched.EndMoved, sched.EndMoved, sched.EndCompleted}, m.ends)
 }
 
-// Every log line of a request carries its id, and no line holds the caller's keys.
+// Every log line of a request must carry the request ID, and none may contain the caller's keys.
 func TestLogLines(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), withKeys(newMemoryStore().claims("e1"), newMemoryRecords()))
@@ -88,8 +88,8 @@
 	}
 }
 
-// logged is what the package logs in its tests. The logger is set up once, before anything runs: requests of an earlier test
-// may still be writing their last lines.
+// logged collects the package's log output during tests. The logger is set up once, before any test runs, since requests of
+// an earlier test may still be writing their last lines.
 var logged lockedBuffer
 
 func TestMain(m *testing.M) {
@@ -99,7 +99,7 @@
 	os.Exit(m.Run())
 }
 
-// lockedBuffer is a bytes.Buffer for several goroutines.
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
--- a/lib/entry/plain.go
+++ b/lib/entry/plain.go
@@ -17,7 +17,7 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// plainCall is one caller's call of a plain service.
+// plainCall is one caller's call to a plain service.
 type plainCall struct {
 	*request
 	service *settings.Service
@@ -27,15 +27,15 @@
 	call    target.Call
 	claim   Claim
 	first   uint32         // attempt number of the first try under the claim
-	kept    *claim.Summary // the answer of an earlier run under the same key
-	answer  []byte         // start of the answer, kept for the claim
+	kept    *claim.Summary // stored answer of an earlier run under the same key
+	answer  []byte         // start of the answer, stored in the claim
 
-	maySent  bool // some target may have got it
-	complete bool // the whole answer was read, whoever was still there for it
+	maySent  bool // some target may have received it
+	complete bool // the whole answer was read, even if the caller disconnected
 	metrics  *entrymetrics.Pair
 }
 
-// servePlain routes any method and path under a route of a plain service.
+// servePlain routes requests of any method and path to a plain service.
 func (s *Server) servePlain(w http.ResponseWriter, r *http.Request) {
 	rq, ok := s.accept(w, r)
 	if !ok {
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	header := r.Header.Clone()
-	header.Del("Authorization") // the workspace's key is for us alone
+	header.Del("Authorization") // the workspace's key must not reach targets
 	header.Set(callerapi.HeaderRequestID, rq.id)
 	pc.call = target.Call{
 		Method: r.Method,
@@ -100,7 +100,7 @@
 	return d.Sum64()
 }
 
-// admitPlain is the chain of checks before anything is sent. The claim comes last, since it costs a write.
+// admitPlain runs the checks that precede sending. The claim comes last, since it costs a write.
 func (s *Server) admitPlain(ctx context.Context, pc *plainCall) (func(), *result.Error) {
 	if err := s.clean(ctx, pc.subject.Fingerprint); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	return release, nil
 }
 
-// runPlain sends the call and relays its answer.
+// runPlain sends the call and relays the answer.
 func (s *Server) runPlain(w http.ResponseWriter, r *http.Request, pc *plainCall) {
 	ctx, cancel := pc.limit(r.Context())
 	defer cancel()
@@ -137,16 +137,16 @@
 		return
 	}
 	if started {
-		panic(http.ErrAbortHandler) // a connection closed in the middle tells the caller that its answer was cut
+		panic(http.ErrAbortHandler) // closing the connection mid-answer shows the caller that the answer is truncated
 	}
 	callerapi.WriteError(w, err, pc.id)
 }
 
-// claimedLimit bounds a claimed call without a deadline, which goes on without its caller.
+// claimedLimit is the time limit of a claimed call without a deadline, since such a call outlives its caller.
 const claimedLimit = 10 * time.Minute
 
-// limit bounds a call by its deadline and its caller's presence. A claimed call goes on when its caller leaves: cutting it
-// would turn an outcome that is about to be known into one that nobody knows.
+// boundContext bounds a call by its deadline and by the caller's connection. A claimed call continues when its caller
+// disconnects: cancelling it would turn an outcome that is about to be known into an unknown one.
 func (pc *plainCall) limit(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline := pc.deadline(pc.policy)
 	if pc.claim != nil {
@@ -179,7 +179,7 @@
 	return err
 }
 
-// unknownCode tells silence from a broken connection, where nobody knows whether the target ran the call.
+// unknownCode distinguishes a silent target from a broken connection; in both cases the target may have run the call.
 func unknownCode(cause error) result.Code {
 	if errors.Is(cause, errSilent) {
 		return result.TargetSilent
@@ -187,7 +187,7 @@
 	return result.Unknown
 }
 
-// ended is what a call is told whose deadline passed, or whose caller left.
+// endedError returns the error for a call whose deadline passed or whose caller disconnected.
 func (pc *plainCall) ended(ctx context.Context, mayHaveRun bool, cause error) *result.Error {
 	if !mayHaveRun {
 		err := result.Wrap(result.DeadlineTooNear, cause, "reach a target before the deadline")
@@ -200,7 +200,7 @@
 	return result.Wrap(result.Unknown, cause, "get the target's answer")
 }
 
-// endPlain settles claim, metrics and log. resp is nil when no target answered.
+// endPlain settles the claim and writes metrics and the log line. resp is nil if no target answered.
 func (s *Server) endPlain(pc *plainCall, name string, resp *http.Response, err *result.Error) {
 	code := codeOf(err)
 	pc.settleClaim(resp, err)
--- a/lib/entry/plain_test.go
+++ b/lib/entry/plain_test.go
@@ -54,8 +54,9 @@
 	must.Eq(t, "go", ans.Body)
 }
 
-// The target executes a call that may not be repeated and dies before it answers. Sending it to the other target would
-// send two crews. The caller is told that the outcome is unknown, and no target executes the call again.
+// The target executes a non-idempotent call and dies before it answers, or the connection breaks. Sending the call to the
+// other target could execute it twice, here dispatching two crews. The caller must be told that the outcome is unknown, and
+// no target may execute the call again.
 func TestNonIdempotentCallIsNeverSentTwice(t *testing.T) {
 	for _, fault := range []string{plain.FaultDieAfter, plain.FaultCutAfter, plain.FaultCutBefore, plain.FaultDieBefore} {
 		t.Run(fault, func(t *testing.T) {
@@ -74,8 +75,8 @@
 	}
 }
 
-// A key makes net/http believe that a request may be resent when a kept connection breaks. The call must still reach one
-// target once.
+// Because of the Idempotency-Key, net/http considers a request replayable when a reused connection breaks. The call must
+// still reach one target only once.
 func TestKeyedCallIsNotResentByTheTransport(t *testing.T) {
 	a := startPlain(t, "a")
 	store := newMemoryStore()
@@ -93,8 +94,8 @@
 	must.Eq(t, 1, a.Executions()["k1"]+a.Executions()["crew"])
 }
 
-// One target refuses connections. Nothing was sent to it, so even a call that may not be repeated goes to the next one;
-// when none can be reached the caller is told that it was not run, and its claim is withdrawn so that it may ask again.
+// One target refuses connections. Nothing was sent to it, so even a non-idempotent call goes to the next one. If no target
+// is reachable, the caller must be told "not run", and its claim is released so that it may retry.
 func TestRefusedBeforeSendIsNotRun(t *testing.T) {
 	b := startPlain(t, "b")
 	store := newMemoryStore()
@@ -112,9 +113,9 @@
 	eventually(t, "claim released", func() bool { return store.holds(`"state":"released"`) == 1 })
 }
 
-// A keyed call found no target that took it, so its caller is told "not run, ask again later" and its claim is released.
-// It asks again, here and through another entry, once a target is back. The attempts that were marked in the claim before
-// count: begun from 1 again, the resend is stopped as an attempt out of order and the key is never free again.
+// A keyed call found no target, so its caller was told "not run, retry later" and its claim was released. It retries, here
+// and through another entry, once a target is back. Attempt numbers must continue after those marked in the claim: starting
+// from 1 again, the resend would be stopped as out of order and the key would never become free.
 func TestReleasedKeyRunsWhenItIsSentAgain(t *testing.T) {
 	for _, back := range []string{"e1", "e2"} {
 		t.Run("through "+back, func(t *testing.T) {
@@ -136,7 +137,7 @@
 	}
 }
 
-// freeAddr returns an address that refuses connections until a test listens there.
+// freeAddr returns an address that refuses connections until the test listens on it.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addrs, err := proc.Addrs(1)
@@ -144,7 +145,7 @@
 	return addrs[0]
 }
 
-// A keyed call is sent again after it has finished: the caller gets the first answer, and the target runs nothing.
+// A finished keyed call is sent again: the caller must get the first answer, and the target runs nothing.
 func TestFinishedKeyIsAnsweredFromItsClaim(t *testing.T) {
 	p := startPlain(t, "one")
 	store := newMemoryStore()
@@ -166,8 +167,8 @@
 	must.Eq(t, 1, p.Executions()["k"])
 }
 
-// The entry dies after the call was sent and before its answer came. Nobody can know whether it ran; a resend through
-// another entry is told so and runs nothing.
+// The entry dies after the call was sent and before the answer arrived. Whether it ran can't be known; a resend through
+// another entry must say so and run nothing.
 func TestEntryDiesWithASentCall(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultHang})
@@ -194,8 +195,8 @@
 	p.Kill()
 }
 
-// The table is down. A keyed call that may not be repeated can't be held to one run, so just that is refused; a call
-// without a key and an idempotent call go on.
+// The claim table is down. Only a keyed non-idempotent call must be refused, since at-most-once can't be guaranteed; a call
+// without a key and an idempotent call must proceed.
 func TestStoreDownRefusesOnlyKeyedCalls(t *testing.T) {
 	p := startPlain(t, "one")
 	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), nil)
@@ -209,9 +210,9 @@
 	must.Eq(t, http.StatusOK, r.call(http.MethodGet, "/dispatch/status/1", "k", "").StatusCode)
 }
 
-// A link retires while drivers ask for the state of their crews, as they constantly do: one target breaks every
-// connection. A status check may be repeated, so each is answered by the other target. The retries come out of the budget
-// that the traffic before has earned, and are few, since the breaker opens after the first failures.
+// A target breaks every connection while status checks arrive continuously. Each check may be repeated, so the other target
+// must answer it. The retries are charged to the budget earned by earlier traffic, and are few because the breaker opens
+// after the first failures.
 func TestStatusChecksAreAnsweredWhileALinkRetires(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("", true, nil, []string{a.Addr(), b.Addr()}), nil)
@@ -227,8 +228,8 @@
 	}
 }
 
-// A target freezes: it takes connections and answers nothing, and the calls have no deadline. Drivers' status checks must be
-// answered by the healthy one all the same, and soon by it alone, since each second call is paid for from a budget.
+// A target freezes: it accepts connections and never answers, and the calls have no deadline. The healthy target must answer
+// the status checks, and soon without hedging, since each hedged call is charged to the retry budget.
 func TestStatusChecksAreAnsweredBesideAFrozenTarget(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("", true, nil, []string{a.Addr(), b.Addr()}), nil)
@@ -250,8 +251,8 @@
 	a.Kill()
 }
 
-// One target executes a status check and never answers; the second call finds nobody at the other. That one was not sent
-// proves nothing of the first: the caller must not be told "not run".
+// One target executes a status check and never answers, and the hedged call can't reach the other. That the second call was
+// not sent proves nothing about the first: the caller must not be told "not run".
 func TestSecondCallNotSentDoesNotProveTheFirst(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("  deadline: 1s\n", true, nil, []string{a.Addr(), b.Addr()}), nil)
@@ -266,7 +267,7 @@
 	must.NotEq(t, result.NotRun, result.Lookup(readError(t, resp).Code).Outcome)
 }
 
-// A target that executes and never answers: at the deadline nobody can say whether it ran.
+// A target executes a call and never answers: at the deadline the outcome is unknown.
 func TestSilentTargetIsUnknown(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultHang})
@@ -275,7 +276,7 @@
 	must.Eq(t, result.TargetSilent, e.Code)
 }
 
-// The answer is cut in its middle. The caller must see a broken answer and never a short one that looks whole.
+// The answer is cut in the middle. The caller must see a broken answer, never a short one that looks complete.
 func TestCutAnswerIsSeen(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultCutBody})
@@ -284,7 +285,7 @@
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// Legacy screens speak HTTP/1.0: no chunks, and the answer has a length so that a cut can be told from an end.
+// HTTP/1.0 callers understand no chunked encoding: the answer must have a length, so that a truncated one can be detected.
 func TestOldCaller(t *testing.T) {
 	p := startPlain(t, "one")
 	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), nil)
@@ -301,8 +302,8 @@
 	must.SliceEmpty(t, resp.TransferEncoding)
 }
 
-// The caller of a claimed call leaves before the answer comes. The call goes on, its answer is kept, and a resend gets it;
-// cut with its caller it would have ended as "outcome unknown" for good.
+// The caller of a claimed call disconnects before the answer arrives. The call must continue, and a resend gets the stored
+// answer; cancelled with its caller, it would have ended as "outcome unknown" permanently.
 func TestClaimedCallGoesOnWithoutItsCaller(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultDelay, MS: 200})
--- a/lib/entry/plainclaim.go
+++ b/lib/entry/plainclaim.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// claimCall makes the call known to all entries before it is sent, or finds the answer of an earlier run.
+// claimCall registers the call in the claim table before it is sent, or finds the answer of an earlier run.
 func (s *Server) claimCall(ctx context.Context, pc *plainCall) *result.Error {
 	c, sum, err := s.opts.Claims.Begin(ctx, claim.Request{
 		Workspace:   pc.workspace.Name,
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// markSent records in the claim that the call is about to leave.
+// markSent records in the claim that the call is about to be sent.
 func (pc *plainCall) markSent(ctx context.Context, name string, try uint32) error {
 	if pc.claim == nil {
 		return nil
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// settleClaim keeps the outcome of the call: a whole answer counts, even when its caller was no longer there for it.
+// settleClaim records the outcome of the call. A complete answer is stored even if the caller had disconnected.
 func (pc *plainCall) settleClaim(resp *http.Response, err *result.Error) {
 	switch {
 	case pc.claim == nil:
@@ -61,7 +61,7 @@
 	}
 }
 
-// keep remembers the start of the answer for the claim; one byte over its bound shows that it was too long.
+// retainAnswer keeps the start of the answer for the claim. One byte beyond the limit marks the answer as too long to store.
 func (pc *plainCall) keep(chunk []byte) {
 	if pc.claim == nil {
 		return
--- a/lib/entry/plainsend.go
+++ b/lib/entry/plainsend.go
@@ -17,8 +17,8 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// sendPlain tries targets until one answers. A call that may not be repeated goes on to another target only while it is
-// proved that no byte of it was sent.
+// sendPlain tries targets until one answers. A non-idempotent call is sent to another target only as long as it is proved
+// that no byte of it was sent.
 func (s *Server) sendPlain(ctx context.Context, pc *plainCall) (*http.Response, string, *result.Error) {
 	var avoid []string
 	mayHaveRun := false
@@ -44,7 +44,7 @@
 	}
 }
 
-// readRest takes in that a target which turns a call away wants no other from this entry for some time.
+// observeRetryAfter pauses a target that answered 503 for the time in its Retry-After header.
 func (s *Server) readRest(service, name string, resp *http.Response) {
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		return
@@ -54,7 +54,8 @@
 	}
 }
 
-// send sends the call to a target, or also to a second one when it may be repeated, and tells which of them it speaks of.
+// send sends the call to a target, with hedging if the route is idempotent. It returns the name of the target that the
+// response or error came from.
 func (s *Server) send(ctx context.Context, pc *plainCall, name string, try uint32, avoid []string) (*http.Response, string, error) {
 	if pc.route.Idempotent {
 		return s.sendHedged(ctx, pc, name, try, avoid)
@@ -63,7 +64,7 @@
 	return resp, name, err
 }
 
-// sendOnce sends the call to one target. The answer's body is still to be read.
+// sendOnce sends the call to one target. The caller must read and close the response body.
 func (s *Server) sendOnce(ctx context.Context, pc *plainCall, name string, try uint32) (*http.Response, error) {
 	c := s.Client(name)
 	if c == nil {
@@ -90,8 +91,9 @@
 	return resp, err
 }
 
-// callOutcome says what a call tells of the link. A caller that left says nothing. A call that another overtook was silent
-// for the stall floor and longer: counted, the circuit opens, and later calls need no second one.
+// callOutcome maps a call's result to a breaker outcome. A call whose caller disconnected is ignored. A hedged call that
+// another target answered first was silent for at least the stall floor: it counts as a failure, so that the circuit
+// opens and later calls need no hedging.
 func callOutcome(ctx context.Context, err error) breaker.Outcome {
 	switch {
 	case err == nil:
@@ -104,8 +106,8 @@
 	return breaker.Failure
 }
 
-// settleCall tells how the call ended to the table that looks for content that kills. A target that refuses connections
-// right after it broke one is taken for dead.
+// reportCallToPoison reports a call's end to the poison table. A target that refuses connections right after it broke one
+// is considered dead.
 func (s *Server) settleCall(ctx context.Context, c *target.Client, ran poison.Run, err error) {
 	switch {
 	case err == nil:
@@ -122,7 +124,7 @@
 	s.opts.Poison.Stopped(ran)
 }
 
-// mayRepeat returns nil when the call may be sent to another target, else what the caller is told.
+// checkRepeat returns nil if the call may be sent to another target, else the error for the caller.
 func (s *Server) mayRepeat(ctx context.Context, pc *plainCall, try int, sent, mayHaveRun bool, err error) *result.Error {
 	var refusal *result.Error
 	switch {
--- a/lib/entry/refusal_test.go
+++ b/lib/entry/refusal_test.go
@@ -18,7 +18,7 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Each refusal comes at once, with its code, status and outcome, and nothing reaches a target.
+// Each refusal must come at once, with its code, status and outcome, and nothing may reach a target.
 func TestRefusals(t *testing.T) {
 	r := newRig(t, siteText("  max_body: 1KiB\n", true, nil, nil), nil)
 	for _, tc := range []struct {
@@ -58,8 +58,8 @@
 	}
 }
 
-// A planned stop while an answer is under way: new requests are refused, not run, with a time to come back, and the
-// answer in progress goes on to its end before the stop is over.
+// During a planned shutdown, new requests must be refused as not run, with a Retry-After, and the answer in progress must
+// complete before Stop returns.
 func TestStopCutsNothing(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
@@ -69,7 +69,7 @@
 	var st story
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 90 {
-			must.Eq(t, 0, len(stopped), must.Sprint("stopped while an answer was under way"))
+			must.Eq(t, 0, len(stopped), must.Sprint("Stop returned while an answer was in progress"))
 		}
 		if n != 10 {
 			return
@@ -85,7 +85,7 @@
 	must.NoError(t, <-stopped)
 }
 
-// The deadline passes while the answer is under way: the caller is told, as the end of its stream, that it was run.
+// The deadline passes while the answer is in progress: the stream must end with an error that says that it was run.
 func TestDeadlineWhileRunning(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
@@ -96,7 +96,7 @@
 	must.Positive(t, st.tokens)
 }
 
-// More requests than the bound at once: the one too many is refused at once and the others don't notice.
+// The bound on concurrent requests is exceeded: the extra request must be refused at once, and the others are not affected.
 func TestTooManyStreams(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), func(o *Options) { o.MaxStreams = 1 })
@@ -111,7 +111,7 @@
 	st.whole(t, prompt, 50)
 }
 
-// A caller reads nothing. What the kernel keeps for it must be bounded, since the bound on the sink does not see it.
+// A caller reads nothing. The kernel's send buffer must be bounded, since the bound on the sink does not cover it.
 func TestKernelBufferIsBounded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -132,7 +132,7 @@
 	must.NoError(t, raw.Control(func(fd uintptr) {
 		size, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF)
 		must.NoError(t, err)
-		must.Eq(t, 2*connWriteBuffer, size, must.Sprint("the kernel doubles what is asked"))
+		must.Eq(t, 2*connWriteBuffer, size, must.Sprint("the kernel doubles the requested size"))
 	}))
 }
 
--- a/lib/entry/relay.go
+++ b/lib/entry/relay.go
@@ -16,16 +16,16 @@
 
 const (
 	relayChunk = 32 << 10
-	maxOldBody = 4 << 20 // an answer without a length, kept whole for an HTTP/1.0 caller
+	maxOldBody = 4 << 20 // bound on an answer without a length, buffered whole for an HTTP/1.0 caller
 	minWrite   = time.Second
 )
 
 var (
 	errReadTarget = errors.New("read the target's answer")
-	errOldBody    = errors.New("the answer is too large for an HTTP/1.0 caller")
+	errOldBody    = errors.New("answer without a length exceeds the buffer for HTTP/1.0 callers")
 )
 
-// relay passes a target's answer on as it comes. After an error the caller has a part of it when started, else nothing.
+// relay streams a target's answer to the caller. On error, started reports whether the caller received part of it.
 func (pc *plainCall) relay(w http.ResponseWriter, r *http.Request, resp *http.Response) (started bool, err *result.Error) {
 	if !r.ProtoAtLeast(1, 1) && resp.ContentLength < 0 && r.Method != http.MethodHead {
 		return pc.relayOld(w, resp)
@@ -64,7 +64,7 @@
 	}
 }
 
-// drain reads the rest of a claimed call's answer after its caller has left, so that a resend can be told the outcome.
+// drain reads the rest of a claimed call's answer after its caller disconnected, so that a resend gets the outcome.
 func (pc *plainCall) drain(resp *http.Response) {
 	if pc.claim == nil {
 		return
@@ -81,7 +81,7 @@
 	return conn.Flush()
 }
 
-// brokenCode tells an answer that stopped coming from one that was cut.
+// brokenCode distinguishes an answer that stalled from one whose connection was cut.
 func brokenCode(err error) result.Code {
 	if errors.Is(err, errSilent) {
 		return result.TargetSilent
@@ -97,8 +97,8 @@
 	return result.CallerGone
 }
 
-// relayOld serves HTTP/1.0, where an answer without a length ends with the connection. Its caller could not tell a cut
-// answer from a whole one, so the whole is read first and given a length.
+// relayHTTP10 serves HTTP/1.0 callers, for whom an answer without a length ends with the connection. They could not tell
+// a truncated answer from a complete one, so the answer is buffered and sent with a Content-Length.
 func (pc *plainCall) relayOld(w http.ResponseWriter, resp *http.Response) (started bool, err *result.Error) {
 	body, rerr := io.ReadAll(io.LimitReader(resp.Body, maxOldBody+1))
 	if rerr == nil && len(body) > maxOldBody {
--- a/lib/entry/rig_test.go
+++ b/lib/entry/rig_test.go
@@ -40,14 +40,14 @@
 	invariant.SetHook(func(name, detail string) { panic("invariant " + name + ": " + detail) })
 }
 
-// rig is one entry in this process, before engines and plain services at given addresses.
+// rig is an entry in this process, in front of engines and plain services at given addresses.
 type rig struct {
 	t      testing.TB
 	server *Server
 	http   *httptest.Server
 }
 
-// siteText returns settings with the given targets.
+// siteText returns site settings with the given policy lines and targets.
 func siteText(policy string, resumes bool, engines, plains []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "site:\n  name: test\n  failure_domains: [govan-depot]\npolicy:\n  stall_floor: 100ms\n%s", policy)
@@ -80,7 +80,7 @@
 	return snap
 }
 
-// newRig starts an entry. change may set further options.
+// newRig starts an entry. change may modify its options.
 func newRig(t testing.TB, text string, change func(*Options)) *rig {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -116,7 +116,7 @@
 	return r
 }
 
-// startEngine starts a stand-in engine with quick steps.
+// startEngine starts a stand-in engine with short steps.
 func startEngine(t *testing.T, change func(*engine.Config)) *engine.Server {
 	t.Helper()
 	cfg := engine.Config{Addr: "127.0.0.1:0", Engine: enginemodel.Default(), Model: testModel, Die: func() {}}
@@ -131,14 +131,14 @@
 	return e
 }
 
-// ask is one caller's request for a completion.
+// ask is a caller's completion request.
 type ask struct {
 	prompt string
 	stream bool
 	key    string
 	last   string
 	ms     string
-	extra  string // further fields of the body
+	extra  string // additional fields of the body
 }
 
 func (r *rig) send(ctx context.Context, a ask) *http.Response {
@@ -159,12 +159,12 @@
 	return resp
 }
 
-// event is one event as the caller sees it.
+// event is a server-sent event as the caller receives it.
 type event struct {
 	id, name, data string
 }
 
-// events reads a stream event by event; ok is false when the connection ended.
+// events reads a stream event by event; next returns false when the connection has ended.
 type events struct {
 	s *bufio.Scanner
 }
@@ -192,18 +192,18 @@
 	return event{}, false
 }
 
-// story is what a caller saw of one stream.
+// transcript records what a caller received from one stream.
 type story struct {
 	text   strings.Builder
 	tokens int
 	lastID string
 	finish string
-	done   bool // [DONE] came
+	done   bool // [DONE] was received
 	err    *callerapi.ErrorDetail
 }
 
-// read follows a stream to its end, and calls each after every token with the count so far. It fails the test when an
-// index is not the next one.
+// read reads a stream to its end and calls each after every token with the count so far. It fails the test if an index is
+// out of order.
 func (st *story) read(t *testing.T, e *events, each func(n int)) {
 	t.Helper()
 	for {
@@ -244,7 +244,7 @@
 	return true
 }
 
-// whole checks that the caller got all n tokens of one generation, each once, and the end mark.
+// checkComplete checks that the caller received all n tokens of one generation, each once, and [DONE].
 func (st *story) whole(t *testing.T, prompt string, n int) {
 	t.Helper()
 	must.Nil(t, st.err)
@@ -267,7 +267,7 @@
 	return body.Error
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds, for at most waitMost.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitMost); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -275,5 +275,5 @@
 			return
 		}
 	}
-	t.Fatalf("never came true: %s", what)
+	t.Fatalf("condition not reached in time: %s", what)
 }
--- a/lib/entry/run.go
+++ b/lib/entry/run.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	maxAvoid      = 8                      // targets that an attempt keeps away from
-	maxMoves      = 1000                   // attempts of one generation, of whatever cause
-	resumePause   = 100 * time.Millisecond // between two tries to place it; its caller sees the stall
-	refusalRetry  = time.Second            // told to callers where nobody knows better
+	maxAvoid      = 8                      // bound on the failed targets that an attempt avoids
+	maxMoves      = 1000                   // bound on moves and preemptions of one generation
+	resumePause   = 100 * time.Millisecond // between placement retries of a started generation; the caller sees the stall
+	refusalRetry  = time.Second            // default Retry-After
 	cancelTimeout = 2 * time.Second
-	avoidPatience = 300 * time.Millisecond // a place is waited for so long without the targets that failed it
-	placeGrace    = 5 * time.Second        // beyond the policy's bound on waiting, in case the scheduler is silent
+	avoidPatience = 300 * time.Millisecond // how long to wait for a placement that avoids failed targets
+	placeGrace    = 5 * time.Second        // added to the policy's MaxWait in case the scheduler does not answer
 )
 
-// runState is what the loop over attempts remembers.
+// runState is the state kept between the attempts of a generation.
 type runState struct {
-	avoid       []string  // targets that failed it since its last token
-	anywhere    bool      // no place was found without the targets to avoid: any will do
-	fruitless   int       // attempts in a row that gave no token
+	avoid       []string  // targets that failed the generation since its last token
+	anywhere    bool      // placement without the targets to avoid timed out: allow any target
+	fruitless   int       // consecutive attempts without a token
 	preemptions int       // moves and preemptions
-	waiting     time.Time // since when a started generation looks for a place; zero: it has one
+	waiting     time.Time // since when a started generation waits for placement; zero if it does not
 }
 
-// run takes a generation from acceptance to its end, over as many attempts as it needs.
+// run runs a generation to its end, over as many attempts as it needs.
 func (s *Server) run(g *generation) {
 	g.own()
 	var rs runState
@@ -50,7 +50,7 @@
 	}
 }
 
-// runOnce places and runs one attempt. again asks for the next one.
+// runOnce places and runs one attempt. It reports whether another attempt must follow.
 func (s *Server) runOnce(g *generation, rs *runState) (err *result.Error, again bool) {
 	if err := s.mayAttempt(g, rs); err != nil {
 		return err, false
@@ -76,7 +76,7 @@
 	return s.afterAttempt(g, rs, grant.Target, end)
 }
 
-// mayAttempt holds attempts to their bounds.
+// checkAttemptLimits returns an error if the generation may not start another attempt.
 func (s *Server) mayAttempt(g *generation, rs *runState) *result.Error {
 	if g.ctx.Err() != nil {
 		return causeError(context.Cause(g.ctx))
@@ -91,7 +91,7 @@
 	return s.clean(g.ctx, g.subject.Fingerprint)
 }
 
-// place asks the scheduler for a target and waits for its answer.
+// place submits the attempt to the scheduler and waits for the decision.
 func (s *Server) place(g *generation, rs *runState, number uint32) (sched.Action, *result.Error) {
 	g.mu.Lock()
 	emitted, decisions := int(g.state.Next()), g.attempt.decisions
@@ -141,10 +141,10 @@
 	return sched.Action{}, err
 }
 
-// spared returns the targets that the next attempt keeps away from: those that failed it, and those where its content
-// would meet another suspect. A scheduler takes the list to the letter. It is empty when no other target is left, or when
-// none had room in time: a generation that met a cut on each of a few engines would never find a place again, and after
-// the death of one engine there are more suspects than engines to keep them apart on.
+// avoidForAttempt returns the targets that the next attempt must avoid: those that failed it, and those where its content
+// would run beside another suspect. The scheduler treats the list as a hard constraint. The list is therefore empty if no
+// other target is left, or if none had capacity in time: otherwise a generation that failed on each of a few engines could
+// never be placed again, and after an engine's death there can be more suspects than engines to separate them.
 func (s *Server) spared(g *generation, rs *runState) []string {
 	svc := s.view.Load().snap.Services[g.service.Name]
 	if svc == nil || rs.anywhere {
@@ -167,7 +167,7 @@
 	return s.opts.Placer.Now().Add(g.deadline.Sub(now))
 }
 
-// attemptOn runs the attempt on the granted target, unless its circuit is open.
+// runAttempt runs the attempt on the granted target, unless its circuit is open or it asked for a back-off.
 func (s *Server) attemptOn(g *generation, number uint32, grant sched.Action) attemptEnd {
 	c := s.client(g, grant.Target)
 	if c == nil {
@@ -203,7 +203,7 @@
 	errOpen     = errors.New("the circuit to the target is open")
 )
 
-// client returns the client of a target: under the settings in force, else under those the request was accepted with.
+// client returns the client of a target from the settings in force, else from those the request was accepted under.
 func (s *Server) client(g *generation, name string) *target.Client {
 	if c := s.view.Load().clients[name]; c != nil {
 		return c
@@ -211,8 +211,8 @@
 	return g.view.clients[name]
 }
 
-// settle tells scheduler, engine and log that an attempt is over. The attempt is fenced already; the cancel only frees
-// the engine's memory sooner, so nothing waits for it.
+// reportAttemptEnd reports the end of an attempt to the scheduler, the engine and the log. The attempt is already fenced;
+// the cancel request only frees the engine's memory sooner, so it runs in the background.
 func (s *Server) settle(g *generation, number uint32, name string, end attemptEnd) {
 	s.opts.Placer.End(g.service.Name, g.id, number, int(g.delivered()), end.reason)
 	s.metrics.AttemptEnded(reasonName(end.reason))
@@ -238,8 +238,8 @@
 	}()
 }
 
-// afterRefusal decides what follows when the scheduler gives no place. A request that no engine took is refused at once.
-// One that may have run is owed its answer, and waits a bounded time for a place.
+// afterRefusal decides how to continue when the scheduler refuses placement. A request that no engine can have run is
+// refused at once; one that may have run retries placement for a bounded time.
 func (s *Server) afterRefusal(g *generation, rs *runState, err *result.Error) (*result.Error, bool) {
 	if result.Lookup(err.Code).Again != result.AgainLater || !g.ran() {
 		return err, false
@@ -290,9 +290,9 @@
 	}
 }
 
-// retry spends from the workspace's budget, which keeps a failing service from being asked ever more. An attempt that was
-// never sent asked nothing of anybody. A generation that has given tokens goes on without: starting it afresh would cost
-// more than resuming it, and its attempts are bounded.
+// retry charges the workspace's retry budget, which limits the additional load on a failing service. Attempts exempt from
+// the budget cost their target nothing. A generation that has delivered tokens is not charged either: restarting it would
+// cost more than resuming it, and its attempts are bounded.
 func (s *Server) retry(g *generation, end attemptEnd) (*result.Error, bool) {
 	if g.delivered() == 0 && !askedNothing(end.cause) {
 		if ok, wait := s.opts.Budgets.Take(s.now(), g.subject.Workspace); !ok {
@@ -305,16 +305,16 @@
 	return nil, true
 }
 
-// askedNothing reports whether an attempt cost its target nothing: it was never sent, or the target turned it away because
-// it is leaving. Reports that tell of the leaving lag; in that time every request placed there comes back, and were they
-// charged to the budget, a planned stop of one target would use it up and callers would be refused.
+// exemptFromBudget reports whether an attempt cost its target nothing: it was never sent, or the target refused it because
+// it is draining. Load reports announce a drain with a delay, during which every request placed there is refused; charged
+// to the budget, a planned shutdown of one target would exhaust it, and callers would be refused.
 func askedNothing(cause error) bool {
 	var refusal *target.RefusedError
 	leaving := errors.As(cause, &refusal) && refusal.Err.NotRun && refusal.Err.Type == engineapi.ErrDraining
 	return leaving || errors.Is(cause, target.ErrNotSent)
 }
 
-// attemptTokens returns the count of tokens that the last attempt delivered.
+// attemptTokens returns the number of tokens delivered by the current attempt.
 func (g *generation) attemptTokens() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lib/entry/scripted_test.go
+++ b/lib/entry/scripted_test.go
@@ -19,15 +19,15 @@
 	"anvilwick.example/anvilwick/lib/retry"
 )
 
-// scripted is an engine whose answers a test writes frame by frame.
+// scripted is an engine whose responses a test writes frame by frame.
 type scripted struct {
 	*httptest.Server
 	mu     sync.Mutex
-	asked  []engineapi.Ext // one for each attempt that came
-	cancel int             // cancels that came
+	asked  []engineapi.Ext // one per attempt received
+	cancel int             // cancel requests received
 }
 
-// newScripted starts an engine; play writes the answer of attempt n, counted from 1 over all generations.
+// newScripted starts an engine; play writes the response to attempt n, counted from 1 over all generations.
 func newScripted(t *testing.T, play func(w *script, n int)) *scripted {
 	t.Helper()
 	s := &scripted{}
@@ -69,7 +69,7 @@
 	return append([]engineapi.Ext(nil), s.asked...)
 }
 
-// script writes one answer.
+// script writes one response.
 type script struct {
 	w   http.ResponseWriter
 	r   *http.Request
@@ -86,7 +86,7 @@
 	s.raw("data: " + string(data) + "\n\n")
 }
 
-// token writes token i of the right attempt.
+// token writes token i of the current attempt.
 func (s *script) token(i uint32, text string) { s.tokenOf(s.ext.Generation, s.ext.Attempt, i, text) }
 
 func (s *script) tokenOf(gen string, attempt, i uint32, text string) {
@@ -117,7 +117,7 @@
 
 func (s *script) cut() { panic(http.ErrAbortHandler) }
 
-// rest writes "a", "b", ... from the start index on, and the end.
+// finishFrom writes the tokens "a", "b", ... from the start index on, and the end of the stream.
 func (s *script) rest() {
 	for i := s.ext.StartIndex; i < 4; i++ {
 		s.token(i, string(rune('a'+i)))
@@ -126,7 +126,7 @@
 	s.done()
 }
 
-// play sends a streamed request to a rig before the engine and returns what its caller saw.
+// play sends a streamed request through a rig in front of the engine and returns what the caller received.
 func play(t *testing.T, s *scripted, policy string, resumes bool) *story {
 	t.Helper()
 	r := newRig(t, siteText("  max_wait: 1s\n"+policy, resumes, []string{s.addr()}, nil), func(o *Options) {
@@ -143,8 +143,8 @@
 	return st
 }
 
-// Whatever goes wrong inside a stream, the caller gets "abcd" with an end mark, each token once: the attempt that went
-// wrong is fenced and the next one resumes at the next token.
+// Whatever goes wrong inside a stream, the caller must get "abcd" with a finish frame, each token once: the failed attempt is
+// fenced and the next one resumes at the next token.
 func TestBrokenStreamsAreResumed(t *testing.T) {
 	for name, first := range map[string]func(s *script){
 		"gap": func(s *script) {
@@ -206,8 +206,8 @@
 	}
 }
 
-// Frames of another generation and of an attempt that never was, end marks and errors among them, come in the stream, as
-// if two answers were crossed. The caller sees its own only.
+// The stream contains frames of another generation and of an attempt that never existed, including finish and error frames,
+// as if two answers were mixed up. The caller must see only its own.
 func TestForeignFramesAreDropped(t *testing.T) {
 	other := strings.Repeat("ab", 16)
 	e := newScripted(t, func(s *script, _ int) {
@@ -229,8 +229,8 @@
 	must.Len(t, 1, e.attempts())
 }
 
-// The engine would start over from the first token if it were asked to go on, and its second answer differs. The service
-// is known not to resume, so it is never asked: the caller would get the head of one answer and the tail of another.
+// Asked to resume, the engine would restart from the first token, and its second answer differs. The service is configured
+// as unable to resume, so it must not be asked: the caller would get the head of one answer and the tail of another.
 func TestNeverStartsOverIntoTheSameStream(t *testing.T) {
 	e := newScripted(t, func(s *script, n int) {
 		for i := range uint32(4) {
@@ -249,9 +249,9 @@
 	must.Eq(t, "1-0 1-1 ", st.text.String())
 }
 
-// The engine takes the request and breaks the connection before the first token, and then no engine can be reached. The
-// last step that fails is "no target", which is "not run" by itself; but the first engine may have run a part. The
-// caller must not be told "not run".
+// The engine accepts the request and breaks the connection before the first token; afterwards no engine is reachable. The last
+// failure is "no target", which by itself means "not run", but the first engine may have run a part. The caller must not be
+// told "not run".
 func TestNotRunIsNotSaidOfWhatMayHaveRun(t *testing.T) {
 	var e *scripted
 	e = newScripted(t, func(s *script, _ int) {
@@ -265,7 +265,7 @@
 	must.NotEq(t, result.NotRun, result.Lookup(st.err.Code).Outcome)
 }
 
-// An engine refuses what it was asked with proof: the caller is told what was wrong, and that it was not run.
+// An engine rejects a request as invalid: the caller must be told why, and that it was not run.
 func TestEngineRefusesTheRequest(t *testing.T) {
 	e := newScripted(t, func(s *script, _ int) {
 		s.refuse(http.StatusBadRequest, engineapi.Error{Type: engineapi.ErrBad, Message: "too long", NotRun: true})
@@ -276,7 +276,7 @@
 	must.Len(t, 1, e.attempts())
 }
 
-// An engine that fails every time is not asked for ever.
+// The attempts on an engine that always fails must be bounded.
 func TestAttemptsAreBounded(t *testing.T) {
 	e := newScripted(t, func(s *script, _ int) { s.refuse(http.StatusInternalServerError, engineapi.Error{Type: "broken"}) })
 	st := play(t, e, "  max_attempts: 3\n  retry_budget: 1\n", true)
@@ -284,8 +284,8 @@
 	must.Len(t, 3, e.attempts())
 }
 
-// Every engine fails every request. Retries are a fraction of the first attempts: beyond the budget a request is told so
-// at once, and the engines don't get a multiple of the load that already overwhelms them.
+// Every engine fails every request. Retries are limited to a fraction of first attempts: beyond the budget, a request must be
+// refused at once, so that overloaded engines don't receive a multiple of the load.
 func TestRetriesAreBudgeted(t *testing.T) {
 	e := newScripted(t, func(s *script, _ int) {
 		s.refuse(http.StatusServiceUnavailable, engineapi.Error{Type: engineapi.ErrOverloaded, NotRun: true})
@@ -302,8 +302,8 @@
 	must.LessEq(t, requests+requests/10+1, len(e.attempts()))
 }
 
-// An engine that is full names the time for which it wants nothing more. It gets nothing from this entry for as long, and is asked again
-// afterwards; the requests run at the other engine, and cost no retries.
+// An overloaded engine refuses with a Retry-After. The entry must send it nothing for that time and use it again afterwards;
+// meanwhile requests run on the other engine.
 func TestEngineThatNamesATimeIsLeftAloneForIt(t *testing.T) {
 	const rest = time.Second
 	full := newScripted(t, func(s *script, n int) {
--- a/lib/entry/server.go
+++ b/lib/entry/server.go
@@ -1,8 +1,9 @@
-// Package entry is the life of callers' requests: accept, admit, place, run, go on elsewhere when a target fails, finish.
+// Package entry handles callers' requests from acceptance to completion: it accepts, admits and places each request, runs
+// its attempts, resumes a generation on another target when one fails, and finishes it.
 //
-// The promises to callers are kept here and need nobody else: attempts are numbered and fenced (lib/stream), every
-// outcome is one of lib/result, and "not run" is said only when nothing was sent or a target proved it. Who decides
-// where a generation runs, limits, budgets, claims and records stand behind the small interfaces of Options.
+// The guarantees given to callers are enforced here alone: attempts are numbered and fenced (lib/stream), every request
+// ends with a code of lib/result, and "not run" is reported only if nothing was sent or a target proved it. Placement,
+// limits, budgets, claims and records are behind the small interfaces of Options.
 package entry
 
 import (
@@ -29,21 +30,21 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// Bounds on callers' connections.
+// Bounds on callers' connections and requests, and defaults of Options.
 const (
 	readHeaderTimeout = 10 * time.Second
-	readTimeout       = 60 * time.Second // a whole request, its body included
+	readTimeout       = 60 * time.Second // whole request, including its body
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 32 << 10
-	maxBodyBytes      = 16 << 20 // whatever the settings say
+	maxBodyBytes      = 16 << 20 // upper bound on any max_body in the settings
 	connWriteBuffer   = 128 << 10
 	defaultMaxStreams = 4096
 	resumePatience    = 30 * time.Second
 	callerGrace       = 10 * time.Second
 )
 
-// Options are an entry's parts. Only Placer is needed. Without Limiter nothing is limited; without Claims keyed requests
-// that are not idempotent are refused; without Records nobody can go on with a generation whose entry died.
+// Options configures a Server. Only Placer is required. Without Limiter there are no limits; without Claims, keyed
+// non-idempotent requests are refused; without Records, a generation whose entry died can't be resumed.
 type Options struct {
 	Placer        placer.Placer
 	Limiter       Limiter
@@ -55,17 +56,17 @@
 	Poison        *poison.Table
 	FailureDomain string // of this instance
 	MaxStreams    int    // requests in progress; 0: 4096
-	// CallerGrace is how long a keyed generation runs on without a caller; 0: 10 s.
+	// CallerGrace is how long a keyed generation keeps running without a caller; 0: 10 s.
 	CallerGrace time.Duration
-	// ResumePatience is how long at least a generation that may have run looks for a place again; 0: 30 s.
+	// ResumeTimeout is the minimum time that a generation which may have run waits to be placed again; 0: 30 s.
 	ResumePatience time.Duration
 	Metrics        *entrymetrics.Set
 	Clients        *target.Clients
-	// OnView is called with each revision of settings before it is in force, with a client of each target.
+	// OnView is called with each settings revision before it takes effect. clients returns the clients of a service's targets.
 	OnView func(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client)
 }
 
-// Server serves callers.
+// Server serves callers' requests.
 type Server struct {
 	opts       Options
 	metrics    *entrymetrics.Set
@@ -82,7 +83,7 @@
 	background sync.WaitGroup
 }
 
-// New returns a Server without settings; it refuses every request until Apply.
+// New returns a Server without settings. It refuses every request until Apply is called.
 func New(opts Options) *Server {
 	fillDefaults(&opts)
 	s := &Server{
@@ -132,10 +133,11 @@
 	}
 }
 
-// Run runs the systems over requests in progress until ctx is done.
+// Run checks stalls, callers, deadlines, progress and records of the generations in progress until ctx is done.
 func (s *Server) Run(ctx context.Context) { s.tick(ctx) }
 
-// Apply puts a revision in force for requests accepted from now on. An older revision than the one in force is ignored.
+// Apply puts a settings revision into effect for requests accepted from now on. A revision older than the current one is
+// ignored.
 func (s *Server) Apply(snap *settings.Snapshot) {
 	s.applying.Lock()
 	defer s.applying.Unlock()
@@ -149,7 +151,7 @@
 	log.Info().Str("event", "settings_in_force").Uint64("revision", snap.Revision).Msg("")
 }
 
-// Revision returns the revision in force; 0 when there is none.
+// Revision returns the revision in effect, or 0 if there is none.
 func (s *Server) Revision() uint64 {
 	if v := s.view.Load(); v != nil {
 		return v.snap.Revision
@@ -157,7 +159,7 @@
 	return 0
 }
 
-// Snapshot returns the settings in force, or nil.
+// Snapshot returns the settings in effect, or nil.
 func (s *Server) Snapshot() *settings.Snapshot {
 	if v := s.view.Load(); v != nil {
 		return v.snap
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// Client returns the client of a target under the settings in force, or nil.
+// Client returns the client of a target under the settings in effect, or nil.
 func (s *Server) Client(name string) *target.Client {
 	if v := s.view.Load(); v != nil {
 		return v.clients[name]
@@ -173,12 +175,12 @@
 	return nil
 }
 
-// Counts returns requests in progress and generations among them.
+// Counts returns the number of requests and of generations in progress.
 func (s *Server) Counts() (requests, generations int) { return s.table.counts() }
 
 func (s *Server) now() time.Time { return time.Now() }
 
-// Handler answers callers.
+// Handler returns the HTTP handler for callers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(engineapi.PathCompletions, s.serveCompletion)
@@ -187,7 +189,7 @@
 	return mux
 }
 
-// HTTPServer returns a server for Handler with bounds on what callers may send.
+// HTTPServer returns a server for Handler with timeouts and bounds on headers and buffers.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s.Handler(),
@@ -199,8 +201,8 @@
 	}
 }
 
-// boundConn bounds what the kernel keeps for one caller. Left to itself it grows to megabytes for each caller that reads
-// slowly, unseen by the bound on the sink.
+// boundConn limits the kernel's send buffer for a caller. By default it grows to megabytes for each slow reader, outside the
+// bound on the sink.
 func boundConn(ctx context.Context, c net.Conn) context.Context {
 	if tc, ok := c.(*net.TCPConn); ok {
 		_ = tc.SetWriteBuffer(connWriteBuffer)
@@ -208,7 +210,7 @@
 	return ctx
 }
 
-// refuse answers a request that never got a workspace or a service.
+// refuse logs and counts a refused request and writes the error response. rq may lack a workspace.
 func (s *Server) refuse(w http.ResponseWriter, rq *request, err *result.Error) {
 	if rq.workspace == nil {
 		s.metrics.Refused(err.Code)
--- a/lib/entry/silence.go
+++ b/lib/entry/silence.go
@@ -11,14 +11,15 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errSilent cancels a call at a target that sent nothing for the policy's bound.
-var errSilent = errors.New("the target sent nothing within max_silence")
+// errSilent cancels a call whose target sent nothing for the policy's max_silence.
+var errSilent = errors.New("target sent nothing within max_silence")
 
-// doBounded sends the call, and gives it up when the target is silent for longer than the policy allows: before its
-// answer, or between two parts of it.
+// doBounded sends the call and cancels it if the target is silent for longer than the policy allows, before the answer or
+// between two parts of it.
 //
-// A frozen target keeps its connections. Without the bound a call that has no deadline waits as long as it is frozen, and
-// a planned stop of this entry with it. A call with a deadline is left to that: its caller has said how long it waits.
+// A frozen target keeps its connections open. Without the bound, a call without a deadline waits as long as the target is
+// frozen, and blocks a planned shutdown of this entry. Calls with a deadline are bounded by that alone, since the caller
+// has chosen how long to wait.
 func (pc *plainCall) doBounded(ctx context.Context, c *target.Client) (*http.Response, error) {
 	bound := pc.policy.MaxSilence
 	if bound <= 0 || !pc.deadline(pc.policy).IsZero() {
@@ -36,7 +37,7 @@
 	return resp, nil
 }
 
-// silentOr names the silence when that is why the call broke. What err proves, such as that nothing was sent, stands.
+// wrapSilence adds errSilent to err if silence caused the failure. What err proves, such as ErrNotSent, is preserved.
 func silentOr(ctx context.Context, err error) error {
 	if context.Cause(ctx) == errSilent {
 		return fmt.Errorf("%w: %w", errSilent, err)
@@ -44,7 +45,7 @@
 	return err
 }
 
-// boundedBody holds each read of an answer to the bound. The time in which its caller is slow doesn't count.
+// boundedBody applies the silence bound to each read of an answer. Time that the caller takes between reads doesn't count.
 type boundedBody struct {
 	io.ReadCloser
 	ctx    context.Context
--- a/lib/entry/silence_test.go
+++ b/lib/entry/silence_test.go
@@ -20,7 +20,7 @@
 
 const silencePolicy = "  max_silence: 150ms\n"
 
-// soon makes a call that must be answered long before a silent target would be.
+// soon makes a call with a timeout far below the time that a silent target would take.
 func (r *rig) soon(method, path, key string) *http.Response {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -37,8 +37,8 @@
 	return resp
 }
 
-// A target executes a call without a deadline and never answers. Its caller waited as long as the target was silent, and
-// a planned stop with it. It is told that the outcome is unknown, and so is a resend: nothing is executed again.
+// A target executes a call without a deadline and never answers. Its caller, and a planned shutdown, would wait as long as the
+// target is silent. The call must end as outcome unknown, as must a resend, and nothing may be executed again.
 func TestSilentTargetIsGivenUpWithoutADeadline(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		p := startPlain(t, "one")
@@ -61,8 +61,8 @@
 	}
 }
 
-// The stall floor is so long that no second call is made beside the silent one. When the silence is over its bound, a call
-// that may be repeated is answered by the other target.
+// The stall floor is so long that no hedged call is made. When the silence exceeds its bound, an idempotent call must be
+// answered by the other target.
 func TestIdempotentCallLeavesASilentTarget(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	text := siteText(silencePolicy, true, nil, []string{a.Addr(), b.Addr()})
@@ -78,8 +78,8 @@
 	a.Kill()
 }
 
-// A target sends its answer in parts, for longer than the bound in all, and is never silent for as long. It is not cut.
-// Another falls silent within its answer: the connection is broken, so that the part isn't taken for the whole.
+// A target that sends its answer in parts, together for longer than the bound but never silent for that long, must not be cut.
+// When a target falls silent mid-answer, the connection must be broken, so that the part isn't taken for the whole.
 func TestSilenceWithinAnAnswer(t *testing.T) {
 	r := newRig(t, siteText(silencePolicy, true, nil, []string{slowTeller(t)}), nil)
 	body, err := io.ReadAll(r.soon(http.MethodPost, "/dispatch/parts", "").Body)
@@ -89,7 +89,7 @@
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// slowTeller starts a target that answers in ten parts, and on /dispatch/silent in one and no end.
+// slowTeller starts a target that answers in ten parts; on /dispatch/silent it sends only the first and never ends.
 func slowTeller(t *testing.T) string {
 	t.Helper()
 	quit := make(chan struct{})
--- a/lib/entry/sink.go
+++ b/lib/entry/sink.go
@@ -11,30 +11,30 @@
 	"anvilwick.example/anvilwick/lib/stream"
 )
 
-// maxSinkBytes bounds what is kept for a caller that reads slowly, whatever the size of its tokens.
+// maxSinkBytes bounds the bytes buffered for a slow caller, whatever the size of the tokens.
 const maxSinkBytes = 8 << 20
 
-// sink holds the events on their way to one caller's connection. The engine's side appends, the caller's side takes all
-// at once; neither waits for the other. Its fields are guarded by the generation's lock.
+// sink buffers the events for one caller's connection. The engine's side appends and the caller's side takes everything at
+// once; neither waits for the other. Its fields are guarded by the generation's mutex.
 type sink struct {
-	quiet    bool // an unstreamed answer: the caller waits for the end only
+	quiet    bool // non-streamed answer: only the end is signalled
 	buf      []byte
 	events   bool // buf has held a token
-	tokens   int  // in buf
-	inFlight int  // taken, and not yet known to be written
-	limit    int  // tokens borne before the caller counts as slow
+	tokens   int  // tokens in buf
+	inFlight int  // tokens taken and not yet known to be written
+	limit    int  // pending tokens above which the caller counts as slow
 	over     time.Time
 	last     bool // buf holds the end of the stream
-	closed   bool // another connection has taken the stream over
+	closed   bool // another connection has taken over the stream
 
-	next    uint32        // index of the next token that goes into buf
-	from    uint32        // index of the first token it lacks
-	proof   stream.Digest // of the tokens before from, as the caller has them; checked once they are all here
-	checked bool
+	next    uint32        // index of the next token to append to buf
+	from    uint32        // index of the first token the caller lacks
+	proof   stream.Digest // digest of the caller's tokens before from; compared once all of them are known here
+	checked bool          // proof has been compared, or there is none
 
 	wake chan struct{}
 	conn *http.ResponseController
-	wait time.Duration // bound on the last writes
+	wait time.Duration // time limit for the final writes
 }
 
 func newSink(w http.ResponseWriter, p *settings.Policy, quiet bool) *sink {
@@ -48,7 +48,7 @@
 	}
 }
 
-// resume makes the sink one of a caller that has every token up to that of id.
+// resume sets the sink up for a caller that has every token up to that of id.
 func (s *sink) resume(id callerapi.EventID) {
 	s.from = id.Index + 1
 	s.next = s.from
@@ -63,8 +63,8 @@
 	}
 }
 
-// lacks reports whether the caller still needs token index, given the digest of the tokens up to it. An error means that
-// the caller has other tokens than this generation.
+// needs reports whether the caller still needs token index, given the digest of all tokens up to it. It returns an error
+// if the caller's tokens differ from those of this generation.
 func (s *sink) lacks(index uint32, sum stream.Digest) (bool, error) {
 	if index+1 == s.from && !s.checked {
 		s.checked = true
@@ -75,11 +75,11 @@
 	return index >= s.from, nil
 }
 
-// token appends one token's event. The order of what a caller sees is checked here once more, after everything that
-// decides about it: an error means a defect of this program, and the stream must end.
+// appendToken appends one token's event. It verifies the token order once more, as the last check before the caller: an
+// error indicates a bug in this program, and the stream must end.
 func (s *sink) token(now time.Time, gen string, index uint32, sum stream.Digest, data []byte) error {
 	if index != s.next {
-		return invariant.Broken("token_order", fmt.Sprintf("token %d of %s where %d was due", index, gen, s.next))
+		return invariant.Broken("token_order", fmt.Sprintf("token %d of %s appended, expected index %d", index, gen, s.next))
 	}
 	s.next++
 	s.buf = callerapi.AppendEvent(s.buf, gen, index, sum, data)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// finish appends the end of the stream. From here on the engine's memory is free, but the connection is not: what is left
-// must be read within the wait that a slow caller is given.
+// finish appends the end of the stream. The engine's memory is free by now but the connection is not, so the caller must
+// read the remainder within the slow-reader wait.
 func (s *sink) finish(now time.Time, data []byte) {
 	s.buf = append(s.buf, data...)
 	s.last = true
@@ -101,21 +101,21 @@
 	s.signal()
 }
 
-// minFinalWait is given to every caller for the end of its stream.
+// minFinalWait is the minimum time that every caller gets to read the end of its stream.
 const minFinalWait = time.Second
 
-// cut ends a write in progress and makes later ones fail.
+// abortWrites interrupts a write in progress and makes later ones fail.
 func (s *sink) cut() { _ = s.conn.SetWriteDeadline(time.Unix(1, 0)) }
 
-// close tells the caller's side to stop, because the stream went to another connection.
+// close stops the caller's side because another connection has taken over the stream.
 func (s *sink) close() {
 	s.closed = true
 	s.cut()
 	s.signal()
 }
 
-// take hands over all that is buffered and keeps spare for what comes next. It means that whatever was taken before is
-// written.
+// take returns the buffered events and reuses spare as the next buffer. Calling it implies that everything taken before
+// has been written.
 func (s *sink) take(spare []byte) []byte {
 	out := s.buf
 	s.buf = spare[:0]
@@ -126,7 +126,7 @@
 	return out
 }
 
-// slow reports whether the caller has read too slowly for longer than wait.
+// slow reports whether the caller has been reading too slowly for longer than wait.
 func (s *sink) slow(now time.Time, wait time.Duration) bool {
 	if len(s.buf) > maxSinkBytes {
 		return true
--- a/lib/entry/stop.go
+++ b/lib/entry/stop.go
@@ -11,16 +11,16 @@
 
 const (
 	stopPoll       = 50 * time.Millisecond
-	stopRetryAfter = time.Second // another entry takes the request at once
+	stopRetryAfter = time.Second // short, since another entry accepts the request immediately
 )
 
-// Leave marks the instance as not ready; requests are still taken.
+// BeginShutdown marks the instance as not ready; requests are still accepted.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Leaving reports whether a planned stop has begun.
+// ShuttingDown reports whether a planned shutdown has begun.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// Refuse refuses new requests from now on; those in progress go on.
+// RejectNew refuses new requests from now on; those in progress continue.
 func (s *Server) Refuse() {
 	s.leaving.Store(true)
 	s.stopping.Store(true)
@@ -29,8 +29,8 @@
 // Stopping reports whether new requests are refused.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// Stop refuses new requests and waits until every request in progress has ended, however long it runs, or until ctx is
-// done. Balancers learn of it from the health page before that; what they still send is refused, not run.
+// Stop refuses new requests and waits until all requests in progress have ended, however long they run, or until ctx is
+// done. Load balancers see the health page change before that; requests they still send are refused without being run.
 func (s *Server) Stop(ctx context.Context) error {
 	s.Refuse()
 	t := time.NewTicker(stopPoll)
@@ -50,8 +50,8 @@
 	}
 }
 
-// enter counts a request in progress, or refuses it while stopping. The count comes first, so that Stop can't see zero
-// between the two.
+// enter counts a request in progress, or refuses it while stopping. It counts first, so that Stop can't see a zero count
+// between the check and the increment.
 func (s *Server) enter() *result.Error {
 	if err := s.table.enter(); err != nil {
 		return err
--- a/lib/entry/store_test.go
+++ b/lib/entry/store_test.go
@@ -11,7 +11,7 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// memoryStore is the platform's table for claims.
+// memoryStore is an in-memory claim.Store.
 type memoryStore struct {
 	mu    sync.Mutex
 	rev   uint64
@@ -53,7 +53,7 @@
 // Era implements claim.Store.
 func (m *memoryStore) Era() uint64 { return platformapi.FirstEra }
 
-// holds counts the items whose value contains text.
+// holds returns the number of items whose value contains text.
 func (m *memoryStore) holds(text string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,7 +66,7 @@
 	return n
 }
 
-// claims returns the claims of an entry that knows the given other entries to be gone.
+// claims returns the claims of an entry that considers the given other entries gone.
 func (m *memoryStore) claims(instance string, gone ...string) Claims {
 	return claimsOn(m, instance, gone)
 }
@@ -78,12 +78,12 @@
 	})}
 }
 
-// gate is one entry's way to the store, which a test can shut as the death of the entry would.
+// gate is one entry's access to the store, which a test can close to simulate the death of the entry.
 type gate struct {
 	store *memoryStore
 	mu    sync.Mutex
 	dead  bool
-	slow  chan struct{} // answers are held back until it is closed; nil: none are
+	slow  chan struct{} // if not nil, responses are delayed until it is closed
 }
 
 func (m *memoryStore) gate() *gate { return &gate{store: m} }
--- a/lib/entry/table.go
+++ b/lib/entry/table.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	keepFinished = time.Minute // a keyed answer stays for callers that come back
-	maxKept      = 1024        // finished keyed answers kept
+	keepFinished = time.Minute // how long a finished keyed answer stays available to returning callers
+	maxKept      = 1024        // bound on finished keyed answers
 )
 
 type keyRef struct{ workspace, key string }
 
-// table holds the generations in progress, and finished keyed ones for a while.
+// table holds the generations in progress and, for a limited time, finished keyed ones.
 type table struct {
-	max int // requests being answered
+	max int // bound on active
 
 	mu     sync.Mutex
 	byID   map[ids.Generation]*generation
 	byKey  map[keyRef]*generation
 	kept   []*generation // finished, oldest first
-	active int           // callers' requests being answered
+	active int           // requests being answered
 }
 
 func newTable(limit int) *table {
 	return &table{max: limit, byID: make(map[ids.Generation]*generation), byKey: make(map[keyRef]*generation)}
 }
 
-// enter counts one more request in progress, or refuses it.
+// enter counts one more request in progress, or refuses it at the bound.
 func (t *table) enter() *result.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,14 +43,14 @@
 	return nil
 }
 
-// leave undoes enter.
+// leave reverts enter.
 func (t *table) leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.active--
 }
 
-// add registers a generation. When its key is taken it returns the holder instead.
+// add registers a generation. If its key is taken, it returns the generation that holds the key.
 func (t *table) add(g *generation) *generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,8 +72,8 @@
 	return t.byKey[keyRef{workspace, key}]
 }
 
-// ended moves a generation out of those in progress. A keyed one that was run stays for callers that come back; one
-// proved not run frees its key at once, so that the caller may ask again.
+// ended moves a generation out of those in progress. A keyed one that was run stays available to returning callers; one
+// proved not run frees its key at once, so that the caller may retry.
 func (t *table) ended(g *generation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// expire forgets finished generations beyond their time or count.
+// expire removes finished generations beyond the time or count limit. The caller must hold mu.
 func (t *table) expire(now time.Time) {
 	for len(t.kept) > 0 && (len(t.kept) > maxKept || now.Sub(t.kept[0].endedAt) > keepFinished) {
 		t.forget(t.kept[0])
@@ -105,7 +105,8 @@
 	}
 }
 
-// lost frees the key of a generation that another entry goes on with, and returns it, or nil.
+// removeSuperseded frees the key of a generation that another entry has resumed. It returns the generation if it is in
+// progress, else nil.
 func (t *table) lost(id ids.Generation) *generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// running appends the generations in progress to out, for the systems that run over them.
+// appendRunning appends the generations in progress to out.
 func (t *table) running(out []*generation) []*generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,14 +132,14 @@
 	return out
 }
 
-// counts returns requests being answered, and generations in progress, a few of which may have no caller just now.
+// counts returns the requests being answered and the generations in progress, some of which may have no caller attached.
 func (t *table) counts() (active, generations int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.active, len(t.byID)
 }
 
-// drop removes a generation that never started.
+// remove deletes a generation that never started.
 func (t *table) drop(g *generation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +147,7 @@
 	t.forget(g)
 }
 
-// release frees the key of a generation that was stopped for want of a caller, so that it can be gone on with.
+// releaseKey frees the key of a generation that was stopped for lack of a caller, so that it can be resumed.
 func (t *table) release(g *generation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lib/entry/takeover_test.go
+++ b/lib/entry/takeover_test.go
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// meeting is a Records that gives out a record only when all who were expected have asked for it.
+// rendezvousRecords is a Records whose Get returns only once all expected callers have called it.
 type meeting struct {
 	*memoryRecords
 	all sync.WaitGroup
@@ -26,7 +26,7 @@
 	return rec, err
 }
 
-// attempts counts the attempts that entries ask places for.
+// attempts counts the attempts that entries submit for placement.
 type attempts struct {
 	mu sync.Mutex
 	n  int
@@ -44,7 +44,7 @@
 	c.Placer.Submit(service, r, notify)
 }
 
-// deadStream is a keyed stream whose caller has read some tokens when its entry dies.
+// deadStream is a keyed stream whose entry died after the caller had read some tokens.
 type deadStream struct {
 	prompt  string
 	length  int
@@ -69,9 +69,9 @@
 	return d
 }
 
-// The entry of a keyed stream dies. Two processes of its caller ask two other entries for the rest, and both find the
-// record before either has begun. Without the claim's move, both entries run the rest on an engine. One of them must, and
-// the other say that it runs already and that it started nothing. In the end the claim tells the outcome, and by whom.
+// The entry of a keyed stream dies. Two processes of its caller ask two other entries for the rest, and both entries read the
+// record before either resumes. Without the claim's transfer, both would run the rest on an engine. One must run it, and the
+// other must answer AlreadyRunning and start nothing. In the end the claim holds the outcome and the new holder.
 func TestTwoEntriesTakeOverAtOnce(t *testing.T) {
 	for _, resume := range []bool{true, false} {
 		d := newDeadStream(t)
@@ -108,12 +108,12 @@
 		must.Eq(t, 1, count.n)
 		eventually(t, "outcome in the table", func() bool { return d.store.holds(`"state":"finished"`) == 1 })
 		must.Eq(t, 0, d.store.holds(`"instance":"e1"`), must.Sprint("the claim still names the dead entry"))
-		must.Eq(t, 1, d.store.holds(`"attempt":17`), must.Sprint("1 and the gap"))
+		must.Eq(t, 1, d.store.holds(`"attempt":17`), must.Sprint("attempt 1 plus restoreGap"))
 	}
 }
 
-// The entry of a claimed stream dies while the platform is down. Another entry can't know whether a third goes on with it
-// at this moment, so it sends nothing, and tells its caller so and when to ask again. With the store back it goes on.
+// The entry of a claimed stream dies while the store is down. Another entry can't know whether a third has resumed the stream,
+// so it must send nothing and refuse with a Retry-After. When the store is back, it must resume the stream.
 func TestTakeOverWaitsForTheStore(t *testing.T) {
 	d := newDeadStream(t)
 	way := d.store.gate()
@@ -131,9 +131,9 @@
 	d.st.whole(t, d.prompt, d.length)
 }
 
-// The store is slow while an entry asks for a claim, and then refuses. Until the claim is its own the entry must not tell
-// the peers that it runs the generation: its record would stand in place of the dead entry's, with its tokens, and every
-// later caller would hear that an entry which runs nothing holds the stream.
+// The store is slow while an entry requests a claim, and then refuses it. Until it holds the claim, the entry must not publish
+// a record: it would overwrite the dead entry's record and tokens, and later callers would be told that an entry which runs
+// nothing holds the stream.
 func TestNoRecordBeforeTheClaim(t *testing.T) {
 	for _, resume := range []bool{true, false} {
 		d := newDeadStream(t)
@@ -164,16 +164,16 @@
 	}
 }
 
-// Two processes of a caller come back at once after its entry died. The entry that they ask is still asking for the claim
-// for the one that names no event, under a generation that it just drew; the other names the event it saw last. Held
-// against the drawn generation it would hear that its stream is lost, for good, while the next second gives it the rest.
+// Two processes of a caller return at once after its entry died. For the one without a last event ID, the new entry is still
+// requesting the claim, under a newly drawn generation ID; the other names its last event. Compared with the new ID, it would
+// be told that its stream is lost for good, although it is available a moment later.
 func TestComesBackWhileTheClaimIsAskedFor(t *testing.T) {
 	d := newDeadStream(t)
 	way := d.store.gate()
 	way.slow = make(chan struct{})
 	answer := sync.OnceFunc(func() { close(way.slow) })
 	r := newRig(t, d.text, withKeys(claimsOn(way, "e2", []string{"e1"}), d.records))
-	t.Cleanup(answer) // before the entry is stopped, which waits for its requests
+	t.Cleanup(answer) // runs before the entry is stopped, which waits for its requests
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = r.send(context.Background(), ask{prompt: d.prompt, stream: true, key: "k"}) })
 	eventually(t, "asked", func() bool { _, n := r.server.Counts(); return n == 1 })
@@ -183,8 +183,8 @@
 	wg.Wait()
 }
 
-// The entry dies before the first token of its stream is in the record. The entry that goes on marks its attempt in the
-// claim that it took over, as after any attempt that may have run, under a number above those that may have been used.
+// The entry dies before the first token of its stream is recorded. The entry that takes over must mark its attempt in the
+// claim, as after any attempt that may have run, under a number above all that may have been used.
 func TestTakeOverBeforeTheFirstToken(t *testing.T) {
 	d := newDeadStream(t)
 	d.records.recs["k"].Tokens = nil
@@ -197,9 +197,9 @@
 	must.Eq(t, 1, d.store.holds(`"instance":"e2"`))
 }
 
-// An entry was frozen, another goes on with its keyed stream, and it wakes with its caller still connected. The caller must
-// be told to ask again with its key, and get no end mark. Its next request at the same entry must be led to the record of
-// the other, which holds the stream, and not to what is left of it here.
+// An entry was frozen, another resumed its keyed stream, and it wakes with its caller still connected. The caller must be told
+// to retry with its key, and must get no finish frame. Its next request at the same entry must be answered from the other
+// entry's record, not from the superseded generation.
 func TestSupersededEntryGivesWay(t *testing.T) {
 	e := startEngine(t, nil)
 	store, records := newMemoryStore(), newMemoryRecords()
@@ -212,7 +212,7 @@
 			return
 		}
 		records.mu.Lock()
-		records.recs["k"].Attempt += 17 // of the other entry
+		records.recs["k"].Attempt += 17 // as written by the other entry
 		put = records.recs["k"].Attempt
 		records.mu.Unlock()
 		r.server.Superseded(r.server.table.running(nil)[0].id)
@@ -221,13 +221,13 @@
 	must.NotNil(t, st.err)
 	must.Eq(t, result.TakenOver, st.err.Code)
 	eventually(t, "idle", func() bool { _, n := r.server.Counts(); return n == 0 })
-	must.Eq(t, put, records.recs["k"].Attempt, must.Sprint("its record stands over the other's"))
+	must.Eq(t, put, records.recs["k"].Attempt, must.Sprint("the superseded entry overwrote the other's record"))
 	a.last = st.lastID
 	must.Eq(t, result.AlreadyRunning, readError(t, r.send(context.Background(), a)).Code)
 }
 
-// Generations of the service are idempotent, the store is down, and its entry dies. No claim holds it, so that another entry goes
-// on with it at once from the record.
+// The service's generations are idempotent, the store is down, and the entry dies. No claim exists, so another entry must
+// resume at once from the record.
 func TestIdempotentStreamGoesOnWithoutTheStore(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
--- a/lib/entry/tick.go
+++ b/lib/entry/tick.go
@@ -7,11 +7,11 @@
 
 const (
 	tickInterval  = 20 * time.Millisecond
-	recordMinimum = time.Second // between two records of a generation
-	maxRecordText = 1 << 20     // bytes of text; longer answers are recorded at their start only
+	recordMinimum = time.Second // minimum interval between two records of a generation
+	maxRecordText = 1 << 20     // bytes of text; the records of longer answers hold only their start
 )
 
-// tick runs the systems over the table of generations until ctx is done.
+// tick checks all generations in progress every tickInterval until ctx is done.
 func (s *Server) tick(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -41,8 +41,8 @@
 	s.record(g, now, false)
 }
 
-// checkCaller gives up on a generation whose caller is slow beyond its bounds, or gone for too long. A slow caller with a
-// key loses its connection first, and can come back for the rest.
+// checkCaller cancels a generation whose caller has been too slow or absent for too long. A slow caller with a key is only
+// disconnected first, and may return for the rest.
 func (s *Server) checkCaller(g *generation, now time.Time) {
 	g.mu.Lock()
 	sk := g.sink
@@ -80,7 +80,7 @@
 	}
 }
 
-// record leaves what another entry needs to go on with a keyed generation, should this one die.
+// record stores what another entry needs to resume a keyed generation if this entry dies.
 func (s *Server) record(g *generation, now time.Time, last bool) {
 	if g.key == "" {
 		return
@@ -111,7 +111,7 @@
 	s.opts.Records.Put(rec, from)
 }
 
-// wholeRecord is the record of a generation that has ended, with every token.
+// fullRecord returns the record of a generation that has ended, with all tokens.
 func (g *generation) wholeRecord() *Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,14 +127,14 @@
 	}
 }
 
-// stopped reports whether the generation was stopped for want of a caller.
+// resumable reports whether the generation was stopped for lack of a caller and can be resumed.
 func (g *generation) stopped() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.released()
 }
 
-// tidy forgets finished generations whose time is over.
+// expireFinished removes finished generations whose retention time has passed.
 func (t *table) tidy(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lib/entry/view.go
+++ b/lib/entry/view.go
@@ -6,7 +6,7 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// view is one revision of settings with the clients of its targets. A request keeps the view it was accepted under.
+// view is one settings revision with the clients of its targets. A request keeps the view under which it was accepted.
 type view struct {
 	snap    *settings.Snapshot
 	clients map[string]*target.Client // by target name, which is unique in a site
@@ -32,7 +32,7 @@
 	return out
 }
 
-// TargetSpecs returns the targets of a service that may get new work, as the scheduler knows them.
+// TargetSpecs returns the scheduler's specs of a service's targets that may receive new work.
 func TargetSpecs(svc *settings.Service) []sched.TargetSpec {
 	specs := make([]sched.TargetSpec, 0, len(svc.Targets))
 	for i := range svc.Targets {
@@ -54,10 +54,10 @@
 	return specs
 }
 
-// leastRisk stands for a memory risk of 0, which the scheduler would take for one that is not set.
+// minMemoryRisk replaces a memory risk of 0, which the scheduler would treat as unset.
 const leastRisk = 1e-12
 
-// ClassPolicies returns the scheduler's view of the policies of a service.
+// ClassPolicies returns a function that maps a service's policies to the scheduler's.
 func ClassPolicies(snap *settings.Snapshot, service string) sched.PolicyFunc {
 	return func(workspace, class string) sched.ClassPolicy {
 		p := snap.Policy(service, workspace, class)
--- a/lib/entry/view_test.go
+++ b/lib/entry/view_test.go
@@ -9,8 +9,8 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// An operator sets max_preemptions to 0 so that a class's generations stay where they are. To the scheduler zero means
-// that nothing was said, and they would be moved as often as it does by itself.
+// An operator sets max_preemptions to 0 so that a class's generations are never moved. The scheduler treats zero as unset and
+// would apply its default.
 func TestNoPreemptionsReachesTheScheduler(t *testing.T) {
 	tree, err := settings.Parse([]byte(`
 site: {name: s, failure_domains: [a]}
@@ -26,7 +26,7 @@
 	must.Eq(t, 1, policies("w", "once").MaxPreemptions)
 }
 
-// An operator asks for no risk at all. The scheduler fills a risk of 0 by its default, which is far more.
+// An operator sets a memory risk of 0. The scheduler replaces 0 by its default, which is far higher.
 func TestMemoryRiskOfZeroIsNotTheDefault(t *testing.T) {
 	tree, err := settings.Parse([]byte(`
 site: {name: s, failure_domains: [a]}
--- a/lib/entry/watch.go
+++ b/lib/entry/watch.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/stall"
 )
 
-// watches joins the stall monitor's streams to the generations that they belong to.
+// watches maps the stall monitor's streams to their generations.
 type watches struct {
 	monitor *stall.Monitor
 
@@ -23,7 +23,7 @@
 	return &watches{monitor: m, byID: make(map[uint64]*generation)}
 }
 
-// start begins to watch the attempt that g runs on a target.
+// start registers the attempt that g runs on a target with the stall monitor.
 func (w *watches) start(now time.Time, g *generation, target string) uint64 {
 	w.mu.Lock()
 	w.last++
@@ -41,8 +41,8 @@
 	delete(w.byID, id)
 }
 
-// check marks the attempts that are silent beyond what their target has shown. A link can stall without breaking, and
-// the caller would wait for ever.
+// check marks attempts whose silence exceeds what their target has shown so far. A link can stall without breaking, and
+// the caller would wait forever.
 func (w *watches) check(now time.Time) {
 	w.stalls = w.monitor.Check(now, w.stalls[:0])
 	for _, st := range w.stalls {
@@ -57,14 +57,14 @@
 	}
 }
 
-// markSilent notes that the attempt is overdue; it is given up once the policy's floor has passed as well.
+// markOverdue marks the attempt as overdue. It is cancelled once the policy's stall floor has passed too.
 func (g *generation) markSilent() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.attempt.silent = true
 }
 
-// checkStall gives up on an overdue attempt.
+// checkStall cancels an overdue attempt.
 func checkStall(g *generation, now time.Time) {
 	g.mu.Lock()
 	a := g.attempt
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -1,7 +1,8 @@
-// Package entrylink is the entry's end of the local link: it turns what the control process sends into settings in
-// force, drains, power shares and the instance list, and reports the entry's state and its targets' back.
+// Package entrylink is the entry's end of the local link to the control process. It applies the settings, drains, power
+// shares and instance list that the control process sends, and reports the state of the entry and its targets back.
 //
-// The entry needs none of it from one moment to the next: while the control process is away, what was sent last holds.
+// The entry does not depend on the link at run time: while the control process is unavailable, the last values received
+// stay in effect.
 package entrylink
 
 import (
@@ -21,10 +22,10 @@
 
 const sourceControl = "control"
 
-// Options connect a Link to its entry. Functions are called one at a time; a nil one is left out.
+// Options connects a Link to its entry. The callbacks are called one at a time; nil ones are skipped.
 type Options struct {
 	Instance string
-	Sync     *settingsync.Sync // holds the settings of this process; the caller runs it
+	Sync     *settingsync.Sync // holds the process's settings; run by the caller
 	Apply    func(*settings.Snapshot)
 	View     func(*meshpb.View)
 	Power    func(share *meshpb.PowerShare)
@@ -32,11 +33,11 @@
 	Interval time.Duration // default DefaultInterval
 }
 
-// Link is the entry's end.
+// Link is the entry's end of the local link.
 type Link struct {
 	opts Options
 
-	told    chan struct{} // closed once the control process has sent its drains, and the settings after them
+	told    chan struct{} // closed when the first settings arrive; the control process sends its drains before them
 	tell    sync.Once
 	mu      sync.Mutex
 	drains  map[string]bool
@@ -44,13 +45,13 @@
 	changed chan struct{}
 }
 
-// taken is a target's report with the time at which it was true.
+// timedReport is a target's load report with the time at which it was measured.
 type taken struct {
 	rep *engineapi.LoadReport
 	at  time.Time
 }
 
-// New returns a Link that was told nothing yet.
+// New returns a Link that has received nothing yet.
 func New(o Options) *Link {
 	if o.Interval == 0 {
 		o.Interval = DefaultInterval
@@ -64,12 +65,12 @@
 	}
 }
 
-// Server returns the link's server, to be set as a node's handler.
+// Server returns the link's server, to be registered as a node's handler.
 func (l *Link) Server() *locallink.Server {
 	return &locallink.Server{Instance: l.opts.Instance, Down: l.Down, Up: l.Up, Interval: l.opts.Interval}
 }
 
-// Down takes one message of the control process.
+// HandleDown applies one message from the control process.
 func (l *Link) Down(m *meshpb.LocalDown) {
 	switch m := m.GetMsg().(type) {
 	case *meshpb.LocalDown_Settings:
@@ -102,13 +103,13 @@
 	}
 }
 
-// drainWait bounds how long a new entry waits to be told of drains. It leaves room in the three seconds after which a
-// leaving target gets nothing new.
+// drainWait bounds how long a new entry waits for the control process's drains. It fits into the three seconds after which
+// a draining target must receive no new work.
 const drainWait = 2 * time.Second
 
-// awaitDrains waits until the control process has told of drains. Peers give a new entry its settings at once, and drains
-// come from the control process alone: without the wait, targets that were drained long ago would get new work. A control
-// process that is dead or cut off delays the entry by drainWait and no longer.
+// awaitDrains waits until the control process has sent its drains. Peers give a new entry its settings at once, but drains
+// come only from the control process: without the wait, targets drained long ago would receive new work. A dead or
+// partitioned control process delays the entry by at most drainWait.
 func (l *Link) awaitDrains(ctx context.Context) {
 	t := time.NewTimer(drainWait)
 	defer t.Stop()
@@ -119,7 +120,7 @@
 	}
 }
 
-// Run brings each revision, and each change of drains, into force until ctx is done.
+// Run applies each settings revision and each change of drains until ctx is done.
 func (l *Link) Run(ctx context.Context) {
 	l.awaitDrains(ctx)
 	for {
@@ -136,7 +137,7 @@
 	}
 }
 
-// overlay returns snap with operators' drains put on its targets; snap itself is shared and stays as it is.
+// overlay returns snap with the operators' drains applied to its targets. snap itself is shared and not modified.
 func (l *Link) overlay(snap *settings.Snapshot) *settings.Snapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,14 +162,14 @@
 	return &out
 }
 
-// Report takes a target's load report, to be passed on.
+// Report stores a target's load report for the next round of reports.
 func (l *Link) Report(target string, rep *engineapi.LoadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports[target] = taken{rep, time.Now().Add(-time.Duration(rep.AgeMS) * time.Millisecond)}
 }
 
-// Up returns the messages of one round.
+// UpMessages returns the messages of one reporting round.
 func (l *Link) Up() []*meshpb.LocalUp {
 	var msgs []*meshpb.LocalUp
 	if l.opts.Status != nil {
@@ -177,7 +178,7 @@
 	return append(msgs, &meshpb.LocalUp{Msg: &meshpb.LocalUp_Reports{Reports: l.targetReports(time.Now())}})
 }
 
-// forgetAfter is how long the last report of a target is passed on.
+// forgetAfter is how long the last report of a target is forwarded.
 const forgetAfter = time.Minute
 
 func (l *Link) targetReports(now time.Time) *meshpb.TargetReports {
@@ -210,7 +211,7 @@
 	}
 }
 
-// Last returns a target's last report and its age; nil when there is none.
+// LastReport returns a target's last report and its age, or nil if there is none.
 func (l *Link) Last(target string) (*meshpb.TargetReport, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lib/entrylink/entrylink_test.go
+++ b/lib/entrylink/entrylink_test.go
@@ -41,7 +41,7 @@
 	return &meshpb.LocalDown{Msg: &meshpb.LocalDown_Drain{Drain: &meshpb.Drain{Target: target, On: on}}}
 }
 
-// run drives a Link in virtual time and returns what is in force.
+// run starts a Link in virtual time and returns it with a function that reports the settings in effect.
 func run(t *testing.T) (l *Link, inForce func() *settings.Snapshot) {
 	t.Helper()
 	var snap *settings.Snapshot
@@ -52,7 +52,7 @@
 	go sy.Run(ctx)
 	go l.Run(ctx)
 	return l, func() *settings.Snapshot {
-		time.Sleep(time.Minute) // longer than settings may wait for their swap
+		time.Sleep(time.Minute) // longer than a settings swap may be delayed
 		synctest.Wait()
 		return snap
 	}
@@ -66,8 +66,8 @@
 	return out
 }
 
-// An operator drains a target, and a new revision of the settings follows that says nothing of the drain. Were drains
-// lost at each revision, the leaving target would get new work again.
+// An operator drains a target, and a later settings revision does not mention the drain. If drains were lost with each
+// revision, the draining target would receive new work again.
 func TestDrainOutlivesARevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
@@ -84,8 +84,8 @@
 	})
 }
 
-// An operator has drained a target, and an entry is started anew. Its peers give it the settings before its control process
-// has told it of the drain. Served by the settings alone, the leaving target would get new work again.
+// An entry restarts after an operator drained a target, and its peers send it the settings before its control process sends
+// the drain. If it served with those settings alone, the draining target would receive new work again.
 func TestNewEntryHearsOfDrainsBeforeItServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var applied []*settings.Snapshot
@@ -110,8 +110,8 @@
 	})
 }
 
-// The control process is dead while its entry is started anew. The entry must serve all the same, with the settings of its
-// peers, within the time that a drain may take to reach it.
+// The control process is dead when its entry restarts. The entry must still serve with the settings of its peers, within
+// the time that a drain may take to arrive.
 func TestNewEntryServesWithoutItsControlProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
@@ -120,7 +120,7 @@
 	})
 }
 
-// A control process that read a lagging replica sends an older revision. In force, it would undo an accepted change.
+// A control process that read a lagging replica sends an older revision. Applying it would undo an accepted change.
 func TestSettingsNeverGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
--- a/lib/target/call.go
+++ b/lib/target/call.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers, which must not be forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// PassHeaders copies the headers that belong to the message, and not to the connection it came by.
+// CopyEndToEndHeaders copies the headers of src to dst, except for hop-by-hop headers and those named by Connection.
 func PassHeaders(dst, src http.Header) {
 	named := make(map[string]bool)
 	for _, v := range src.Values("Connection") {
@@ -38,11 +38,11 @@
 	Path   string // with query, as the caller sent it
 	Header http.Header
 	Body   []byte
-	Once   bool // the call may not be repeated: a fresh connection, and no resend by the transport
+	Once   bool // the call must not be repeated: use a fresh connection and no resend by the transport
 }
 
-// Do sends the call. The error is ErrNotSent when no byte left this process, else ErrBroken, after which the target may
-// have run it. Answers of any status are returned, and the caller closes their body.
+// Do sends the call. The error is ErrNotSent if no byte left this process, else ErrBroken, in which case the target may
+// have run the call. Responses of any status are returned, and the caller must close the body.
 func (c *Client) Do(ctx context.Context, call *Call) (*http.Response, error) {
 	sctx, sent := withSent(ctx)
 	req, err := http.NewRequestWithContext(sctx, call.Method, c.base+call.Path, nil)
@@ -68,8 +68,8 @@
 	return resp, nil
 }
 
-// traceSent sets the flag as soon as a connection, kept or fresh, is given to the request. The transport may try several
-// in turn, so that the last error alone (a refused dial) does not prove that nothing was sent.
+// traceSent sets the flag as soon as the request gets a connection, pooled or new. The transport may try several in turn,
+// so the last error alone (such as a refused dial) does not prove that nothing was sent.
 func traceSent(ctx context.Context, sent *sentFlag) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.v.Store(true) },
--- a/lib/target/client.go
+++ b/lib/target/client.go
@@ -1,7 +1,7 @@
-// Package target is the HTTP client of one target: a model engine (lib/engineapi) or a plain service.
+// Package target is the HTTP client for targets: model engines (lib/engineapi) and plain services.
 //
-// It classifies every failure by what it proves: that nothing was sent, that the target refused without running
-// anything, or neither.
+// It classifies each failure by what it proves: that nothing was sent, that the target refused the request without
+// running any of it, or neither.
 package target
 
 import (
@@ -27,14 +27,14 @@
 	maxErrorBody   = 16 << 10
 )
 
-// Errors that say what a failure proves.
+// Errors that classify a failure by what it proves.
 var (
 	ErrNotSent  = errors.New("nothing was sent to the target")
 	ErrCutShort = errors.New("the stream ended without its end mark")
 	ErrBroken   = errors.New("the connection to the target broke")
 )
 
-// RefusedError is an answer by which the target refuses a request.
+// RefusedError is a response in which the target refuses a request.
 type RefusedError struct {
 	Status     int
 	Err        engineapi.Error
@@ -46,13 +46,13 @@
 	return fmt.Sprintf("target answered %d %s: %s", e.Status, e.Err.Type, e.Err.Message)
 }
 
-// Clients share transports and their connections.
+// Clients holds the transports and connections that all Client values of a process share.
 type Clients struct {
 	once   *http.Client
 	pooled *http.Client
 }
 
-// NewClients returns the clients' shared part, one for a process.
+// NewClients returns the shared clients; a process needs only one.
 func NewClients() *Clients {
 	return &Clients{
 		once:   &http.Client{Transport: newOnceTransport(), CheckRedirect: noRedirect},
@@ -60,13 +60,13 @@
 	}
 }
 
-// noRedirect hands redirects to the caller: following one would send a second request.
+// noRedirect returns redirects to the caller: following one would send a second request.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes idle connections.
 func (c *Clients) Close() { c.pooled.CloseIdleConnections() }
 
-// Client speaks to one target.
+// Client sends requests to one target.
 type Client struct {
 	name    string
 	addr    string
@@ -74,7 +74,7 @@
 	clients *Clients
 }
 
-// Client returns the client of the target name at addr (IP:port).
+// Client returns a client for the named target at addr (IP:port).
 func (c *Clients) Client(name, addr string) *Client {
 	return &Client{name: name, addr: addr, base: "http://" + addr, clients: c}
 }
@@ -85,13 +85,13 @@
 // Addr returns the target's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Load asks an engine for its load report.
+// Load requests an engine's load report.
 func (c *Client) Load(ctx context.Context) (*engineapi.LoadReport, error) {
 	rep := new(engineapi.LoadReport)
 	return rep, c.get(ctx, engineapi.PathLoad, rep)
 }
 
-// ServiceLoad asks a plain service for its load report.
+// ServiceLoad requests a plain service's load report.
 func (c *Client) ServiceLoad(ctx context.Context) (*engineapi.ServiceLoad, error) {
 	rep := new(engineapi.ServiceLoad)
 	return rep, c.get(ctx, engineapi.PathServiceLoad, rep)
@@ -102,7 +102,7 @@
 	Snapshot int    `url:"snapshot,omitempty"`
 }
 
-// CacheEvents asks for the cache events after a sequence number, or for a snapshot.
+// CacheEvents requests the cache events after a sequence number, or a snapshot.
 func (c *Client) CacheEvents(ctx context.Context, after uint64, snapshot bool) (*engineapi.CacheEvents, error) {
 	q := cacheQuery{After: after}
 	if snapshot {
@@ -116,7 +116,7 @@
 	Attempt uint32 `url:"attempt"`
 }
 
-// Cancel stops the generation's attempts up to attempt and makes the engine refuse them from then on.
+// Cancel stops the generation's attempts up to attempt, and makes the engine refuse them from then on.
 func (c *Client) Cancel(ctx context.Context, g ids.Generation, attempt uint32) (*engineapi.CancelResult, error) {
 	res := new(engineapi.CancelResult)
 	path := engineapi.PathGenerations + g.String()
@@ -145,7 +145,8 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, maxControlBody)).Decode(into)
 }
 
-// readRefusal makes a RefusedError of an answer. A body that is no engineapi.Error proves nothing, so NotRun stays false.
+// readRefusal builds a RefusedError from a response. A body that is not an engineapi.Error proves nothing, so NotRun stays
+// false.
 func readRefusal(resp *http.Response) *RefusedError {
 	e := &RefusedError{Status: resp.StatusCode}
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
@@ -159,7 +160,7 @@
 	return e
 }
 
-// opaqueBody hides that a body could be read again, so that net/http never resends it.
+// opaqueBody hides that a body can be read again, so that net/http never resends it.
 type opaqueBody struct{ io.Reader }
 
 func (opaqueBody) Close() error { return nil }
--- a/lib/target/conn.go
+++ b/lib/target/conn.go
@@ -15,20 +15,19 @@
 	maxResponseHeader = 64 << 10
 )
 
-// sentFlag tells whether a byte of a request may have left this process.
+// sentFlag records whether any byte of a request may have left this process.
 type sentFlag struct{ v atomic.Bool }
 
 type sentKey struct{}
 
-// withSent returns a context whose fresh connection sets the flag before its first write.
+// withSent returns a context whose new connections set the flag before their first write.
 func withSent(ctx context.Context) (context.Context, *sentFlag) {
 	f := new(sentFlag)
 	return context.WithValue(ctx, sentKey{}, f), f
 }
 
-// sentConn marks its flag before each write. A request whose flag is unset was proved not sent: the failure came
-// while dialling, or before the transport wrote anything. A write that failed counts as sent, since the kernel may
-// have passed on a part of it.
+// sentConn sets its flag before each write. An unset flag proves that the request was not sent: it failed while dialing,
+// or before the transport wrote anything. A failed write counts as sent, since the kernel may have transmitted part of it.
 type sentConn struct {
 	net.Conn
 	flag *sentFlag
@@ -52,11 +51,11 @@
 	return c, nil
 }
 
-// newOnceTransport returns a transport with one connection for each request.
+// newOnceTransport returns a transport that opens a new connection for each request.
 //
-// net/http resends a request on its own when a kept connection breaks before the answer, if it holds the request for
-// repeatable, which an Idempotency-Key header is enough for. A call that must not run twice would then run twice. On a
-// fresh connection it never does, and whatever breaks belongs to this request alone.
+// net/http resends a request by itself when a reused connection breaks before the response, if it considers the request
+// replayable; an Idempotency-Key header suffices for that. A call that must not run twice would then run twice. On a new
+// connection net/http never resends, and any failure belongs to this request alone.
 func newOnceTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
@@ -66,7 +65,7 @@
 	}
 }
 
-// newPooledTransport returns a transport that keeps connections, for requests that may be repeated.
+// newPooledTransport returns a transport that reuses connections, for requests that may be repeated.
 func newPooledTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
--- a/lib/target/frame.go
+++ b/lib/target/frame.go
@@ -10,21 +10,21 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// ErrBadFrame is returned for an event that can't be read as an engineapi.Frame.
+// ErrBadFrame is returned for an event that can't be parsed as an engineapi.Frame.
 var ErrBadFrame = errors.New("bad frame")
 
-// Frame is one event of an engine's stream. Its slices are valid until the next call of Stream.Next.
+// Frame is one event of an engine's stream. Its slices are valid until the next call to Stream.Next.
 type Frame struct {
 	Raw        []byte // the event's data, one line of JSON
 	Generation ids.Generation
 	Attempt    uint32
-	Index      uint32 // token index; with Finish set, the count of tokens
+	Index      uint32 // token index; if Finish is set, the number of tokens
 	Text       []byte
-	Finish     string // FinishReason of the last frame; empty on a token
+	Finish     string // finish reason of the last frame; empty on a token
 	Err        *engineapi.Error
 }
 
-// frameParser reads frames without allocating once its buffers have grown.
+// frameParser parses frames without allocating once its buffers have grown.
 type frameParser struct {
 	p fastjson.Parser
 }
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// finishReason avoids an allocation for the two usual values.
+// finishReason avoids an allocation for the two common values.
 func finishReason(b []byte) string {
 	switch string(b) {
 	case "":
@@ -111,7 +111,7 @@
 	}
 }
 
-// parseGeneration is ids.Parse for bytes, without the copy to a string.
+// parseGeneration is ids.Parse for bytes, without the conversion to a string.
 func parseGeneration(b []byte) (ids.Generation, error) {
 	var g ids.Generation
 	if len(b) != 2*ids.Size {
--- a/lib/target/fuzz_test.go
+++ b/lib/target/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzStream: whatever an engine sends, reading it ends, with [DONE] or an error, and no token frame passes without its
-// numbers.
+// FuzzStream checks that reading any input terminates with [DONE] or an error, and that no token frame without a generation
+// is accepted.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte("data: [DONE]\n\n"))
 	f.Add([]byte("id: 1\ndata: {\"choices\":[{\"text\":\"a\",\"finish_reason\":null}],\"ext\":{\"generation\":\"00000000000000000000000000000001\",\"attempt\":1,\"index\":0}}\n\ndata: [DONE]\n\n"))
@@ -20,7 +20,7 @@
 				return
 			}
 			if fr.Err == nil && fr.Generation.IsZero() && !bytes.Contains(body, bytes.Repeat([]byte("0"), 32)) {
-				t.Fatalf("a frame without a generation: %s", fr.Raw)
+				t.Fatalf("frame without a generation: %s", fr.Raw)
 			}
 		}
 		t.Fatal("more events than bytes")
--- a/lib/target/sse.go
+++ b/lib/target/sse.go
@@ -7,17 +7,17 @@
 	"io"
 )
 
-// MaxEvent bounds one event of a stream, in bytes.
+// MaxEvent bounds the size of one event of a stream, in bytes.
 const MaxEvent = 256 << 10
 
 const sseBuffer = 8 << 10
 
-// ErrEventTooLarge is returned for an event over MaxEvent.
+// ErrEventTooLarge is returned for an event larger than MaxEvent.
 var ErrEventTooLarge = errors.New("server-sent event over its bound")
 
 var dataField = []byte("data")
 
-// eventReader splits a body into server-sent events. It keeps one buffer for its whole life.
+// eventReader splits a body into server-sent events. It reuses one buffer for all of them.
 type eventReader struct {
 	r    *bufio.Reader
 	data []byte
@@ -27,8 +27,8 @@
 	return &eventReader{r: bufio.NewReaderSize(r, sseBuffer)}
 }
 
-// next returns the data of the next event that has any, valid until the following call. Fields other than data are
-// ignored, as are comments. An event cut off by the end of the body is not returned.
+// next returns the data of the next event that has any; it is valid until the next call. Comments and fields other than
+// data are ignored. An event truncated by the end of the body is not returned.
 func (e *eventReader) next() ([]byte, error) {
 	e.data = e.data[:0]
 	lines := 0
@@ -55,7 +55,7 @@
 	}
 }
 
-// joinData appends the value of one more data line. value lies behind data in the same buffer.
+// joinData appends the value of a further data line. value lies after data in the same buffer.
 func joinData(data, value []byte, lines int) []byte {
 	if lines == 0 {
 		n := copy(data[:len(value)], value)
@@ -80,7 +80,7 @@
 	return bytes.TrimPrefix(rest[1:], []byte(" ")), true
 }
 
-// readLine appends one whole line, with its end, to e.data. A last line without an end is io.ErrUnexpectedEOF.
+// readLine appends one line, including its terminator, to e.data. An unterminated last line yields io.ErrUnexpectedEOF.
 func (e *eventReader) readLine() error {
 	for {
 		part, err := e.r.ReadSlice('\n')
--- a/lib/target/stream.go
+++ b/lib/target/stream.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/engineapi"
 )
 
-// Stream is one attempt's stream of frames. It is used by one goroutine, and Close by any.
+// Stream is one attempt's stream of frames. Next must be called from one goroutine; Close may be called from any.
 type Stream struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
@@ -19,8 +19,8 @@
 	frame  Frame
 }
 
-// Open sends body to path and returns the stream of its answer. The error is ErrNotSent when no byte left this
-// process, a *RefusedError when the engine refused, and ErrBroken otherwise. Cancelling ctx closes the connection.
+// Open sends body to path and returns the response as a stream. The error is ErrNotSent if no byte left this process, a
+// *RefusedError if the engine refused the request, and ErrBroken otherwise. Cancelling ctx closes the connection.
 func (c *Client) Open(ctx context.Context, path string, body []byte) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	sctx, sent := withSent(ctx)
@@ -47,7 +47,7 @@
 	return st, nil
 }
 
-// NewStream reads the events of a body.
+// NewStream returns a Stream that reads the events of a body.
 func NewStream(body io.ReadCloser) *Stream {
 	return &Stream{body: body, cancel: func() {}, events: newEventReader(body)}
 }
@@ -59,8 +59,8 @@
 	return fmt.Errorf("%w: %w", ErrNotSent, err)
 }
 
-// Next returns the next frame, valid until the following call. io.EOF means that the engine sent [DONE]; a body that
-// ends before that is ErrCutShort or ErrBroken.
+// Next returns the next frame, valid until the next call. It returns io.EOF if the engine sent [DONE]; a body that ends
+// earlier yields ErrTruncated or ErrBroken.
 func (s *Stream) Next() (*Frame, error) {
 	data, err := s.events.next()
 	switch {
@@ -77,7 +77,7 @@
 	return &s.frame, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *Stream) Close() {
 	s.cancel()
 	_ = s.body.Close()
--- a/lib/target/target_test.go
+++ b/lib/target/target_test.go
@@ -41,7 +41,7 @@
 	must.False(t, errors.Is(err, ErrCutShort))
 }
 
-// A stream that just ends looks like one that is over. Every end but [DONE] must be an error, in the middle of an event
+// An interrupted stream can look like a finished one. Every end other than [DONE] must be an error, both inside an event
 // and between two.
 func TestStreamThatEndsEarlyIsCutShort(t *testing.T) {
 	for _, text := range []string{"", ": x\n", "data: [DONE]", "data: [DONE]\n", `data: {"a"`, "data: x\n"} {
@@ -62,7 +62,7 @@
 	}
 }
 
-// An engine that never ends an event must not fill the entry's memory.
+// An engine that never terminates an event must not exhaust the entry's memory.
 func TestEventIsBounded(t *testing.T) {
 	_, err := NewStream(io.NopCloser(endless{})).Next()
 	must.ErrorIs(t, err, ErrEventTooLarge)
@@ -77,8 +77,8 @@
 	return len(p), nil
 }
 
-// A kept connection breaks after the target has read a call. With an Idempotency-Key net/http would send it again on its
-// own. The target must see a call that may not be repeated once, with and without a body.
+// A reused connection breaks after the target has read a call. Because of the Idempotency-Key, net/http would resend the
+// call by itself. The target must receive a call that must not be repeated only once, with and without a body.
 func TestOnceIsSentOnce(t *testing.T) {
 	var seen atomic.Int32
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,11 +106,11 @@
 				resp.Body.Close()
 			}
 		}
-		must.Eq(t, 2, seen.Load(), must.Sprint("two calls were made"))
+		must.Eq(t, 2, seen.Load(), must.Sprint("requests seen by the target, for two calls"))
 	}
 }
 
-// answerOnceThenCut answers the first request of a connection, and cuts it when it has read the second.
+// answerOnceThenCut answers a connection's first request and closes the connection after reading the second.
 func answerOnceThenCut(conn net.Conn, seen *atomic.Int32) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
@@ -128,8 +128,8 @@
 	}
 }
 
-// "Nothing was sent" is the proof behind "not run". It holds for a refused connection, and not for one that broke after
-// the request had left, on fresh and on kept connections.
+// ErrNotSent is the proof behind "not run". It must hold for a refused connection, and must not hold for a connection that
+// broke after the request was sent, whether new or reused.
 func TestNotSentIsProved(t *testing.T) {
 	clients := NewClients()
 	defer clients.Close()
@@ -148,7 +148,7 @@
 	}
 }
 
-// A target that answers with a redirect would have the client send a second request, perhaps to another host.
+// Following a target's redirect would send a second request, possibly to another host.
 func TestRedirectsAreNotFollowed(t *testing.T) {
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
