--- a/lib/entry/accept.go
+++ b/lib/entry/accept.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxRequestID = 64
-	startRetry   = time.Second // Retry-After sent until the first settings are in force
+	maxRequestID         = 64
+	noSettingsRetryAfter = time.Second // Retry-After sent until the first settings are in force
 )
 
 // request is the state of a caller's request during acceptance.
@@ -47,7 +47,7 @@
 	w.Header().Set(callerapi.HeaderRequestID, rq.id)
 	if rq.view == nil {
 		err := result.New(result.Stopping, "no settings are in force yet")
-		err.RetryAfter = startRetry
+		err.RetryAfter = noSettingsRetryAfter
 		return rq, err
 	}
 	var err *result.Error
@@ -58,7 +58,7 @@
 }
 
 func (rq *request) authenticate() *result.Error {
-	rq.workspace = rq.view.snap.LookupToken(rq.headers.Token)
+	rq.workspace = rq.view.snapshot.LookupToken(rq.headers.Token)
 	if rq.workspace == nil {
 		return result.New(result.Unauthenticated, "unknown key")
 	}
@@ -80,7 +80,7 @@
 	if !rq.workspace.MayUse(svc.Name) {
 		return nil, result.New(result.Forbidden, "service %q", svc.Name)
 	}
-	return rq.view.snap.Policy(svc.Name, rq.workspace.Name, rq.class), nil
+	return rq.view.snapshot.Policy(svc.Name, rq.workspace.Name, rq.class), nil
 }
 
 // deadline returns the earlier of the caller's deadline and the policy's, or the zero time if neither is set.
--- a/lib/entry/attempt.go
+++ b/lib/entry/attempt.go
@@ -19,17 +19,17 @@
 
 // Causes of attempts that an engine's stream ended.
 var (
-	errEngine    = errors.New("the engine ended the stream with an error")
-	errPreempted = errors.New("the engine preempted the sequence")
-	errGap       = errors.New("a token is missing from the stream")
+	errEngine       = errors.New("the engine ended the stream with an error")
+	errPreempted    = errors.New("the engine preempted the sequence")
+	errMissingToken = errors.New("a token is missing from the stream")
 )
 
 // attemptEnd describes how an attempt ended.
 type attemptEnd struct {
-	reason  sched.EndReason
-	cause   error
-	final   *result.Error // ends the generation; nil: completed, or another attempt may follow
-	settled bool          // the engine ended or refused the attempt itself, so there is nothing to cancel
+	reason          sched.EndReason
+	cause           error
+	final           *result.Error // ends the generation; nil: completed, or another attempt may follow
+	nothingToCancel bool          // the engine ended or refused the attempt itself, so there is nothing to cancel
 }
 
 // endFrame holds the finish frame until [DONE] follows it.
@@ -42,7 +42,7 @@
 }
 
 // attemptRun is one attempt running on its target.
-type run struct {
+type attemptRun struct {
 	server   *Server
 	g        *generation
 	client   *target.Client
@@ -54,7 +54,7 @@
 }
 
 // execute sends the attempt and forwards its tokens until it ends.
-func (r *run) do() attemptEnd {
+func (r *attemptRun) execute() attemptEnd {
 	g := r.g
 	ctx, cancel := context.WithCancelCause(g.ctx)
 	defer cancel(nil)
@@ -63,15 +63,15 @@
 		return attemptEnd{reason: sched.EndTargetRefused, final: result.Wrap(result.BadRequest, err, "encode the request")}
 	}
 	now := r.server.now()
-	g.start(r.client.Name(), now, cancel)
+	g.startAttempt(r.client.Name(), now, cancel)
 	r.watch = r.server.watches.start(now, g, r.client.Name())
 	defer r.server.watches.end(r.watch)
-	st, err := r.client.Open(ctx, g.asked.Path(), body)
+	st, err := r.client.Open(ctx, g.completion.Path(), body)
 	if err != nil {
 		return openEnd(ctx, g, err)
 	}
 	defer st.Close()
-	g.noteRan()
+	g.markMayHaveRun()
 	return r.forward(ctx, st)
 }
 
@@ -92,18 +92,18 @@
 	var refusal *target.RefusedError
 	switch {
 	case errors.Is(err, target.ErrNotSent):
-		return attemptEnd{reason: sched.EndTargetDied, cause: err, settled: true}
+		return attemptEnd{reason: sched.EndTargetDied, cause: err, nothingToCancel: true}
 	case errors.As(err, &refusal):
 		return refusalEnd(g, refusal)
 	}
-	g.noteRan()
+	g.markMayHaveRun()
 	return breakEnd(ctx, err)
 }
 
 func refusalEnd(g *generation, r *target.RefusedError) attemptEnd {
-	end := attemptEnd{reason: sched.EndTargetRefused, cause: r, settled: true}
+	end := attemptEnd{reason: sched.EndTargetRefused, cause: r, nothingToCancel: true}
 	if !r.Err.NotRun {
-		g.noteRan()
+		g.markMayHaveRun()
 	}
 	switch {
 	case r.Err.Type == engineapi.ErrBad || r.Status == http.StatusBadRequest:
@@ -146,7 +146,7 @@
 }
 
 // forward delivers frames to the caller until the attempt ends.
-func (r *run) forward(ctx context.Context, st *target.Stream) attemptEnd {
+func (r *attemptRun) forward(ctx context.Context, st *target.Stream) attemptEnd {
 	s, g := r.server, r.g
 	var end *endFrame
 	for {
@@ -158,26 +158,26 @@
 			return attemptEnd{reason: sched.EndTargetDied, cause: err}
 		case err != nil:
 			return breakEnd(ctx, err)
-		case (f.Err != nil || f.Finish != "") && !g.current(f):
+		case (f.Err != nil || f.Finish != "") && !g.isCurrent(f):
 			s.metrics.Dropped(stream.Foreign.String())
 			continue
 		case f.Err != nil:
 			return errorFrameEnd(f.Err)
 		case f.Finish != "":
-			end = keepEnd(f)
+			end = copyEndFrame(f)
 			continue
 		}
-		if v := r.token(f); v.Failed() {
-			return attemptEnd{reason: sched.EndTargetDied, cause: errGap}
+		if v := r.handleToken(f); v.Failed() {
+			return attemptEnd{reason: sched.EndTargetDied, cause: errMissingToken}
 		}
 	}
 }
 
 // handleToken delivers one token frame. It is the hot path, called once per token.
-func (r *run) token(f *target.Frame) stream.Verdict {
+func (r *attemptRun) handleToken(f *target.Frame) stream.Verdict {
 	g := r.g
 	now := r.server.now()
-	v, gap := g.token(now, f)
+	v, gap := g.acceptToken(now, f)
 	if v != stream.Deliver {
 		r.server.metrics.Dropped(v.String())
 		return v
@@ -196,7 +196,7 @@
 	return v
 }
 
-func keepEnd(f *target.Frame) *endFrame {
+func copyEndFrame(f *target.Frame) *endFrame {
 	return &endFrame{
 		generation: f.Generation,
 		attempt:    f.Attempt,
@@ -210,14 +210,14 @@
 // was truncated, and the caller must not take the partial answer for the complete one.
 func (s *Server) closeStream(g *generation, end *endFrame) attemptEnd {
 	if end == nil {
-		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrCutShort}
+		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrTruncated}
 	}
-	v := g.endMark(end)
+	v := g.acceptFinish(end)
 	if v != stream.End {
 		s.metrics.Dropped(v.String())
-		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrCutShort}
+		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrTruncated}
 	}
-	return attemptEnd{reason: sched.EndCompleted, settled: true}
+	return attemptEnd{reason: sched.EndCompleted, nothingToCancel: true}
 }
 
 func errorFrameEnd(e *engineapi.Error) attemptEnd {
--- a/lib/entry/backoff.go
+++ b/lib/entry/backoff.go
@@ -9,38 +9,38 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errResting ends an attempt, unsent, at an engine whose Retry-After has not passed yet.
-var errResting = errors.Join(target.ErrNotSent, errors.New("the engine wants nothing from this entry for now"))
+// errBackedOff ends an attempt, unsent, at an engine whose Retry-After has not passed yet.
+var errBackedOff = errors.Join(target.ErrNotSent, errors.New("the engine wants nothing from this entry for now"))
 
 // backoffs holds the engines that refused an attempt of this entry with a Retry-After, and when that time ends.
-type rests struct {
-	mu    sync.Mutex
-	until map[string]time.Time
-	swept time.Time
+type backoffs struct {
+	mu        sync.Mutex
+	until     map[string]time.Time
+	lastSweep time.Time
 }
 
 // backoffSweepInterval is the interval for removing expired entries; many engines never return under the same name.
-const restsSweep = time.Second
+const backoffSweepInterval = time.Second
 
-func newRests() *rests { return &rests{until: make(map[string]time.Time)} }
+func newBackoffs() *backoffs { return &backoffs{until: make(map[string]time.Time)} }
 
 // observe records the Retry-After of a refused attempt.
-func (r *rests) note(now time.Time, engine string, cause error) {
+func (r *backoffs) observe(now time.Time, engine string, cause error) {
 	var refusal *target.RefusedError
 	if !errors.As(cause, &refusal) || refusal.RetryAfter <= 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.swept) > restsSweep {
+	if now.Sub(r.lastSweep) > backoffSweepInterval {
 		maps.DeleteFunc(r.until, func(_ string, until time.Time) bool { return !now.Before(until) })
-		r.swept = now
+		r.lastSweep = now
 	}
 	r.until[engine] = now.Add(refusal.RetryAfter)
 }
 
 // active reports whether an engine's Retry-After has not passed yet.
-func (r *rests) on(now time.Time, engine string) bool {
+func (r *backoffs) active(now time.Time, engine string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Before(r.until[engine])
--- a/lib/entry/backoff_test.go
+++ b/lib/entry/backoff_test.go
@@ -12,15 +12,15 @@
 
 // Engines that asked for a back-off come and go under new names for as long as an entry lives. Expired entries of engines
 // that were never used again must be removed, or the map grows without bound.
-func TestRestsThatAreOverAreDropped(t *testing.T) {
-	r := newRests()
+func TestExpiredBackoffsRemoved(t *testing.T) {
+	r := newBackoffs()
 	now := time.Now()
 	for i := range 100 {
-		now = now.Add(restsSweep / 2)
+		now = now.Add(backoffSweepInterval / 2)
 		engine := fmt.Sprint("engine-", i)
-		r.note(now, engine, &target.RefusedError{RetryAfter: restsSweep})
-		must.True(t, r.on(now.Add(restsSweep/2), engine))
+		r.observe(now, engine, &target.RefusedError{RetryAfter: backoffSweepInterval})
+		must.True(t, r.active(now.Add(backoffSweepInterval/2), engine))
 	}
-	must.False(t, r.on(now.Add(restsSweep), "engine-99"))
+	must.False(t, r.active(now.Add(backoffSweepInterval), "engine-99"))
 	must.LessEq(t, 5, len(r.until))
 }
--- a/lib/entry/bench_test.go
+++ b/lib/entry/bench_test.go
@@ -60,13 +60,13 @@
 	g, sk := benchGeneration(s)
 	src := &frames{gen: g.idText}
 	st := target.NewStream(src)
-	r := &run{server: s, g: g, tokens: 1}
+	r := &attemptRun{server: s, g: g, tokens: 1}
 	r.watch = s.watches.start(time.Now(), g, "planner-1")
 	var spare []byte
 	b.ReportAllocs()
 	for b.Loop() {
 		f, err := st.Next()
-		if err != nil || r.token(f) != stream.Deliver {
+		if err != nil || r.handleToken(f) != stream.Deliver {
 			b.Fatal("token lost")
 		}
 		spare = sk.take(spare)
@@ -75,7 +75,7 @@
 
 func benchGeneration(s *Server) (*generation, *sink) {
 	p := &settings.Policy{SlowReaderBuffer: 1 << 20, SlowReaderWait: time.Minute, StallFloor: time.Second}
-	a := &asked{
+	a := &completionRequest{
 		request: &request{accepted: time.Now(), workspace: &settings.Workspace{Name: "w"}, class: "c"},
 		conn:    httptest.NewRecorder(),
 		policy:  p,
@@ -84,8 +84,8 @@
 	g := s.newGeneration(a, [16]byte{1}, stream.New)
 	sk := a.newSink()
 	_ = g.attach(time.Now(), sk, true)
-	_, _ = g.begin()
-	g.start("planner-1", time.Now(), func(error) {})
+	_, _ = g.beginAttempt()
+	g.startAttempt("planner-1", time.Now(), func(error) {})
 	return g, sk
 }
 
@@ -130,7 +130,7 @@
 }
 
 // latencies collects the latencies seen by callers.
-type times struct {
+type latencies struct {
 	mu    sync.Mutex
 	first []time.Duration // request to first token
 	gaps  []time.Duration // between tokens
@@ -139,7 +139,7 @@
 // benchStreams runs b.N streams, eight at a time.
 func benchStreams(b *testing.B, url, body string) {
 	sem := make(chan struct{}, 8)
-	seen := &times{}
+	seen := &latencies{}
 	before := processorTime()
 	for b.Loop() {
 		sem <- struct{}{}
@@ -166,7 +166,7 @@
 	return float64(sorted[i].Microseconds()) / 1000
 }
 
-func benchStream(b *testing.B, seen *times, url, body string) {
+func benchStream(b *testing.B, seen *latencies, url, body string) {
 	start := time.Now()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url+engineapi.PathCompletions, strings.NewReader(body))
 	must.NoError(b, err)
--- a/lib/entry/claimed.go
+++ b/lib/entry/claimed.go
@@ -17,22 +17,22 @@
 
 // needsClaim reports whether a keyed generation must be claimed. Generations count as non-idempotent unless the service
 // is configured as idempotent.
-func (a *asked) needsClaim() bool { return a.headers.Key != "" && !a.service.Idempotent }
+func (a *completionRequest) needsClaim() bool { return a.headers.Key != "" && !a.service.Idempotent }
 
 // claim registers a keyed generation in the claim table, visible to all entries, before any part of it is sent.
-func (s *Server) claim(ctx context.Context, g *generation, a *asked) (*claim.Summary, *result.Error) {
+func (s *Server) claim(ctx context.Context, g *generation, a *completionRequest) (*claim.Summary, *result.Error) {
 	if !a.needsClaim() {
 		return nil, nil
 	}
 	c, sum, err := s.opts.Claims.Begin(ctx, a.claimRequest(g, a.completion.Path(), a.body))
 	g.claim = c
 	if c != nil {
-		g.beginAt(c.FirstAttempt())
+		g.setFirstAttempt(c.FirstAttempt())
 	}
 	return sum, err
 }
 
-func (a *asked) claimRequest(g *generation, path string, body []byte) claim.Request {
+func (a *completionRequest) claimRequest(g *generation, path string, body []byte) claim.Request {
 	return claim.Request{
 		Workspace:   a.workspace.Name,
 		Key:         a.headers.Key,
@@ -46,7 +46,7 @@
 //
 // An idempotent generation has no claim. If two entries resume it, only engine time is wasted: each numbers its own
 // attempts and checks its own tokens, so no stream mixes tokens of both.
-func (s *Server) moveClaim(ctx context.Context, g *generation, a *asked, rec *Record) (Claim, *result.Error) {
+func (s *Server) takeOverClaim(ctx context.Context, g *generation, a *completionRequest, rec *Record) (Claim, *result.Error) {
 	if !a.needsClaim() {
 		return nil, nil
 	}
@@ -55,16 +55,16 @@
 	req.Owner = rec.Owner
 	c, sum, err := s.opts.Claims.TakeOver(ctx, req, rec.Attempt+restoreGap)
 	if sum != nil {
-		return nil, retold(sum)
+		return nil, replayedError(sum)
 	}
 	return c, err
 }
 
 // closeClaim finishes the claim of a generation whose record is complete, in case its entry died before doing so. It
 // runs in the background; the caller doesn't wait, since nothing is run.
-func (s *Server) closeClaim(g *generation, a *asked, rec *Record) {
+func (s *Server) closeClaim(g *generation, a *completionRequest, rec *Record) {
 	defer s.background.Done()
-	c, err := s.moveClaim(context.Background(), g, a, rec)
+	c, err := s.takeOverClaim(context.Background(), g, a, rec)
 	if c == nil || err != nil {
 		return
 	}
@@ -81,11 +81,11 @@
 		return nil
 	}
 	mark := g.claim.Sent
-	if g.ran() {
+	if g.possiblyRan() {
 		mark = g.claim.Resent
 	}
 	err := mark(g.ctx, target, number)
-	if err != nil && !(g.ran() && err.Code == result.StoreDown) {
+	if err != nil && !(g.possiblyRan() && err.Code == result.StoreDown) {
 		g.claim = nil
 	}
 	return err
@@ -96,7 +96,7 @@
 // entry's attempts as newer. Continuing would occupy an engine for text that is delivered elsewhere. The caller is told
 // to retry with the key; the record is no longer written, and the next request with the key goes to the other entry.
 func (s *Server) Superseded(id ids.Generation) {
-	if g := s.table.lost(id); g != nil {
+	if g := s.table.removeSuperseded(id); g != nil {
 		g.cancel(errTakenOver)
 	}
 }
@@ -130,7 +130,7 @@
 const contentJSON = "application/json"
 
 // replayedError returns the error for a resend of a finished request, in place of a run.
-func retold(sum *claim.Summary) *result.Error {
+func replayedError(sum *claim.Summary) *result.Error {
 	if sum.Code != result.OK {
 		return result.New(sum.Code, "as the first request with this %s was told", callerapi.HeaderKey)
 	}
@@ -138,7 +138,7 @@
 }
 
 // writeReplayed writes the stored answer of an earlier run.
-func writeKept(w http.ResponseWriter, sum *claim.Summary) {
+func writeReplayed(w http.ResponseWriter, sum *claim.Summary) {
 	h := w.Header()
 	h.Set("Content-Type", sum.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(sum.Body)))
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -37,15 +37,15 @@
 		s.refuse(w, rq, err)
 		return
 	}
-	if a.kept != nil {
-		writeKept(w, a.kept)
+	if a.replay != nil {
+		writeReplayed(w, a.replay)
 		return
 	}
 	s.deliver(w, r, g, sk)
 }
 
 // completionRequest is a completion request with the settings that apply to it.
-type asked struct {
+type completionRequest struct {
 	*request
 	conn       http.ResponseWriter
 	completion *callerapi.Completion
@@ -53,10 +53,10 @@
 	service    *settings.Service
 	policy     *settings.Policy
 	subject    Subject
-	kept       *claim.Summary // set when only the stored answer of an earlier run can be returned
+	replay     *claim.Summary // set when only the stored answer of an earlier run can be returned
 }
 
-func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, rq *request) (*asked, *result.Error) {
+func (s *Server) readCompletion(w http.ResponseWriter, r *http.Request, rq *request) (*completionRequest, *result.Error) {
 	if r.Method != http.MethodPost {
 		return nil, result.New(result.NoRoute, "%s %s", r.Method, r.URL.Path)
 	}
@@ -68,8 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &asked{request: rq, conn: w, completion: c, body: body}
-	if a.service = rq.view.snap.LookupModel(c.Model); a.service == nil {
+	a := &completionRequest{request: rq, conn: w, completion: c, body: body}
+	if a.service = rq.view.snapshot.LookupModel(c.Model); a.service == nil {
 		return nil, result.New(result.NoRoute, "model %q", c.Model)
 	}
 	if a.policy, err = rq.policy(a.service); err != nil {
@@ -85,7 +85,7 @@
 
 // obtain returns the generation to deliver with an attached sink: the one in progress here under the request's key, one
 // taken over from a dead entry, or a new one.
-func (s *Server) obtain(ctx context.Context, a *asked) (*generation, *sink, *result.Error) {
+func (s *Server) obtain(ctx context.Context, a *completionRequest) (*generation, *sink, *result.Error) {
 	last := a.headers.LastEvent
 	if last != nil && (a.headers.Key == "" || !a.completion.Stream) {
 		return nil, nil, result.New(result.BadHeader, "%s needs %s and a streamed answer", callerapi.HeaderLastEvent, callerapi.HeaderKey)
@@ -100,7 +100,7 @@
 }
 
 // newSink returns a sink for the request's connection, starting at the first token the caller lacks.
-func (a *asked) newSink() *sink {
+func (a *completionRequest) newSink() *sink {
 	sk := newSink(a.conn, a.policy, !a.completion.Stream)
 	if a.headers.LastEvent != nil {
 		sk.resume(*a.headers.LastEvent)
@@ -109,12 +109,12 @@
 }
 
 // join attaches a returning caller to the generation of its key. A generation stopped for lack of a caller is resumed.
-func (s *Server) join(ctx context.Context, g *generation, a *asked) (*generation, *sink, *result.Error) {
+func (s *Server) join(ctx context.Context, g *generation, a *completionRequest) (*generation, *sink, *result.Error) {
 	if g.subject.Fingerprint != a.subject.Fingerprint || g.service.Name != a.service.Name {
 		return nil, nil, result.New(result.KeyReused, "%s", callerapi.HeaderKey)
 	}
 	last := a.headers.LastEvent
-	if last != nil && last.Generation != g.id && !g.owned() {
+	if last != nil && last.Generation != g.id && !g.isOwned() {
 		// The claim is still pending and may lead to another generation ID. UnknownStream would make the caller give up
 		// a stream that might still be resumable, so it is told to retry.
 		err := result.New(result.AlreadyRunning, "its claim is asked for")
@@ -124,9 +124,9 @@
 	if last != nil && last.Generation != g.id {
 		return nil, nil, result.New(result.UnknownStream, "%s names another generation", callerapi.HeaderLastEvent)
 	}
-	if g.stopped() {
-		s.table.release(g)
-		return s.goOn(ctx, a, g.wholeRecord())
+	if g.resumable() {
+		s.table.releaseKey(g)
+		return s.resume(ctx, a, g.fullRecord())
 	}
 	sk := a.newSink()
 	if err := g.attach(s.now(), sk, last != nil); err != nil {
@@ -137,7 +137,7 @@
 }
 
 // admit starts a new generation or refuses it immediately.
-func (s *Server) admit(ctx context.Context, a *asked) (*generation, *sink, *result.Error) {
+func (s *Server) admit(ctx context.Context, a *completionRequest) (*generation, *sink, *result.Error) {
 	g := s.newGeneration(a, ids.New(), stream.New)
 	if err := s.admission(ctx, g); err != nil {
 		return nil, nil, err
@@ -161,24 +161,24 @@
 
 // notClaimed handles a request whose key is held or was finished elsewhere. If the holder is gone or done, the generation
 // is restored from its record; otherwise the answer comes from the claim.
-func (s *Server) notClaimed(ctx context.Context, a *asked, g *generation, sk *sink, sum *claim.Summary, err *result.Error) (*generation, *sink, *result.Error) {
+func (s *Server) notClaimed(ctx context.Context, a *completionRequest, g *generation, sk *sink, sum *claim.Summary, err *result.Error) (*generation, *sink, *result.Error) {
 	if sum != nil {
-		err = retold(sum)
+		err = replayedError(sum)
 	}
 	s.withdraw(g, sk, err)
 	if err.Code == result.StoreDown || err.Code == result.KeyReused {
 		return nil, nil, err
 	}
-	g, sk, terr := s.takeOver(ctx, a)
-	if terr == nil {
+	g, sk, takeOverErr := s.takeOver(ctx, a)
+	if takeOverErr == nil {
 		return g, sk, nil
 	}
-	open := sum == nil || result.Lookup(sum.Code).Again == result.AgainWithKey
-	if open && (terr.Code == result.AlreadyRunning || terr.Code == result.StoreDown) {
-		return nil, nil, terr // another entry runs it, or no entry can for now: not orphaned, and not to be given up
+	unfinished := sum == nil || result.Lookup(sum.Code).Again == result.AgainWithKey
+	if unfinished && (takeOverErr.Code == result.AlreadyRunning || takeOverErr.Code == result.StoreDown) {
+		return nil, nil, takeOverErr // another entry runs it, or no entry can for now: not orphaned, and not to be given up
 	}
 	if sum != nil && sum.Code == result.OK && sum.Kept && !a.completion.Stream {
-		a.kept = sum
+		a.replay = sum
 		return nil, nil, nil
 	}
 	return nil, nil, err
@@ -186,7 +186,7 @@
 
 // withdraw ends a generation that never started. Connections that joined it meanwhile receive the error too.
 func (s *Server) withdraw(g *generation, own *sink, err *result.Error) {
-	s.table.drop(g)
+	s.table.remove(g)
 	g.detach(own, s.now())
 	g.end(s.now(), err)
 	g.release()
@@ -199,7 +199,7 @@
 		err.RetryAfter = time.Second
 		return err
 	}
-	if err := s.clean(ctx, g.subject.Fingerprint); err != nil {
+	if err := s.checkPoison(ctx, g.subject.Fingerprint); err != nil {
 		return err
 	}
 	var err *result.Error
@@ -208,7 +208,7 @@
 }
 
 // takeOver resumes a generation whose entry died, from the record it stored with a peer.
-func (s *Server) takeOver(ctx context.Context, a *asked) (*generation, *sink, *result.Error) {
+func (s *Server) takeOver(ctx context.Context, a *completionRequest) (*generation, *sink, *result.Error) {
 	rec, err := s.opts.Records.Get(ctx, a.workspace.Name, a.headers.Key)
 	if err != nil {
 		return nil, nil, err
@@ -216,11 +216,11 @@
 	if err := matches(rec, a); err != nil {
 		return nil, nil, err
 	}
-	return s.goOn(ctx, a, rec)
+	return s.resume(ctx, a, rec)
 }
 
 // resume runs the remainder of a generation that no entry is running.
-func (s *Server) goOn(ctx context.Context, a *asked, rec *Record) (*generation, *sink, *result.Error) {
+func (s *Server) resume(ctx context.Context, a *completionRequest, rec *Record) (*generation, *sink, *result.Error) {
 	g, sk := s.restored(a, rec), a.newSink()
 	err := g.attach(s.now(), sk, true)
 	if err != nil {
@@ -237,11 +237,11 @@
 		g.log(log.Info(), "told_again").Int("tokens", len(rec.Tokens)).Msg("")
 		s.background.Add(1)
 		go s.closeClaim(g, a, rec)
-		g.own()
+		g.markOwned()
 		go s.finish(g, nil)
 		return g, sk, nil
 	}
-	if g.claim, err = s.moveClaim(ctx, g, a, rec); err != nil {
+	if g.claim, err = s.takeOverClaim(ctx, g, a, rec); err != nil {
 		s.withdraw(g, sk, err)
 		return nil, nil, err
 	}
@@ -251,7 +251,7 @@
 }
 
 // matches returns an error if the record belongs to another request, that is, the key was reused.
-func matches(rec *Record, a *asked) *result.Error {
+func matches(rec *Record, a *completionRequest) *result.Error {
 	last := a.headers.LastEvent
 	switch {
 	case rec.Subject.Fingerprint != a.subject.Fingerprint || rec.Subject.Service != a.service.Name:
@@ -263,42 +263,42 @@
 }
 
 // restored rebuilds a generation from its record.
-func (s *Server) restored(a *asked, rec *Record) *generation {
+func (s *Server) restored(a *completionRequest, rec *Record) *generation {
 	g := s.newGeneration(a, rec.Generation, func(id ids.Generation) *stream.State {
 		return stream.Restore(id, rec.Attempt+restoreGap, uint32(len(rec.Tokens)))
 	})
 	for _, token := range rec.Tokens {
 		g.text.Append([]byte(token))
 	}
-	g.finish = rec.FinishedWhy
+	g.finishReason = rec.FinishedWhy
 	g.mayHaveRun = true
 	g.lastToken = g.accepted
 	return g
 }
 
-func (s *Server) newGeneration(a *asked, id ids.Generation, state func(ids.Generation) *stream.State) *generation {
+func (s *Server) newGeneration(a *completionRequest, id ids.Generation, state func(ids.Generation) *stream.State) *generation {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	c := a.completion
 	return &generation{
-		id:       id,
-		idText:   id.String(),
-		request:  a.id,
-		subject:  a.subject,
-		key:      a.headers.Key,
-		policy:   a.policy,
-		view:     a.view,
-		service:  a.service,
-		asked:    c,
-		body:     a.body,
-		template: c.Template(),
-		shape:    callerapi.Shape{Generation: id, Model: c.Model, Chat: c.Chat},
-		prefixes: engineapi.PrefixHashes(c.Prompt),
-		accepted: a.accepted,
-		deadline: a.deadline(a.policy),
-		metrics:  s.metrics.Pair(a.workspace.Name, a.class),
-		ctx:      ctx,
-		cancel:   cancel,
-		done:     make(chan struct{}),
-		state:    state(id),
+		id:         id,
+		idText:     id.String(),
+		request:    a.id,
+		subject:    a.subject,
+		key:        a.headers.Key,
+		policy:     a.policy,
+		view:       a.view,
+		service:    a.service,
+		completion: c,
+		body:       a.body,
+		template:   c.Template(),
+		shape:      callerapi.Shape{Generation: id, Model: c.Model, Chat: c.Chat},
+		prefixes:   engineapi.PrefixHashes(c.Prompt),
+		accepted:   a.accepted,
+		deadline:   a.deadline(a.policy),
+		metrics:    s.metrics.Pair(a.workspace.Name, a.class),
+		ctx:        ctx,
+		cancel:     cancel,
+		done:       make(chan struct{}),
+		state:      state(id),
 	}
 }
--- a/lib/entry/deliver.go
+++ b/lib/entry/deliver.go
@@ -29,8 +29,8 @@
 // deliver writes the answer until the generation ends or the caller disconnects.
 func (s *Server) deliver(w http.ResponseWriter, r *http.Request, g *generation, sk *sink) {
 	d := &delivery{w: w, g: g, sink: sk, idle: true}
-	whole := d.loop(r)
-	if whole {
+	complete := d.loop(r)
+	if complete {
 		_ = sk.conn.SetWriteDeadline(time.Time{})
 		g.detach(sk, s.now())
 		return
@@ -54,7 +54,7 @@
 	for {
 		select {
 		case <-d.sink.wake:
-			last, ok := d.writeOut()
+			last, ok := d.writeBuffered()
 			if !ok || last {
 				return ok
 			}
@@ -70,15 +70,15 @@
 }
 
 // writeBuffered writes all buffered events.
-func (d *delivery) writeOut() (last, ok bool) {
+func (d *delivery) writeBuffered() (last, ok bool) {
 	d.g.mu.Lock()
 	d.buf = d.sink.take(d.buf)
-	last, closed, events := d.sink.last, d.sink.closed, d.sink.events
+	last, closed, events := d.sink.ended, d.sink.closed, d.sink.hasEvents
 	d.g.mu.Unlock()
 	switch {
 	case closed:
 		return false, false
-	case d.sink.quiet:
+	case d.sink.unstreamed:
 		return last, !last || d.writeAnswer()
 	case last && !events && !d.started && d.g.err != nil:
 		callerapi.WriteError(d.w, d.g.err, d.g.request)
@@ -102,7 +102,7 @@
 }
 
 func (d *delivery) keepAlive() bool {
-	if d.sink.quiet || !d.idle {
+	if d.sink.unstreamed || !d.idle {
 		d.idle = true
 		return true
 	}
@@ -132,6 +132,6 @@
 
 // answer returns the complete answer of a generation that ended without error.
 func (g *generation) answer() callerapi.Answer {
-	usage := callerapi.Usage{PromptTokens: g.asked.PromptTokens(), CompletionTokens: g.text.Len()}
-	return g.shape.Answer(g.text.String(), g.finish, g.accepted.Unix(), usage)
+	usage := callerapi.Usage{PromptTokens: g.completion.PromptTokens(), CompletionTokens: g.text.Len()}
+	return g.shape.Answer(g.text.String(), g.finishReason, g.accepted.Unix(), usage)
 }
--- a/lib/entry/finish.go
+++ b/lib/entry/finish.go
@@ -11,14 +11,14 @@
 // finish ends a generation: caller, claim, record, limits, metrics and log, in that order.
 func (s *Server) finish(g *generation, err *result.Error) {
 	now := s.now()
-	err = truthful(g, err)
+	err = correctOutcome(g, err)
 	g.end(now, err)
 	g.cancel(nil)
 	s.record(g, now, true)
 	g.settleClaim()
 	g.release()
 	s.table.ended(g, now)
-	s.report(g, now, codeOf(err))
+	s.reportEnd(g, now, codeOf(err))
 }
 
 func codeOf(err *result.Error) result.Code {
@@ -30,36 +30,36 @@
 
 // correctOutcome replaces an error code whose outcome would be false. "Not run" is kept only if no engine can have
 // executed any part, whichever step failed last; a deadline that passed before anything was sent becomes "not run".
-func truthful(g *generation, err *result.Error) *result.Error {
+func correctOutcome(g *generation, err *result.Error) *result.Error {
 	if err == nil {
 		return nil
 	}
-	ran := g.ran()
+	ran := g.possiblyRan()
 	outcome := result.Lookup(err.Code).Outcome
 	switch {
 	case ran && outcome == result.NotRun:
 		return result.Wrap(result.TargetFailed, err, "go on with it on another target: "+err.Error())
 	case !ran && err.Code == result.DeadlinePassed:
-		late := result.Wrap(result.DeadlineTooNear, err, "start it before its deadline")
-		late.RetryAfter = refusalRetry
-		return late
+		tooLate := result.Wrap(result.DeadlineTooNear, err, "start it before its deadline")
+		tooLate.RetryAfter = defaultRetryAfter
+		return tooLate
 	case !ran && err.Code == result.TargetFailed:
-		none := result.Wrap(result.NoTarget, err, err.Detail)
-		none.RetryAfter = refusalRetry
-		return none
+		noTarget := result.Wrap(result.NoTarget, err, err.Detail)
+		noTarget.RetryAfter = defaultRetryAfter
+		return noTarget
 	}
 	return err
 }
 
-func (s *Server) report(g *generation, now time.Time, code result.Code) {
+func (s *Server) reportEnd(g *generation, now time.Time, code result.Code) {
 	g.mu.Lock()
 	tokens, attempts, stalled := g.state.Next(), g.state.Attempt(), g.stalled
 	g.mu.Unlock()
-	took := now.Sub(g.accepted)
-	g.metrics.Duration.Update(took.Seconds())
+	elapsed := now.Sub(g.accepted)
+	g.metrics.Duration.Update(elapsed.Seconds())
 	g.metrics.Stall.Update(stalled.Seconds())
 	g.metrics.Result(code)
 	e := g.log(log.Info(), "request_end").Str("workspace", g.subject.Workspace).Str("class", g.subject.Class)
 	e = e.Str("service", g.subject.Service).Uint16("code", uint16(code)).Str("result", result.Lookup(code).Name)
-	e.Uint32("tokens", tokens).Uint32("attempts", attempts).Int64("took_ms", took.Milliseconds()).Int64("stalled_ms", stalled.Milliseconds()).Msg("")
+	e.Uint32("tokens", tokens).Uint32("attempts", attempts).Int64("took_ms", elapsed.Milliseconds()).Int64("stalled_ms", stalled.Milliseconds()).Msg("")
 }
--- a/lib/entry/finish_test.go
+++ b/lib/entry/finish_test.go
@@ -9,13 +9,13 @@
 )
 
 // Whichever step failed last, the caller is told "not run" exactly when no engine can have run any part.
-func TestTruthful(t *testing.T) {
-	must.Nil(t, truthful(&generation{mayHaveRun: true}, nil))
+func TestCorrectOutcome(t *testing.T) {
+	must.Nil(t, correctOutcome(&generation{mayHaveRun: true}, nil))
 	for _, in := range result.Table {
 		if in.Outcome == result.Completed || in.Code == result.CallerGone || in.Code == result.InvariantBroken {
 			continue
 		}
-		ran := truthful(&generation{mayHaveRun: true}, result.New(in.Code, "x"))
+		ran := correctOutcome(&generation{mayHaveRun: true}, result.New(in.Code, "x"))
 		must.NotEq(t, result.NotRun, result.Lookup(ran.Code).Outcome, must.Sprintf("%s after a run", in.Name))
 	}
 	for from, to := range map[result.Code]result.Code{
@@ -23,6 +23,6 @@
 		result.DeadlinePassed: result.DeadlineTooNear,
 		result.QueueFull:      result.QueueFull,
 	} {
-		must.Eq(t, to, truthful(&generation{}, result.New(from, "x")).Code)
+		must.Eq(t, to, correctOutcome(&generation{}, result.New(from, "x")).Code)
 	}
 }
--- a/lib/entry/generation.go
+++ b/lib/entry/generation.go
@@ -32,58 +32,58 @@
 // generation is one caller's completion request, from acceptance to its end, across all attempts.
 type generation struct {
 	// Set at acceptance and not changed later.
-	id       ids.Generation
-	idText   string
-	request  string // request id, on every log line
-	subject  Subject
-	key      string // Idempotency-Key; empty if none
-	policy   *settings.Policy
-	view     *view
-	service  *settings.Service
-	asked    *callerapi.Completion
-	body     []byte
-	template callerapi.Template
-	shape    callerapi.Shape
-	prefixes []uint64
-	accepted time.Time
-	deadline time.Time // zero if none
-	metrics  *entrymetrics.Pair
-	claim    Claim
-	release  func()
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	done     chan struct{} // closed when the generation has ended
+	id         ids.Generation
+	idText     string
+	request    string // request id, on every log line
+	subject    Subject
+	key        string // Idempotency-Key; empty if none
+	policy     *settings.Policy
+	view       *view
+	service    *settings.Service
+	completion *callerapi.Completion
+	body       []byte
+	template   callerapi.Template
+	shape      callerapi.Shape
+	prefixes   []uint64
+	accepted   time.Time
+	deadline   time.Time // zero if none
+	metrics    *entrymetrics.Pair
+	claim      Claim
+	release    func()
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	done       chan struct{} // closed when the generation has ended
 
-	mu         sync.Mutex
-	state      *stream.State
-	text       stream.Text
-	sink       *sink     // nil while no caller is attached
-	detached   time.Time // when a keyed generation lost its caller; zero while one is attached
-	attempt    attempt
-	mayHaveRun bool          // some engine may have executed a part of it
-	lastToken  time.Time     // time of the last token, or of the first send
-	stalled    time.Duration // sum of all stalls
-	reported   uint32        // token count last reported to the placer
-	reportedAt time.Time
-	begun      bool // this entry runs or finishes it; set once the claim is held, and required before it is recorded
-	recorded   int  // token count last passed to Records
-	recordedAt time.Time
-	ended      bool
-	endedAt    time.Time
-	err        *result.Error // nil if it completed
-	finish     string        // finish reason from the finish frame
-	finishRaw  []byte        // raw finish frame
+	mu             sync.Mutex
+	state          *stream.State
+	text           stream.Text
+	sink           *sink     // nil while no caller is attached
+	detachedAt     time.Time // when a keyed generation lost its caller; zero while one is attached
+	attempt        attempt
+	mayHaveRun     bool          // some engine may have executed a part of it
+	lastToken      time.Time     // time of the last token, or of the first send
+	stalled        time.Duration // sum of all stalls
+	reportedTokens uint32        // token count last reported to the placer
+	reportedAt     time.Time
+	owned          bool // this entry runs or finishes it; set once the claim is held, and required before it is recorded
+	recordedTokens int  // token count last passed to Records
+	recordedAt     time.Time
+	ended          bool
+	endedAt        time.Time
+	err            *result.Error // nil if it completed
+	finishReason   string        // finish reason from the finish frame
+	finishFrame    []byte        // raw finish frame
 }
 
 // attempt is the current attempt of a generation.
 type attempt struct {
-	number    uint32
-	target    string
-	decisions chan sched.Action
-	cancel    context.CancelCauseFunc // nil while no target runs it
-	since     time.Time               // when it was sent, or its last token arrived
-	tokens    int
-	silent    bool // reported as overdue by the stall monitor
+	number       uint32
+	target       string
+	decisions    chan sched.Action
+	cancel       context.CancelCauseFunc // nil while no target runs it
+	lastActivity time.Time               // when it was sent, or its last token arrived
+	tokens       int
+	overdue      bool // reported as overdue by the stall monitor
 }
 
 // log adds the event name and the request and generation IDs to a log entry.
@@ -92,7 +92,7 @@
 }
 
 // handleDecision receives a placer decision. It runs under the placer's lock and must not call back into the placer.
-func (g *generation) decide(a sched.Action) {
+func (g *generation) handleDecision(a sched.Action) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a.Attempt != g.attempt.number {
@@ -111,7 +111,7 @@
 }
 
 // setFirstAttempt sets the number of the first attempt. It must be called before any attempt begins.
-func (g *generation) beginAt(first uint32) {
+func (g *generation) setFirstAttempt(first uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state = stream.Restore(g.id, first-1, 0)
@@ -119,21 +119,21 @@
 
 // markOwned notes that this entry runs the generation and may record it. A record written before the claim is held would
 // overwrite that of the claim's previous or current holder.
-func (g *generation) own() {
+func (g *generation) markOwned() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.begun = true
+	g.owned = true
 }
 
 // isOwned reports whether markOwned was called.
-func (g *generation) owned() bool {
+func (g *generation) isOwned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.begun
+	return g.owned
 }
 
 // beginAttempt allocates the next attempt number. The previous attempt must be fenced.
-func (g *generation) begin() (uint32, error) {
+func (g *generation) beginAttempt() (uint32, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n, err := g.state.Begin()
@@ -145,19 +145,19 @@
 }
 
 // startAttempt notes that the attempt is about to be sent to a target.
-func (g *generation) start(target string, now time.Time, cancel context.CancelCauseFunc) {
+func (g *generation) startAttempt(target string, now time.Time, cancel context.CancelCauseFunc) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.attempt.target = target
 	g.attempt.cancel = cancel
-	g.attempt.since = now
+	g.attempt.lastActivity = now
 	if g.lastToken.IsZero() {
 		g.lastToken = now
 	}
 }
 
 // fenceAttempt fences the current attempt: no later frame of it is delivered.
-func (g *generation) stop() {
+func (g *generation) fenceAttempt() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state.Fence()
@@ -165,21 +165,21 @@
 }
 
 // markMayHaveRun notes that an engine may have executed a part.
-func (g *generation) noteRan() {
+func (g *generation) markMayHaveRun() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.mayHaveRun = true
 }
 
 // possiblyRan reports whether an engine may have executed a part.
-func (g *generation) ran() bool {
+func (g *generation) possiblyRan() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.mayHaveRun
 }
 
 // acceptToken checks a token frame and, if it is the next one, appends it to the caller's sink.
-func (g *generation) token(now time.Time, f *target.Frame) (stream.Verdict, time.Duration) {
+func (g *generation) acceptToken(now time.Time, f *target.Frame) (stream.Verdict, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.state.Token(f.Generation, f.Attempt, f.Index)
@@ -187,21 +187,21 @@
 		return v, 0
 	}
 	g.text.Append(f.Text)
-	g.offer(now, f.Index, f.Raw)
+	g.appendToSink(now, f.Index, f.Raw)
 	gap := now.Sub(g.lastToken)
 	if floor := g.policy.StallFloor; f.Index > 0 && gap > floor {
 		g.stalled += gap - floor
 	}
 	g.lastToken = now
-	g.attempt.since = now
+	g.attempt.lastActivity = now
 	g.attempt.tokens++
-	g.attempt.silent = false
+	g.attempt.overdue = false
 	return v, gap
 }
 
 // isCurrent reports whether a frame belongs to the current attempt. An error frame may omit its generation and attempt;
 // it then belongs to the attempt of the connection it arrived on.
-func (g *generation) current(f *target.Frame) bool {
+func (g *generation) isCurrent(f *target.Frame) bool {
 	if f.Err != nil && f.Generation.IsZero() {
 		return true
 	}
@@ -211,12 +211,12 @@
 }
 
 // acceptFinish checks the finish frame. It is called only after [DONE] has confirmed the frame.
-func (g *generation) endMark(f *endFrame) stream.Verdict {
+func (g *generation) acceptFinish(f *endFrame) stream.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.state.Finish(f.generation, f.attempt, f.count)
 	if v == stream.End {
-		g.finish, g.finishRaw = f.reason, f.raw
+		g.finishReason, g.finishFrame = f.reason, f.raw
 	}
 	return v
 }
@@ -228,38 +228,38 @@
 	g.state.Fence()
 	g.ended, g.endedAt, g.err = true, now, err
 	if g.sink != nil {
-		g.sink.finish(now, g.ending())
+		g.sink.finish(now, g.closingEvents())
 	}
 	close(g.done)
 }
 
 // resumableLocked reports whether the generation was stopped for lack of a caller and can be resumed. The caller must
 // hold mu, unless the generation has ended.
-func (g *generation) released() bool {
+func (g *generation) resumableLocked() bool {
 	return g.ended && g.key != "" && g.err != nil && g.err.Code != result.TakenOver &&
 		result.Lookup(g.err.Code).Again == result.AgainWithKey
 }
 
 // closingEvents returns the last bytes of the stream.
-func (g *generation) ending() []byte {
+func (g *generation) closingEvents() []byte {
 	if g.err != nil {
 		return callerapi.AppendErrorEvent(nil, g.err, g.request)
 	}
-	raw := g.finishRaw
+	raw := g.finishFrame
 	if raw == nil {
-		raw = g.shape.Finish(g.state.Next(), g.finish)
+		raw = g.shape.Finish(g.state.Next(), g.finishReason)
 	}
 	return append(callerapi.AppendEvent(nil, g.idText, g.state.Next(), g.text.Digest(), raw), callerapi.Done...)
 }
 
-// offer appends the last token to the caller's sink, unless the caller already has it.
-func (g *generation) offer(now time.Time, index uint32, raw []byte) {
-	if g.sink == nil || g.sink.quiet {
+// appendToSink appends the last token to the caller's sink, unless the caller already has it.
+func (g *generation) appendToSink(now time.Time, index uint32, raw []byte) {
+	if g.sink == nil || g.sink.unstreamed {
 		return
 	}
-	needed, err := g.sink.lacks(index, g.text.Digest())
+	needed, err := g.sink.needs(index, g.text.Digest())
 	if err == nil && needed {
-		err = g.sink.token(now, g.idText, index, g.text.Digest(), raw)
+		err = g.sink.appendToken(now, g.idText, index, g.text.Digest(), raw)
 	}
 	if err != nil {
 		g.cancel(err)
@@ -277,7 +277,7 @@
 		err.RetryAfter = time.Second
 		return err
 	}
-	if g.ended && s.from > g.state.Next() {
+	if g.ended && s.firstNeeded > g.state.Next() {
 		return result.New(result.UnknownStream, "%s: the stream has %d tokens", callerapi.HeaderLastEvent, g.state.Next())
 	}
 	if err := g.replay(s); err != nil {
@@ -287,9 +287,9 @@
 		g.sink.close()
 	}
 	g.sink = s
-	g.detached = time.Time{}
+	g.detachedAt = time.Time{}
 	if g.ended {
-		s.finish(now, g.ending())
+		s.finish(now, g.closingEvents())
 	}
 	s.signal()
 	return nil
@@ -297,21 +297,21 @@
 
 // replay appends to s the tokens that were delivered before it attached.
 func (g *generation) replay(s *sink) *result.Error {
-	if s.quiet {
+	if s.unstreamed {
 		return nil
 	}
 	var sum stream.Digest
 	for i := range g.state.Next() {
 		token := g.text.Token(int(i))
 		sum = sum.Add(token)
-		needed, err := s.lacks(i, sum)
+		needed, err := s.needs(i, sum)
 		if err != nil {
 			return result.Wrap(result.UnknownStream, err, "go on after "+callerapi.HeaderLastEvent)
 		}
 		if needed {
 			s.buf = callerapi.AppendEvent(s.buf, g.idText, i, sum, g.shape.Token(i, token))
 			s.next = i + 1
-			s.events = true
+			s.hasEvents = true
 		}
 	}
 	return nil
@@ -325,7 +325,7 @@
 		return false
 	}
 	g.sink = nil
-	g.detached = now
+	g.detachedAt = now
 	return true
 }
 
--- a/lib/entry/generation_test.go
+++ b/lib/entry/generation_test.go
@@ -13,25 +13,25 @@
 	"anvilwick.example/anvilwick/lib/standin/engine"
 )
 
-func TestStreamedAnswerIsWhole(t *testing.T) {
+func TestStreamedAnswerComplete(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "route 7 [len=40]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true})
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 	must.Eq(t, "text/event-stream", resp.Header.Get("Content-Type"))
 	must.NotEq(t, "", resp.Header.Get(callerapi.HeaderRequestID))
-	var st story
+	var st transcript
 	st.read(t, eventsOf(resp), nil)
-	st.whole(t, prompt, 40)
+	st.checkComplete(t, prompt, 40)
 	must.Eq(t, "stop", st.finish)
 }
 
-func TestUnstreamedAnswerIsWhole(t *testing.T) {
+func TestUnstreamedAnswerComplete(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "route 8 [len=25]"
-	resp := r.send(context.Background(), ask{prompt: prompt, extra: `,"max_tokens":10`})
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, extra: `,"max_tokens":10`})
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 	var ans callerapi.Answer
 	must.NoError(t, json.NewDecoder(resp.Body).Decode(&ans))
@@ -43,12 +43,12 @@
 // An engine is killed in the middle of a stream, and the connection breaks without a finish frame. The entry must fence the
 // attempt and resume at the next token on the other engine. The caller sees each token once, of one generation, and the
 // finish frame.
-func TestEngineKilledMidStreamResumesElsewhere(t *testing.T) {
+func TestEngineKilledMidStreamResumesOnAnother(t *testing.T) {
 	engines := []*engine.Server{startEngine(t, nil), startEngine(t, nil)}
 	r := newRig(t, siteText("", true, []string{engines[0].Addr(), engines[1].Addr()}, nil), nil)
 	const prompt = "narrative [len=120]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true})
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
+	var st transcript
 	killed := false
 	st.read(t, eventsOf(resp), func(n int) {
 		if n >= 10 && !killed {
@@ -56,13 +56,13 @@
 			engines[r.runningOn()].Kill()
 		}
 	})
-	st.whole(t, prompt, 120)
+	st.checkComplete(t, prompt, 120)
 	must.True(t, killed)
 }
 
 // runningOn returns the index of the engine that runs the only generation in progress.
 func (r *rig) runningOn() int {
-	for _, g := range r.server.table.running(nil) {
+	for _, g := range r.server.table.appendRunning(nil) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return int(g.attempt.target[len("planner-")] - '1')
@@ -73,40 +73,40 @@
 
 // The engine ends a stream early while it stays alive. Without the check for the finish frame, the caller would take the
 // partial answer for the complete one.
-func TestCutWithoutEndMarkIsResumed(t *testing.T) {
+func TestStreamWithoutFinishFrameResumed(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "cut me [len=60]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true})
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
+	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 5 || n == 30 {
 			e.Order(engine.Fault{Kind: engine.FaultCut})
 		}
 	})
-	st.whole(t, prompt, 60)
+	st.checkComplete(t, prompt, 60)
 }
 
 // The engine repeats frames and interleaves frames of an older attempt, as with late and duplicate delivery. The caller must
 // see each token once.
-func TestRepeatedAndLateFramesAreDropped(t *testing.T) {
+func TestDuplicateAndLateFramesDropped(t *testing.T) {
 	e := startEngine(t, nil)
 	e.Order(engine.Fault{Kind: engine.FaultRepeat})
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "twice [len=50]"
-	var st story
-	st.read(t, eventsOf(r.send(context.Background(), ask{prompt: prompt, stream: true})), nil)
-	st.whole(t, prompt, 50)
+	var st transcript
+	st.read(t, eventsOf(r.send(context.Background(), callerRequest{prompt: prompt, stream: true})), nil)
+	st.checkComplete(t, prompt, 50)
 }
 
 // The link to the engine carries nothing for longer than the stall bound but does not break, so only a timeout reveals it.
 // The entry must cancel the attempt and resume on the other engine, although the first would still have answered.
-func TestStalledLinkIsLeft(t *testing.T) {
+func TestStalledLinkResumesOnAnother(t *testing.T) {
 	engines := []*engine.Server{startEngine(t, nil), startEngine(t, nil)}
 	r := newRig(t, siteText("", true, []string{engines[0].Addr(), engines[1].Addr()}, nil), nil)
 	const prompt = "stall [len=60]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true})
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
+	var st transcript
 	stalled := false
 	st.read(t, eventsOf(resp), func(n int) {
 		if n >= 10 && !stalled {
@@ -114,16 +114,16 @@
 			engines[r.runningOn()].Order(engine.Fault{Kind: engine.FaultStall, MS: 60_000})
 		}
 	})
-	st.whole(t, prompt, 60)
+	st.checkComplete(t, prompt, 60)
 }
 
 // The service's engines can't resume, and the stream breaks. Restarting into the same stream would mix two answers, so the
 // stream must end with a numbered error and no [DONE].
-func TestBreakWithoutResumeEndsTruthfully(t *testing.T) {
+func TestBrokenStreamWithoutResumeFails(t *testing.T) {
 	e := startEngine(t, func(c *engine.Config) { c.NoResume = true })
 	r := newRig(t, siteText("", false, []string{e.Addr()}, nil), nil)
-	resp := r.send(context.Background(), ask{prompt: "fragile [len=60]", stream: true})
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: "fragile [len=60]", stream: true})
+	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 5 {
 			e.Order(engine.Fault{Kind: engine.FaultCut})
@@ -136,9 +136,9 @@
 }
 
 // No engine is reachable and nothing was sent: the caller must be told at once that nothing was run, and when to retry.
-func TestNoEngineIsNotRun(t *testing.T) {
+func TestNoReachableEngineReportsNotRun(t *testing.T) {
 	r := newRig(t, siteText("  max_attempts: 2\n  max_wait: 300ms\n", true, []string{"127.0.0.1:1"}, nil), nil)
-	resp := r.send(context.Background(), ask{prompt: "nobody", stream: true})
+	resp := r.send(context.Background(), callerRequest{prompt: "nobody", stream: true})
 	must.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 	must.NotEq(t, "", resp.Header.Get("Retry-After"))
 	e := readError(t, resp)
@@ -147,11 +147,11 @@
 }
 
 // The caller disconnects mid-stream. The engine's memory must be freed soon, not when the answer would have ended.
-func TestCallerGoneCancelsAtTheEngine(t *testing.T) {
+func TestCallerDisconnectCancelsEngine(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	ctx, cancel := context.WithCancel(context.Background())
-	resp := r.send(ctx, ask{prompt: "long [len=5000]", stream: true})
+	resp := r.send(ctx, callerRequest{prompt: "long [len=5000]", stream: true})
 	ev := eventsOf(resp)
 	for range 5 {
 		_, ok := ev.next()
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -22,9 +22,9 @@
 
 const (
 	deathProbeTimeout = 300 * time.Millisecond
-	lifeFresh         = time.Minute      // how long a reported engine incarnation stays valid
-	plainDeathSpan    = 30 * time.Second // plain services have no incarnation; deaths within this window count as one
-	maxSettles        = 4                // waits for peers to report which other requests ran on a dead target
+	incarnationTTL    = time.Minute      // how long a reported engine incarnation stays valid
+	plainDeathWindow  = 30 * time.Second // plain services have no incarnation; deaths within this window count as one
+	maxPoisonWaits    = 4                // waits for peers to report which other requests ran on a dead target
 )
 
 // outcomeOf maps an attempt's end reason to a breaker outcome for the target's link.
@@ -41,8 +41,8 @@
 // checkPoison refuses content known to kill the targets that run it. Right after a second death it waits, for a bounded
 // time, until peers have reported which other requests ran there: an innocent request must not be refused because it
 // ran beside the cause.
-func (s *Server) clean(ctx context.Context, fingerprint uint64) *result.Error {
-	for range maxSettles {
+func (s *Server) checkPoison(ctx context.Context, fingerprint uint64) *result.Error {
+	for range maxPoisonWaits {
 		verdict, wait := s.opts.Poison.Check(s.now(), fingerprint)
 		switch verdict {
 		case poison.Poisoned:
@@ -69,25 +69,25 @@
 }
 
 // incarnations caches the incarnations of engines, so that every entry identifies the same engine death by the same number.
-type lives struct {
+type incarnations struct {
 	mu   sync.Mutex
-	seen map[string]life
+	seen map[string]engineIncarnation
 }
 
-type life struct {
-	incarnation uint64
-	at          time.Time
+type engineIncarnation struct {
+	value  uint64
+	seenAt time.Time
 }
 
-func newLives() *lives { return &lives{seen: make(map[string]life)} }
+func newIncarnations() *incarnations { return &incarnations{seen: make(map[string]engineIncarnation)} }
 
-func (l *lives) note(now time.Time, name string, incarnation uint64) {
+func (l *incarnations) record(now time.Time, name string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen[name] = life{incarnation, now}
+	l.seen[name] = engineIncarnation{incarnation, now}
 }
 
-func (l *lives) get(name string) (life, bool) {
+func (l *incarnations) get(name string) (engineIncarnation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	seen, ok := l.seen[name]
@@ -95,17 +95,19 @@
 }
 
 // NoteIncarnation records the incarnation that an engine reported.
-func (s *Server) NoteLife(name string, incarnation uint64) { s.lives.note(s.now(), name, incarnation) }
+func (s *Server) NoteLife(name string, incarnation uint64) {
+	s.incarnations.record(s.now(), name, incarnation)
+}
 
 // refreshIncarnation queries an engine's incarnation in the background if no valid one is cached.
-func (s *Server) learnLife(c *target.Client) {
-	seen, ok := s.lives.get(c.Name())
-	if ok && s.now().Sub(seen.at) < lifeFresh {
+func (s *Server) refreshIncarnation(c *target.Client) {
+	seen, ok := s.incarnations.get(c.Name())
+	if ok && s.now().Sub(seen.seenAt) < incarnationTTL {
 		return
 	}
 	s.background.Go(func() {
 		if rep, err := c.Load(context.Background()); err == nil {
-			s.lives.note(s.now(), c.Name(), rep.Incarnation)
+			s.incarnations.record(s.now(), c.Name(), rep.Incarnation)
 		}
 	})
 }
@@ -114,48 +116,48 @@
 // incarnation answers there. A broken link, a lost answer or a slow engine is no evidence against the content and does
 // not count as a death.
 func (s *Server) engineDied(ctx context.Context, c *target.Client) (incarnation uint64, died bool) {
-	seen, _ := s.lives.get(c.Name())
+	seen, _ := s.incarnations.get(c.Name())
 	ctx, cancel := context.WithTimeout(ctx, deathProbeTimeout)
 	defer cancel()
 	rep, err := c.Load(ctx)
 	if err != nil {
-		return seen.incarnation, errors.Is(err, syscall.ECONNREFUSED)
+		return seen.value, errors.Is(err, syscall.ECONNREFUSED)
 	}
-	s.lives.note(s.now(), c.Name(), rep.Incarnation)
-	return seen.incarnation, seen.incarnation != 0 && rep.Incarnation != seen.incarnation
+	s.incarnations.record(s.now(), c.Name(), rep.Incarnation)
+	return seen.value, seen.value != 0 && rep.Incarnation != seen.value
 }
 
 // reportAttemptToPoison reports an attempt's end to the poison table. Every attempt that was running reports the death;
 // the table counts it once.
-func (s *Server) settlePoison(g *generation, c *target.Client, ran poison.Run, reason sched.EndReason) {
+func (s *Server) reportAttemptToPoison(g *generation, c *target.Client, ran poison.Run, reason sched.EndReason) {
 	switch reason {
 	case sched.EndCompleted:
 		s.opts.Poison.Finished(s.now(), ran)
 		return
 	case sched.EndTargetDied:
 		if incarnation, died := s.engineDied(g.ctx, c); died {
-			s.tellDeath(ran, c.Name(), incarnation)
+			s.reportDeath(ran, c.Name(), incarnation)
 			return
 		}
 	}
 	s.opts.Poison.Stopped(ran)
 }
 
-func (s *Server) tellDeath(ran poison.Run, name string, incarnation uint64) {
+func (s *Server) reportDeath(ran poison.Run, name string, incarnation uint64) {
 	log.Warn().Str("event", "target_died").Str("target", name).Uint64("incarnation", incarnation).Msg("")
 	s.opts.Poison.Lost(s.now(), ran, incarnation)
 }
 
 // pickTables holds the load-balancing tables of plain services, by service name.
-type picks struct {
+type pickTables struct {
 	mu     sync.Mutex
 	tables map[string]*pick.Table
 }
 
-func newPicks() *picks { return &picks{tables: make(map[string]*pick.Table)} }
+func newPickTables() *pickTables { return &pickTables{tables: make(map[string]*pick.Table)} }
 
 // apply updates the tables for the plain services of a settings revision.
-func (p *picks) apply(snap *settings.Snapshot) {
+func (p *pickTables) apply(snap *settings.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, svc := range snap.Services {
@@ -185,7 +187,7 @@
 	return out
 }
 
-func (p *picks) table(service string) *pick.Table {
+func (p *pickTables) table(service string) *pick.Table {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tables[service]
@@ -193,14 +195,14 @@
 
 // UpdateServiceLoad applies a load report of a plain service's target.
 func (s *Server) ServiceReport(service, name string, rep pick.Report) {
-	if t := s.picks.table(service); t != nil {
+	if t := s.pickTables.table(service); t != nil {
 		t.Report(s.now(), name, rep)
 	}
 }
 
 // pickTarget chooses the target of a plain call; avoid lists the targets on which it already failed.
 func (s *Server) pickTarget(service string, avoid []string) (string, bool) {
-	t := s.picks.table(service)
+	t := s.pickTables.table(service)
 	if t == nil {
 		return "", false
 	}
@@ -214,10 +216,10 @@
 }
 
 // targetsToAvoid joins the targets that failed a request with those where its content would run beside another suspect.
-func (s *Server) avoidFor(failed []string, fingerprint uint64) []string {
-	apart := s.opts.Poison.Avoid(s.now(), fingerprint)
-	if len(apart) == 0 {
+func (s *Server) targetsToAvoid(failed []string, fingerprint uint64) []string {
+	separate := s.opts.Poison.Avoid(s.now(), fingerprint)
+	if len(separate) == 0 {
 		return failed
 	}
-	return slices.Concat(failed, apart)
+	return slices.Concat(failed, separate)
 }
--- a/lib/entry/hedge.go
+++ b/lib/entry/hedge.go
@@ -11,11 +11,11 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errOvertaken cancels a hedged call that another target answered first.
-var errOvertaken = errors.New("another target answered first")
+// errOtherAnswered cancels a hedged call that another target answered first.
+var errOtherAnswered = errors.New("another target answered first")
 
 // hedgedCall is one of the concurrent calls made for a hedged request.
-type sending struct {
+type hedgedCall struct {
 	name   string
 	resp   *http.Response
 	err    error
@@ -29,35 +29,35 @@
 // status check without a deadline would wait for that target although a healthy one is available. A timeout instead would
 // fail calls that are merely slow; the second call leaves the first running and is charged to the retry budget.
 func (s *Server) sendHedged(ctx context.Context, pc *plainCall, name string, try uint32, avoid []string) (*http.Response, string, error) {
-	most := max(1, pc.policy.MaxAttempts)
-	answers := make(chan *sending, most)
-	under := []*sending{s.launch(ctx, pc, name, try, answers)}
+	maxCalls := max(1, pc.policy.MaxAttempts)
+	answers := make(chan *hedgedCall, maxCalls)
+	calls := []*hedgedCall{s.launchCall(ctx, pc, name, try, answers)}
 	avoid = append(slices.Clone(avoid), name)
-	quiet := time.NewTimer(pc.policy.StallFloor)
-	defer quiet.Stop()
-	var failed *sending
-	for left := 1; ; {
+	hedgeTimer := time.NewTimer(pc.policy.StallFloor)
+	defer hedgeTimer.Stop()
+	var failed *hedgedCall
+	for pending := 1; ; {
 		select {
-		case got := <-answers:
-			left--
-			if got.err == nil {
-				overtake(under, got, answers, left)
-				got.resp.Body = &sentBody{got.resp.Body, got.cancel}
-				return got.resp, got.name, nil
+		case done := <-answers:
+			pending--
+			if done.err == nil {
+				cancelOthers(calls, done, answers, pending)
+				done.resp.Body = &cancelOnClose{done.resp.Body, done.cancel}
+				return done.resp, done.name, nil
 			}
-			got.cancel(nil)
-			if failed = graver(failed, got); left == 0 {
+			done.cancel(nil)
+			if failed = moreSevere(failed, done); pending == 0 {
 				return nil, failed.name, failed.err
 			}
-			quiet.Reset(pc.policy.StallFloor) // wait for the remaining calls, or hedge again
-		case <-quiet.C:
-			if len(under) == most {
+			hedgeTimer.Reset(pc.policy.StallFloor) // wait for the remaining calls, or hedge again
+		case <-hedgeTimer.C:
+			if len(calls) == maxCalls {
 				continue
 			}
-			if other, ok := s.second(pc, avoid); ok {
-				under = append(under, s.launch(ctx, pc, other, try+uint32(len(under)), answers))
+			if other, ok := s.hedgeTarget(pc, avoid); ok {
+				calls = append(calls, s.launchCall(ctx, pc, other, try+uint32(len(calls)), answers))
 				avoid = append(avoid, other)
-				left++
+				pending++
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 
 // moreSevere returns the failure to report. That of a sent call takes precedence: a call that was never sent does not
 // prove that another was not.
-func graver(a, b *sending) *sending {
+func moreSevere(a, b *hedgedCall) *hedgedCall {
 	if a == nil || errors.Is(a.err, target.ErrNotSent) {
 		return b
 	}
@@ -73,8 +73,8 @@
 }
 
 // hedgeTarget picks a target for a further call, if the retry budget allows one.
-func (s *Server) second(pc *plainCall, avoid []string) (string, bool) {
-	name, ok := s.pickTarget(pc.service.Name, s.avoidFor(avoid, pc.subject.Fingerprint))
+func (s *Server) hedgeTarget(pc *plainCall, avoid []string) (string, bool) {
+	name, ok := s.pickTarget(pc.service.Name, s.targetsToAvoid(avoid, pc.subject.Fingerprint))
 	if !ok {
 		return "", false
 	}
@@ -85,28 +85,28 @@
 	return name, true
 }
 
-func (s *Server) launch(ctx context.Context, pc *plainCall, name string, try uint32, answers chan<- *sending) *sending {
+func (s *Server) launchCall(ctx context.Context, pc *plainCall, name string, try uint32, answers chan<- *hedgedCall) *hedgedCall {
 	ctx, cancel := context.WithCancelCause(ctx)
-	snd := &sending{name: name, cancel: cancel}
+	call := &hedgedCall{name: name, cancel: cancel}
 	go func() {
-		snd.resp, snd.err = s.sendOnce(ctx, pc, name, try)
-		answers <- snd
+		call.resp, call.err = s.sendOnce(ctx, pc, name, try)
+		answers <- call
 	}()
-	return snd
+	return call
 }
 
 // cancelOthers cancels all calls except the winner and closes the answers they still return.
-func overtake(under []*sending, got *sending, answers <-chan *sending, left int) {
-	for _, snd := range under {
-		if snd != got {
-			snd.cancel(errOvertaken)
+func cancelOthers(calls []*hedgedCall, winner *hedgedCall, answers <-chan *hedgedCall, pending int) {
+	for _, call := range calls {
+		if call != winner {
+			call.cancel(errOtherAnswered)
 		}
 	}
-	if left == 0 {
+	if pending == 0 {
 		return
 	}
 	go func() {
-		for range left {
+		for range pending {
 			if late := <-answers; late.err == nil {
 				_ = late.resp.Body.Close()
 			}
@@ -115,13 +115,13 @@
 }
 
 // cancelOnClose releases the call's context when the answer's body is closed.
-type sentBody struct {
+type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
 }
 
 // Close implements io.Closer.
-func (b *sentBody) Close() error {
+func (b *cancelOnClose) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel(nil)
 	return err
--- a/lib/entry/keyed_test.go
+++ b/lib/entry/keyed_test.go
@@ -20,10 +20,10 @@
 
 // memoryRecords is an in-memory Records shared by the entries of a test.
 type memoryRecords struct {
-	mu   sync.Mutex
-	recs map[string]*Record
-	stop bool // Put is ignored
-	lag  int  // number of last tokens that Get omits from each record
+	mu     sync.Mutex
+	recs   map[string]*Record
+	closed bool // Put is ignored
+	lag    int  // number of last tokens that Get omits from each record
 }
 
 func newMemoryRecords() *memoryRecords { return &memoryRecords{recs: map[string]*Record{}} }
@@ -31,14 +31,14 @@
 func (m *memoryRecords) Put(rec *Record, from int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.stop {
+	if m.closed {
 		return
 	}
-	whole := *rec
+	merged := *rec
 	if old := m.recs[rec.Key]; old != nil {
-		whole.Tokens = append(append([]string(nil), old.Tokens[:from]...), rec.Tokens...)
+		merged.Tokens = append(append([]string(nil), old.Tokens[:from]...), rec.Tokens...)
 	}
-	m.recs[rec.Key] = &whole
+	m.recs[rec.Key] = &merged
 }
 
 func (m *memoryRecords) Get(_ context.Context, _, key string) (*Record, *result.Error) {
@@ -48,7 +48,7 @@
 	if rec == nil {
 		return nil, result.New(result.UnknownStream, "key %s", key)
 	}
-	if !m.stop && !rec.Finished && !rec.Released {
+	if !m.closed && !rec.Finished && !rec.Released {
 		return nil, result.New(result.AlreadyRunning, "its entry lives")
 	}
 	out := *rec
@@ -64,7 +64,7 @@
 }
 
 // readSome reads n tokens and then closes the connection.
-func readSome(t *testing.T, r *rig, a ask, st *story, n int) {
+func readSome(t *testing.T, r *rig, a callerRequest, st *transcript, n int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -74,49 +74,49 @@
 	for range n {
 		e, ok := ev.next()
 		must.True(t, ok)
-		must.True(t, st.take(t, e))
+		must.True(t, st.add(t, e))
 	}
 }
 
 // The caller's connection breaks in the middle of a keyed stream. It reconnects with its key and Last-Event-ID, and must get
 // the rest of the same generation, which kept running: each token once.
-func TestCallerComesBackToTheSameEntry(t *testing.T) {
+func TestCallerReconnectsToSameEntry(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), withKeys(newMemoryStore().claims("e1"), newMemoryRecords()))
 	const prompt = "come back [len=80]"
-	var st story
-	readSome(t, r, ask{prompt: prompt, stream: true, key: "k"}, &st, 20)
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true, key: "k", last: st.lastID})
+	var st transcript
+	readSome(t, r, callerRequest{prompt: prompt, stream: true, key: "k"}, &st, 20)
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k", lastEvent: st.lastID})
 	st.read(t, eventsOf(resp), nil)
-	st.whole(t, prompt, 80)
+	st.checkComplete(t, prompt, 80)
 
-	var again story
-	again.read(t, eventsOf(r.send(context.Background(), ask{prompt: prompt, stream: true, key: "k"})), nil)
-	again.whole(t, prompt, 80)
+	var again transcript
+	again.read(t, eventsOf(r.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k"})), nil)
+	again.checkComplete(t, prompt, 80)
 	must.Eq(t, st.text.String(), again.text.String(), must.Sprint("a resend must give the same generation"))
 }
 
 // The caller sends its key again while its first connection is still open: nothing new may be started.
-func TestSecondRequestOfARunningKey(t *testing.T) {
+func TestConcurrentRequestWithSameKey(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), withKeys(newMemoryStore().claims("e1"), newMemoryRecords()))
 	const prompt = "twice [len=60]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true, key: "k"})
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k"})
+	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n != 5 {
 			return
 		}
-		must.Eq(t, result.AlreadyRunning, readError(t, r.send(context.Background(), ask{prompt: prompt, stream: true, key: "k"})).Code)
-		must.Eq(t, result.KeyReused, readError(t, r.send(context.Background(), ask{prompt: "other", stream: true, key: "k"})).Code)
+		must.Eq(t, result.AlreadyRunning, readError(t, r.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k"})).Code)
+		must.Eq(t, result.KeyReused, readError(t, r.send(context.Background(), callerRequest{prompt: "other", stream: true, key: "k"})).Code)
 	})
-	st.whole(t, prompt, 60)
+	st.checkComplete(t, prompt, 60)
 }
 
 // The entry that serves the caller dies. The caller asks another entry with its key and Last-Event-ID. That entry has only a
 // record that lags by some tokens. It must let an engine decode them again, and verify by the digest in the event ID that
 // they are the caller's tokens, before it sends the next one.
-func TestCallerComesBackThroughAnotherEntry(t *testing.T) {
+func TestCallerResumesThroughAnotherEntry(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
 	store, records := newMemoryStore(), newMemoryRecords()
@@ -124,18 +124,18 @@
 	first := newRig(t, text, withKeys(gate.claims("e1"), records))
 	second := newRig(t, text, withKeys(store.claims("e2", "e1"), records))
 	const prompt = "entry dies [len=80]"
-	var st story
-	readSome(t, first, ask{prompt: prompt, stream: true, key: "k"}, &st, 20)
-	for _, g := range first.server.table.running(nil) {
+	var st transcript
+	readSome(t, first, callerRequest{prompt: prompt, stream: true, key: "k"}, &st, 20)
+	for _, g := range first.server.table.appendRunning(nil) {
 		first.server.record(g, first.server.now(), true)
 	}
-	die(t, first, gate, records)
+	crash(t, first, gate, records)
 	records.lag = records.excess(st.tokens) + 7
 
-	resp := second.send(context.Background(), ask{prompt: prompt, stream: true, key: "k", last: st.lastID})
+	resp := second.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k", lastEvent: st.lastID})
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 	st.read(t, eventsOf(resp), nil)
-	st.whole(t, prompt, 80)
+	st.checkComplete(t, prompt, 80)
 }
 
 // excess returns the number of tokens that the only record holds beyond n.
@@ -146,13 +146,13 @@
 }
 
 // crash stops an entry like a crash: its records and claims no longer change, and its attempts end.
-func die(t *testing.T, r *rig, way *gate, records *memoryRecords) {
+func crash(t *testing.T, r *rig, storeGate *storeGate, records *memoryRecords) {
 	t.Helper()
-	way.shut()
+	storeGate.close()
 	records.mu.Lock()
-	records.stop = true
+	records.closed = true
 	records.mu.Unlock()
-	for _, g := range r.server.table.running(nil) {
+	for _, g := range r.server.table.appendRunning(nil) {
 		g.cancel(errCallerGone)
 	}
 	eventually(t, "first entry idle", func() bool { _, n := r.server.Counts(); return n == 0 })
@@ -160,7 +160,7 @@
 
 // As above, but the engine decodes different tokens the second time. The caller would get the start of one answer and the
 // rest of another; it must be told instead that the stream can't be resumed.
-func TestOtherTokensAreNotPassedForTheRest(t *testing.T) {
+func TestDivergentTokensNotDelivered(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
 	store, records := newMemoryStore(), newMemoryRecords()
@@ -168,15 +168,15 @@
 	first := newRig(t, text, withKeys(gate.claims("e1"), records))
 	second := newRig(t, text, withKeys(store.claims("e2", "e1"), records))
 	const prompt = "diverge [len=80]"
-	var st story
-	readSome(t, first, ask{prompt: prompt, stream: true, key: "k"}, &st, 20)
-	for _, g := range first.server.table.running(nil) {
+	var st transcript
+	readSome(t, first, callerRequest{prompt: prompt, stream: true, key: "k"}, &st, 20)
+	for _, g := range first.server.table.appendRunning(nil) {
 		first.server.record(g, first.server.now(), true)
 	}
-	die(t, first, gate, records)
+	crash(t, first, gate, records)
 	records.recs["k"].Tokens[3] = " sampled otherwise"
 
-	resp := second.send(context.Background(), ask{prompt: prompt, stream: true, key: "k", last: st.lastID})
+	resp := second.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k", lastEvent: st.lastID})
 	must.NotEq(t, http.StatusOK, resp.StatusCode)
 	code := readError(t, resp).Code
 	must.SliceContains(t, []result.Code{result.CannotResume, result.UnknownStream}, code)
@@ -184,7 +184,7 @@
 
 // Even without Last-Event-ID, a key whose claim is unfinished and whose entry died must lead to the recorded generation, from
 // its first token, and never to a second run.
-func TestClaimedKeyOfADeadEntryIsTakenOver(t *testing.T) {
+func TestClaimOfDeadEntryTakenOver(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
 	store, records := newMemoryStore(), newMemoryRecords()
@@ -192,20 +192,20 @@
 	first := newRig(t, text, withKeys(gate.claims("e1"), records))
 	second := newRig(t, text, withKeys(store.claims("e2", "e1"), records))
 	const prompt = "claimed [len=60]"
-	var st story
-	readSome(t, first, ask{prompt: prompt, stream: true, key: "k"}, &st, 10)
-	die(t, first, gate, records)
+	var st transcript
+	readSome(t, first, callerRequest{prompt: prompt, stream: true, key: "k"}, &st, 10)
+	crash(t, first, gate, records)
 
-	var again story
-	again.read(t, eventsOf(second.send(context.Background(), ask{prompt: prompt, stream: true, key: "k"})), nil)
-	again.whole(t, prompt, 60)
+	var again transcript
+	again.read(t, eventsOf(second.send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k"})), nil)
+	again.checkComplete(t, prompt, 60)
 	must.StrHasPrefix(t, st.text.String(), again.text.String())
 }
 
 // The caller of a keyed stream stays away for longer than CallerGrace, and the engine's memory is freed. When it returns,
 // through the same entry or through another while the first is alive, decoding must continue after the caller's tokens, and
 // it sees each token once.
-func TestCallerComesBackAfterItsGrace(t *testing.T) {
+func TestCallerReturnsAfterGrace(t *testing.T) {
 	for _, back := range []string{"same entry", "another entry"} {
 		t.Run(back, func(t *testing.T) {
 			e := startEngine(t, nil)
@@ -220,34 +220,34 @@
 			entries := map[string]*rig{"same entry": newRig(t, text, brief("e1")), "another entry": newRig(t, text, brief("e2"))}
 			first := entries["same entry"]
 			const prompt = "away [len=150]"
-			var st story
-			readSome(t, first, ask{prompt: prompt, stream: true, key: "k"}, &st, 10)
+			var st transcript
+			readSome(t, first, callerRequest{prompt: prompt, stream: true, key: "k"}, &st, 10)
 			eventually(t, "stopped", func() bool { _, n := first.server.Counts(); return n == 0 })
 			eventually(t, "engine idle", func() bool {
 				rep, err := first.server.Client("planner-1").Load(context.Background())
 				return err == nil && rep.Running == 0
 			})
-			eventually(t, "caller_gone in the claim", func() bool { return store.holds(`"code":4004`) == 1 })
-			resp := entries[back].send(context.Background(), ask{prompt: prompt, stream: true, key: "k", last: st.lastID})
+			eventually(t, "caller_gone in the claim", func() bool { return store.countContaining(`"code":4004`) == 1 })
+			resp := entries[back].send(context.Background(), callerRequest{prompt: prompt, stream: true, key: "k", lastEvent: st.lastID})
 			must.Eq(t, http.StatusOK, resp.StatusCode)
 			st.read(t, eventsOf(resp), nil)
-			st.whole(t, prompt, 150)
+			st.checkComplete(t, prompt, 150)
 		})
 	}
 }
 
 // A caller that stops reading occupies a buffer here and memory at the engine. Both must be released after the configured
 // bounds, long before the answer would have ended.
-func TestSlowCallerIsGivenUp(t *testing.T) {
+func TestSlowCallerCancelled(t *testing.T) {
 	e := startEngine(t, func(c *engine.Config) {
 		c.Engine.StepBase, c.Engine.StepPerSeq, c.Engine.StepPerContext = 50*time.Microsecond, 0, 0
 	})
-	policy := "  slow_reader_buffer: 50\n  slow_reader_wait: 100ms\n"
-	r := newRig(t, siteText(policy, true, []string{e.Addr()}, nil), nil)
+	policyLines := "  slow_reader_buffer: 50\n  slow_reader_wait: 100ms\n"
+	r := newRig(t, siteText(policyLines, true, []string{e.Addr()}, nil), nil)
 	sendUnread(t, r, `{"model":"planner-llm","prompt":"unread [len=40000]","stream":true}`)
 	var g *generation
 	eventually(t, "a generation", func() bool {
-		gens := r.server.table.running(nil)
+		gens := r.server.table.appendRunning(nil)
 		if len(gens) == 1 {
 			g = gens[0]
 		}
@@ -273,34 +273,34 @@
 
 // A keyed answer completed and no record is left. Another entry must answer a resend from the claim, and the engine runs
 // nothing.
-func TestFinishedGenerationIsAnsweredFromItsClaim(t *testing.T) {
+func TestFinishedGenerationAnsweredFromClaim(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
 	store := newMemoryStore()
 	first := newRig(t, text, withKeys(store.claims("e1"), nil))
 	second := newRig(t, text, withKeys(store.claims("e2"), nil))
-	a := ask{prompt: "once [len=12]", key: "k"}
+	a := callerRequest{prompt: "once [len=12]", key: "k"}
 	want, err := io.ReadAll(first.send(context.Background(), a).Body)
 	must.NoError(t, err)
-	eventually(t, "outcome in the table", func() bool { return store.holds(`"state":"finished"`) == 1 })
+	eventually(t, "outcome in the table", func() bool { return store.countContaining(`"state":"finished"`) == 1 })
 	resp := second.send(context.Background(), a)
 	must.Eq(t, http.StatusOK, resp.StatusCode)
 	got, err := io.ReadAll(resp.Body)
 	must.NoError(t, err)
 	must.Eq(t, string(want), string(got))
-	streamed := second.send(context.Background(), ask{prompt: "once [len=12]", key: "k", stream: true})
+	streamed := second.send(context.Background(), callerRequest{prompt: "once [len=12]", key: "k", stream: true})
 	must.Eq(t, result.KeyReused, readError(t, streamed).Code)
 }
 
 // A keyed generation was marked as sent, and its claim was then released because no engine had accepted it. The resend must
 // number its attempts after that one; starting from 1 again, it would be stopped as out of order.
-func TestReleasedGenerationRunsWhenItIsSentAgain(t *testing.T) {
+func TestReleasedGenerationRunsOnResend(t *testing.T) {
 	addr := freeAddr(t)
 	store := newMemoryStore()
 	r := newRig(t, siteText("  max_wait: 300ms\n", true, []string{addr}, nil), withKeys(store.claims("e1"), newMemoryRecords()))
-	a := ask{prompt: "route [len=5]", key: "k"}
+	a := callerRequest{prompt: "route [len=5]", key: "k"}
 	must.Eq(t, result.NotRun, result.Lookup(readError(t, r.send(t.Context(), a)).Code).Outcome)
-	eventually(t, "claim released", func() bool { return store.holds(`"state":"released"`) == 1 })
+	eventually(t, "claim released", func() bool { return store.countContaining(`"state":"released"`) == 1 })
 	startEngine(t, func(c *engine.Config) { c.Addr = addr })
 	eventually(t, "a whole answer", func() bool { return r.send(t.Context(), a).StatusCode == http.StatusOK })
 }
@@ -308,19 +308,19 @@
 // A keyed stream completed, its record and answer are gone, and its caller lost the connection before the end. The caller
 // resends, with and without its last event ID. If it were told "refused, not run", it would resend under a new key and pay
 // for the stream twice.
-func TestResendOfALostStreamIsNotToldNotRun(t *testing.T) {
+func TestResendOfLostStreamNotReportedNotRun(t *testing.T) {
 	e := startEngine(t, nil)
 	text := siteText("", true, []string{e.Addr()}, nil)
 	store := newMemoryStore()
 	first := newRig(t, text, withKeys(store.claims("e1"), newMemoryRecords()))
 	second := newRig(t, text, withKeys(store.claims("e2", "e1"), newMemoryRecords()))
-	a := ask{prompt: "lost [len=30]", stream: true, key: "k"}
-	var st story
+	a := callerRequest{prompt: "lost [len=30]", stream: true, key: "k"}
+	var st transcript
 	st.read(t, eventsOf(first.send(context.Background(), a)), nil)
-	st.whole(t, a.prompt, 30)
-	eventually(t, "outcome in the table", func() bool { return store.holds(`"state":"finished"`) == 1 })
+	st.checkComplete(t, a.prompt, 30)
+	eventually(t, "outcome in the table", func() bool { return store.countContaining(`"state":"finished"`) == 1 })
 	for _, last := range []string{"", st.lastID} {
-		a.last = last
+		a.lastEvent = last
 		again := readError(t, second.send(context.Background(), a))
 		must.NotEq(t, result.NotRun, result.Lookup(again.Code).Outcome, must.Sprint(again))
 		must.Eq(t, result.Lookup(again.Code).Outcome.String(), again.Outcome)
@@ -330,7 +330,7 @@
 // A keyed generation is sent to an engine that accepts it and gives no token; it continues on another engine, and then its
 // entry dies. The next entry asks the first engine, which proves that it never ran the generation. If the claim still named
 // that engine, the proof would let the key run a second time from the start.
-func TestClaimNamesTheEngineThatRanFirst(t *testing.T) {
+func TestClaimNamesEngineOfFirstToken(t *testing.T) {
 	a, b := startEngine(t, nil), startEngine(t, nil)
 	store := newMemoryStore()
 	r := newRig(t, siteText("", true, []string{a.Addr(), b.Addr()}, nil), withKeys(store.claims("e1"), newMemoryRecords()))
@@ -340,11 +340,11 @@
 	}
 	first, second := make(chan string, 1), make(chan string, 1)
 	go func() {
-		for store.holds(`"state":"sent"`) == 0 {
+		for store.countContaining(`"state":"sent"`) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		names := []string{"planner-1", "planner-2"}
-		if store.holds(`"target":"planner-2"`) == 1 {
+		if store.countContaining(`"target":"planner-2"`) == 1 {
 			slices.Reverse(names)
 		}
 		first <- names[0]
@@ -352,8 +352,8 @@
 		engines[names[1]].Order(engine.Fault{Kind: engine.FaultHealthy})
 	}()
 	prompt := "first engine silent [len=400]"
-	var st story
-	readSome(t, r, ask{prompt: prompt, stream: true, key: "k"}, &st, 5)
-	must.Eq(t, 0, store.holds(fmt.Sprintf(`"target":%q`, <-first)))
-	must.Eq(t, 1, store.holds(fmt.Sprintf(`"target":%q`, <-second)))
+	var st transcript
+	readSome(t, r, callerRequest{prompt: prompt, stream: true, key: "k"}, &st, 5)
+	must.Eq(t, 0, store.countContaining(fmt.Sprintf(`"target":%q`, <-first)))
+	must.Eq(t, 1, store.countContaining(fmt.Sprintf(`"target":%q`, <-second)))
 }
--- a/lib/entry/moved_test.go
+++ b/lib/entry/moved_test.go
@@ -17,7 +17,7 @@
 )
 
 // preemptingPlacer is a Placer that lets a test preempt granted attempts.
-type mover struct {
+type preemptingPlacer struct {
 	placer.Placer
 	mu     sync.Mutex
 	last   sched.Request
@@ -25,14 +25,14 @@
 	ends   []sched.EndReason
 }
 
-func (m *mover) Submit(service string, r sched.Request, notify placer.Notify) {
+func (m *preemptingPlacer) Submit(service string, r sched.Request, notify placer.Notify) {
 	m.mu.Lock()
 	m.last, m.notify = r, notify
 	m.mu.Unlock()
 	m.Placer.Submit(service, r, notify)
 }
 
-func (m *mover) End(service string, g ids.Generation, attempt uint32, tokens int, reason sched.EndReason) {
+func (m *preemptingPlacer) End(service string, g ids.Generation, attempt uint32, tokens int, reason sched.EndReason) {
 	m.mu.Lock()
 	m.ends = append(m.ends, reason)
 	m.mu.Unlock()
@@ -40,7 +40,7 @@
 }
 
 // preempt preempts an attempt: 0 is the current one, 1 the one before.
-func (m *mover) preempt(back uint32) {
+func (m *preemptingPlacer) preempt(back uint32) {
 	m.mu.Lock()
 	r, notify := m.last, m.notify
 	m.mu.Unlock()
@@ -49,16 +49,16 @@
 
 // The engines' owner preempts a running attempt twice, and once an attempt that ended long ago. The caller may only see a
 // pause: each token once, of one generation.
-func TestMovedGenerationGoesOn(t *testing.T) {
+func TestMovedGenerationResumes(t *testing.T) {
 	a, b := startEngine(t, nil), startEngine(t, nil)
-	m := &mover{}
+	m := &preemptingPlacer{}
 	r := newRig(t, siteText("", true, []string{a.Addr(), b.Addr()}, nil), func(o *Options) {
 		m.Placer = o.Placer
 		o.Placer = m
 	})
 	const prompt = "moved [len=90]"
-	var st story
-	st.read(t, eventsOf(r.send(context.Background(), ask{prompt: prompt, stream: true})), func(n int) {
+	var st transcript
+	st.read(t, eventsOf(r.send(context.Background(), callerRequest{prompt: prompt, stream: true})), func(n int) {
 		switch n {
 		case 10, 40:
 			m.preempt(0)
@@ -66,7 +66,7 @@
 			m.preempt(1)
 		}
 	})
-	st.whole(t, prompt, 90)
+	st.checkComplete(t, prompt, 90)
 	must.Eq(t, []sched.EndReason{sched.EndMoved, sched.EndMoved, sched.EndCompleted}, m.ends)
 }
 
@@ -75,8 +75,8 @@
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), withKeys(newMemoryStore().claims("e1"), newMemoryRecords()))
 	const key = "the-callers-idempotency-key"
-	resp := r.send(context.Background(), ask{prompt: "logged [len=5]", stream: true, key: key})
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: "logged [len=5]", stream: true, key: key})
+	var st transcript
 	st.read(t, eventsOf(resp), nil)
 	id := resp.Header.Get("X-Request-Id")
 	eventually(t, "request_end", func() bool { return strings.Contains(logged.String(), "event=request_end request="+id) })
--- a/lib/entry/plain.go
+++ b/lib/entry/plain.go
@@ -20,19 +20,19 @@
 // plainCall is one caller's call to a plain service.
 type plainCall struct {
 	*request
-	service *settings.Service
-	route   *settings.Route
-	policy  *settings.Policy
-	subject Subject
-	call    target.Call
-	claim   Claim
-	first   uint32         // attempt number of the first try under the claim
-	kept    *claim.Summary // stored answer of an earlier run under the same key
-	answer  []byte         // start of the answer, stored in the claim
-
-	maySent  bool // some target may have received it
-	complete bool // the whole answer was read, even if the caller disconnected
-	metrics  *entrymetrics.Pair
+	service      *settings.Service
+	route        *settings.Route
+	policy       *settings.Policy
+	subject      Subject
+	call         target.Call
+	claim        Claim
+	firstAttempt uint32         // attempt number of the first try under the claim
+	replay       *claim.Summary // stored answer of an earlier run under the same key
+	answer       []byte         // start of the answer, stored in the claim
+
+	mayHaveSent bool // some target may have received it
+	complete    bool // the whole answer was read, even if the caller disconnected
+	metrics     *entrymetrics.Pair
 }
 
 // servePlain routes requests of any method and path to a plain service.
@@ -53,8 +53,8 @@
 		return
 	}
 	defer release()
-	if pc.kept != nil {
-		writeKept(w, pc.kept)
+	if pc.replay != nil {
+		writeReplayed(w, pc.replay)
 		return
 	}
 	s.runPlain(w, r, pc)
@@ -62,7 +62,7 @@
 
 func (s *Server) readPlain(w http.ResponseWriter, r *http.Request, rq *request) (*plainCall, *result.Error) {
 	pc := &plainCall{request: rq}
-	if pc.service, pc.route = rq.view.snap.LookupRoute(r.Method, r.URL.Path); pc.service == nil {
+	if pc.service, pc.route = rq.view.snapshot.LookupRoute(r.Method, r.URL.Path); pc.service == nil {
 		return nil, result.New(result.NoRoute, "%s %s", r.Method, r.URL.Path)
 	}
 	var err *result.Error
@@ -77,11 +77,11 @@
 	header.Del("Authorization") // the workspace's key must not reach targets
 	header.Set(callerapi.HeaderRequestID, rq.id)
 	pc.call = target.Call{
-		Method: r.Method,
-		Path:   r.URL.RequestURI(),
-		Header: header,
-		Body:   body,
-		Once:   !pc.route.Idempotent,
+		Method:   r.Method,
+		Path:     r.URL.RequestURI(),
+		Header:   header,
+		Body:     body,
+		NoResend: !pc.route.Idempotent,
 	}
 	pc.subject = Subject{
 		Service:     pc.service.Name,
@@ -102,7 +102,7 @@
 
 // admitPlain runs the checks that precede sending. The claim comes last, since it costs a write.
 func (s *Server) admitPlain(ctx context.Context, pc *plainCall) (func(), *result.Error) {
-	if err := s.clean(ctx, pc.subject.Fingerprint); err != nil {
+	if err := s.checkPoison(ctx, pc.subject.Fingerprint); err != nil {
 		return nil, err
 	}
 	release, err := s.opts.Limiter.Acquire(ctx, pc.subject, pc.policy)
@@ -121,7 +121,7 @@
 
 // runPlain sends the call and relays the answer.
 func (s *Server) runPlain(w http.ResponseWriter, r *http.Request, pc *plainCall) {
-	ctx, cancel := pc.limit(r.Context())
+	ctx, cancel := pc.boundContext(r.Context())
 	defer cancel()
 	s.opts.Budgets.Deposit(s.now(), pc.subject.Workspace, pc.policy.RetryBudget)
 	resp, name, err := s.sendPlain(ctx, pc)
@@ -142,17 +142,17 @@
 	callerapi.WriteError(w, err, pc.id)
 }
 
-// claimedLimit is the time limit of a claimed call without a deadline, since such a call outlives its caller.
-const claimedLimit = 10 * time.Minute
+// claimedTimeout is the time limit of a claimed call without a deadline, since such a call outlives its caller.
+const claimedTimeout = 10 * time.Minute
 
 // boundContext bounds a call by its deadline and by the caller's connection. A claimed call continues when its caller
 // disconnects: cancelling it would turn an outcome that is about to be known into an unknown one.
-func (pc *plainCall) limit(ctx context.Context) (context.Context, context.CancelFunc) {
+func (pc *plainCall) boundContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline := pc.deadline(pc.policy)
 	if pc.claim != nil {
 		ctx = context.WithoutCancel(ctx)
 		if deadline.IsZero() {
-			deadline = pc.accepted.Add(claimedLimit)
+			deadline = pc.accepted.Add(claimedTimeout)
 		}
 	}
 	if deadline.IsZero() {
@@ -161,7 +161,7 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-func (pc *plainCall) noTarget(mayHaveRun bool) *result.Error {
+func (pc *plainCall) noTargetError(mayHaveRun bool) *result.Error {
 	if mayHaveRun {
 		return result.New(result.Unknown, "no other target can take it")
 	}
@@ -170,7 +170,7 @@
 	return err
 }
 
-func (pc *plainCall) gaveUp(mayHaveRun bool, cause error) *result.Error {
+func (pc *plainCall) giveUpError(mayHaveRun bool, cause error) *result.Error {
 	if mayHaveRun {
 		return result.Wrap(unknownCode(cause), cause, "get a target's answer")
 	}
@@ -188,7 +188,7 @@
 }
 
 // endedError returns the error for a call whose deadline passed or whose caller disconnected.
-func (pc *plainCall) ended(ctx context.Context, mayHaveRun bool, cause error) *result.Error {
+func (pc *plainCall) endedError(ctx context.Context, mayHaveRun bool, cause error) *result.Error {
 	if !mayHaveRun {
 		err := result.Wrap(result.DeadlineTooNear, cause, "reach a target before the deadline")
 		err.RetryAfter = time.Second
@@ -204,10 +204,10 @@
 func (s *Server) endPlain(pc *plainCall, name string, resp *http.Response, err *result.Error) {
 	code := codeOf(err)
 	pc.settleClaim(resp, err)
-	took := s.now().Sub(pc.accepted)
-	pc.metrics.Duration.Update(took.Seconds())
+	elapsed := s.now().Sub(pc.accepted)
+	pc.metrics.Duration.Update(elapsed.Seconds())
 	pc.metrics.Result(code)
 	e := log.Info().Str("event", "call_end").Str("request", pc.id).Str("workspace", pc.workspace.Name).Str("class", pc.class)
 	e = e.Str("service", pc.service.Name).Str("target", name).Uint16("code", uint16(code))
-	e.Str("result", result.Lookup(code).Name).Int64("took_ms", took.Milliseconds()).Msg("")
+	e.Str("result", result.Lookup(code).Name).Int64("took_ms", elapsed.Milliseconds()).Msg("")
 }
--- a/lib/entry/plain_test.go
+++ b/lib/entry/plain_test.go
@@ -42,7 +42,7 @@
 	return resp
 }
 
-func TestPlainCallIsPassedOn(t *testing.T) {
+func TestPlainCallForwarded(t *testing.T) {
 	p := startPlain(t, "one")
 	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), nil)
 	resp := r.call(http.MethodPut, "/dispatch/crew/7?x=1", "", "go")
@@ -57,7 +57,7 @@
 // The target executes a non-idempotent call and dies before it answers, or the connection breaks. Sending the call to the
 // other target could execute it twice, here dispatching two crews. The caller must be told that the outcome is unknown, and
 // no target may execute the call again.
-func TestNonIdempotentCallIsNeverSentTwice(t *testing.T) {
+func TestNonIdempotentCallNeverSentTwice(t *testing.T) {
 	for _, fault := range []string{plain.FaultDieAfter, plain.FaultCutAfter, plain.FaultCutBefore, plain.FaultDieBefore} {
 		t.Run(fault, func(t *testing.T) {
 			a, b := startPlain(t, "a"), startPlain(t, "b")
@@ -77,7 +77,7 @@
 
 // Because of the Idempotency-Key, net/http considers a request replayable when a reused connection breaks. The call must
 // still reach one target only once.
-func TestKeyedCallIsNotResentByTheTransport(t *testing.T) {
+func TestKeyedCallNotResentByTransport(t *testing.T) {
 	a := startPlain(t, "a")
 	store := newMemoryStore()
 	r := newRig(t, siteText("", true, nil, []string{a.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
@@ -87,7 +87,7 @@
 	must.Eq(t, result.Unknown, readError(t, resp).Code)
 	must.Eq(t, 1, a.Executions()["k1"]+a.Executions()["crew"])
 	for _, entry := range []*rig{r, newRig(t, siteText("", true, nil, []string{a.Addr()}), func(o *Options) { o.Claims = store.claims("e2") })} {
-		eventually(t, "outcome in the table", func() bool { return store.holds(`"state":"finished"`) == 2 })
+		eventually(t, "outcome in the table", func() bool { return store.countContaining(`"state":"finished"`) == 2 })
 		resp = entry.call(http.MethodPost, "/dispatch/send?id=crew", "k1", "")
 		must.Eq(t, result.Unknown, readError(t, resp).Code)
 	}
@@ -96,7 +96,7 @@
 
 // One target refuses connections. Nothing was sent to it, so even a non-idempotent call goes to the next one. If no target
 // is reachable, the caller must be told "not run", and its claim is released so that it may retry.
-func TestRefusedBeforeSendIsNotRun(t *testing.T) {
+func TestConnectionRefusedReportsNotRun(t *testing.T) {
 	b := startPlain(t, "b")
 	store := newMemoryStore()
 	r := newRig(t, siteText("", true, nil, []string{"127.0.0.1:3", b.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
@@ -110,13 +110,13 @@
 	e := readError(t, resp)
 	must.Eq(t, result.NoTarget, e.Code)
 	must.Eq(t, result.NotRun.String(), e.Outcome)
-	eventually(t, "claim released", func() bool { return store.holds(`"state":"released"`) == 1 })
+	eventually(t, "claim released", func() bool { return store.countContaining(`"state":"released"`) == 1 })
 }
 
 // A keyed call found no target, so its caller was told "not run, retry later" and its claim was released. It retries, here
 // and through another entry, once a target is back. Attempt numbers must continue after those marked in the claim: starting
 // from 1 again, the resend would be stopped as out of order and the key would never become free.
-func TestReleasedKeyRunsWhenItIsSentAgain(t *testing.T) {
+func TestReleasedKeyRunsOnResend(t *testing.T) {
 	for _, back := range []string{"e1", "e2"} {
 		t.Run("through "+back, func(t *testing.T) {
 			addr := freeAddr(t)
@@ -127,7 +127,7 @@
 				rigs[name] = newRig(t, text, func(o *Options) { o.Claims = store.claims(name) })
 			}
 			must.Eq(t, result.NoTarget, readError(t, rigs["e1"].call(http.MethodPost, "/dispatch/send", "k", "go")).Code)
-			eventually(t, "claim released", func() bool { return store.holds(`"state":"released"`) == 1 })
+			eventually(t, "claim released", func() bool { return store.countContaining(`"state":"released"`) == 1 })
 			p, err := plain.Start(plain.Config{Addr: addr, Name: "back", Die: func() {}})
 			must.NoError(t, err)
 			t.Cleanup(p.Kill)
@@ -146,7 +146,7 @@
 }
 
 // A finished keyed call is sent again: the caller must get the first answer, and the target runs nothing.
-func TestFinishedKeyIsAnsweredFromItsClaim(t *testing.T) {
+func TestFinishedKeyAnsweredFromClaim(t *testing.T) {
 	p := startPlain(t, "one")
 	store := newMemoryStore()
 	text := siteText("", true, nil, []string{p.Addr()})
@@ -154,7 +154,7 @@
 	second := newRig(t, text, func(o *Options) { o.Claims = store.claims("e2") })
 	want, err := io.ReadAll(first.call(http.MethodPost, "/dispatch/send", "k", "go").Body)
 	must.NoError(t, err)
-	eventually(t, "outcome in the table", func() bool { return store.holds(`"state":"finished"`) == 1 })
+	eventually(t, "outcome in the table", func() bool { return store.countContaining(`"state":"finished"`) == 1 })
 	for _, r := range []*rig{first, second} {
 		resp := r.call(http.MethodPost, "/dispatch/send", "k", "go")
 		must.Eq(t, http.StatusOK, resp.StatusCode)
@@ -169,7 +169,7 @@
 
 // The entry dies after the call was sent and before the answer arrived. Whether it ran can't be known; a resend through
 // another entry must say so and run nothing.
-func TestEntryDiesWithASentCall(t *testing.T) {
+func TestEntryDiesAfterCallSent(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultHang})
 	store := newMemoryStore()
@@ -187,7 +187,7 @@
 		}
 	}()
 	eventually(t, "executed", func() bool { return p.Executions()["k"] == 1 })
-	gate.shut()
+	gate.close()
 	e := readError(t, second.call(http.MethodPost, "/dispatch/send", "k", "go"))
 	must.Eq(t, result.ClaimOrphan, e.Code)
 	must.Eq(t, result.OutcomeUnknown.String(), e.Outcome)
@@ -213,7 +213,7 @@
 // A target breaks every connection while status checks arrive continuously. Each check may be repeated, so the other target
 // must answer it. The retries are charged to the budget earned by earlier traffic, and are few because the breaker opens
 // after the first failures.
-func TestStatusChecksAreAnsweredWhileALinkRetires(t *testing.T) {
+func TestIdempotentCallsAnsweredWhileTargetFails(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("", true, nil, []string{a.Addr(), b.Addr()}), nil)
 	for i := range 30 {
@@ -230,7 +230,7 @@
 
 // A target freezes: it accepts connections and never answers, and the calls have no deadline. The healthy target must answer
 // the status checks, and soon without hedging, since each hedged call is charged to the retry budget.
-func TestStatusChecksAreAnsweredBesideAFrozenTarget(t *testing.T) {
+func TestIdempotentCallsAnsweredBesideFrozenTarget(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("", true, nil, []string{a.Addr(), b.Addr()}), nil)
 	for i := range 30 {
@@ -253,7 +253,7 @@
 
 // One target executes a status check and never answers, and the hedged call can't reach the other. That the second call was
 // not sent proves nothing about the first: the caller must not be told "not run".
-func TestSecondCallNotSentDoesNotProveTheFirst(t *testing.T) {
+func TestUnsentHedgeDoesNotProveNotRun(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("  deadline: 1s\n", true, nil, []string{a.Addr(), b.Addr()}), nil)
 	for i := range 30 {
@@ -268,7 +268,7 @@
 }
 
 // A target executes a call and never answers: at the deadline the outcome is unknown.
-func TestSilentTargetIsUnknown(t *testing.T) {
+func TestDeadlineAtSilentTargetIsUnknown(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultHang})
 	r := newRig(t, siteText("  deadline: 100ms\n", true, nil, []string{p.Addr()}), nil)
@@ -277,7 +277,7 @@
 }
 
 // The answer is cut in the middle. The caller must see a broken answer, never a short one that looks complete.
-func TestCutAnswerIsSeen(t *testing.T) {
+func TestTruncatedAnswerIsError(t *testing.T) {
 	p := startPlain(t, "one")
 	p.Order(plain.Fault{Kind: plain.FaultCutBody})
 	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), nil)
@@ -286,13 +286,13 @@
 }
 
 // HTTP/1.0 callers understand no chunked encoding: the answer must have a length, so that a truncated one can be detected.
-func TestOldCaller(t *testing.T) {
+func TestHTTP10Caller(t *testing.T) {
 	p := startPlain(t, "one")
 	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), nil)
 	conn, err := net.Dial("tcp", r.http.Listener.Addr().String())
 	must.NoError(t, err)
 	defer conn.Close()
-	must.NoError(t, conn.SetDeadline(time.Now().Add(waitMost)))
+	must.NoError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = fmt.Fprintf(conn, "GET /dispatch/status/9 HTTP/1.0\r\nAuthorization: Bearer %s\r\n\r\n", testKey)
 	must.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -304,24 +304,24 @@
 
 // The caller of a claimed call disconnects before the answer arrives. The call must continue, and a resend gets the stored
 // answer; cancelled with its caller, it would have ended as "outcome unknown" permanently.
-func TestClaimedCallGoesOnWithoutItsCaller(t *testing.T) {
-	p := startPlain(t, "one")
-	p.Order(plain.Fault{Kind: plain.FaultDelay, MS: 200})
+func TestClaimedCallOutlivesCaller(t *testing.T) {
+	target := startPlain(t, "one")
+	target.Order(plain.Fault{Kind: plain.FaultDelay, MS: 200})
 	store := newMemoryStore()
-	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
+	r := newRig(t, siteText("", true, nil, []string{target.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.http.URL+"/dispatch/send", strings.NewReader("go"))
 	must.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	req.Header.Set(callerapi.HeaderKey, "k")
 	go func() {
-		eventually(t, "executed", func() bool { return p.Executions()["k"] == 1 })
+		eventually(t, "executed", func() bool { return target.Executions()["k"] == 1 })
 		cancel()
 	}()
 	_, err = http.DefaultClient.Do(req)
 	must.ErrorIs(t, err, context.Canceled)
-	eventually(t, "outcome in the table", func() bool { return store.holds(`"code":1000`) == 1 })
+	eventually(t, "outcome in the table", func() bool { return store.countContaining(`"code":1000`) == 1 })
 	resp := r.call(http.MethodPost, "/dispatch/send", "k", "go")
 	must.Eq(t, http.StatusOK, resp.StatusCode)
-	must.Eq(t, 1, p.Executions()["k"])
+	must.Eq(t, 1, target.Executions()["k"])
 }
--- a/lib/entry/plainclaim.go
+++ b/lib/entry/plainclaim.go
@@ -20,13 +20,13 @@
 	case err != nil:
 		return err
 	case sum != nil && sum.Code == result.OK && sum.Kept:
-		pc.kept = sum
+		pc.replay = sum
 		return nil
 	case sum != nil:
-		return retold(sum)
+		return replayedError(sum)
 	}
 	pc.claim = c
-	pc.first = c.FirstAttempt()
+	pc.firstAttempt = c.FirstAttempt()
 	return nil
 }
 
@@ -35,7 +35,7 @@
 	if pc.claim == nil {
 		return nil
 	}
-	if err := pc.claim.Sent(ctx, name, pc.first+try-1); err != nil {
+	if err := pc.claim.Sent(ctx, name, pc.firstAttempt+try-1); err != nil {
 		pc.claim = nil
 		return err
 	}
@@ -62,10 +62,10 @@
 }
 
 // retainAnswer keeps the start of the answer for the claim. One byte beyond the limit marks the answer as too long to store.
-func (pc *plainCall) keep(chunk []byte) {
+func (pc *plainCall) retainAnswer(chunk []byte) {
 	if pc.claim == nil {
 		return
 	}
-	room := claim.DefaultMaxBody + 1 - len(pc.answer)
-	pc.answer = append(pc.answer, chunk[:min(room, len(chunk))]...)
+	free := claim.DefaultMaxBody + 1 - len(pc.answer)
+	pc.answer = append(pc.answer, chunk[:min(free, len(chunk))]...)
 }
--- a/lib/entry/plainsend.go
+++ b/lib/entry/plainsend.go
@@ -23,21 +23,21 @@
 	var avoid []string
 	mayHaveRun := false
 	for try := 1; ; try++ {
-		name, ok := s.pickTarget(pc.service.Name, s.avoidFor(avoid, pc.subject.Fingerprint))
+		name, ok := s.pickTarget(pc.service.Name, s.targetsToAvoid(avoid, pc.subject.Fingerprint))
 		if !ok {
-			return nil, "", pc.noTarget(mayHaveRun)
+			return nil, "", pc.noTargetError(mayHaveRun)
 		}
 		resp, name, err := s.send(ctx, pc, name, uint32(try), avoid)
 		if err == nil {
-			s.readRest(pc.service.Name, name, resp)
+			s.observeRetryAfter(pc.service.Name, name, resp)
 			return resp, name, nil
 		}
 		sent := !errors.Is(err, target.ErrNotSent)
 		mayHaveRun = mayHaveRun || sent
-		pc.maySent = mayHaveRun
+		pc.mayHaveSent = mayHaveRun
 		logline.Cause(log.Info().Str("event", "call_failed").Str("request", pc.id).Str("target", name).Bool("sent", sent), err)
 		avoid = append(avoid, name)
-		if final := s.mayRepeat(ctx, pc, try, sent, mayHaveRun, err); final != nil {
+		if final := s.checkRepeat(ctx, pc, try, sent, mayHaveRun, err); final != nil {
 			return nil, name, final
 		}
 		pc.metrics.Retries.Inc()
@@ -45,11 +45,11 @@
 }
 
 // observeRetryAfter pauses a target that answered 503 for the time in its Retry-After header.
-func (s *Server) readRest(service, name string, resp *http.Response) {
+func (s *Server) observeRetryAfter(service, name string, resp *http.Response) {
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		return
 	}
-	if t := s.picks.table(service); t != nil {
+	if t := s.pickTables.table(service); t != nil {
 		t.PauseUntil(name, s.now().Add(retry.After(resp.Header, s.now())))
 	}
 }
@@ -75,9 +75,9 @@
 	}
 	ticket, _, ok := s.opts.Breakers.Allow(s.now(), name)
 	if !ok {
-		return nil, errors.Join(target.ErrNotSent, errOpen)
+		return nil, errors.Join(target.ErrNotSent, errCircuitOpen)
 	}
-	if err := invariant.Check(!pc.call.Once || !pc.maySent, "sent_once", "request %s again to %s", pc.id, name); err != nil {
+	if err := invariant.Check(!pc.call.NoResend || !pc.mayHaveSent, "sent_once", "request %s again to %s", pc.id, name); err != nil {
 		return nil, err
 	}
 	if err := pc.markSent(ctx, name, try); err != nil {
@@ -87,7 +87,7 @@
 	ran := s.opts.Poison.Started(name, pc.subject.Fingerprint)
 	resp, err := pc.doBounded(ctx, c)
 	ticket.Done(s.now(), callOutcome(ctx, err))
-	s.settleCall(ctx, c, ran, err)
+	s.reportCallToPoison(ctx, c, ran, err)
 	return resp, err
 }
 
@@ -98,7 +98,7 @@
 	switch {
 	case err == nil:
 		return breaker.Success
-	case errors.Is(context.Cause(ctx), errOvertaken):
+	case errors.Is(context.Cause(ctx), errOtherAnswered):
 		return breaker.Failure
 	case errors.Is(ctx.Err(), context.Canceled):
 		return breaker.Ignored
@@ -108,7 +108,7 @@
 
 // reportCallToPoison reports a call's end to the poison table. A target that refuses connections right after it broke one
 // is considered dead.
-func (s *Server) settleCall(ctx context.Context, c *target.Client, ran poison.Run, err error) {
+func (s *Server) reportCallToPoison(ctx context.Context, c *target.Client, ran poison.Run, err error) {
 	switch {
 	case err == nil:
 		s.opts.Poison.Finished(s.now(), ran)
@@ -117,7 +117,7 @@
 		pctx, cancel := context.WithTimeout(ctx, deathProbeTimeout)
 		defer cancel()
 		if _, perr := c.ServiceLoad(pctx); errors.Is(perr, syscall.ECONNREFUSED) {
-			s.tellDeath(ran, c.Name(), uint64(s.now().Unix())/uint64(plainDeathSpan.Seconds()))
+			s.reportDeath(ran, c.Name(), uint64(s.now().Unix())/uint64(plainDeathWindow.Seconds()))
 			return
 		}
 	}
@@ -125,23 +125,23 @@
 }
 
 // checkRepeat returns nil if the call may be sent to another target, else the error for the caller.
-func (s *Server) mayRepeat(ctx context.Context, pc *plainCall, try int, sent, mayHaveRun bool, err error) *result.Error {
+func (s *Server) checkRepeat(ctx context.Context, pc *plainCall, try int, sent, mayHaveRun bool, err error) *result.Error {
 	var refusal *result.Error
 	switch {
 	case errors.As(err, &refusal):
 		return refusal
 	case ctx.Err() != nil:
-		return pc.ended(ctx, mayHaveRun, err)
+		return pc.endedError(ctx, mayHaveRun, err)
 	case sent && !pc.route.Idempotent:
 		return result.Wrap(unknownCode(err), err, "get the target's answer")
 	case try >= max(1, pc.policy.MaxAttempts):
-		return pc.gaveUp(mayHaveRun, err)
+		return pc.giveUpError(mayHaveRun, err)
 	}
 	if !sent {
 		return nil
 	}
 	if ok, _ := s.opts.Budgets.Take(s.now(), pc.subject.Workspace); !ok {
-		return pc.gaveUp(mayHaveRun, err)
+		return pc.giveUpError(mayHaveRun, err)
 	}
-	return s.clean(ctx, pc.subject.Fingerprint)
+	return s.checkPoison(ctx, pc.subject.Fingerprint)
 }
--- a/lib/entry/refusal_test.go
+++ b/lib/entry/refusal_test.go
@@ -60,13 +60,13 @@
 
 // During a planned shutdown, new requests must be refused as not run, with a Retry-After, and the answer in progress must
 // complete before Stop returns.
-func TestStopCutsNothing(t *testing.T) {
+func TestStopWaitsForRequests(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "stop [len=100]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true})
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
 	stopped := make(chan error, 1)
-	var st story
+	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 90 {
 			must.Eq(t, 0, len(stopped), must.Sprint("Stop returned while an answer was in progress"))
@@ -76,12 +76,12 @@
 		}
 		go func() { stopped <- r.server.Stop(context.Background()) }()
 		eventually(t, "stopping", r.server.Stopping)
-		late := r.send(context.Background(), ask{prompt: "late", stream: true})
+		late := r.send(context.Background(), callerRequest{prompt: "late", stream: true})
 		must.Eq(t, http.StatusServiceUnavailable, late.StatusCode)
 		must.NotEq(t, "", late.Header.Get("Retry-After"))
 		must.Eq(t, result.Stopping, readError(t, late).Code)
 	})
-	st.whole(t, prompt, 100)
+	st.checkComplete(t, prompt, 100)
 	must.NoError(t, <-stopped)
 }
 
@@ -89,8 +89,8 @@
 func TestDeadlineWhileRunning(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
-	var st story
-	st.read(t, eventsOf(r.send(context.Background(), ask{prompt: "slow [len=5000]", stream: true, ms: "150"})), nil)
+	var st transcript
+	st.read(t, eventsOf(r.send(context.Background(), callerRequest{prompt: "slow [len=5000]", stream: true, deadlineMS: "150"})), nil)
 	must.NotNil(t, st.err)
 	must.Eq(t, result.DeadlinePassed, st.err.Code)
 	must.Positive(t, st.tokens)
@@ -101,18 +101,18 @@
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), func(o *Options) { o.MaxStreams = 1 })
 	const prompt = "one [len=50]"
-	first := r.send(context.Background(), ask{prompt: prompt, stream: true})
+	first := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
 	start := time.Now()
-	second := r.send(context.Background(), ask{prompt: "two", stream: true})
+	second := r.send(context.Background(), callerRequest{prompt: "two", stream: true})
 	must.Eq(t, result.TooManyStreams, readError(t, second).Code)
 	must.Less(t, time.Second, time.Since(start))
-	var st story
+	var st transcript
 	st.read(t, eventsOf(first), nil)
-	st.whole(t, prompt, 50)
+	st.checkComplete(t, prompt, 50)
 }
 
 // A caller reads nothing. The kernel's send buffer must be bounded, since the bound on the sink does not cover it.
-func TestKernelBufferIsBounded(t *testing.T) {
+func TestKernelBufferBounded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer ln.Close()
--- a/lib/entry/relay.go
+++ b/lib/entry/relay.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	relayChunk = 32 << 10
-	maxOldBody = 4 << 20 // bound on an answer without a length, buffered whole for an HTTP/1.0 caller
-	minWrite   = time.Second
+	relayChunk    = 32 << 10
+	maxHTTP10Body = 4 << 20 // bound on an answer without a length, buffered whole for an HTTP/1.0 caller
+	minWrite      = time.Second
 )
 
 var (
 	errReadTarget = errors.New("read the target's answer")
-	errOldBody    = errors.New("answer without a length exceeds the buffer for HTTP/1.0 callers")
+	errHTTP10Body = errors.New("answer without a length exceeds the buffer for HTTP/1.0 callers")
 )
 
 // relay streams a target's answer to the caller. On error, started reports whether the caller received part of it.
 func (pc *plainCall) relay(w http.ResponseWriter, r *http.Request, resp *http.Response) (started bool, err *result.Error) {
 	if !r.ProtoAtLeast(1, 1) && resp.ContentLength < 0 && r.Method != http.MethodHead {
-		return pc.relayOld(w, resp)
+		return pc.relayHTTP10(w, resp)
 	}
-	passAnswer(w, resp)
+	writeAnswerHead(w, resp)
 	return true, pc.relayBody(w, resp)
 }
 
-func passAnswer(w http.ResponseWriter, resp *http.Response) {
-	target.PassHeaders(w.Header(), resp.Header)
+func writeAnswerHead(w http.ResponseWriter, resp *http.Response) {
+	target.CopyEndToEndHeaders(w.Header(), resp.Header)
 	w.Header().Set(callerapi.HeaderCode, strconv.Itoa(int(result.OK)))
 	w.WriteHeader(resp.StatusCode)
 }
@@ -47,7 +47,7 @@
 	for {
 		n, err := resp.Body.Read(buf)
 		if n > 0 {
-			pc.keep(buf[:n])
+			pc.retainAnswer(buf[:n])
 			_ = conn.SetWriteDeadline(time.Now().Add(max(pc.policy.SlowReaderWait, minWrite)))
 			if werr := writeChunk(w, conn, buf[:n]); werr != nil {
 				pc.drain(resp)
@@ -70,7 +70,7 @@
 		return
 	}
 	rest, err := io.ReadAll(io.LimitReader(resp.Body, claim.DefaultMaxBody+1))
-	pc.keep(rest)
+	pc.retainAnswer(rest)
 	pc.complete = err == nil
 }
 
@@ -99,18 +99,18 @@
 
 // relayHTTP10 serves HTTP/1.0 callers, for whom an answer without a length ends with the connection. They could not tell
 // a truncated answer from a complete one, so the answer is buffered and sent with a Content-Length.
-func (pc *plainCall) relayOld(w http.ResponseWriter, resp *http.Response) (started bool, err *result.Error) {
-	body, rerr := io.ReadAll(io.LimitReader(resp.Body, maxOldBody+1))
-	if rerr == nil && len(body) > maxOldBody {
-		rerr = errOldBody
+func (pc *plainCall) relayHTTP10(w http.ResponseWriter, resp *http.Response) (started bool, err *result.Error) {
+	body, rerr := io.ReadAll(io.LimitReader(resp.Body, maxHTTP10Body+1))
+	if rerr == nil && len(body) > maxHTTP10Body {
+		rerr = errHTTP10Body
 	}
 	if rerr != nil {
 		return false, result.Wrap(brokenCode(rerr), rerr, errReadTarget.Error())
 	}
-	pc.keep(body)
+	pc.retainAnswer(body)
 	pc.complete = true
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	passAnswer(w, resp)
+	writeAnswerHead(w, resp)
 	if _, werr := w.Write(body); werr != nil {
 		return true, result.Wrap(writeCode(werr), werr, "deliver the answer")
 	}
--- a/lib/entry/rig_test.go
+++ b/lib/entry/rig_test.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	testKey   = "glasgow-planning-test-key"
-	testModel = "planner-llm"
-	waitMost  = 10 * time.Second
-	pollEvery = 20 * time.Millisecond
+	testKey      = "glasgow-planning-test-key"
+	testModel    = "planner-llm"
+	waitTimeout  = 10 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 func init() {
@@ -94,7 +94,7 @@
 		r := local.Runner("planner-llm")
 		r.SetPolicy(ClassPolicies(snap, "planner-llm"))
 		r.SetTargets(TargetSpecs(svc))
-		loadpoll.New(ctx, r, pollEvery).SetTargets(clients(svc))
+		loadpoll.New(ctx, r, pollInterval).SetTargets(clients(svc))
 	}}
 	if change != nil {
 		change(&opts)
@@ -131,24 +131,24 @@
 	return e
 }
 
-// ask is a caller's completion request.
-type ask struct {
-	prompt string
-	stream bool
-	key    string
-	last   string
-	ms     string
-	extra  string // additional fields of the body
+// callerRequest is a caller's completion request.
+type callerRequest struct {
+	prompt     string
+	stream     bool
+	key        string
+	lastEvent  string
+	deadlineMS string
+	extra      string // additional fields of the body
 }
 
-func (r *rig) send(ctx context.Context, a ask) *http.Response {
+func (r *rig) send(ctx context.Context, a callerRequest) *http.Response {
 	r.t.Helper()
 	prompt, _ := json.Marshal(a.prompt)
 	body := fmt.Sprintf(`{"model":%q,"prompt":%s,"stream":%t%s}`, testModel, prompt, a.stream, a.extra)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.http.URL+engineapi.PathCompletions, strings.NewReader(body))
 	must.NoError(r.t, err)
 	req.Header.Set("Authorization", "Bearer "+testKey)
-	for name, v := range map[string]string{callerapi.HeaderKey: a.key, callerapi.HeaderLastEvent: a.last, callerapi.HeaderDeadline: a.ms} {
+	for name, v := range map[string]string{callerapi.HeaderKey: a.key, callerapi.HeaderLastEvent: a.lastEvent, callerapi.HeaderDeadline: a.deadlineMS} {
 		if v != "" {
 			req.Header.Set(name, v)
 		}
@@ -193,7 +193,7 @@
 }
 
 // transcript records what a caller received from one stream.
-type story struct {
+type transcript struct {
 	text   strings.Builder
 	tokens int
 	lastID string
@@ -204,11 +204,11 @@
 
 // read reads a stream to its end and calls each after every token with the count so far. It fails the test if an index is
 // out of order.
-func (st *story) read(t *testing.T, e *events, each func(n int)) {
+func (st *transcript) read(t *testing.T, e *events, each func(n int)) {
 	t.Helper()
 	for {
 		ev, ok := e.next()
-		if !ok || !st.take(t, ev) {
+		if !ok || !st.add(t, ev) {
 			return
 		}
 		if each != nil {
@@ -217,7 +217,7 @@
 	}
 }
 
-func (st *story) take(t *testing.T, ev event) bool {
+func (st *transcript) add(t *testing.T, ev event) bool {
 	t.Helper()
 	if ev.data == engineapi.DoneData {
 		st.done = true
@@ -245,7 +245,7 @@
 }
 
 // checkComplete checks that the caller received all n tokens of one generation, each once, and [DONE].
-func (st *story) whole(t *testing.T, prompt string, n int) {
+func (st *transcript) checkComplete(t *testing.T, prompt string, n int) {
 	t.Helper()
 	must.Nil(t, st.err)
 	must.True(t, st.done, must.Sprint("no [DONE]"))
@@ -270,7 +270,7 @@
 // eventually waits until a condition holds, for at most waitMost.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitMost); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
--- a/lib/entry/run.go
+++ b/lib/entry/run.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	maxAvoid      = 8                      // bound on the failed targets that an attempt avoids
-	maxMoves      = 1000                   // bound on moves and preemptions of one generation
-	resumePause   = 100 * time.Millisecond // between placement retries of a started generation; the caller sees the stall
-	refusalRetry  = time.Second            // default Retry-After
-	cancelTimeout = 2 * time.Second
-	avoidPatience = 300 * time.Millisecond // how long to wait for a placement that avoids failed targets
-	placeGrace    = 5 * time.Second        // added to the policy's MaxWait in case the scheduler does not answer
+	maxAvoid               = 8                      // bound on the failed targets that an attempt avoids
+	maxMoves               = 1000                   // bound on moves and preemptions of one generation
+	placementRetryInterval = 100 * time.Millisecond // between placement retries of a started generation; the caller sees the stall
+	defaultRetryAfter      = time.Second            // default Retry-After
+	cancelTimeout          = 2 * time.Second
+	avoidTimeout           = 300 * time.Millisecond // how long to wait for a placement that avoids failed targets
+	placementGrace         = 5 * time.Second        // added to the policy's MaxWait in case the scheduler does not answer
 )
 
 // runState is the state kept between the attempts of a generation.
 type runState struct {
-	avoid       []string  // targets that failed the generation since its last token
-	anywhere    bool      // placement without the targets to avoid timed out: allow any target
-	fruitless   int       // consecutive attempts without a token
-	preemptions int       // moves and preemptions
-	waiting     time.Time // since when a started generation waits for placement; zero if it does not
+	avoid         []string  // targets that failed the generation since its last token
+	anyTarget     bool      // placement without the targets to avoid timed out: allow any target
+	emptyAttempts int       // consecutive attempts without a token
+	preemptions   int       // moves and preemptions
+	waitingSince  time.Time // since when a started generation waits for placement; zero if it does not
 }
 
 // run runs a generation to its end, over as many attempts as it needs.
 func (s *Server) run(g *generation) {
-	g.own()
+	g.markOwned()
 	var rs runState
 	for {
-		err, again := s.runOnce(g, &rs)
-		if again {
+		err, another := s.runOnce(g, &rs)
+		if another {
 			continue
 		}
 		s.finish(g, err)
@@ -51,44 +51,44 @@
 }
 
 // runOnce places and runs one attempt. It reports whether another attempt must follow.
-func (s *Server) runOnce(g *generation, rs *runState) (err *result.Error, again bool) {
-	if err := s.mayAttempt(g, rs); err != nil {
+func (s *Server) runOnce(g *generation, rs *runState) (err *result.Error, another bool) {
+	if err := s.checkAttemptLimits(g, rs); err != nil {
 		return err, false
 	}
-	number, berr := g.begin()
-	if berr != nil {
-		return result.Wrap(result.InvariantBroken, invariant.Broken("attempt_before_fenced", berr.Error()), "begin an attempt"), false
+	number, beginErr := g.beginAttempt()
+	if beginErr != nil {
+		return result.Wrap(result.InvariantBroken, invariant.Broken("attempt_before_fenced", beginErr.Error()), "begin an attempt"), false
 	}
-	grant, perr := s.place(g, rs, number)
-	if grant.Target == "" && perr == nil {
-		g.stop()
+	grant, placeErr := s.place(g, rs, number)
+	if grant.Target == "" && placeErr == nil {
+		g.fenceAttempt()
 		return nil, true
 	}
-	rs.anywhere = false
-	if perr != nil {
-		g.stop()
-		return s.afterRefusal(g, rs, perr)
+	rs.anyTarget = false
+	if placeErr != nil {
+		g.fenceAttempt()
+		return s.afterRefusal(g, rs, placeErr)
 	}
-	rs.waiting = time.Time{}
-	end := s.attemptOn(g, number, grant)
-	g.stop()
-	s.settle(g, number, grant.Target, end)
+	rs.waitingSince = time.Time{}
+	end := s.runAttempt(g, number, grant)
+	g.fenceAttempt()
+	s.reportAttemptEnd(g, number, grant.Target, end)
 	return s.afterAttempt(g, rs, grant.Target, end)
 }
 
 // checkAttemptLimits returns an error if the generation may not start another attempt.
-func (s *Server) mayAttempt(g *generation, rs *runState) *result.Error {
+func (s *Server) checkAttemptLimits(g *generation, rs *runState) *result.Error {
 	if g.ctx.Err() != nil {
 		return causeError(context.Cause(g.ctx))
 	}
 	next := g.delivered()
 	switch {
-	case rs.fruitless >= max(1, g.policy.MaxAttempts), rs.preemptions > maxMoves:
-		return result.New(result.TargetFailed, "%d attempts in a row gave no token", rs.fruitless)
+	case rs.emptyAttempts >= max(1, g.policy.MaxAttempts), rs.preemptions > maxMoves:
+		return result.New(result.TargetFailed, "%d attempts in a row gave no token", rs.emptyAttempts)
 	case next > 0 && !g.service.Resumes:
 		return result.New(result.CannotResume, "the service's engines start at the first token only")
 	}
-	return s.clean(g.ctx, g.subject.Fingerprint)
+	return s.checkPoison(g.ctx, g.subject.Fingerprint)
 }
 
 // place submits the attempt to the scheduler and waits for the decision.
@@ -96,46 +96,46 @@
 	g.mu.Lock()
 	emitted, decisions := int(g.state.Next()), g.attempt.decisions
 	g.mu.Unlock()
-	asked := s.now()
-	avoid := s.spared(g, rs)
+	submitted := s.now()
+	avoid := s.avoidForAttempt(g, rs)
 	s.opts.Placer.Submit(g.service.Name, sched.Request{
 		Gen:          g.id,
 		Workspace:    g.subject.Workspace,
 		Class:        g.subject.Class,
 		Attempt:      number,
-		PromptTokens: g.asked.PromptTokens(),
-		MaxTokens:    g.asked.MaxTokens,
+		PromptTokens: g.completion.PromptTokens(),
+		MaxTokens:    g.completion.MaxTokens,
 		Emitted:      emitted,
 		Preemptions:  rs.preemptions,
 		Prefixes:     g.prefixes,
-		Deadline:     s.schedDeadline(g, asked),
+		Deadline:     s.schedDeadline(g, submitted),
 		Avoid:        avoid,
 		Fingerprint:  g.subject.Fingerprint,
-	}, g.decide)
-	patience := time.NewTimer(g.policy.MaxWait + placeGrace)
-	defer patience.Stop()
-	choosy := time.NewTimer(avoidPatience)
-	defer choosy.Stop()
+	}, g.handleDecision)
+	timeout := time.NewTimer(g.policy.MaxWait + placementGrace)
+	defer timeout.Stop()
+	avoidTimer := time.NewTimer(avoidTimeout)
+	defer avoidTimer.Stop()
 	if len(avoid) == 0 {
-		choosy.Stop()
+		avoidTimer.Stop()
 	}
 	var err *result.Error
 	select {
-	case a := <-decisions:
-		if a.Kind == sched.ActGrant {
-			g.metrics.QueueWait.Update(s.now().Sub(asked).Seconds())
-			return a, nil
+	case decision := <-decisions:
+		if decision.Kind == sched.ActGrant {
+			g.metrics.QueueWait.Update(s.now().Sub(submitted).Seconds())
+			return decision, nil
 		}
-		err = result.New(a.Code, "no place for attempt %d", number)
-		err.RetryAfter = a.RetryAfter
-		return a, err
+		err = result.New(decision.Code, "no place for attempt %d", number)
+		err.RetryAfter = decision.RetryAfter
+		return decision, err
 	case <-g.ctx.Done():
 		err = causeError(context.Cause(g.ctx))
-	case <-choosy.C:
-		rs.avoid, rs.anywhere = nil, true
-	case <-patience.C:
+	case <-avoidTimer.C:
+		rs.avoid, rs.anyTarget = nil, true
+	case <-timeout.C:
 		err = result.New(result.QueueFull, "no place within %s", g.policy.MaxWait)
-		err.RetryAfter = refusalRetry
+		err.RetryAfter = defaultRetryAfter
 	}
 	s.opts.Placer.End(g.service.Name, g.id, number, emitted, sched.EndCancelled)
 	return sched.Action{}, err
@@ -145,12 +145,12 @@
 // would run beside another suspect. The scheduler treats the list as a hard constraint. The list is therefore empty if no
 // other target is left, or if none had capacity in time: otherwise a generation that failed on each of a few engines could
 // never be placed again, and after an engine's death there can be more suspects than engines to separate them.
-func (s *Server) spared(g *generation, rs *runState) []string {
-	svc := s.view.Load().snap.Services[g.service.Name]
-	if svc == nil || rs.anywhere {
+func (s *Server) avoidForAttempt(g *generation, rs *runState) []string {
+	svc := s.view.Load().snapshot.Services[g.service.Name]
+	if svc == nil || rs.anyTarget {
 		return nil
 	}
-	avoid := s.avoidFor(rs.avoid, g.subject.Fingerprint)
+	avoid := s.targetsToAvoid(rs.avoid, g.subject.Fingerprint)
 	for i := range svc.Targets {
 		t := &svc.Targets[i]
 		if !t.Draining && !slices.Contains(avoid, t.Name) {
@@ -168,39 +168,39 @@
 }
 
 // runAttempt runs the attempt on the granted target, unless its circuit is open or it asked for a back-off.
-func (s *Server) attemptOn(g *generation, number uint32, grant sched.Action) attemptEnd {
+func (s *Server) runAttempt(g *generation, number uint32, grant sched.Action) attemptEnd {
 	c := s.client(g, grant.Target)
 	if c == nil {
-		return attemptEnd{reason: sched.EndTargetRefused, cause: errNoClient, settled: true}
+		return attemptEnd{reason: sched.EndTargetRefused, cause: errNoClient, nothingToCancel: true}
 	}
-	if s.rests.on(s.now(), grant.Target) {
-		return attemptEnd{reason: sched.EndTargetRefused, cause: errResting, settled: true}
+	if s.backoffs.active(s.now(), grant.Target) {
+		return attemptEnd{reason: sched.EndTargetRefused, cause: errBackedOff, nothingToCancel: true}
 	}
 	ticket, _, ok := s.opts.Breakers.Allow(s.now(), grant.Target)
 	if !ok {
-		return attemptEnd{reason: sched.EndTargetRefused, cause: errOpen, settled: true}
+		return attemptEnd{reason: sched.EndTargetRefused, cause: errCircuitOpen, nothingToCancel: true}
 	}
 	if err := s.markSent(g, grant.Target, number); err != nil {
 		ticket.Done(s.now(), breaker.Ignored)
-		return attemptEnd{reason: sched.EndCancelled, cause: err, final: err, settled: true}
+		return attemptEnd{reason: sched.EndCancelled, cause: err, final: err, nothingToCancel: true}
 	}
 	g.log(log.Debug(), "attempt_start").Str("target", grant.Target).Uint32("attempt", number).Msg("")
-	s.learnLife(c)
+	s.refreshIncarnation(c)
 	ran := s.opts.Poison.Started(grant.Target, g.subject.Fingerprint)
-	r := &run{server: s, g: g, client: c, number: number, priority: grant.Priority, ticket: ticket}
-	end := r.do()
-	g.stop()
-	s.rests.note(s.now(), grant.Target, end.cause)
+	r := &attemptRun{server: s, g: g, client: c, number: number, priority: grant.Priority, ticket: ticket}
+	end := r.execute()
+	g.fenceAttempt()
+	s.backoffs.observe(s.now(), grant.Target, end.cause)
 	if r.tokens == 0 {
 		ticket.Done(s.now(), outcomeOf(end.reason))
 	}
-	s.settlePoison(g, c, ran, end.reason)
+	s.reportAttemptToPoison(g, c, ran, end.reason)
 	return end
 }
 
 var (
-	errNoClient = errors.New("the target is unknown")
-	errOpen     = errors.New("the circuit to the target is open")
+	errNoClient    = errors.New("the target is unknown")
+	errCircuitOpen = errors.New("the circuit to the target is open")
 )
 
 // client returns the client of a target from the settings in force, else from those the request was accepted under.
@@ -213,12 +213,12 @@
 
 // reportAttemptEnd reports the end of an attempt to the scheduler, the engine and the log. The attempt is already fenced;
 // the cancel request only frees the engine's memory sooner, so it runs in the background.
-func (s *Server) settle(g *generation, number uint32, name string, end attemptEnd) {
+func (s *Server) reportAttemptEnd(g *generation, number uint32, name string, end attemptEnd) {
 	s.opts.Placer.End(g.service.Name, g.id, number, int(g.delivered()), end.reason)
 	s.metrics.AttemptEnded(reasonName(end.reason))
 	e := g.log(log.Info(), "attempt_end").Str("target", name).Uint32("attempt", number).Str("reason", reasonName(end.reason))
 	logline.Cause(e.Uint32("tokens", g.delivered()), end.cause)
-	if end.settled {
+	if end.nothingToCancel {
 		return
 	}
 	if c := s.client(g, name); c != nil {
@@ -241,17 +241,17 @@
 // afterRefusal decides how to continue when the scheduler refuses placement. A request that no engine can have run is
 // refused at once; one that may have run retries placement for a bounded time.
 func (s *Server) afterRefusal(g *generation, rs *runState, err *result.Error) (*result.Error, bool) {
-	if result.Lookup(err.Code).Again != result.AgainLater || !g.ran() {
+	if result.Lookup(err.Code).Again != result.AgainLater || !g.possiblyRan() {
 		return err, false
 	}
 	now := s.now()
-	if rs.waiting.IsZero() {
-		rs.waiting = now
+	if rs.waitingSince.IsZero() {
+		rs.waitingSince = now
 	}
-	if now.Sub(rs.waiting) > max(s.opts.ResumePatience, g.policy.MaxWait) {
+	if now.Sub(rs.waitingSince) > max(s.opts.ResumeTimeout, g.policy.MaxWait) {
 		return err, false
 	}
-	pause := time.NewTimer(resumePause)
+	pause := time.NewTimer(placementRetryInterval)
 	defer pause.Stop()
 	select {
 	case <-pause.C:
@@ -277,9 +277,9 @@
 }
 
 func noteFailure(g *generation, rs *runState, name string) {
-	rs.fruitless++
+	rs.emptyAttempts++
 	if g.attemptTokens() > 0 {
-		rs.fruitless = 0
+		rs.emptyAttempts = 0
 		rs.avoid = rs.avoid[:0]
 	}
 	if !slices.Contains(rs.avoid, name) {
@@ -294,10 +294,10 @@
 // the budget cost their target nothing. A generation that has delivered tokens is not charged either: restarting it would
 // cost more than resuming it, and its attempts are bounded.
 func (s *Server) retry(g *generation, end attemptEnd) (*result.Error, bool) {
-	if g.delivered() == 0 && !askedNothing(end.cause) {
+	if g.delivered() == 0 && !exemptFromBudget(end.cause) {
 		if ok, wait := s.opts.Budgets.Take(s.now(), g.subject.Workspace); !ok {
 			err := result.Wrap(result.RetryBudget, end.cause, "try another target")
-			err.RetryAfter = max(wait, refusalRetry)
+			err.RetryAfter = max(wait, defaultRetryAfter)
 			return err, false
 		}
 	}
@@ -308,7 +308,7 @@
 // exemptFromBudget reports whether an attempt cost its target nothing: it was never sent, or the target refused it because
 // it is draining. Load reports announce a drain with a delay, during which every request placed there is refused; charged
 // to the budget, a planned shutdown of one target would exhaust it, and callers would be refused.
-func askedNothing(cause error) bool {
+func exemptFromBudget(cause error) bool {
 	var refusal *target.RefusedError
 	leaving := errors.As(cause, &refusal) && refusal.Err.NotRun && refusal.Err.Type == engineapi.ErrDraining
 	return leaving || errors.Is(cause, target.ErrNotSent)
--- a/lib/entry/scripted_test.go
+++ b/lib/entry/scripted_test.go
@@ -22,9 +22,9 @@
 // scripted is an engine whose responses a test writes frame by frame.
 type scripted struct {
 	*httptest.Server
-	mu     sync.Mutex
-	asked  []engineapi.Ext // one per attempt received
-	cancel int             // cancel requests received
+	mu       sync.Mutex
+	received []engineapi.Ext // one per attempt received
+	cancels  int             // cancel requests received
 }
 
 // newScripted starts an engine; play writes the response to attempt n, counted from 1 over all generations.
@@ -38,7 +38,7 @@
 	mux.HandleFunc("DELETE "+engineapi.PathGenerations, func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.cancel++
+		s.cancels++
 		_ = json.NewEncoder(w).Encode(engineapi.CancelResult{})
 	})
 	mux.HandleFunc("POST "+engineapi.PathCompletions, func(w http.ResponseWriter, r *http.Request) {
@@ -48,8 +48,8 @@
 			return
 		}
 		s.mu.Lock()
-		s.asked = append(s.asked, *req.Ext)
-		n := len(s.asked)
+		s.received = append(s.received, *req.Ext)
+		n := len(s.received)
 		s.mu.Unlock()
 		play(&script{w: w, r: r, ext: *req.Ext}, n)
 	})
@@ -66,7 +66,7 @@
 func (s *scripted) attempts() []engineapi.Ext {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]engineapi.Ext(nil), s.asked...)
+	return append([]engineapi.Ext(nil), s.received...)
 }
 
 // script writes one response.
@@ -118,7 +118,7 @@
 func (s *script) cut() { panic(http.ErrAbortHandler) }
 
 // finishFrom writes the tokens "a", "b", ... from the start index on, and the end of the stream.
-func (s *script) rest() {
+func (s *script) finishFrom() {
 	for i := s.ext.StartIndex; i < 4; i++ {
 		s.token(i, string(rune('a'+i)))
 	}
@@ -126,14 +126,14 @@
 	s.done()
 }
 
-// play sends a streamed request through a rig in front of the engine and returns what the caller received.
-func play(t *testing.T, s *scripted, policy string, resumes bool) *story {
+// runScripted sends a streamed request through a rig in front of the engine and returns what the caller received.
+func runScripted(t *testing.T, s *scripted, policy string, resumes bool) *transcript {
 	t.Helper()
 	r := newRig(t, siteText("  max_wait: 1s\n"+policy, resumes, []string{s.addr()}, nil), func(o *Options) {
-		o.ResumePatience = time.Second
+		o.ResumeTimeout = time.Second
 	})
-	resp := r.send(context.Background(), ask{prompt: "scripted", stream: true})
-	st := &story{}
+	resp := r.send(context.Background(), callerRequest{prompt: "scripted", stream: true})
+	st := &transcript{}
 	if resp.StatusCode != http.StatusOK {
 		e := readError(t, resp)
 		st.err = &e
@@ -145,12 +145,12 @@
 
 // Whatever goes wrong inside a stream, the caller must get "abcd" with a finish frame, each token once: the failed attempt is
 // fenced and the next one resumes at the next token.
-func TestBrokenStreamsAreResumed(t *testing.T) {
+func TestBrokenStreamsResumed(t *testing.T) {
 	for name, first := range map[string]func(s *script){
 		"gap": func(s *script) {
 			s.token(0, "a")
 			s.token(2, "x")
-			s.rest()
+			s.finishFrom()
 		},
 		"end mark counts a token that never came": func(s *script) {
 			s.token(0, "a")
@@ -191,9 +191,9 @@
 					first(s)
 					return
 				}
-				s.rest()
+				s.finishFrom()
 			})
-			st := play(t, e, "", true)
+			st := runScripted(t, e, "", true)
 			must.Nil(t, st.err)
 			must.True(t, st.done)
 			must.Eq(t, "abcd", st.text.String())
@@ -208,7 +208,7 @@
 
 // The stream contains frames of another generation and of an attempt that never existed, including finish and error frames,
 // as if two answers were mixed up. The caller must see only its own.
-func TestForeignFramesAreDropped(t *testing.T) {
+func TestForeignFramesDropped(t *testing.T) {
 	other := strings.Repeat("ab", 16)
 	e := newScripted(t, func(s *script, _ int) {
 		s.tokenOf(other, 1, 0, "X")
@@ -223,7 +223,7 @@
 		s.end(s.ext.Attempt, 2)
 		s.done()
 	})
-	st := play(t, e, "", true)
+	st := runScripted(t, e, "", true)
 	must.True(t, st.done)
 	must.Eq(t, "ab", st.text.String())
 	must.Len(t, 1, e.attempts())
@@ -231,7 +231,7 @@
 
 // Asked to resume, the engine would restart from the first token, and its second answer differs. The service is configured
 // as unable to resume, so it must not be asked: the caller would get the head of one answer and the tail of another.
-func TestNeverStartsOverIntoTheSameStream(t *testing.T) {
+func TestNoRestartIntoSameStream(t *testing.T) {
 	e := newScripted(t, func(s *script, n int) {
 		for i := range uint32(4) {
 			s.token(i, fmt.Sprintf("%d-%d ", n, i))
@@ -242,7 +242,7 @@
 		s.end(s.ext.Attempt, 4)
 		s.done()
 	})
-	st := play(t, e, "", false)
+	st := runScripted(t, e, "", false)
 	must.Len(t, 1, e.attempts())
 	must.NotNil(t, st.err)
 	must.Eq(t, result.CannotResume, st.err.Code)
@@ -252,41 +252,41 @@
 // The engine accepts the request and breaks the connection before the first token; afterwards no engine is reachable. The last
 // failure is "no target", which by itself means "not run", but the first engine may have run a part. The caller must not be
 // told "not run".
-func TestNotRunIsNotSaidOfWhatMayHaveRun(t *testing.T) {
+func TestPossiblyRunNotReportedNotRun(t *testing.T) {
 	var e *scripted
 	e = newScripted(t, func(s *script, _ int) {
 		s.raw(": accepted\n\n")
 		_ = e.Listener.Close()
 		s.cut()
 	})
-	st := play(t, e, "  max_attempts: 3\n", true)
+	st := runScripted(t, e, "  max_attempts: 3\n", true)
 	must.NotNil(t, st.err)
 	must.Eq(t, result.FailedRan.String(), st.err.Outcome)
 	must.NotEq(t, result.NotRun, result.Lookup(st.err.Code).Outcome)
 }
 
 // An engine rejects a request as invalid: the caller must be told why, and that it was not run.
-func TestEngineRefusesTheRequest(t *testing.T) {
+func TestEngineRejectsRequest(t *testing.T) {
 	e := newScripted(t, func(s *script, _ int) {
 		s.refuse(http.StatusBadRequest, engineapi.Error{Type: engineapi.ErrBad, Message: "too long", NotRun: true})
 	})
-	st := play(t, e, "", true)
+	st := runScripted(t, e, "", true)
 	must.Eq(t, result.BadRequest, st.err.Code)
 	must.Eq(t, result.NotRun.String(), st.err.Outcome)
 	must.Len(t, 1, e.attempts())
 }
 
 // The attempts on an engine that always fails must be bounded.
-func TestAttemptsAreBounded(t *testing.T) {
+func TestAttemptsBounded(t *testing.T) {
 	e := newScripted(t, func(s *script, _ int) { s.refuse(http.StatusInternalServerError, engineapi.Error{Type: "broken"}) })
-	st := play(t, e, "  max_attempts: 3\n  retry_budget: 1\n", true)
+	st := runScripted(t, e, "  max_attempts: 3\n  retry_budget: 1\n", true)
 	must.Eq(t, result.TargetFailed, st.err.Code)
 	must.Len(t, 3, e.attempts())
 }
 
 // Every engine fails every request. Retries are limited to a fraction of first attempts: beyond the budget, a request must be
 // refused at once, so that overloaded engines don't receive a multiple of the load.
-func TestRetriesAreBudgeted(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	e := newScripted(t, func(s *script, _ int) {
 		s.refuse(http.StatusServiceUnavailable, engineapi.Error{Type: engineapi.ErrOverloaded, NotRun: true})
 	})
@@ -296,7 +296,7 @@
 	})
 	const requests = 30
 	for range requests {
-		got := readError(t, r.send(context.Background(), ask{prompt: "overload", stream: true}))
+		got := readError(t, r.send(context.Background(), callerRequest{prompt: "overload", stream: true}))
 		must.Eq(t, result.NotRun.String(), got.Outcome)
 	}
 	must.LessEq(t, requests+requests/10+1, len(e.attempts()))
@@ -305,19 +305,19 @@
 // An overloaded engine refuses with a Retry-After. The entry must send it nothing for that time and use it again afterwards;
 // meanwhile requests run on the other engine.
 func TestEngineThatNamesATimeIsLeftAloneForIt(t *testing.T) {
-	const rest = time.Second
+	const retryAfter = time.Second
 	full := newScripted(t, func(s *script, n int) {
 		if n == 1 {
-			s.w.Header().Set("Retry-After", fmt.Sprint(rest.Seconds()))
+			s.w.Header().Set("Retry-After", fmt.Sprint(retryAfter.Seconds()))
 			s.refuse(http.StatusServiceUnavailable, engineapi.Error{Type: engineapi.ErrOverloaded, NotRun: true})
 			return
 		}
-		s.rest()
+		s.finishFrom()
 	})
-	other := newScripted(t, func(s *script, _ int) { s.rest() })
+	other := newScripted(t, func(s *script, _ int) { s.finishFrom() })
 	r := newRig(t, siteText("  max_wait: 2s\n", true, []string{full.addr(), other.addr()}, nil), nil)
 	send := func() {
-		resp := r.send(context.Background(), ask{prompt: "rests", stream: true})
+		resp := r.send(context.Background(), callerRequest{prompt: "rests", stream: true})
 		must.Eq(t, http.StatusOK, resp.StatusCode)
 		_, err := io.Copy(io.Discard, resp.Body)
 		must.NoError(t, err)
@@ -326,12 +326,12 @@
 	for len(full.attempts()) == 0 {
 		send()
 	}
-	told := time.Now()
-	for time.Since(told) < rest*8/10 {
+	refusedAt := time.Now()
+	for time.Since(refusedAt) < retryAfter*8/10 {
 		send()
 	}
 	must.Len(t, 1, full.attempts())
-	for time.Since(told) < 5*rest && len(full.attempts()) == 1 {
+	for time.Since(refusedAt) < 5*retryAfter && len(full.attempts()) == 1 {
 		send()
 	}
 	must.Greater(t, 1, len(full.attempts()))
--- a/lib/entry/server.go
+++ b/lib/entry/server.go
@@ -32,15 +32,15 @@
 
 // Bounds on callers' connections and requests, and defaults of Options.
 const (
-	readHeaderTimeout = 10 * time.Second
-	readTimeout       = 60 * time.Second // whole request, including its body
-	idleTimeout       = 2 * time.Minute
-	maxHeaderBytes    = 32 << 10
-	maxBodyBytes      = 16 << 20 // upper bound on any max_body in the settings
-	connWriteBuffer   = 128 << 10
-	defaultMaxStreams = 4096
-	resumePatience    = 30 * time.Second
-	callerGrace       = 10 * time.Second
+	readHeaderTimeout    = 10 * time.Second
+	readTimeout          = 60 * time.Second // whole request, including its body
+	idleTimeout          = 2 * time.Minute
+	maxHeaderBytes       = 32 << 10
+	maxBodyBytes         = 16 << 20 // upper bound on any max_body in the settings
+	connWriteBuffer      = 128 << 10
+	defaultMaxStreams    = 4096
+	defaultResumeTimeout = 30 * time.Second
+	defaultCallerGrace   = 10 * time.Second
 )
 
 // Options configures a Server. Only Placer is required. Without Limiter there are no limits; without Claims, keyed
@@ -59,42 +59,42 @@
 	// CallerGrace is how long a keyed generation keeps running without a caller; 0: 10 s.
 	CallerGrace time.Duration
 	// ResumeTimeout is the minimum time that a generation which may have run waits to be placed again; 0: 30 s.
-	ResumePatience time.Duration
-	Metrics        *entrymetrics.Set
-	Clients        *target.Clients
+	ResumeTimeout time.Duration
+	Metrics       *entrymetrics.Set
+	Clients       *target.Clients
 	// OnView is called with each settings revision before it takes effect. clients returns the clients of a service's targets.
 	OnView func(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client)
 }
 
 // Server serves callers' requests.
 type Server struct {
-	opts       Options
-	metrics    *entrymetrics.Set
-	clients    *target.Clients
-	table      *table
-	watches    *watches
-	lives      *lives
-	picks      *picks
-	rests      *rests
-	view       atomic.Pointer[view]
-	applying   sync.Mutex
-	leaving    atomic.Bool
-	stopping   atomic.Bool
-	background sync.WaitGroup
+	opts         Options
+	metrics      *entrymetrics.Set
+	clients      *target.Clients
+	table        *table
+	watches      *watches
+	incarnations *incarnations
+	pickTables   *pickTables
+	backoffs     *backoffs
+	view         atomic.Pointer[view]
+	applyMu      sync.Mutex
+	shuttingDown atomic.Bool
+	stopping     atomic.Bool
+	background   sync.WaitGroup
 }
 
 // New returns a Server without settings. It refuses every request until Apply is called.
 func New(opts Options) *Server {
 	fillDefaults(&opts)
 	s := &Server{
-		opts:    opts,
-		metrics: opts.Metrics,
-		clients: opts.Clients,
-		table:   newTable(opts.MaxStreams),
-		watches: newWatches(opts.Stalls),
-		lives:   newLives(),
-		picks:   newPicks(),
-		rests:   newRests(),
+		opts:         opts,
+		metrics:      opts.Metrics,
+		clients:      opts.Clients,
+		table:        newTable(opts.MaxStreams),
+		watches:      newWatches(opts.Stalls),
+		incarnations: newIncarnations(),
+		pickTables:   newPickTables(),
+		backoffs:     newBackoffs(),
 	}
 	s.metrics.Gauge("requests_in_progress", func() float64 { n, _ := s.table.counts(); return float64(n) })
 	s.metrics.Gauge("generations_in_progress", func() float64 { _, n := s.table.counts(); return float64(n) })
@@ -116,10 +116,10 @@
 		o.MaxStreams = defaultMaxStreams
 	}
 	if o.CallerGrace == 0 {
-		o.CallerGrace = callerGrace
+		o.CallerGrace = defaultCallerGrace
 	}
-	if o.ResumePatience == 0 {
-		o.ResumePatience = resumePatience
+	if o.ResumeTimeout == 0 {
+		o.ResumeTimeout = defaultResumeTimeout
 	}
 	if o.OnView == nil {
 		o.OnView = func(*settings.Snapshot, func(*settings.Service) []*target.Client) {}
@@ -139,13 +139,13 @@
 // Apply puts a settings revision into effect for requests accepted from now on. A revision older than the current one is
 // ignored.
 func (s *Server) Apply(snap *settings.Snapshot) {
-	s.applying.Lock()
-	defer s.applying.Unlock()
-	if old := s.view.Load(); old != nil && old.snap.Revision > snap.Revision {
+	s.applyMu.Lock()
+	defer s.applyMu.Unlock()
+	if old := s.view.Load(); old != nil && old.snapshot.Revision > snap.Revision {
 		return
 	}
 	v := newView(snap, s.clients)
-	s.picks.apply(snap)
+	s.pickTables.apply(snap)
 	s.opts.OnView(snap, v.clientsOf)
 	s.view.Store(v)
 	log.Info().Str("event", "settings_in_force").Uint64("revision", snap.Revision).Msg("")
@@ -154,7 +154,7 @@
 // Revision returns the revision in effect, or 0 if there is none.
 func (s *Server) Revision() uint64 {
 	if v := s.view.Load(); v != nil {
-		return v.snap.Revision
+		return v.snapshot.Revision
 	}
 	return 0
 }
@@ -162,7 +162,7 @@
 // Snapshot returns the settings in effect, or nil.
 func (s *Server) Snapshot() *settings.Snapshot {
 	if v := s.view.Load(); v != nil {
-		return v.snap
+		return v.snapshot
 	}
 	return nil
 }
--- a/lib/entry/silence.go
+++ b/lib/entry/silence.go
@@ -26,19 +26,19 @@
 		return c.Do(ctx, &pc.call)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	quiet := time.AfterFunc(bound, func() { cancel(errSilent) })
+	timer := time.AfterFunc(bound, func() { cancel(errSilent) })
 	resp, err := c.Do(ctx, &pc.call)
-	quiet.Stop()
+	timer.Stop()
 	if err != nil {
 		defer cancel(nil)
-		return nil, silentOr(ctx, err)
+		return nil, wrapSilence(ctx, err)
 	}
-	resp.Body = &boundedBody{ReadCloser: resp.Body, ctx: ctx, cancel: cancel, quiet: quiet, bound: bound}
+	resp.Body = &boundedBody{ReadCloser: resp.Body, ctx: ctx, cancel: cancel, timer: timer, bound: bound}
 	return resp, nil
 }
 
 // wrapSilence adds errSilent to err if silence caused the failure. What err proves, such as ErrNotSent, is preserved.
-func silentOr(ctx context.Context, err error) error {
+func wrapSilence(ctx context.Context, err error) error {
 	if context.Cause(ctx) == errSilent {
 		return fmt.Errorf("%w: %w", errSilent, err)
 	}
@@ -50,17 +50,17 @@
 	io.ReadCloser
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	quiet  *time.Timer
+	timer  *time.Timer
 	bound  time.Duration
 }
 
 // Read implements io.Reader.
 func (b *boundedBody) Read(p []byte) (int, error) {
-	b.quiet.Reset(b.bound)
+	b.timer.Reset(b.bound)
 	n, err := b.ReadCloser.Read(p)
-	b.quiet.Stop()
+	b.timer.Stop()
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = silentOr(b.ctx, err)
+		err = wrapSilence(b.ctx, err)
 	}
 	return n, err
 }
--- a/lib/entry/silence_test.go
+++ b/lib/entry/silence_test.go
@@ -18,10 +18,10 @@
 	"anvilwick.example/anvilwick/lib/standin/plain"
 )
 
-const silencePolicy = "  max_silence: 150ms\n"
+const maxSilencePolicy = "  max_silence: 150ms\n"
 
-// soon makes a call with a timeout far below the time that a silent target would take.
-func (r *rig) soon(method, path, key string) *http.Response {
+// callWithTimeout makes a call with a timeout far below the time that a silent target would take.
+func (r *rig) callWithTimeout(method, path, key string) *http.Response {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	r.t.Cleanup(cancel)
@@ -39,13 +39,13 @@
 
 // A target executes a call without a deadline and never answers. Its caller, and a planned shutdown, would wait as long as the
 // target is silent. The call must end as outcome unknown, as must a resend, and nothing may be executed again.
-func TestSilentTargetIsGivenUpWithoutADeadline(t *testing.T) {
+func TestSilentTargetWithoutDeadline(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		p := startPlain(t, "one")
 		p.Order(plain.Fault{Kind: plain.FaultHang, Count: 1000})
 		store := newMemoryStore()
-		r := newRig(t, siteText(silencePolicy, true, nil, []string{p.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
-		e := readError(t, r.soon(http.MethodPost, "/dispatch/send?id=crew", key))
+		r := newRig(t, siteText(maxSilencePolicy, true, nil, []string{p.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
+		e := readError(t, r.callWithTimeout(http.MethodPost, "/dispatch/send?id=crew", key))
 		must.Eq(t, result.TargetSilent, e.Code)
 		must.Eq(t, result.OutcomeUnknown.String(), e.Outcome)
 		stop, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -54,43 +54,43 @@
 		if key == "" {
 			continue
 		}
-		eventually(t, "outcome in the table", func() bool { return store.holds(`"code":5002`) == 1 })
-		other := newRig(t, siteText(silencePolicy, true, nil, []string{p.Addr()}), func(o *Options) { o.Claims = store.claims("e2") })
-		must.Eq(t, result.TargetSilent, readError(t, other.soon(http.MethodPost, "/dispatch/send?id=crew", key)).Code)
+		eventually(t, "outcome in the table", func() bool { return store.countContaining(`"code":5002`) == 1 })
+		other := newRig(t, siteText(maxSilencePolicy, true, nil, []string{p.Addr()}), func(o *Options) { o.Claims = store.claims("e2") })
+		must.Eq(t, result.TargetSilent, readError(t, other.callWithTimeout(http.MethodPost, "/dispatch/send?id=crew", key)).Code)
 		must.Eq(t, 1, p.Executions()["k"]+p.Executions()["crew"])
 	}
 }
 
 // The stall floor is so long that no hedged call is made. When the silence exceeds its bound, an idempotent call must be
 // answered by the other target.
-func TestIdempotentCallLeavesASilentTarget(t *testing.T) {
+func TestIdempotentCallRetriedAfterSilence(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
-	text := siteText(silencePolicy, true, nil, []string{a.Addr(), b.Addr()})
+	text := siteText(maxSilencePolicy, true, nil, []string{a.Addr(), b.Addr()})
 	text = strings.Replace(text, "stall_floor: 100ms", "stall_floor: 1h", 1)
 	r := newRig(t, text, nil)
 	for i := range 30 {
-		must.Eq(t, http.StatusOK, r.soon(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "").StatusCode)
+		must.Eq(t, http.StatusOK, r.callWithTimeout(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "").StatusCode)
 	}
 	a.Order(plain.Fault{Kind: plain.FaultHang, Count: 1000})
 	for i := range 4 {
-		must.Eq(t, http.StatusOK, r.soon(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "").StatusCode)
+		must.Eq(t, http.StatusOK, r.callWithTimeout(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "").StatusCode)
 	}
 	a.Kill()
 }
 
 // A target that sends its answer in parts, together for longer than the bound but never silent for that long, must not be cut.
 // When a target falls silent mid-answer, the connection must be broken, so that the part isn't taken for the whole.
-func TestSilenceWithinAnAnswer(t *testing.T) {
-	r := newRig(t, siteText(silencePolicy, true, nil, []string{slowTeller(t)}), nil)
-	body, err := io.ReadAll(r.soon(http.MethodPost, "/dispatch/parts", "").Body)
+func TestSilenceWithinAnswer(t *testing.T) {
+	r := newRig(t, siteText(maxSilencePolicy, true, nil, []string{startSlowTarget(t)}), nil)
+	body, err := io.ReadAll(r.callWithTimeout(http.MethodPost, "/dispatch/parts", "").Body)
 	must.NoError(t, err)
 	must.Eq(t, strings.Repeat("part ", 10), string(body))
-	_, err = io.ReadAll(r.soon(http.MethodPost, "/dispatch/silent", "").Body)
+	_, err = io.ReadAll(r.callWithTimeout(http.MethodPost, "/dispatch/silent", "").Body)
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-// slowTeller starts a target that answers in ten parts; on /dispatch/silent it sends only the first and never ends.
-func slowTeller(t *testing.T) string {
+// startSlowTarget starts a target that answers in ten parts; on /dispatch/silent it sends only the first and never ends.
+func startSlowTarget(t *testing.T) string {
 	t.Helper()
 	quit := make(chan struct{})
 	ts := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/lib/entry/sink.go
+++ b/lib/entry/sink.go
@@ -17,43 +17,43 @@
 // sink buffers the events for one caller's connection. The engine's side appends and the caller's side takes everything at
 // once; neither waits for the other. Its fields are guarded by the generation's mutex.
 type sink struct {
-	quiet    bool // non-streamed answer: only the end is signalled
-	buf      []byte
-	events   bool // buf has held a token
-	tokens   int  // tokens in buf
-	inFlight int  // tokens taken and not yet known to be written
-	limit    int  // pending tokens above which the caller counts as slow
-	over     time.Time
-	last     bool // buf holds the end of the stream
-	closed   bool // another connection has taken over the stream
-
-	next    uint32        // index of the next token to append to buf
-	from    uint32        // index of the first token the caller lacks
-	proof   stream.Digest // digest of the caller's tokens before from; compared once all of them are known here
-	checked bool          // proof has been compared, or there is none
-
-	wake chan struct{}
-	conn *http.ResponseController
-	wait time.Duration // time limit for the final writes
+	unstreamed bool // non-streamed answer: only the end is signalled
+	buf        []byte
+	hasEvents  bool // buf has held a token
+	tokens     int  // tokens in buf
+	inFlight   int  // tokens taken and not yet known to be written
+	maxPending int  // pending tokens above which the caller counts as slow
+	slowSince  time.Time
+	ended      bool // buf holds the end of the stream
+	closed     bool // another connection has taken over the stream
+
+	next          uint32        // index of the next token to append to buf
+	firstNeeded   uint32        // index of the first token the caller lacks
+	resumeDigest  stream.Digest // digest of the caller's tokens before from; compared once all of them are known here
+	digestChecked bool          // proof has been compared, or there is none
+
+	wake         chan struct{}
+	conn         *http.ResponseController
+	writeTimeout time.Duration // time limit for the final writes
 }
 
-func newSink(w http.ResponseWriter, p *settings.Policy, quiet bool) *sink {
+func newSink(w http.ResponseWriter, p *settings.Policy, unstreamed bool) *sink {
 	return &sink{
-		quiet:   quiet,
-		limit:   max(1, p.SlowReaderBuffer),
-		checked: true,
-		wake:    make(chan struct{}, 1),
-		conn:    http.NewResponseController(w),
-		wait:    p.SlowReaderWait,
+		unstreamed:    unstreamed,
+		maxPending:    max(1, p.SlowReaderBuffer),
+		digestChecked: true,
+		wake:          make(chan struct{}, 1),
+		conn:          http.NewResponseController(w),
+		writeTimeout:  p.SlowReaderWait,
 	}
 }
 
 // resume sets the sink up for a caller that has every token up to that of id.
 func (s *sink) resume(id callerapi.EventID) {
-	s.from = id.Index + 1
-	s.next = s.from
-	s.proof = id.Digest
-	s.checked = false
+	s.firstNeeded = id.Index + 1
+	s.next = s.firstNeeded
+	s.resumeDigest = id.Digest
+	s.digestChecked = false
 }
 
 func (s *sink) signal() {
@@ -65,28 +65,28 @@
 
 // needs reports whether the caller still needs token index, given the digest of all tokens up to it. It returns an error
 // if the caller's tokens differ from those of this generation.
-func (s *sink) lacks(index uint32, sum stream.Digest) (bool, error) {
-	if index+1 == s.from && !s.checked {
-		s.checked = true
-		if sum != s.proof {
+func (s *sink) needs(index uint32, sum stream.Digest) (bool, error) {
+	if index+1 == s.firstNeeded && !s.digestChecked {
+		s.digestChecked = true
+		if sum != s.resumeDigest {
 			return false, errDiverged
 		}
 	}
-	return index >= s.from, nil
+	return index >= s.firstNeeded, nil
 }
 
 // appendToken appends one token's event. It verifies the token order once more, as the last check before the caller: an
 // error indicates a bug in this program, and the stream must end.
-func (s *sink) token(now time.Time, gen string, index uint32, sum stream.Digest, data []byte) error {
+func (s *sink) appendToken(now time.Time, gen string, index uint32, sum stream.Digest, data []byte) error {
 	if index != s.next {
 		return invariant.Broken("token_order", fmt.Sprintf("token %d of %s appended, expected index %d", index, gen, s.next))
 	}
 	s.next++
 	s.buf = callerapi.AppendEvent(s.buf, gen, index, sum, data)
-	s.events = true
+	s.hasEvents = true
 	s.tokens++
-	if s.tokens+s.inFlight > s.limit && s.over.IsZero() {
-		s.over = now
+	if s.tokens+s.inFlight > s.maxPending && s.slowSince.IsZero() {
+		s.slowSince = now
 	}
 	s.signal()
 	return nil
@@ -96,8 +96,8 @@
 // read the remainder within the slow-reader wait.
 func (s *sink) finish(now time.Time, data []byte) {
 	s.buf = append(s.buf, data...)
-	s.last = true
-	_ = s.conn.SetWriteDeadline(now.Add(max(s.wait, minFinalWait)))
+	s.ended = true
+	_ = s.conn.SetWriteDeadline(now.Add(max(s.writeTimeout, minFinalWait)))
 	s.signal()
 }
 
@@ -105,12 +105,12 @@
 const minFinalWait = time.Second
 
 // abortWrites interrupts a write in progress and makes later ones fail.
-func (s *sink) cut() { _ = s.conn.SetWriteDeadline(time.Unix(1, 0)) }
+func (s *sink) abortWrites() { _ = s.conn.SetWriteDeadline(time.Unix(1, 0)) }
 
 // close stops the caller's side because another connection has taken over the stream.
 func (s *sink) close() {
 	s.closed = true
-	s.cut()
+	s.abortWrites()
 	s.signal()
 }
 
@@ -120,8 +120,8 @@
 	out := s.buf
 	s.buf = spare[:0]
 	s.inFlight, s.tokens = s.tokens, 0
-	if s.inFlight <= s.limit {
-		s.over = time.Time{}
+	if s.inFlight <= s.maxPending {
+		s.slowSince = time.Time{}
 	}
 	return out
 }
@@ -131,5 +131,5 @@
 	if len(s.buf) > maxSinkBytes {
 		return true
 	}
-	return !s.over.IsZero() && now.Sub(s.over) > wait
+	return !s.slowSince.IsZero() && now.Sub(s.slowSince) > wait
 }
--- a/lib/entry/stop.go
+++ b/lib/entry/stop.go
@@ -15,14 +15,14 @@
 )
 
 // BeginShutdown marks the instance as not ready; requests are still accepted.
-func (s *Server) Leave() { s.leaving.Store(true) }
+func (s *Server) Leave() { s.shuttingDown.Store(true) }
 
 // ShuttingDown reports whether a planned shutdown has begun.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+func (s *Server) Leaving() bool { return s.shuttingDown.Load() }
 
 // RejectNew refuses new requests from now on; those in progress continue.
 func (s *Server) Refuse() {
-	s.leaving.Store(true)
+	s.shuttingDown.Store(true)
 	s.stopping.Store(true)
 }
 
--- a/lib/entry/store_test.go
+++ b/lib/entry/store_test.go
@@ -53,8 +53,8 @@
 // Era implements claim.Store.
 func (m *memoryStore) Era() uint64 { return platformapi.FirstEra }
 
-// holds returns the number of items whose value contains text.
-func (m *memoryStore) holds(text string) int {
+// countContaining returns the number of items whose value contains text.
+func (m *memoryStore) countContaining(text string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
@@ -78,34 +78,34 @@
 	})}
 }
 
-// gate is one entry's access to the store, which a test can close to simulate the death of the entry.
-type gate struct {
-	store *memoryStore
-	mu    sync.Mutex
-	dead  bool
-	slow  chan struct{} // if not nil, responses are delayed until it is closed
+// storeGate is one entry's access to the store, which a test can close to simulate the death of the entry.
+type storeGate struct {
+	store  *memoryStore
+	mu     sync.Mutex
+	closed bool
+	hold   chan struct{} // if not nil, responses are delayed until it is closed
 }
 
-func (m *memoryStore) gate() *gate { return &gate{store: m} }
+func (m *memoryStore) gate() *storeGate { return &storeGate{store: m} }
 
-func (g *gate) claims(instance string) Claims { return claimsOn(g, instance, nil) }
+func (g *storeGate) claims(instance string) Claims { return claimsOn(g, instance, nil) }
 
-func (g *gate) shut() {
+func (g *storeGate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dead = true
+	g.closed = true
 }
 
-func (g *gate) open() {
+func (g *storeGate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.dead = false
+	g.closed = false
 }
 
 // GroupTxn implements claim.Store.
-func (g *gate) GroupTxn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
+func (g *storeGate) GroupTxn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
 	g.mu.Lock()
-	dead, slow := g.dead, g.slow
+	dead, slow := g.closed, g.hold
 	g.mu.Unlock()
 	if slow != nil {
 		<-slow
@@ -117,9 +117,9 @@
 }
 
 // Get implements claim.Store.
-func (g *gate) Get(ctx context.Context, key string) (platformapi.Item, bool, error) {
+func (g *storeGate) Get(ctx context.Context, key string) (platformapi.Item, bool, error) {
 	return g.store.Get(ctx, key)
 }
 
 // Era implements claim.Store.
-func (g *gate) Era() uint64 { return g.store.Era() }
+func (g *storeGate) Era() uint64 { return g.store.Era() }
--- a/lib/entry/table.go
+++ b/lib/entry/table.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	keepFinished = time.Minute // how long a finished keyed answer stays available to returning callers
-	maxKept      = 1024        // bound on finished keyed answers
+	finishedTTL = time.Minute // how long a finished keyed answer stays available to returning callers
+	maxFinished = 1024        // bound on finished keyed answers
 )
 
 type keyRef struct{ workspace, key string }
@@ -19,11 +19,11 @@
 type table struct {
 	max int // bound on active
 
-	mu     sync.Mutex
-	byID   map[ids.Generation]*generation
-	byKey  map[keyRef]*generation
-	kept   []*generation // finished, oldest first
-	active int           // requests being answered
+	mu       sync.Mutex
+	byID     map[ids.Generation]*generation
+	byKey    map[keyRef]*generation
+	finished []*generation // finished, oldest first
+	active   int           // requests being answered
 }
 
 func newTable(limit int) *table {
@@ -56,8 +56,8 @@
 	defer t.mu.Unlock()
 	if g.key != "" {
 		ref := keyRef{g.subject.Workspace, g.key}
-		if old := t.byKey[ref]; old != nil {
-			return old
+		if holder := t.byKey[ref]; holder != nil {
+			return holder
 		}
 		t.byKey[ref] = g
 	}
@@ -82,14 +82,14 @@
 		return
 	}
 	if g.err != nil && result.Lookup(g.err.Code).Outcome == result.NotRun {
-		t.forget(g)
+		t.freeKey(g)
 		return
 	}
-	t.kept = append(t.kept, g)
+	t.finished = append(t.finished, g)
 	t.expire(now)
 }
 
-func (t *table) forget(g *generation) {
+func (t *table) freeKey(g *generation) {
 	ref := keyRef{g.subject.Workspace, g.key}
 	if t.byKey[ref] == g {
 		delete(t.byKey, ref)
@@ -98,32 +98,32 @@
 
 // expire removes finished generations beyond the time or count limit. The caller must hold mu.
 func (t *table) expire(now time.Time) {
-	for len(t.kept) > 0 && (len(t.kept) > maxKept || now.Sub(t.kept[0].endedAt) > keepFinished) {
-		t.forget(t.kept[0])
-		t.kept[0] = nil
-		t.kept = t.kept[1:]
+	for len(t.finished) > 0 && (len(t.finished) > maxFinished || now.Sub(t.finished[0].endedAt) > finishedTTL) {
+		t.freeKey(t.finished[0])
+		t.finished[0] = nil
+		t.finished = t.finished[1:]
 	}
 }
 
 // removeSuperseded frees the key of a generation that another entry has resumed. It returns the generation if it is in
 // progress, else nil.
-func (t *table) lost(id ids.Generation) *generation {
+func (t *table) removeSuperseded(id ids.Generation) *generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.byID[id]; g != nil {
-		t.forget(g)
+		t.freeKey(g)
 		return g
 	}
-	for _, g := range t.kept {
-		if g.id == id && g.released() {
-			t.forget(g)
+	for _, g := range t.finished {
+		if g.id == id && g.resumableLocked() {
+			t.freeKey(g)
 		}
 	}
 	return nil
 }
 
 // appendRunning appends the generations in progress to out.
-func (t *table) running(out []*generation) []*generation {
+func (t *table) appendRunning(out []*generation) []*generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, g := range t.byID {
@@ -140,16 +140,16 @@
 }
 
 // remove deletes a generation that never started.
-func (t *table) drop(g *generation) {
+func (t *table) remove(g *generation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.byID, g.id)
-	t.forget(g)
+	t.freeKey(g)
 }
 
 // releaseKey frees the key of a generation that was stopped for lack of a caller, so that it can be resumed.
-func (t *table) release(g *generation) {
+func (t *table) releaseKey(g *generation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(g)
+	t.freeKey(g)
 }
--- a/lib/entry/tick.go
+++ b/lib/entry/tick.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	tickInterval  = 20 * time.Millisecond
-	recordMinimum = time.Second // minimum interval between two records of a generation
-	maxRecordText = 1 << 20     // bytes of text; the records of longer answers hold only their start
+	tickInterval      = 20 * time.Millisecond
+	minRecordInterval = time.Second // minimum interval between two records of a generation
+	maxRecordText     = 1 << 20     // bytes of text; the records of longer answers hold only their start
 )
 
 // tick checks all generations in progress every tickInterval until ctx is done.
@@ -24,12 +24,12 @@
 		}
 		now := s.now()
 		s.watches.check(now)
-		gens = s.table.running(gens[:0])
+		gens = s.table.appendRunning(gens[:0])
 		for _, g := range gens {
 			s.tickOne(g, now)
 		}
 		clear(gens)
-		s.table.tidy(now)
+		s.table.expireFinished(now)
 	}
 }
 
@@ -37,7 +37,7 @@
 	checkStall(g, now)
 	s.checkCaller(g, now)
 	checkDeadline(g, now)
-	s.tellProgress(g, now)
+	s.reportProgress(g, now)
 	s.record(g, now, false)
 }
 
@@ -47,14 +47,14 @@
 	g.mu.Lock()
 	sk := g.sink
 	slow := sk != nil && sk.slow(now, g.policy.SlowReaderWait)
-	gone := !g.detached.IsZero() && now.Sub(g.detached) > s.opts.CallerGrace
+	gone := !g.detachedAt.IsZero() && now.Sub(g.detachedAt) > s.opts.CallerGrace
 	g.mu.Unlock()
 	switch {
 	case slow && g.key != "":
-		sk.cut()
+		sk.abortWrites()
 	case slow:
 		g.cancel(errCallerSlow)
-		sk.cut()
+		sk.abortWrites()
 	case gone:
 		g.cancel(errCallerGone)
 	}
@@ -66,13 +66,13 @@
 	}
 }
 
-func (s *Server) tellProgress(g *generation, now time.Time) {
-	interval := g.view.snap.Site.ProgressInterval
+func (s *Server) reportProgress(g *generation, now time.Time) {
+	interval := g.view.snapshot.Site.ProgressInterval
 	g.mu.Lock()
 	next, number := g.state.Next(), g.attempt.number
-	due := g.attempt.cancel != nil && next != g.reported && now.Sub(g.reportedAt) >= interval
+	due := g.attempt.cancel != nil && next != g.reportedTokens && now.Sub(g.reportedAt) >= interval
 	if due {
-		g.reported, g.reportedAt = next, now
+		g.reportedTokens, g.reportedAt = next, now
 	}
 	g.mu.Unlock()
 	if due {
@@ -86,33 +86,33 @@
 		return
 	}
 	g.mu.Lock()
-	lost := context.Cause(g.ctx) == errTakenOver
-	due := last || g.recordedAt.IsZero() || (g.text.Len() > g.recorded && now.Sub(g.recordedAt) >= recordMinimum)
-	if !due || !g.begun || lost || g.text.Size() > maxRecordText {
+	superseded := context.Cause(g.ctx) == errTakenOver
+	due := last || g.recordedAt.IsZero() || (g.text.Len() > g.recordedTokens && now.Sub(g.recordedAt) >= minRecordInterval)
+	if !due || !g.owned || superseded || g.text.Size() > maxRecordText {
 		g.mu.Unlock()
 		return
 	}
-	from := g.recorded
+	from := g.recordedTokens
 	rec := &Record{
 		Generation:  g.id,
 		Subject:     g.subject,
 		Key:         g.key,
 		Attempt:     g.state.Attempt(),
 		Target:      g.attempt.target,
-		Path:        g.asked.Path(),
+		Path:        g.completion.Path(),
 		Request:     g.body,
 		Tokens:      g.text.Tokens(from),
-		Finished:    g.ended && !g.released(),
-		FinishedWhy: g.finish,
-		Released:    g.released(),
+		Finished:    g.ended && !g.resumableLocked(),
+		FinishedWhy: g.finishReason,
+		Released:    g.resumableLocked(),
 	}
-	g.recorded, g.recordedAt = g.text.Len(), now
+	g.recordedTokens, g.recordedAt = g.text.Len(), now
 	g.mu.Unlock()
 	s.opts.Records.Put(rec, from)
 }
 
 // fullRecord returns the record of a generation that has ended, with all tokens.
-func (g *generation) wholeRecord() *Record {
+func (g *generation) fullRecord() *Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return &Record{
@@ -120,7 +120,7 @@
 		Subject:    g.subject,
 		Key:        g.key,
 		Attempt:    g.state.Attempt(),
-		Path:       g.asked.Path(),
+		Path:       g.completion.Path(),
 		Request:    g.body,
 		Tokens:     g.text.Tokens(0),
 		Released:   true,
@@ -128,14 +128,14 @@
 }
 
 // resumable reports whether the generation was stopped for lack of a caller and can be resumed.
-func (g *generation) stopped() bool {
+func (g *generation) resumable() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.released()
+	return g.resumableLocked()
 }
 
 // expireFinished removes finished generations whose retention time has passed.
-func (t *table) tidy(now time.Time) {
+func (t *table) expireFinished(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
--- a/lib/entry/view.go
+++ b/lib/entry/view.go
@@ -8,12 +8,12 @@
 
 // view is one settings revision with the clients of its targets. A request keeps the view under which it was accepted.
 type view struct {
-	snap    *settings.Snapshot
-	clients map[string]*target.Client // by target name, which is unique in a site
+	snapshot *settings.Snapshot
+	clients  map[string]*target.Client // by target name, which is unique in a site
 }
 
 func newView(snap *settings.Snapshot, shared *target.Clients) *view {
-	v := &view{snap: snap, clients: make(map[string]*target.Client)}
+	v := &view{snapshot: snap, clients: make(map[string]*target.Client)}
 	for _, svc := range snap.Services {
 		for i := range svc.Targets {
 			t := &svc.Targets[i]
@@ -55,7 +55,7 @@
 }
 
 // minMemoryRisk replaces a memory risk of 0, which the scheduler would treat as unset.
-const leastRisk = 1e-12
+const minMemoryRisk = 1e-12
 
 // ClassPolicies returns a function that maps a service's policies to the scheduler's.
 func ClassPolicies(snap *settings.Snapshot, service string) sched.PolicyFunc {
@@ -72,7 +72,7 @@
 			MaxWait:        p.MaxWait,
 			QueueBound:     p.QueueBound,
 			MaxPreemptions: moves,
-			MemoryRisk:     max(p.MemoryRisk, leastRisk),
+			MemoryRisk:     max(p.MemoryRisk, minMemoryRisk),
 		}
 	}
 }
--- a/lib/entry/view_test.go
+++ b/lib/entry/view_test.go
@@ -11,7 +11,7 @@
 
 // An operator sets max_preemptions to 0 so that a class's generations are never moved. The scheduler treats zero as unset and
 // would apply its default.
-func TestNoPreemptionsReachesTheScheduler(t *testing.T) {
+func TestZeroPreemptionsReachesScheduler(t *testing.T) {
 	tree, err := settings.Parse([]byte(`
 site: {name: s, failure_domains: [a]}
 classes:
@@ -27,7 +27,7 @@
 }
 
 // An operator sets a memory risk of 0. The scheduler replaces 0 by its default, which is far higher.
-func TestMemoryRiskOfZeroIsNotTheDefault(t *testing.T) {
+func TestZeroMemoryRiskIsNotDefault(t *testing.T) {
 	tree, err := settings.Parse([]byte(`
 site: {name: s, failure_domains: [a]}
 policy: {memory_risk: 0}
@@ -38,6 +38,6 @@
 	must.NoError(t, err)
 	snap, err := tree.Resolve(1)
 	must.NoError(t, err)
-	must.Between(t, 0, ClassPolicies(snap, "m")("w", "c").MemoryRisk, leastRisk)
+	must.Between(t, 0, ClassPolicies(snap, "m")("w", "c").MemoryRisk, minMemoryRisk)
 	must.Positive(t, ClassPolicies(snap, "m")("w", "c").MemoryRisk)
 }
--- a/lib/entry/watch.go
+++ b/lib/entry/watch.go
@@ -52,16 +52,16 @@
 		if g == nil {
 			continue
 		}
-		g.markSilent()
+		g.markOverdue()
 		g.log(log.Info(), "silent").Str("target", st.Target).Str("kind", st.Kind.String()).Int64("silent_ms", st.Silent.Milliseconds()).Msg("")
 	}
 }
 
 // markOverdue marks the attempt as overdue. It is cancelled once the policy's stall floor has passed too.
-func (g *generation) markSilent() {
+func (g *generation) markOverdue() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.attempt.silent = true
+	g.attempt.overdue = true
 }
 
 // checkStall cancels an overdue attempt.
@@ -69,7 +69,7 @@
 	g.mu.Lock()
 	a := g.attempt
 	g.mu.Unlock()
-	if a.silent && a.cancel != nil && now.Sub(a.since) >= g.policy.StallFloor {
+	if a.overdue && a.cancel != nil && now.Sub(a.lastActivity) >= g.policy.StallFloor {
 		a.cancel(errStalled)
 	}
 }
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -37,18 +37,18 @@
 type Link struct {
 	opts Options
 
-	told    chan struct{} // closed when the first settings arrive; the control process sends its drains before them
-	tell    sync.Once
-	mu      sync.Mutex
-	drains  map[string]bool
-	reports map[string]taken
-	changed chan struct{}
+	drainsReceived chan struct{} // closed when the first settings arrive; the control process sends its drains before them
+	drainsOnce     sync.Once
+	mu             sync.Mutex
+	drains         map[string]bool
+	reports        map[string]timedReport
+	changed        chan struct{}
 }
 
 // timedReport is a target's load report with the time at which it was measured.
-type taken struct {
-	rep *engineapi.LoadReport
-	at  time.Time
+type timedReport struct {
+	report     *engineapi.LoadReport
+	measuredAt time.Time
 }
 
 // New returns a Link that has received nothing yet.
@@ -57,25 +57,25 @@
 		o.Interval = DefaultInterval
 	}
 	return &Link{
-		opts:    o,
-		told:    make(chan struct{}),
-		drains:  map[string]bool{},
-		reports: map[string]taken{},
-		changed: make(chan struct{}, 1),
+		opts:           o,
+		drainsReceived: make(chan struct{}),
+		drains:         map[string]bool{},
+		reports:        map[string]timedReport{},
+		changed:        make(chan struct{}, 1),
 	}
 }
 
 // Server returns the link's server, to be registered as a node's handler.
 func (l *Link) Server() *locallink.Server {
-	return &locallink.Server{Instance: l.opts.Instance, Down: l.Down, Up: l.Up, Interval: l.opts.Interval}
+	return &locallink.Server{Instance: l.opts.Instance, Down: l.HandleDown, Up: l.UpMessages, Interval: l.opts.Interval}
 }
 
 // HandleDown applies one message from the control process.
-func (l *Link) Down(m *meshpb.LocalDown) {
+func (l *Link) HandleDown(m *meshpb.LocalDown) {
 	switch m := m.GetMsg().(type) {
 	case *meshpb.LocalDown_Settings:
 		l.opts.Sync.Learn(m.Settings, sourceControl)
-		l.tell.Do(func() { close(l.told) })
+		l.drainsOnce.Do(func() { close(l.drainsReceived) })
 	case *meshpb.LocalDown_View:
 		if l.opts.View != nil {
 			l.opts.View(m.View)
@@ -115,7 +115,7 @@
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-l.told:
+	case <-l.drainsReceived:
 	case <-t.C:
 	}
 }
@@ -147,12 +147,12 @@
 	out := *snap
 	out.Services = make(map[string]*settings.Service, len(snap.Services))
 	for name, svc := range snap.Services {
-		out.Services[name] = drained(svc, l.drains)
+		out.Services[name] = withDrains(svc, l.drains)
 	}
 	return &out
 }
 
-func drained(svc *settings.Service, drains map[string]bool) *settings.Service {
+func withDrains(svc *settings.Service, drains map[string]bool) *settings.Service {
 	out := *svc
 	out.Targets = append([]settings.Target(nil), svc.Targets...)
 	for i := range out.Targets {
@@ -166,11 +166,11 @@
 func (l *Link) Report(target string, rep *engineapi.LoadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reports[target] = taken{rep, time.Now().Add(-time.Duration(rep.AgeMS) * time.Millisecond)}
+	l.reports[target] = timedReport{rep, time.Now().Add(-time.Duration(rep.AgeMS) * time.Millisecond)}
 }
 
 // UpMessages returns the messages of one reporting round.
-func (l *Link) Up() []*meshpb.LocalUp {
+func (l *Link) UpMessages() []*meshpb.LocalUp {
 	var msgs []*meshpb.LocalUp
 	if l.opts.Status != nil {
 		msgs = append(msgs, &meshpb.LocalUp{Msg: &meshpb.LocalUp_Status{Status: l.opts.Status()}})
@@ -178,16 +178,16 @@
 	return append(msgs, &meshpb.LocalUp{Msg: &meshpb.LocalUp_Reports{Reports: l.targetReports(time.Now())}})
 }
 
-// forgetAfter is how long the last report of a target is forwarded.
-const forgetAfter = time.Minute
+// reportRetention is how long the last report of a target is forwarded.
+const reportRetention = time.Minute
 
 func (l *Link) targetReports(now time.Time) *meshpb.TargetReports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := &meshpb.TargetReports{}
 	for name, t := range l.reports {
-		age := now.Sub(t.at)
-		if age > forgetAfter {
+		age := now.Sub(t.measuredAt)
+		if age > reportRetention {
 			delete(l.reports, name)
 			continue
 		}
@@ -196,17 +196,17 @@
 	return out
 }
 
-func (t taken) message(name string, age time.Duration) *meshpb.TargetReport {
+func (t timedReport) message(name string, age time.Duration) *meshpb.TargetReport {
 	return &meshpb.TargetReport{
 		Target:       name,
-		Watts:        t.rep.Watts,
-		Running:      uint32(t.rep.Running),
-		KvUsed:       uint64(t.rep.KVUsed),
-		KvTotal:      uint64(t.rep.KVTotal),
-		Model:        t.rep.Model,
-		ModelVersion: t.rep.ModelVersion,
-		Fence:        t.rep.Fence,
-		Leaving:      t.rep.Leaving,
+		Watts:        t.report.Watts,
+		Running:      uint32(t.report.Running),
+		KvUsed:       uint64(t.report.KVUsed),
+		KvTotal:      uint64(t.report.KVTotal),
+		Model:        t.report.Model,
+		ModelVersion: t.report.ModelVersion,
+		Fence:        t.report.Fence,
+		Leaving:      t.report.Leaving,
 		AgeMs:        age.Milliseconds(),
 	}
 }
@@ -219,6 +219,6 @@
 	if !ok {
 		return nil, 0
 	}
-	age := time.Since(t.at)
+	age := time.Since(t.measuredAt)
 	return t.message(target, age), age
 }
--- a/lib/entrylink/entrylink_test.go
+++ b/lib/entrylink/entrylink_test.go
@@ -68,25 +68,25 @@
 
 // An operator drains a target, and a later settings revision does not mention the drain. If drains were lost with each
 // revision, the draining target would receive new work again.
-func TestDrainOutlivesARevision(t *testing.T) {
+func TestDrainSurvivesSettingsRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
-		l.Down(settingsMsg(1, text))
+		l.HandleDown(settingsMsg(1, text))
 		must.Eq(t, []bool{false, false}, draining(inForce()))
-		l.Down(drainMsg("t1", true))
+		l.HandleDown(drainMsg("t1", true))
 		must.Eq(t, []bool{true, false}, draining(inForce()))
-		l.Down(settingsMsg(2, text+"# changed\n"))
+		l.HandleDown(settingsMsg(2, text+"# changed\n"))
 		s := inForce()
 		must.Eq(t, 2, s.Revision)
 		must.Eq(t, []bool{true, false}, draining(s))
-		l.Down(drainMsg("t1", false))
+		l.HandleDown(drainMsg("t1", false))
 		must.Eq(t, []bool{false, false}, draining(inForce()))
 	})
 }
 
 // An entry restarts after an operator drained a target, and its peers send it the settings before its control process sends
 // the drain. If it served with those settings alone, the draining target would receive new work again.
-func TestNewEntryHearsOfDrainsBeforeItServes(t *testing.T) {
+func TestRestartedEntryAwaitsDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var applied []*settings.Snapshot
 		sy := settingsync.New(settingsync.Config{})
@@ -99,8 +99,8 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		must.SliceEmpty(t, applied)
-		l.Down(drainMsg("t1", true))
-		l.Down(settingsMsg(1, text))
+		l.HandleDown(drainMsg("t1", true))
+		l.HandleDown(settingsMsg(1, text))
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
 		for _, s := range applied {
@@ -112,7 +112,7 @@
 
 // The control process is dead when its entry restarts. The entry must still serve with the settings of its peers, within
 // the time that a drain may take to arrive.
-func TestNewEntryServesWithoutItsControlProcess(t *testing.T) {
+func TestEntryServesWithoutControlProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
 		l.opts.Sync.Learn(settingsMsg(1, text).GetSettings(), "peer")
@@ -121,17 +121,17 @@
 }
 
 // A control process that read a lagging replica sends an older revision. Applying it would undo an accepted change.
-func TestSettingsNeverGoBack(t *testing.T) {
+func TestOlderRevisionIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
-		l.Down(settingsMsg(5, text))
+		l.HandleDown(settingsMsg(5, text))
 		must.Eq(t, 5, inForce().Revision)
-		l.Down(settingsMsg(4, text+"# older\n"))
+		l.HandleDown(settingsMsg(4, text+"# older\n"))
 		must.Eq(t, 5, inForce().Revision)
 	})
 }
 
-func TestOverlayLeavesTheSharedSnapshot(t *testing.T) {
+func TestOverlayDoesNotModifySnapshot(t *testing.T) {
 	tree, err := settings.Parse([]byte(text), "f")
 	must.NoError(t, err)
 	snap, err := tree.Resolve(1)
@@ -142,15 +142,15 @@
 	must.Eq(t, []bool{false, false}, draining(snap))
 }
 
-func TestReportsAgeAndAreForgotten(t *testing.T) {
+func TestReportsAgeAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New(Options{})
 		l.Report("t1", &engineapi.LoadReport{Running: 3, AgeMS: 500})
 		time.Sleep(time.Second)
-		rep := l.Up()[0].GetReports().GetTargets()
+		rep := l.UpMessages()[0].GetReports().GetTargets()
 		must.Len(t, 1, rep)
 		must.Eq(t, 1500, rep[0].GetAgeMs())
-		time.Sleep(forgetAfter)
-		must.Len(t, 0, l.Up()[0].GetReports().GetTargets())
+		time.Sleep(reportRetention)
+		must.Len(t, 0, l.UpMessages()[0].GetReports().GetTargets())
 	})
 }
--- a/lib/target/call.go
+++ b/lib/target/call.go
@@ -8,25 +8,25 @@
 	"strings"
 )
 
-// hopHeaders are the hop-by-hop headers, which must not be forwarded.
-var hopHeaders = []string{
+// hopByHopHeaders are the hop-by-hop headers, which must not be forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
 // CopyEndToEndHeaders copies the headers of src to dst, except for hop-by-hop headers and those named by Connection.
-func PassHeaders(dst, src http.Header) {
-	named := make(map[string]bool)
+func CopyEndToEndHeaders(dst, src http.Header) {
+	skip := make(map[string]bool)
 	for _, v := range src.Values("Connection") {
 		for name := range strings.SplitSeq(v, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			skip[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	for _, name := range hopHeaders {
-		named[name] = true
+	for _, name := range hopByHopHeaders {
+		skip[name] = true
 	}
 	for name, values := range src {
-		if !named[name] {
+		if !skip[name] {
 			dst[name] = append([]string(nil), values...)
 		}
 	}
@@ -34,11 +34,11 @@
 
 // Call is one request to a plain service.
 type Call struct {
-	Method string
-	Path   string // with query, as the caller sent it
-	Header http.Header
-	Body   []byte
-	Once   bool // the call must not be repeated: use a fresh connection and no resend by the transport
+	Method   string
+	Path     string // with query, as the caller sent it
+	Header   http.Header
+	Body     []byte
+	NoResend bool // the call must not be repeated: use a fresh connection and no resend by the transport
 }
 
 // Do sends the call. The error is ErrNotSent if no byte left this process, else ErrBroken, in which case the target may
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	PassHeaders(req.Header, call.Header)
+	CopyEndToEndHeaders(req.Header, call.Header)
 	if len(call.Body) > 0 {
 		req.Body = newOnceBody(call.Body)
 		req.ContentLength = int64(len(call.Body))
 	}
-	if call.Once {
-		resp, err := c.clients.once.Do(req)
+	if call.NoResend {
+		resp, err := c.clients.singleUse.Do(req)
 		if err != nil {
 			return nil, classify(err, sent)
 		}
--- a/lib/target/client.go
+++ b/lib/target/client.go
@@ -29,9 +29,9 @@
 
 // Errors that classify a failure by what it proves.
 var (
-	ErrNotSent  = errors.New("nothing was sent to the target")
-	ErrCutShort = errors.New("the stream ended without its end mark")
-	ErrBroken   = errors.New("the connection to the target broke")
+	ErrNotSent   = errors.New("nothing was sent to the target")
+	ErrTruncated = errors.New("the stream ended without its end mark")
+	ErrBroken    = errors.New("the connection to the target broke")
 )
 
 // RefusedError is a response in which the target refuses a request.
@@ -48,15 +48,15 @@
 
 // Clients holds the transports and connections that all Client values of a process share.
 type Clients struct {
-	once   *http.Client
-	pooled *http.Client
+	singleUse *http.Client
+	pooled    *http.Client
 }
 
 // NewClients returns the shared clients; a process needs only one.
 func NewClients() *Clients {
 	return &Clients{
-		once:   &http.Client{Transport: newOnceTransport(), CheckRedirect: noRedirect},
-		pooled: &http.Client{Transport: newPooledTransport(), CheckRedirect: noRedirect},
+		singleUse: &http.Client{Transport: newSingleUseTransport(), CheckRedirect: noRedirect},
+		pooled:    &http.Client{Transport: newPooledTransport(), CheckRedirect: noRedirect},
 	}
 }
 
--- a/lib/target/conn.go
+++ b/lib/target/conn.go
@@ -51,12 +51,12 @@
 	return c, nil
 }
 
-// newOnceTransport returns a transport that opens a new connection for each request.
+// newSingleUseTransport returns a transport that opens a new connection for each request.
 //
 // net/http resends a request by itself when a reused connection breaks before the response, if it considers the request
 // replayable; an Idempotency-Key header suffices for that. A call that must not run twice would then run twice. On a new
 // connection net/http never resends, and any failure belongs to this request alone.
-func newOnceTransport() *http.Transport {
+func newSingleUseTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
 		DisableKeepAlives:      true,
--- a/lib/target/frame.go
+++ b/lib/target/frame.go
@@ -26,12 +26,12 @@
 
 // frameParser parses frames without allocating once its buffers have grown.
 type frameParser struct {
-	p fastjson.Parser
+	parser fastjson.Parser
 }
 
 // parse fills f from data.
 func (fp *frameParser) parse(data []byte, f *Frame) error {
-	v, err := fp.p.ParseBytes(data)
+	v, err := fp.parser.ParseBytes(data)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
@@ -58,10 +58,10 @@
 		return fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	f.Generation = g
-	if f.Attempt, err = number(ext, "attempt"); err != nil {
+	if f.Attempt, err = parseNumber(ext, "attempt"); err != nil {
 		return err
 	}
-	f.Index, err = number(ext, "index")
+	f.Index, err = parseNumber(ext, "index")
 	return err
 }
 
@@ -91,7 +91,7 @@
 	return string(b)
 }
 
-func number(v *fastjson.Value, key string) (uint32, error) {
+func parseNumber(v *fastjson.Value, key string) (uint32, error) {
 	n := v.Get(key)
 	if n == nil {
 		return 0, fmt.Errorf("%w: ext has no %s", ErrBadFrame, key)
--- a/lib/target/stream.go
+++ b/lib/target/stream.go
@@ -32,7 +32,7 @@
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Accept", "text/event-stream")
-	resp, err := c.clients.once.Do(req)
+	resp, err := c.clients.singleUse.Do(req)
 	if err != nil {
 		cancel()
 		return nil, classify(err, sent)
@@ -65,7 +65,7 @@
 	data, err := s.events.next()
 	switch {
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-		return nil, fmt.Errorf("%w: %w", ErrCutShort, err)
+		return nil, fmt.Errorf("%w: %w", ErrTruncated, err)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 	case string(data) == engineapi.DoneData:
--- a/lib/target/target_test.go
+++ b/lib/target/target_test.go
@@ -20,7 +20,7 @@
 
 func streamOf(text string) *Stream { return NewStream(io.NopCloser(strings.NewReader(text))) }
 
-func TestStreamReadsFrames(t *testing.T) {
+func TestStreamParsesFrames(t *testing.T) {
 	g := ids.From(1, 1)
 	st := streamOf(": hello\r\n\r\nevent: x\nid: 1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\\\"\"},\"finish_reason\":null}],\r\n" +
 		"data:  \"ext\":{\"generation\":\"" + g.String() + "\",\"attempt\":2,\"index\":5}}\r\n\r\n" +
@@ -38,19 +38,19 @@
 	must.True(t, f.Generation.IsZero())
 	_, err = st.Next()
 	must.ErrorIs(t, err, io.EOF)
-	must.False(t, errors.Is(err, ErrCutShort))
+	must.False(t, errors.Is(err, ErrTruncated))
 }
 
 // An interrupted stream can look like a finished one. Every end other than [DONE] must be an error, both inside an event
 // and between two.
-func TestStreamThatEndsEarlyIsCutShort(t *testing.T) {
+func TestTruncatedStreamIsError(t *testing.T) {
 	for _, text := range []string{"", ": x\n", "data: [DONE]", "data: [DONE]\n", `data: {"a"`, "data: x\n"} {
 		_, err := streamOf(text).Next()
-		must.ErrorIs(t, err, ErrCutShort, must.Sprintf("%q", text))
+		must.ErrorIs(t, err, ErrTruncated, must.Sprintf("%q", text))
 	}
 }
 
-func TestStreamRefusesBadFrames(t *testing.T) {
+func TestBadFramesRejected(t *testing.T) {
 	for _, data := range []string{
 		"{", "[]", "{}", `{"ext":{}}`, `{"ext":{"generation":"zz","attempt":1,"index":0}}`,
 		`{"ext":{"generation":"00000000000000000000000000000001","attempt":-1,"index":0},"choices":[{}]}`,
@@ -63,7 +63,7 @@
 }
 
 // An engine that never terminates an event must not exhaust the entry's memory.
-func TestEventIsBounded(t *testing.T) {
+func TestEventSizeBounded(t *testing.T) {
 	_, err := NewStream(io.NopCloser(endless{})).Next()
 	must.ErrorIs(t, err, ErrEventTooLarge)
 }
@@ -79,7 +79,7 @@
 
 // A reused connection breaks after the target has read a call. Because of the Idempotency-Key, net/http would resend the
 // call by itself. The target must receive a call that must not be repeated only once, with and without a body.
-func TestOnceIsSentOnce(t *testing.T) {
+func TestNoResendAfterBrokenConnection(t *testing.T) {
 	var seen atomic.Int32
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -98,7 +98,7 @@
 	c := clients.Client("t", ln.Addr().String())
 	for _, body := range []string{"", "go"} {
 		seen.Store(0)
-		call := &Call{Method: http.MethodPost, Path: "/x", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(body), Once: true}
+		call := &Call{Method: http.MethodPost, Path: "/x", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte(body), NoResend: true}
 		for range 2 {
 			resp, err := c.Do(context.Background(), call)
 			if err == nil {
@@ -130,7 +130,7 @@
 
 // ErrNotSent is the proof behind "not run". It must hold for a refused connection, and must not hold for a connection that
 // broke after the request was sent, whether new or reused.
-func TestNotSentIsProved(t *testing.T) {
+func TestErrNotSentOnlyIfNothingSent(t *testing.T) {
 	clients := NewClients()
 	defer clients.Close()
 	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
@@ -139,7 +139,7 @@
 	deadAddr := dead.Listener.Addr().String()
 	dead.Close()
 	for _, once := range []bool{true, false} {
-		call := &Call{Method: http.MethodGet, Path: "/", Header: http.Header{}, Once: once}
+		call := &Call{Method: http.MethodGet, Path: "/", Header: http.Header{}, NoResend: once}
 		_, err := clients.Client("dead", deadAddr).Do(context.Background(), call)
 		must.ErrorIs(t, err, ErrNotSent)
 		_, err = clients.Client("cut", cut.Listener.Addr().String()).Do(context.Background(), call)
@@ -149,7 +149,7 @@
 }
 
 // Following a target's redirect would send a second request, possibly to another host.
-func TestRedirectsAreNotFollowed(t *testing.T) {
+func TestRedirectsNotFollowed(t *testing.T) {
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
@@ -158,15 +158,15 @@
 	defer srv.Close()
 	clients := NewClients()
 	defer clients.Close()
-	resp, err := clients.Client("t", srv.Listener.Addr().String()).Do(context.Background(), &Call{Method: http.MethodPost, Path: "/", Once: true})
+	resp, err := clients.Client("t", srv.Listener.Addr().String()).Do(context.Background(), &Call{Method: http.MethodPost, Path: "/", NoResend: true})
 	must.NoError(t, err)
 	resp.Body.Close()
 	must.Eq(t, http.StatusTemporaryRedirect, resp.StatusCode)
 	must.Eq(t, 1, calls.Load())
 }
 
-func TestPassHeaders(t *testing.T) {
+func TestCopyEndToEndHeaders(t *testing.T) {
 	dst := http.Header{}
-	PassHeaders(dst, http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "X-End": {"2"}, "Upgrade": {"h2c"}, "Te": {"trailers"}})
+	CopyEndToEndHeaders(dst, http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "X-End": {"2"}, "Upgrade": {"h2c"}, "Te": {"trailers"}})
 	must.Eq(t, http.Header{"X-End": {"2"}}, dst)
 }
