--- a/lib/entry/backoff.go
+++ b/lib/entry/backoff.go
@@ -25,23 +25,23 @@
 func newBackoffs() *backoffs { return &backoffs{until: make(map[string]time.Time)} }
 
 // observe records the Retry-After of a refused attempt.
-func (r *backoffs) observe(now time.Time, engine string, cause error) {
+func (b *backoffs) observe(now time.Time, engine string, cause error) {
 	var refusal *target.RefusedError
 	if !errors.As(cause, &refusal) || refusal.RetryAfter <= 0 {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if now.Sub(r.lastSweep) > backoffSweepInterval {
-		maps.DeleteFunc(r.until, func(_ string, until time.Time) bool { return !now.Before(until) })
-		r.lastSweep = now
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if now.Sub(b.lastSweep) > backoffSweepInterval {
+		maps.DeleteFunc(b.until, func(_ string, until time.Time) bool { return !now.Before(until) })
+		b.lastSweep = now
 	}
-	r.until[engine] = now.Add(refusal.RetryAfter)
+	b.until[engine] = now.Add(refusal.RetryAfter)
 }
 
 // active reports whether an engine's Retry-After has not passed yet.
-func (r *backoffs) active(now time.Time, engine string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return now.Before(r.until[engine])
+func (b *backoffs) active(now time.Time, engine string) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return now.Before(b.until[engine])
 }
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -147,9 +147,9 @@
 		g.release()
 		return nil, nil, err
 	}
-	if old := s.table.add(g); old != nil {
+	if holder := s.table.add(g); holder != nil {
 		g.release()
-		return s.join(ctx, old, a)
+		return s.join(ctx, holder, a)
 	}
 	if sum, err := s.claim(ctx, g, a); sum != nil || err != nil {
 		return s.notClaimed(ctx, a, g, sk, sum, err)
@@ -185,9 +185,9 @@
 }
 
 // withdraw ends a generation that never started. Connections that joined it meanwhile receive the error too.
-func (s *Server) withdraw(g *generation, own *sink, err *result.Error) {
+func (s *Server) withdraw(g *generation, caller *sink, err *result.Error) {
 	s.table.remove(g)
-	g.detach(own, s.now())
+	g.detach(caller, s.now())
 	g.end(s.now(), err)
 	g.release()
 }
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := matches(rec, a); err != nil {
+	if err := checkRecord(rec, a); err != nil {
 		return nil, nil, err
 	}
 	return s.resume(ctx, a, rec)
@@ -221,7 +221,7 @@
 
 // resume runs the remainder of a generation that no entry is running.
 func (s *Server) resume(ctx context.Context, a *completionRequest, rec *Record) (*generation, *sink, *result.Error) {
-	g, sk := s.restored(a, rec), a.newSink()
+	g, sk := s.restoreGeneration(a, rec), a.newSink()
 	err := g.attach(s.now(), sk, true)
 	if err != nil {
 		return nil, nil, err
@@ -229,9 +229,9 @@
 	if g.release, err = s.opts.Limiter.Acquire(ctx, g.subject, g.policy); err != nil {
 		return nil, nil, err
 	}
-	if old := s.table.add(g); old != nil {
+	if holder := s.table.add(g); holder != nil {
 		g.release()
-		return s.join(ctx, old, a)
+		return s.join(ctx, holder, a)
 	}
 	if rec.Finished {
 		g.log(log.Info(), "told_again").Int("tokens", len(rec.Tokens)).Msg("")
@@ -250,8 +250,8 @@
 	return g, sk, nil
 }
 
-// matches returns an error if the record belongs to another request, that is, the key was reused.
-func matches(rec *Record, a *completionRequest) *result.Error {
+// checkRecord returns an error if the record belongs to another request, that is, the key was reused.
+func checkRecord(rec *Record, a *completionRequest) *result.Error {
 	last := a.headers.LastEvent
 	switch {
 	case rec.Subject.Fingerprint != a.subject.Fingerprint || rec.Subject.Service != a.service.Name:
@@ -262,8 +262,8 @@
 	return nil
 }
 
-// restored rebuilds a generation from its record.
-func (s *Server) restored(a *completionRequest, rec *Record) *generation {
+// restoreGeneration rebuilds a generation from its record.
+func (s *Server) restoreGeneration(a *completionRequest, rec *Record) *generation {
 	g := s.newGeneration(a, rec.Generation, func(id ids.Generation) *stream.State {
 		return stream.Restore(id, rec.Attempt+restoreGap, uint32(len(rec.Tokens)))
 	})
--- a/lib/entry/finish.go
+++ b/lib/entry/finish.go
@@ -17,7 +17,7 @@
 	s.record(g, now, true)
 	g.settleClaim()
 	g.release()
-	s.table.ended(g, now)
+	s.table.moveToFinished(g, now)
 	s.reportEnd(g, now, codeOf(err))
 }
 
--- a/lib/entry/generation.go
+++ b/lib/entry/generation.go
@@ -65,7 +65,7 @@
 	stalled        time.Duration // sum of all stalls
 	reportedTokens uint32        // token count last reported to the placer
 	reportedAt     time.Time
-	owned          bool // this entry runs or finishes it; set once the claim is held, and required before it is recorded
+	owned          bool // this entry runs or finishes it, and no longer only requests its claim; only then is it recorded
 	recordedTokens int  // token count last passed to Records
 	recordedAt     time.Time
 	ended          bool
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -81,17 +81,17 @@
 
 func newIncarnations() *incarnations { return &incarnations{seen: make(map[string]engineIncarnation)} }
 
-func (l *incarnations) record(now time.Time, name string, incarnation uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seen[name] = engineIncarnation{incarnation, now}
+func (c *incarnations) record(now time.Time, name string, incarnation uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.seen[name] = engineIncarnation{incarnation, now}
 }
 
-func (l *incarnations) get(name string) (engineIncarnation, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	seen, ok := l.seen[name]
-	return seen, ok
+func (c *incarnations) get(name string) (engineIncarnation, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cached, ok := c.seen[name]
+	return cached, ok
 }
 
 // NoteIncarnation records the incarnation that an engine reported.
@@ -101,8 +101,8 @@
 
 // refreshIncarnation queries an engine's incarnation in the background if no valid one is cached.
 func (s *Server) refreshIncarnation(c *target.Client) {
-	seen, ok := s.incarnations.get(c.Name())
-	if ok && s.now().Sub(seen.seenAt) < incarnationTTL {
+	cached, ok := s.incarnations.get(c.Name())
+	if ok && s.now().Sub(cached.seenAt) < incarnationTTL {
 		return
 	}
 	s.background.Go(func() {
@@ -116,15 +116,15 @@
 // incarnation answers there. A broken link, a lost answer or a slow engine is no evidence against the content and does
 // not count as a death.
 func (s *Server) engineDied(ctx context.Context, c *target.Client) (incarnation uint64, died bool) {
-	seen, _ := s.incarnations.get(c.Name())
+	cached, _ := s.incarnations.get(c.Name())
 	ctx, cancel := context.WithTimeout(ctx, deathProbeTimeout)
 	defer cancel()
 	rep, err := c.Load(ctx)
 	if err != nil {
-		return seen.value, errors.Is(err, syscall.ECONNREFUSED)
+		return cached.value, errors.Is(err, syscall.ECONNREFUSED)
 	}
 	s.incarnations.record(s.now(), c.Name(), rep.Incarnation)
-	return seen.value, seen.value != 0 && rep.Incarnation != seen.value
+	return cached.value, cached.value != 0 && rep.Incarnation != cached.value
 }
 
 // reportAttemptToPoison reports an attempt's end to the poison table. Every attempt that was running reports the death;
--- a/lib/entry/refusal_test.go
+++ b/lib/entry/refusal_test.go
@@ -65,16 +65,16 @@
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "stop [len=100]"
 	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
-	stopped := make(chan error, 1)
+	stopResult := make(chan error, 1)
 	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 90 {
-			must.Eq(t, 0, len(stopped), must.Sprint("Stop returned while an answer was in progress"))
+			must.Eq(t, 0, len(stopResult), must.Sprint("Stop returned while an answer was in progress"))
 		}
 		if n != 10 {
 			return
 		}
-		go func() { stopped <- r.server.Stop(context.Background()) }()
+		go func() { stopResult <- r.server.Stop(context.Background()) }()
 		eventually(t, "stopping", r.server.Stopping)
 		late := r.send(context.Background(), callerRequest{prompt: "late", stream: true})
 		must.Eq(t, http.StatusServiceUnavailable, late.StatusCode)
@@ -82,7 +82,7 @@
 		must.Eq(t, result.Stopping, readError(t, late).Code)
 	})
 	st.checkComplete(t, prompt, 100)
-	must.NoError(t, <-stopped)
+	must.NoError(t, <-stopResult)
 }
 
 // The deadline passes while the answer is in progress: the stream must end with an error that says that it was run.
--- a/lib/entry/run.go
+++ b/lib/entry/run.go
@@ -21,7 +21,7 @@
 	maxAvoid               = 8                      // bound on the failed targets that an attempt avoids
 	maxMoves               = 1000                   // bound on moves and preemptions of one generation
 	placementRetryInterval = 100 * time.Millisecond // between placement retries of a started generation; the caller sees the stall
-	defaultRetryAfter      = time.Second            // default Retry-After
+	defaultRetryAfter      = time.Second            // Retry-After if the refusal named none
 	cancelTimeout          = 2 * time.Second
 	avoidTimeout           = 300 * time.Millisecond // how long to wait for a placement that avoids failed targets
 	placementGrace         = 5 * time.Second        // added to the policy's MaxWait in case the scheduler does not answer
@@ -167,7 +167,8 @@
 	return s.opts.Placer.Now().Add(g.deadline.Sub(now))
 }
 
-// runAttempt runs the attempt on the granted target, unless its circuit is open or it asked for a back-off.
+// runAttempt runs the attempt on the granted target, unless the circuit to the target is open or the target asked for a
+// back-off.
 func (s *Server) runAttempt(g *generation, number uint32, grant sched.Action) attemptEnd {
 	c := s.client(g, grant.Target)
 	if c == nil {
--- a/lib/entry/sink.go
+++ b/lib/entry/sink.go
@@ -29,8 +29,8 @@
 
 	next          uint32        // index of the next token to append to buf
 	firstNeeded   uint32        // index of the first token the caller lacks
-	resumeDigest  stream.Digest // digest of the caller's tokens before from; compared once all of them are known here
-	digestChecked bool          // proof has been compared, or there is none
+	resumeDigest  stream.Digest // digest of the caller's tokens before firstNeeded; compared once they are all known here
+	digestChecked bool          // resumeDigest has been compared, or there is none
 
 	wake         chan struct{}
 	conn         *http.ResponseController
--- a/lib/entry/table.go
+++ b/lib/entry/table.go
@@ -72,9 +72,9 @@
 	return t.byKey[keyRef{workspace, key}]
 }
 
-// ended moves a generation out of those in progress. A keyed one that was run stays available to returning callers; one
+// moveToFinished moves a generation out of those in progress. A keyed one that was run stays available to returning callers; one
 // proved not run frees its key at once, so that the caller may retry.
-func (t *table) ended(g *generation, now time.Time) {
+func (t *table) moveToFinished(g *generation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.byID, g.id)
--- a/lib/entry/takeover_test.go
+++ b/lib/entry/takeover_test.go
@@ -32,12 +32,12 @@
 	n  int
 }
 
-type countedPlacer struct {
+type countingPlacer struct {
 	placer.Placer
 	count *submissions
 }
 
-func (c countedPlacer) Submit(service string, r sched.Request, notify placer.Notify) {
+func (c countingPlacer) Submit(service string, r sched.Request, notify placer.Notify) {
 	c.count.mu.Lock()
 	c.count.n++
 	c.count.mu.Unlock()
@@ -87,7 +87,7 @@
 		for i, name := range []string{"e2", "e3"} {
 			r := newRig(t, d.text, func(o *Options) {
 				withKeys(d.store.claims(name, "e1"), m)(o)
-				o.Placer = countedPlacer{o.Placer, &count}
+				o.Placer = countingPlacer{o.Placer, &count}
 			})
 			wg.Go(func() { answers[i] = r.send(context.Background(), a) })
 		}
