--- a/lib/gateway/answer.go
+++ b/lib/gateway/answer.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// perAnswerHeaders of a target concern its connection with us.
-var perAnswerHeaders = []string{
+// responseHopHeaders of a target concern its connection with us.
+var responseHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
@@ -31,46 +31,46 @@
 	w.WriteHeader(ref.status)
 }
 
-// again is a refusal of a request that no target has run and none will. The wait is at most a third of what the caller
+// unavailable is a refusal of a request that no target has run and none will. The wait is at most a third of what the caller
 // has left: a longer one would not be kept to.
-func (c *call) again(reason string) refusal {
-	after := againPlain
+func (c *call) unavailable(reason string) refusal {
+	after := retryAfterPlain
 	if c.engine != nil {
-		after = againStream
+		after = retryAfterStream
 	}
-	return refusal{status: http.StatusServiceUnavailable, after: c.wait(after), reason: reason}
+	return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(after), reason: reason}
 }
 
-// unplaced is the refusal of a call that no target takes and none has run, with the reason why there is none.
-func (g *Gateway) unplaced(c *call) refusal {
+// noTargetRefusal is the refusal of a call that no target takes and none has run, with the reason why there is none.
+func (g *Gateway) noTargetRefusal(c *call) refusal {
 	stand := g.Fleet.Availability(time.Now(), fleet.Need{Service: c.service, Regions: g.regions(c)})
-	g.Log.Unplaced(c.entry(), stand)
+	g.Log.NoTarget(c.entry(), stand)
 	switch {
 	case stand.Blocked() && stand.Limited > 0:
 		// Callers that are refused together and told the same time would find one permit between them.
-		after := stand.RetryAfter + rand.N(againPlain)
-		return refusal{status: http.StatusServiceUnavailable, after: c.wait(after), reason: "targets_limited"}
+		after := stand.RetryAfter + rand.N(retryAfterPlain)
+		return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(after), reason: "targets_limited"}
 	case stand.Blocked():
-		return refusal{status: http.StatusServiceUnavailable, after: c.wait(stand.RetryAfter), reason: "targets_resting"}
+		return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(stand.RetryAfter), reason: "targets_resting"}
 	case stand.Accepting > 0 && stand.Cold == stand.Accepting:
-		return c.again("targets_cold")
+		return c.unavailable("targets_cold")
 	case stand.Accepting > 0:
-		return c.again("no_target")
+		return c.unavailable("no_target")
 	case stand.Evacuated > 0:
-		return c.again("evacuated")
+		return c.unavailable("evacuated")
 	case stand.OutOfRegion > 0:
-		return c.again("out_of_region")
+		return c.unavailable("out_of_region")
 	}
-	return c.again("no_target")
+	return c.unavailable("no_target")
 }
 
-// wait bounds a wait to what the caller keeps to.
-func (c *call) wait(after time.Duration) time.Duration {
-	return max(min(after, time.Duration(float64(time.Until(c.deadline))*waitPart)), time.Millisecond)
+// boundWait bounds a wait to what the caller keeps to.
+func (c *call) boundWait(after time.Duration) time.Duration {
+	return max(min(after, time.Duration(float64(time.Until(c.deadline))*maxWaitShare)), time.Millisecond)
 }
 
-// waitPart of a caller's time is the longest wait told: callers keep to a third.
-const waitPart = 0.31
+// maxWaitShare of a caller's time is the longest wait told: callers keep to a third.
+const maxWaitShare = 0.31
 
 // copyHead sets the headers of a target's answer.
 func (g *Gateway) copyHead(w http.ResponseWriter, from http.Header) {
@@ -78,7 +78,7 @@
 	for name, values := range from {
 		h[name] = values
 	}
-	for _, name := range perAnswerHeaders {
+	for _, name := range responseHopHeaders {
 		h.Del(name)
 	}
 	if g.stopping() {
@@ -96,8 +96,8 @@
 	verdictFaulty          // not an answer that can be passed on
 )
 
-// judge reads the head of an answer to this very request.
-func (g *Gateway) judge(r *wirehttp.Response) verdict {
+// classify reads the head of an answer to this very request.
+func (g *Gateway) classify(r *wirehttp.Response) verdict {
 	h := r.Header
 	if r.Status == http.StatusMisdirectedRequest {
 		return verdictNotRun
--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -8,13 +8,13 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// backupFree is the share of an engine's memory that must stay free for it to hold a copy of another's run. With copies
+// minBackupFree is the share of an engine's memory that must stay free for it to hold a copy of another's run. With copies
 // of every run the engines' memory fills up and runs are preempted, which costs more than the copies save.
-const backupFree = 0.7
+const minBackupFree = 0.7
 
 // backup is a copy of a run that its engine keeps up to date on another one.
 type backup struct {
-	at     fleet.Info // empty: none
+	target fleet.Info // empty: none
 	tokens int        // counted there
 }
 
@@ -26,15 +26,15 @@
 
 // chooseBackup picks an engine for a copy of a run: the one that the owner has found with the run's own, or by what this
 // instance knows.
-func (r *run) chooseBackup(to next) {
+func (r *run) chooseBackup(to placement) {
 	if !r.wantsBackup() {
 		return
 	}
-	tokens := r.size().Tokens
+	tokens := r.currentLoad().Tokens
 	at, ok := r.g.Fleet.Info(to.backup)
-	if !to.owned {
+	if !to.byOwner {
 		need := fleet.Need{Service: to.target.Service, Tokens: tokens, Regions: r.g.regions(r.c)}
-		at, ok = r.g.Fleet.ChooseForCopy(time.Now(), need, to.target.ID, backupFree)
+		at, ok = r.g.Fleet.ChooseForCopy(time.Now(), need, to.target.ID, minBackupFree)
 	}
 	if !ok {
 		return
@@ -42,41 +42,41 @@
 	r.g.Fleet.AddLoad(at.ID, fleet.Load{Tokens: tokens})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.copy = backup{at: at, tokens: tokens}
+	r.backup = backup{target: at, tokens: tokens}
 }
 
 // dropBackup takes the copy's tokens off its engine and returns where it was.
 func (r *run) dropBackup() fleet.Info {
 	r.mu.Lock()
-	b := r.copy
-	r.copy = backup{}
+	b := r.backup
+	r.backup = backup{}
 	r.mu.Unlock()
-	if b.at.ID != "" {
-		r.g.Fleet.AddLoad(b.at.ID, fleet.Load{Tokens: -b.tokens})
+	if b.target.ID != "" {
+		r.g.Fleet.AddLoad(b.target.ID, fleet.Load{Tokens: -b.tokens})
 	}
-	return b.at
+	return b.target
 }
 
-// fromBackup says how to go on from the copy after the run's engine has failed; ok is false when there is none.
-func (r *run) fromBackup() (next, bool) {
+// resumeFromBackup says how to go on from the copy after the run's engine has failed; ok is false when there is none.
+func (r *run) resumeFromBackup() (placement, bool) {
 	at := r.dropBackup()
 	if at.ID == "" || r.events == 0 || r.g.Fleet.IsLeaving(at.ID) {
-		return next{}, false
+		return placement{}, false
 	}
-	size := r.size()
+	size := r.currentLoad()
 	need := fleet.Need{Service: at.Service, Tokens: size.Tokens, Regions: r.g.regions(r.c), FoundByOwner: true}
 	to, ok := r.g.Fleet.AcquireAt(time.Now(), at.ID, need)
 	if !ok {
-		return next{}, false
+		return placement{}, false
 	}
-	return next{target: to, counted: fleet.Load{Tokens: size.Tokens}, copyFrom: to.Addr + "/" + r.c.id}, true
+	return placement{target: to, load: fleet.Load{Tokens: size.Tokens}, copyFrom: to.Addr + "/" + r.c.id}, true
 }
 
-// backupAt returns the engine that holds the copy.
-func (r *run) backupAt() fleet.Info {
+// backupTarget returns the engine that holds the copy.
+func (r *run) backupTarget() fleet.Info {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.copy.at
+	return r.backup.target
 }
 
 // HeldMemory lists the memory that copies of this instance's runs take.
@@ -86,11 +86,11 @@
 		for _, r := range list {
 			id := rendezvous.Hash(r.c.id)
 			r.mu.Lock()
-			if r.copy.at.ID != "" {
-				out = append(out, owner.Held{Target: r.copy.at.ID, Tokens: r.copy.tokens, Run: id})
+			if r.backup.target.ID != "" {
+				out = append(out, owner.Held{Target: r.backup.target.ID, Tokens: r.backup.tokens, Run: id})
 			}
-			if r.booked.at != "" {
-				out = append(out, owner.Held{Target: r.booked.at, Tokens: r.booked.tokens, Run: id})
+			if r.reserved.target != "" {
+				out = append(out, owner.Held{Target: r.reserved.target, Tokens: r.reserved.tokens, Run: id})
 			}
 			r.mu.Unlock()
 		}
--- a/lib/gateway/book_test.go
+++ b/lib/gateway/book_test.go
@@ -32,7 +32,7 @@
 	g.Fleet.Apply(time.Now(), []fleet.Info{{ID: "from", Service: "s"}, {ID: "to", Service: "s"}}, nil, 0)
 	r := &run{g: g, c: &call{id: "x", service: "s"}}
 	g.runs.add("from", r)
-	_, ok := g.bookAt(r, "to", fleet.Need{Service: "s", Tokens: 600, RequireMemory: true})
+	_, ok := g.reserveAt(r, "to", fleet.Need{Service: "s", Tokens: 600, RequireMemory: true})
 	must.True(t, ok)
 	must.Eq(t, 1, owners.changes)
 	must.Len(t, 1, g.HeldMemory())
@@ -41,7 +41,7 @@
 	other := fleet.Need{Service: "s", Tokens: 500, RequireMemory: true, Peak: fleet.Size{Held: 500}, Exclude: map[string]bool{"from": true}}
 	_, ok = g.Fleet.Acquire(time.Now(), other)
 	must.False(t, ok)
-	g.unbook(r)
+	g.releaseReservation(r)
 	must.SliceEmpty(t, g.HeldMemory())
 	_, ok = g.Fleet.Acquire(time.Now(), other)
 	must.True(t, ok)
@@ -69,11 +69,11 @@
 	g.Engines = &failingCopies{}
 	g.Fleet.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: 1000}})
 	g.Fleet.Apply(time.Now(), []fleet.Info{{ID: "from", Service: "s"}, {ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, nil, 0)
-	r := &run{g: g, c: &call{id: "x", service: "s", route: &routes.Route{Name: "r"}}, target: fleet.Info{ID: "from", Service: "s"}, made: 4}
-	r.counted = fleet.Load{Tokens: 100}
+	r := &run{g: g, c: &call{id: "x", service: "s", route: &routes.Route{Name: "r"}}, target: fleet.Info{ID: "from", Service: "s"}, outputTokens: 4}
+	r.load = fleet.Load{Tokens: 100}
 	g.runs.add("from", r)
-	g.move(r, r.target, time.Now().Add(500*time.Millisecond-moveGiveUp), moveplan.Step{})
+	g.move(r, r.target, time.Now().Add(500*time.Millisecond-moveTimeout), moveplan.Step{})
 	r.finish()
-	g.dropCopy(r, r.copySource())
+	g.releasePartialCopy(r, r.partialCopySource())
 	must.MapEmpty(t, g.Fleet.LocalLoads())
 }
--- a/lib/gateway/call.go
+++ b/lib/gateway/call.go
@@ -34,10 +34,10 @@
 	output    int       // expected tokens of the output
 	lastEvent string    // the last event that the caller had when it asked
 
-	print  uint64          // names what the call asks
-	sends  int             // targets that the call was sent to
-	mayRan bool            // a target may have run it
-	tried  map[string]bool // targets not to choose again
+	contentHash uint64          // names what the call asks
+	sends       int             // targets that the call was sent to
+	mayHaveRun  bool            // a target may have run it
+	tried       map[string]bool // targets not to choose again
 }
 
 // refusal is an answer of the gateway's own.
@@ -49,21 +49,21 @@
 
 // Waits told to callers whose request has not run.
 const (
-	// againPlain suits short requests: a budget of a second leaves a third of it for the wait.
-	againPlain = 150 * time.Millisecond
-	// againStream suits generations, whose targets are replaced within some seconds.
-	againStream = 900 * time.Millisecond
-	// againElsewhere is for requests that any other instance can serve now: this one stops.
-	againElsewhere = 20 * time.Millisecond
-	// againUnready is for requests that arrive before the instance knows its settings: the store is away, for seconds.
-	againUnready = 2500 * time.Millisecond
+	// retryAfterPlain suits short requests: a budget of a second leaves a third of it for the wait.
+	retryAfterPlain = 150 * time.Millisecond
+	// retryAfterStream suits generations, whose targets are replaced within some seconds.
+	retryAfterStream = 900 * time.Millisecond
+	// retryAfterStopping is for requests that any other instance can serve now: this one stops.
+	retryAfterStopping = 20 * time.Millisecond
+	// retryAfterUnready is for requests that arrive before the instance knows its settings: the store is away, for seconds.
+	retryAfterUnready = 2500 * time.Millisecond
 )
 
 // defaultDeadline holds for a request that names none on a route without a limit.
 const defaultDeadline = 60 * time.Second
 
-// perRequestHeaders are about one connection, or set anew for each send.
-var perRequestHeaders = []string{
+// requestHopHeaders are about one connection, or set anew for each send.
+var requestHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect", "Proxy-Authorization", "Proxy-Authenticate",
 }
@@ -73,8 +73,8 @@
 	c := &call{id: r.Header.Get(g.Names.RequestID), method: r.Method, target: r.RequestURI, host: r.Host, arrived: time.Now()}
 	t := g.table.Load()
 	if t == nil {
-		c.deadline = c.arrived.Add(g.callersTime(r))
-		return c, &refusal{status: http.StatusServiceUnavailable, after: c.wait(againUnready), reason: "no_settings"}
+		c.deadline = c.arrived.Add(g.callerTimeout(r))
+		return c, &refusal{status: http.StatusServiceUnavailable, after: c.boundWait(retryAfterUnready), reason: "no_settings"}
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	c.route = t.Match(hostname(r.Host), path)
@@ -123,19 +123,19 @@
 }
 
 func (g *Gateway) readHeaders(r *http.Request, c *call) {
-	c.deadline = c.arrived.Add(g.callersTime(r))
+	c.deadline = c.arrived.Add(g.callerTimeout(r))
 	c.limit = c.deadline
 	if t := c.route.Timeout; t > 0 && c.arrived.Add(t).Before(c.limit) {
 		c.limit = c.arrived.Add(t)
 	}
 	c.prompt, c.output = g.tokens(r.Header)
 	c.lastEvent = r.Header.Get(g.Names.LastEvent)
-	c.header = g.forwarded(r.Header, c)
+	c.header = g.forwardHeaders(r.Header, c)
 	c.tried = make(map[string]bool)
 }
 
-// callersTime is how long the caller waits.
-func (g *Gateway) callersTime(r *http.Request) time.Duration {
+// callerTimeout is how long the caller waits.
+func (g *Gateway) callerTimeout(r *http.Request) time.Duration {
 	if ms, err := strconv.ParseFloat(r.Header.Get(g.Names.Deadline), 64); err == nil && ms >= 0 {
 		return time.Duration(ms * float64(time.Millisecond))
 	}
@@ -166,13 +166,13 @@
 	return n
 }
 
-// forwarded copies the headers that go on to targets.
-func (g *Gateway) forwarded(h http.Header, c *call) http.Header {
+// forwardHeaders copies the headers that go on to targets.
+func (g *Gateway) forwardHeaders(h http.Header, c *call) http.Header {
 	out := h.Clone()
 	for name := range strings.SplitSeq(h.Get("Connection"), ",") {
 		out.Del(strings.TrimSpace(name))
 	}
-	for _, name := range perRequestHeaders {
+	for _, name := range requestHopHeaders {
 		out.Del(name)
 	}
 	for _, name := range g.Names.Reserved {
@@ -214,14 +214,14 @@
 	return t.Regions(route, c.workspace)
 }
 
-// left is the time that a target has for the call. A target works no longer than the caller waits.
-func (c *call) left(now time.Time) time.Duration { return c.limit.Sub(now) }
+// timeLeft is the time that a target has for the call. A target works no longer than the caller waits.
+func (c *call) timeLeft(now time.Time) time.Duration { return c.limit.Sub(now) }
 
 // request builds what goes to one target.
 func (g *Gateway) request(c *call, target string, now time.Time) *wirehttp.Request {
 	h := c.header.Clone()
 	h.Set(g.Names.Expect, target)
-	h.Set(g.Names.Deadline, strconv.FormatInt(max(1, c.left(now).Milliseconds()), 10))
+	h.Set(g.Names.Deadline, strconv.FormatInt(max(1, c.timeLeft(now).Milliseconds()), 10))
 	return &wirehttp.Request{Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body}
 }
 
--- a/lib/gateway/events.go
+++ b/lib/gateway/events.go
@@ -41,16 +41,16 @@
 	return whole, n, lastID, nil
 }
 
-// rest reports whether the stream stopped within an event.
-func (e *eventBuffer) rest() bool { return len(e.buf) > 0 }
+// incomplete reports whether the stream stopped within an event.
+func (e *eventBuffer) incomplete() bool { return len(e.buf) > 0 }
 
-// after leaves out the events up to and with the one named last, and returns how many these are. Ids grow within a
+// dropSeen leaves out the events up to and with the one named last, and returns how many these are. Ids grow within a
 // stream; where they are no numbers nothing is left out.
 //
 // Failure: a run that had ended whole was taken for one that a move had stopped, and the engine that it went on at
 // sent the last event a second time. The caller took it for more of the answer. Whatever a target sends, a caller gets no
 // event that it has.
-func after(events []byte, last string) (rest []byte, dropped int) {
+func dropSeen(events []byte, last string) (rest []byte, dropped int) {
 	n, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
 		return events, 0
--- a/lib/gateway/events_test.go
+++ b/lib/gateway/events_test.go
@@ -33,7 +33,7 @@
 		}
 		must.Eq(t, all.String(), got)
 		must.Eq(t, n, count)
-		must.True(t, e.rest())
+		must.True(t, e.incomplete())
 	})
 }
 
@@ -43,7 +43,7 @@
 	must.NoError(t, err)
 	must.Eq(t, 2, n)
 	must.Eq(t, "4", id)
-	must.False(t, e.rest())
+	must.False(t, e.incomplete())
 }
 
 // A target that never ends an event must not fill our memory.
@@ -63,11 +63,11 @@
 	}{
 		{"", all, 0}, {"3", all, 0}, {"4", all[len(all)/3:], 1}, {"6", "", 3}, {"9", "", 3}, {"x-5", all, 0},
 	} {
-		rest, dropped := after([]byte(all), c.last)
+		rest, dropped := dropSeen([]byte(all), c.last)
 		must.Eq(t, c.rest, string(rest), must.Sprint(c.last))
 		must.Eq(t, c.dropped, dropped, must.Sprint(c.last))
 	}
-	rest, dropped := after([]byte("id: a4\ndata: a\n\n"), "4")
+	rest, dropped := dropSeen([]byte("id: a4\ndata: a\n\n"), "4")
 	must.Eq(t, "id: a4\ndata: a\n\n", string(rest))
 	must.Eq(t, 0, dropped)
 }
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -108,30 +108,30 @@
 // Gateway serves callers. It is an http.Handler.
 type Gateway struct {
 	Config
-	table  atomic.Pointer[routes.Table]
-	stopBy atomic.Pointer[time.Time] // when open answers will be cut; nil: the instance is not stopping
-	open   context.Context           // ends when open answers are to be broken off
-	cut    context.CancelFunc
-	known  chan struct{} // closed when settings are first in force
-	runs   runTable
-	placer admit.Placer // decides when streams go to engines
-	sends  openSends
-	paces  paces
-	poison *poison.Table
+	table         atomic.Pointer[routes.Table]
+	stopBy        atomic.Pointer[time.Time] // when open answers will be cut; nil: the instance is not stopping
+	openCtx       context.Context           // ends when open answers are to be broken off
+	cancelOpen    context.CancelFunc
+	settingsReady chan struct{} // closed when settings are first in force
+	runs          runTable
+	placer        admit.Placer // decides when streams go to engines
+	conns         openConns
+	pace          tokenPace
+	poison        *poison.Table
 }
 
-// defaultHold bounds how long a request waits for the first settings; holdPart is the part of the caller's time that it
+// maxSettingsWait bounds how long a request waits for the first settings; holdPart is the part of the caller's time that it
 // waits at most.
 const (
-	defaultHold = 500 * time.Millisecond
-	holdPart    = 5
+	maxSettingsWait  = 500 * time.Millisecond
+	settingsWaitPart = 5
 )
 
 // New returns a Gateway that knows no settings yet.
 func New(cfg Config) *Gateway {
 	open, cut := context.WithCancel(context.Background())
 	g := &Gateway{
-		Config: cfg, open: open, cut: cut, known: make(chan struct{}), runs: newRunTable(), sends: newOpenSends(),
+		Config: cfg, openCtx: open, cancelOpen: cut, settingsReady: make(chan struct{}), runs: newRunTable(), conns: newOpenConns(),
 		placer: admit.Placer{Fleet: cfg.Fleet, Prefill: new(admit.PrefillRates)}, poison: poison.New(poisonConfig),
 	}
 	if cfg.Fleet != nil {
@@ -150,7 +150,7 @@
 		}
 		if g.table.CompareAndSwap(old, t) {
 			if old == nil {
-				close(g.known)
+				close(g.settingsReady)
 			}
 			return true
 		}
@@ -169,7 +169,7 @@
 func (g *Gateway) stopping() bool { return g.stopBy.Load() != nil }
 
 // AbortOpen breaks off what is still open. Call it after Stop.
-func (g *Gateway) AbortOpen() { g.cut() }
+func (g *Gateway) AbortOpen() { g.cancelOpen() }
 
 // ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -184,7 +184,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.limit)
 	defer cancel()
-	stop := context.AfterFunc(g.open, cancel)
+	stop := context.AfterFunc(g.openCtx, cancel)
 	defer stop()
 	g.Budget.Request(c.arrived, c.service)
 	if c.route.Kind == routes.Stream {
@@ -200,14 +200,14 @@
 	if g.table.Load() != nil {
 		return
 	}
-	hold := defaultHold
+	wait := maxSettingsWait
 	if ms, err := strconv.Atoi(r.Header.Get(g.Names.Deadline)); err == nil {
-		hold = min(hold, time.Duration(ms)*time.Millisecond/holdPart)
+		wait = min(wait, time.Duration(ms)*time.Millisecond/settingsWaitPart)
 	}
-	t := time.NewTimer(hold)
+	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-g.known:
+	case <-g.settingsReady:
 	case <-t.C:
 	case <-r.Context().Done():
 	}
--- a/lib/gateway/gateway_test.go
+++ b/lib/gateway/gateway_test.go
@@ -67,7 +67,7 @@
 		{400, http.Header{"Not-Run": {"1"}}, verdictNotRun},
 		{421, http.Header{}, verdictNotRun},
 	} {
-		must.Eq(t, c.want, g.judge(&wirehttp.Response{Status: c.status, Header: c.header}), must.Sprint(c.status, c.header))
+		must.Eq(t, c.want, g.classify(&wirehttp.Response{Status: c.status, Header: c.header}), must.Sprint(c.status, c.header))
 	}
 }
 
@@ -99,8 +99,8 @@
 // A wait that is told is at most a third of the caller's time, or it would not be kept to.
 func TestWaitFitsTheCallersTime(t *testing.T) {
 	c := &call{deadline: time.Now().Add(900 * time.Millisecond)}
-	must.Less(t, 300*time.Millisecond, c.wait(5*time.Second))
-	must.Eq(t, 100*time.Millisecond, c.wait(100*time.Millisecond))
+	must.Less(t, 300*time.Millisecond, c.boundWait(5*time.Second))
+	must.Eq(t, 100*time.Millisecond, c.boundWait(100*time.Millisecond))
 	c.deadline = time.Now().Add(-time.Second)
-	must.Eq(t, time.Millisecond, c.wait(time.Second))
+	must.Eq(t, time.Millisecond, c.boundWait(time.Second))
 }
--- a/lib/gateway/handoff.go
+++ b/lib/gateway/handoff.go
@@ -2,30 +2,30 @@
 
 import "strings"
 
-// stopFor tells the run that its stream is about to be stopped, and returns where the copy is to be handed over; nil
+// beginHandoff tells the run that its stream is about to be stopped, and returns where the copy is to be handed over; nil
 // when the run is no longer there.
-func (r *run) stopFor(target string) chan next {
+func (r *run) beginHandoff(target string) chan placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended || r.target.ID != target || r.handoff != nil {
 		return nil
 	}
-	r.handoff = make(chan next, 1)
+	r.handoff = make(chan placement, 1)
 	return r.handoff
 }
 
-// goOn takes stopFor back: the engine says that it did not stop the run. A run whose stream has ended meanwhile is told
+// cancelHandoff takes stopFor back: the engine says that it did not stop the run. A run whose stream has ended meanwhile is told
 // that there is nothing to go on from.
-func (r *run) goOn(ch chan<- next) {
+func (r *run) cancelHandoff(ch chan<- placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handoff = nil
-	ch <- next{}
+	ch <- placement{}
 }
 
-// handOver tells the run where it goes on. One that has ended by itself takes nothing: what the move had booked and
+// completeHandoff tells the run where it goes on. One that has ended by itself takes nothing: what the move had booked and
 // copied would count at the destination for as long as the process lives.
-func (r *run) handOver(ch chan<- next, n next) {
+func (r *run) completeHandoff(ch chan<- placement, n placement) {
 	r.mu.Lock()
 	ended := r.ended
 	if !ended {
@@ -33,14 +33,14 @@
 	}
 	r.mu.Unlock()
 	if ended {
-		r.g.abandon(r, n)
+		r.g.discardMove(r, n)
 	}
 }
 
-// abandon gives up what a move has made ready for a run that has ended at its source.
-func (g *Gateway) abandon(r *run, n next) {
-	g.unbook(r)
+// discardMove gives up what a move has made ready for a run that has ended at its source.
+func (g *Gateway) discardMove(r *run, n placement) {
+	g.releaseReservation(r)
 	if _, handle, ok := strings.Cut(n.copyFrom, "/"); ok {
-		go g.free(r.at(), handle)
+		go g.releaseCopy(r.currentTarget(), handle)
 	}
 }
--- a/lib/gateway/log.go
+++ b/lib/gateway/log.go
@@ -50,8 +50,8 @@
 	l.line(log.Warn(), "refused", e).Int("status", status).Str("reason", reason).Int64("retry_after_ms", after.Milliseconds()).Msg("")
 }
 
-// Unplaced tells why no target takes a call.
-func (l Log) Unplaced(e entry, s fleet.Availability) {
+// NoTarget tells why no target takes a call.
+func (l Log) NoTarget(e entry, s fleet.Availability) {
 	at := l.line(log.Info(), "no_target", e).Int("takes", s.Accepting).Int("cold", s.Cold).Int("limited", s.Limited).Int("resting", s.InBackoff)
 	at.Int("evacuated", s.Evacuated).Int("out_of_region", s.OutOfRegion).Msg("")
 }
@@ -80,13 +80,13 @@
 	return strings.Join(out, " ")
 }
 
-// SaysItLeaves tells that a target says in an answer that it leaves.
-func (l Log) SaysItLeaves(t fleet.Info) {
+// TargetLeaving tells that a target says in an answer that it leaves.
+func (l Log) TargetLeaving(t fleet.Info) {
 	log.Info().Str("event", "target_says_it_leaves").Str("target", t.ID).Str("service", t.Service).Msg("")
 }
 
-// Begun tells of a stream's first event, and how long the stream had waited for an engine before it was sent.
-func (l Log) Begun(e entry, target string, waited time.Duration) {
+// FirstEvent tells of a stream's first event, and how long the stream had waited for an engine before it was sent.
+func (l Log) FirstEvent(e entry, target string, waited time.Duration) {
 	at := l.line(log.Info(), "first_event", e).Str("target", target).Int64("after_ms", e.age.Milliseconds())
 	at.Int64("waited_ms", waited.Milliseconds()).Msg("")
 }
@@ -102,23 +102,23 @@
 	at.Int("events", events).Int64("pause_ms", pause.Milliseconds()).Msg("")
 }
 
-// Cut tells of a stream broken off midway.
-func (l Log) Cut(e entry, target, reason string, events int) {
+// StreamCut tells of a stream broken off midway.
+func (l Log) StreamCut(e entry, target, reason string, events int) {
 	l.line(log.Warn(), "cut", e).Str("target", target).Str("reason", reason).Int("events", events).Msg("")
 }
 
-// Repeated tells of events that were left out because the caller has them; last is the newest of those.
-func (l Log) Repeated(e entry, target, last string, n int) {
+// EventsRepeated tells of events that were left out because the caller has them; last is the newest of those.
+func (l Log) EventsRepeated(e entry, target, last string, n int) {
 	l.line(log.Warn(), "events_repeated", e).Str("target", target).Str("last_event", last).Int("events", n).Msg("")
 }
 
-// Silent tells of a target given up on because nothing comes from it.
-func (l Log) Silent(e entry, target string, since time.Duration) {
+// TargetSilent tells of a target given up on because nothing comes from it.
+func (l Log) TargetSilent(e entry, target string, since time.Duration) {
 	l.line(log.Warn(), "target_silent", e).Str("target", target).Int64("silent_ms", since.Milliseconds()).Msg("")
 }
 
-// FromBackup tells of a run that goes on from its copy after its engine failed.
-func (l Log) FromBackup(e entry, to string, events int) {
+// ResumedFromBackup tells of a run that goes on from its copy after its engine failed.
+func (l Log) ResumedFromBackup(e entry, to string, events int) {
 	l.line(log.Warn(), "from_backup", e).Str("to", to).Int("events", events).Msg("")
 }
 
@@ -127,14 +127,14 @@
 	logline.Cause(l.line(log.Info(), "moved", e).Str("from", from).Str("to", to).Int64("took_ms", took.Milliseconds()), err)
 }
 
-// Limited tells that a target's limit begins, changes or ends.
-func (l Log) Limited(t fleet.Info, limit fleet.Limit) {
+// LimitChanged tells that a target's limit begins, changes or ends.
+func (l Log) LimitChanged(t fleet.Info, limit fleet.Limit) {
 	at := log.Info().Str("event", "target_limit").Str("target", t.ID).Str("service", t.Service)
 	at.Bool("on", limit.On).Float64("per_second", limit.PerSecond).Msg("")
 }
 
-// Rests tells that a target wants nothing from this instance for some time.
-func (l Log) Rests(t fleet.Info, rest time.Duration) {
+// TargetResting tells that a target wants nothing from this instance for some time.
+func (l Log) TargetResting(t fleet.Info, rest time.Duration) {
 	at := log.Info().Str("event", "target_rests").Str("target", t.ID).Str("service", t.Service)
 	at.Int64("for_ms", rest.Milliseconds()).Msg("")
 }
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	// calmCopy is the time of a repeated copy under which the link is taken to be free. The last part is sent only then:
+	// idleCopyTime is the time of a repeated copy under which the link is taken to be free. The last part is sent only then:
 	// the run stands still for as long as that part queues, and a pause over the route's aim makes the answer late.
-	calmCopy = 45 * time.Millisecond
-	// moveBy is how long after the notice the last part is sent even on a busy link: copies are kept for some seconds only.
-	moveBy = 4 * time.Second
-	// catchUp is the pause before a copy on a busy link is brought up to date again: at 100 tokens a second it then lacks
+	idleCopyTime = 45 * time.Millisecond
+	// maxCatchUp is how long after the notice the last part is sent even on a busy link: copies are kept for some seconds only.
+	maxCatchUp = 4 * time.Second
+	// catchUpPause is the pause before a copy on a busy link is brought up to date again: at 100 tokens a second it then lacks
 	// less than the engine reads in one step or two.
-	catchUp = 150 * time.Millisecond
-	// maxStart bounds the wait for a run's turn on the links: engines may leave 1.5 s after their notice.
-	maxStart = 1100 * time.Millisecond
-	// moveGiveUp is when no further destination is tried.
-	moveGiveUp = 4 * time.Second
+	catchUpPause = 150 * time.Millisecond
+	// maxStartDelay bounds the wait for a run's turn on the links: engines may leave 1.5 s after their notice.
+	maxStartDelay = 1100 * time.Millisecond
+	// moveTimeout is when no further destination is tried.
+	moveTimeout = 4 * time.Second
 	// copyTimeout bounds one copy.
 	copyTimeout = 3 * time.Second
 	// runPoll is the pause before asking again for a run that has not begun.
 	runPoll = 50 * time.Millisecond
-	// domainWeight is what another failure domain than the source's costs a destination: copies take twice as long there.
-	domainWeight = 0.5
+	// remoteDomainCost is what another failure domain than the source's costs a destination: copies take twice as long there.
+	remoteDomainCost = 0.5
 )
 
 // MoveRuns moves the runs of targets that are leaving to other engines. It returns at once. Targets of one service that
@@ -53,24 +53,24 @@
 	}
 	for name, leaving := range byService {
 		if svc := t.Service(name); svc != nil && svc.Engine != nil && svc.Engine.Moves {
-			g.moveOff(svc, leaving)
+			g.moveServiceRuns(svc, leaving)
 		}
 	}
 }
 
-func (g *Gateway) moveOff(svc *routes.Service, targets []fleet.Info) {
+func (g *Gateway) moveServiceRuns(svc *routes.Service, targets []fleet.Info) {
 	notice := time.Now()
 	from := make(map[string]fleet.Info)
-	own := make(map[uint64]*run)
+	localRuns := make(map[uint64]*run)
 	var runs []moveplan.Run
 	for _, target := range targets {
 		from[target.ID] = target
-		for _, r := range g.runs.on(target.ID) {
-			if r.stays() {
+		for _, r := range g.runs.onTarget(target.ID) {
+			if r.staysOnLeaving() {
 				continue
 			}
-			m := r.moving()
-			own[m.ID] = r
+			m := r.planRun()
+			localRuns[m.ID] = r
 			runs = append(runs, m)
 		}
 	}
@@ -78,8 +78,8 @@
 		return
 	}
 	go func() {
-		for _, step := range g.steps(svc, from, runs) {
-			if r := own[step.Run.ID]; r != nil {
+		for _, step := range g.planMoves(svc, from, runs) {
+			if r := localRuns[step.Run.ID]; r != nil {
 				go g.move(r, from[step.Run.From], notice, step)
 			}
 		}
@@ -89,9 +89,9 @@
 // planTimeout bounds the wait for the owners' plan. Engines may leave 1.5 s after their notice.
 const planTimeout = 250 * time.Millisecond
 
-// steps plans the moves of runs: as the owners say, which know of the other instances' runs there, or alone. A run that
+// planMoves plans the moves of runs: as the owners say, which know of the other instances' runs there, or alone. A run that
 // the owners have not heard of yet goes at once, to where they find room.
-func (g *Gateway) steps(svc *routes.Service, from map[string]fleet.Info, runs []moveplan.Run) []moveplan.Step {
+func (g *Gateway) planMoves(svc *routes.Service, from map[string]fleet.Info, runs []moveplan.Run) []moveplan.Step {
 	leaving := make([]fleet.Info, 0, len(from))
 	engines := make([]moveplan.Engine, 0, len(from))
 	for _, e := range from {
@@ -108,13 +108,13 @@
 		g.Log.Warn("moves_planned_alone", svc.Name, err)
 		return moveplan.Plan(runs, engines, g.destinations(svc.Name, from), linkOf(svc.Engine))
 	}
-	told := make(map[uint64]moveplan.Step, len(planned))
+	stepByRun := make(map[uint64]moveplan.Step, len(planned))
 	for _, step := range planned {
-		told[step.Run.ID] = step
+		stepByRun[step.Run.ID] = step
 	}
 	out := make([]moveplan.Step, len(runs))
 	for i, r := range runs {
-		step := told[r.ID]
+		step := stepByRun[r.ID]
 		step.Run = r
 		out[i] = step
 	}
@@ -137,51 +137,51 @@
 // destinations lists the engines that the runs of leaving ones can go to.
 func (g *Gateway) destinations(service string, leaving map[string]fleet.Info) []moveplan.Engine {
 	var out []moveplan.Engine
-	for _, room := range g.Fleet.MoveCandidates(time.Now(), service, nil) {
-		if leaving[room.ID].ID == "" {
-			out = append(out, moveplan.Engine{ID: room.ID, Domain: room.Domain, Free: room.Free})
+	for _, candidate := range g.Fleet.MoveCandidates(time.Now(), service, nil) {
+		if leaving[candidate.ID].ID == "" {
+			out = append(out, moveplan.Engine{ID: candidate.ID, Domain: candidate.Domain, Free: candidate.Free})
 		}
 	}
 	return out
 }
 
-// farFactor is how many times longer a copy takes between failure domains.
-const farFactor = 2
+// crossDomainFactor is how many times longer a copy takes between failure domains.
+const crossDomainFactor = 2
 
 func linkOf(e *routes.Engine) moveplan.Link {
 	if e.KVBytes <= 0 {
 		return moveplan.Link{}
 	}
-	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, CrossDomainFactor: farFactor}
+	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, CrossDomainFactor: crossDomainFactor}
 }
 
 // move copies a run to another engine while it goes on, stops it once little is left to copy, and hands the copy over.
 func (g *Gateway) move(r *run, from fleet.Info, notice time.Time, step moveplan.Step) {
-	without := map[string]bool{from.ID: true}
+	excluded := map[string]bool{from.ID: true}
 	// The room is booked before the run's turn on the links, so that neither this instance nor its peers send new streams
 	// there meanwhile: a run that moves in goes before all that wait at an engine, and these would be late.
-	need := g.moveNeed(r, from, without)
+	need := g.moveNeed(r, from, excluded)
 	need.RequireMemory, need.FoundByOwner = g.Owners == nil, true // an owner that has chosen the destination knows better what it holds
-	to, booked := g.bookAt(r, step.To, need)
+	to, reserved := g.reserveAt(r, step.To, need)
 	if step.Start > 0 {
-		time.Sleep(min(step.Start, maxStart))
+		time.Sleep(min(step.Start, maxStartDelay))
 	}
-	for r.on(from.ID) && time.Since(notice) < moveGiveUp {
-		if !r.hasBegun() {
+	for r.runsOn(from.ID) && time.Since(notice) < moveTimeout {
+		if !r.hasOutput() {
 			time.Sleep(runPoll)
 			continue
 		}
-		if !booked {
-			to, booked = g.book(r, g.moveNeed(r, from, without))
+		if !reserved {
+			to, reserved = g.reserve(r, g.moveNeed(r, from, excluded))
 		}
-		if !booked {
-			clear(without)
-			without[from.ID] = true
+		if !reserved {
+			clear(excluded)
+			excluded[from.ID] = true
 			time.Sleep(runPoll)
 			continue
 		}
 		err := g.moveTo(r, from, to, notice)
-		booked = false
+		reserved = false
 		g.Log.Moved(r.c.entry(), from.ID, to.ID, time.Since(notice), err)
 		r.c.count(metricMoves, "moved", strconv.FormatBool(err == nil))
 		switch {
@@ -190,19 +190,19 @@
 		case errors.Is(err, ErrNoRun):
 			time.Sleep(runPoll)
 		default:
-			without[to.ID] = true
-			g.giveUpCopy(r, from)
+			excluded[to.ID] = true
+			g.discardFailedCopy(r, from)
 		}
 	}
-	if booked {
-		g.unbook(r)
+	if reserved {
+		g.releaseReservation(r)
 	}
 }
 
 // moveNeed is what a run asks of a destination.
-func (g *Gateway) moveNeed(r *run, from fleet.Info, without map[string]bool) fleet.Need {
+func (g *Gateway) moveNeed(r *run, from fleet.Info, excluded map[string]bool) fleet.Need {
 	return fleet.Need{
-		Service: from.Service, Tokens: r.size().Tokens, Exclude: without, PreferredDomain: from.Domain, CrossDomainCost: domainWeight, RequireMemory: true,
+		Service: from.Service, Tokens: r.currentLoad().Tokens, Exclude: excluded, PreferredDomain: from.Domain, CrossDomainCost: remoteDomainCost, RequireMemory: true,
 		Regions: g.regions(r.c),
 	}
 }
@@ -213,74 +213,74 @@
 // run goes on at its source for as long as that lives, and then from the copy, which lacks what was made since it was
 // last brought up to date: some tens of tokens, read in one step.
 func (g *Gateway) moveTo(r *run, from, to fleet.Info, notice time.Time) error {
-	size := fleet.Load{Tokens: r.bookedAt().tokens}
+	size := fleet.Load{Tokens: r.currentReservation().tokens}
 	copied, err := g.copyRun(from, to, r.c.id, false)
 	if err != nil {
-		g.unbook(r)
+		g.releaseReservation(r)
 		return err
 	}
-	r.keepCopy(from, next{target: to, counted: size, copyFrom: from.Addr + "/" + copied.Handle})
-	for calm := false; !calm && time.Since(notice) < moveBy; {
+	r.setPartialCopy(from, placement{target: to, load: size, copyFrom: from.Addr + "/" + copied.Handle})
+	for idle := false; !idle && time.Since(notice) < maxCatchUp; {
 		start := time.Now()
 		if _, err = g.copyRun(from, to, r.c.id, false); err != nil {
 			if errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity) {
-				g.dropCopy(r, from)
+				g.releasePartialCopy(r, from)
 			}
 			return err
 		}
-		calm = time.Since(start) < calmCopy
-		if !calm {
-			time.Sleep(catchUp)
+		idle = time.Since(start) < idleCopyTime
+		if !idle {
+			time.Sleep(catchUpPause)
 		}
 	}
-	return g.lastPart(r, from, to, size)
+	return g.finalCopy(r, from, to, size)
 }
 
-// lastPart stops the run at its source and hands it over with what the copy lacks.
-func (g *Gateway) lastPart(r *run, from, to fleet.Info, size fleet.Load) error {
+// finalCopy stops the run at its source and hands it over with what the copy lacks.
+func (g *Gateway) finalCopy(r *run, from, to fleet.Info, size fleet.Load) error {
 	if g.Fleet.Evacuated(to.Domain) {
 		// Nothing may be sent there any more: a run that is stopped for it would be lost where its source may get nothing either.
-		g.dropCopy(r, from)
+		g.releasePartialCopy(r, from)
 		return ErrNoCapacity
 	}
-	ch := r.stopFor(from.ID)
+	ch := r.beginHandoff(from.ID)
 	if ch == nil {
-		g.dropCopy(r, from)
+		g.releasePartialCopy(r, from)
 		return ErrNoRun
 	}
 	last, err := g.copyRun(from, to, r.c.id, true)
-	early, held := r.takeCopy(from.ID)
+	partial, ok := r.takePartialCopy(from.ID)
 	switch {
-	case !held:
+	case !ok:
 		return err // the run has gone on from the copy already
 	case err == nil:
-		r.handOver(ch, next{target: to, counted: size, copyFrom: from.Addr + "/" + last.Handle, source: from})
+		r.completeHandoff(ch, placement{target: to, load: size, copyFrom: from.Addr + "/" + last.Handle, source: from})
 		return nil
 	case last.Handle != "":
 		// The run has stopped, and its memory is at the source only.
-		r.handOver(ch, next{target: from, copyFrom: from.Addr + "/" + last.Handle})
+		r.completeHandoff(ch, placement{target: from, copyFrom: from.Addr + "/" + last.Handle})
 	case errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity):
-		r.goOn(ch)
+		r.cancelHandoff(ch)
 	default:
 		// The source ended before the last part. The run's connection has ended with it.
 		g.Log.Warn("last_part_lost", from.ID, err)
-		r.handOver(ch, early)
+		r.completeHandoff(ch, partial)
 		return nil
 	}
-	g.unbook(r)
+	g.releaseReservation(r)
 	return err
 }
 
-// on reports whether the run is still on a target and goes on.
-func (r *run) on(target string) bool {
+// runsOn reports whether the run is still on a target and goes on.
+func (r *run) runsOn(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.ended && r.target.ID == target && r.handoff == nil
 }
 
-// size is what the run counts for at its target.
-func (r *run) size() fleet.Load {
+// currentLoad is what the run counts for at its target.
+func (r *run) currentLoad() fleet.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.counted
+	return r.load
 }
--- a/lib/gateway/notice.go
+++ b/lib/gateway/notice.go
@@ -20,18 +20,18 @@
 type ResponseHook func(target fleet.Info, resp *wirehttp.Response, asked time.Time)
 
 // ReadNotices takes in what an answer says of its target, to a request or call that was sent at asked.
-func (g *Gateway) ReadNotices(target fleet.Info, resp *wirehttp.Response, asked time.Time) {
+func (g *Gateway) ReadNotices(target fleet.Info, resp *wirehttp.Response, sentAt time.Time) {
 	if resp.Status == http.StatusMisdirectedRequest {
 		return // another target has the address
 	}
 	g.readLoad(target.ID, resp.Header)
 	g.readLeaving(target, resp.Header)
-	g.readLimit(target, resp.Header, asked)
-	g.readRest(target, resp)
+	g.readLimit(target, resp.Header, sentAt)
+	g.readRetryAfter(target, resp)
 }
 
-// readRest takes in that a target which turns a request away wants no other from this instance for some time.
-func (g *Gateway) readRest(target fleet.Info, resp *wirehttp.Response) {
+// readRetryAfter takes in that a target which turns a request away wants no other from this instance for some time.
+func (g *Gateway) readRetryAfter(target fleet.Info, resp *wirehttp.Response) {
 	if resp.Status != http.StatusServiceUnavailable && resp.Status != http.StatusTooManyRequests {
 		return
 	}
@@ -40,7 +40,7 @@
 	if rest <= 0 || !g.Fleet.BackOff(now, target, now.Add(rest)) {
 		return
 	}
-	g.Log.Rests(target, rest)
+	g.Log.TargetResting(target, rest)
 	metrics.GetOrCreateCounter(metricNotices + `{notice="rest"}`).Inc()
 }
 
@@ -53,12 +53,12 @@
 	if g.Fleet.IsLeaving(target.ID) {
 		return
 	}
-	g.Log.SaysItLeaves(target)
+	g.Log.TargetLeaving(target)
 	metrics.GetOrCreateCounter(metricNotices + `{notice="leaving"}`).Inc()
 	g.OnLeaving(target)
 }
 
-func (g *Gateway) readLimit(target fleet.Info, h http.Header, asked time.Time) {
+func (g *Gateway) readLimit(target fleet.Info, h http.Header, sentAt time.Time) {
 	limit, ok := readLimit(h.Values(g.Names.Limit))
 	if !limit.On && h.Get(g.Names.Seal) == "" {
 		ok = false // only a target's own answer says that it no longer has a limit
@@ -66,14 +66,14 @@
 	if !ok {
 		return
 	}
-	changed := g.Fleet.ApplyLimit(target.ID, fleet.LimitNotice{Limit: limit, RequestedAt: asked, ReceivedAt: time.Now()})
+	changed := g.Fleet.ApplyLimit(target.ID, fleet.LimitNotice{Limit: limit, RequestedAt: sentAt, ReceivedAt: time.Now()})
 	if g.Owners != nil && (limit.On || changed) {
 		g.Owners.Limited(target, changed)
 	}
 	if !changed {
 		return
 	}
-	g.Log.Limited(target, limit)
+	g.Log.LimitChanged(target, limit)
 	metrics.GetOrCreateCounter(metricNotices + `{notice="limit"}`).Inc()
 }
 
--- a/lib/gateway/permit.go
+++ b/lib/gateway/permit.go
@@ -12,9 +12,9 @@
 // metricPermits counts the permits asked for: given, denied, given by this instance alone, or for what is sent in any case.
 const metricPermits = "anvilwick_gateway_permits_total"
 
-// take chooses a target, with a permit where the target has named a limit, and counts the request there. A target for which there is no
+// acquirePermitted chooses a target, with a permit where the target has named a limit, and counts the request there. A target for which there is no
 // permit is passed over until there may be one.
-func (g *Gateway) take(ctx context.Context, need fleet.Need) (fleet.Info, bool) {
+func (g *Gateway) acquirePermitted(ctx context.Context, need fleet.Need) (fleet.Info, bool) {
 	for {
 		target, ok := g.Fleet.Acquire(time.Now(), need)
 		if !ok || g.permitted(ctx, target) {
@@ -50,8 +50,8 @@
 	return g.Fleet.PermitWithoutOwner(time.Now(), t.ID), "alone"
 }
 
-// forced counts a request that is sent whatever its target's limit says: without it a run would be lost.
-func (g *Gateway) forced(t fleet.Info) {
+// countForced counts a request that is sent whatever its target's limit says: without it a run would be lost.
+func (g *Gateway) countForced(t fleet.Info) {
 	if g.Owners == nil || !g.Fleet.LimitOf(t.ID).On {
 		return
 	}
--- a/lib/gateway/permit_test.go
+++ b/lib/gateway/permit_test.go
@@ -28,13 +28,13 @@
 	c := &call{service: "s", route: &routes.Route{}, deadline: time.Now().Add(5 * time.Second)}
 	least, most := time.Hour, time.Duration(0)
 	for range 200 {
-		ref := g.unplaced(c)
+		ref := g.noTargetRefusal(c)
 		must.Eq(t, "targets_limited", ref.reason)
 		least, most = min(least, ref.after), max(most, ref.after)
 	}
 	must.Greater(t, holdOff/2, least)
-	must.Less(t, holdOff+againPlain, most)
-	must.Greater(t, againPlain/2, most-least)
+	must.Less(t, holdOff+retryAfterPlain, most)
+	must.Greater(t, retryAfterPlain/2, most-least)
 }
 
 // No owner answers: the instance sends its small share by its own choice, and passes the target over for the rest.
@@ -42,7 +42,7 @@
 	g, _ := limitedGateway(10)
 	sent := 0
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if target, ok := g.take(context.Background(), fleet.Need{Service: "s"}); ok {
+		if target, ok := g.acquirePermitted(context.Background(), fleet.Need{Service: "s"}); ok {
 			g.Fleet.Release(time.Now(), target.ID, fleet.Load{}, fleet.Served)
 			sent++
 		}
--- a/lib/gateway/places_test.go
+++ b/lib/gateway/places_test.go
@@ -25,7 +25,7 @@
 	got, ok := g.Fleet.Acquire(time.Now(), fleet.Need{Service: "s"})
 	must.True(t, ok)
 	g.Fleet.Evacuate("z")
-	e, x := r.runOn(context.Background(), next{target: got, copyFrom: "10.0.0.1:1/h"})
+	e, x := r.runOn(context.Background(), placement{target: got, copyFrom: "10.0.0.1:1/h"})
 	must.Eq(t, endUnsent, e)
 	must.ErrorIs(t, x.err, errEvacuated)
 	g.Fleet.EndEvacuation(time.Now(), "z")
@@ -85,14 +85,14 @@
 	g.Engines = engines
 	from, to := fleet.Info{ID: "from", Service: "s", Domain: "a"}, fleet.Info{ID: "to", Service: "s", Domain: "b"}
 	g.Fleet.Apply(time.Now(), []fleet.Info{from, to}, nil, 0)
-	r := &run{g: g, c: &call{id: "x", service: "s", route: &routes.Route{Name: "r"}}, target: from, made: 4}
+	r := &run{g: g, c: &call{id: "x", service: "s", route: &routes.Route{Name: "r"}}, target: from, outputTokens: 4}
 	g.runs.add("from", r)
-	_, ok := g.bookAt(r, "to", fleet.Need{Service: "s", Tokens: 10})
+	_, ok := g.reserveAt(r, "to", fleet.Need{Service: "s", Tokens: 10})
 	must.True(t, ok)
-	r.keepCopy(from, next{target: to, copyFrom: "addr/h"})
+	r.setPartialCopy(from, placement{target: to, copyFrom: "addr/h"})
 	g.Fleet.Evacuate("b")
-	must.ErrorIs(t, g.lastPart(r, from, to, fleet.Load{Tokens: 10}), ErrNoCapacity)
+	must.ErrorIs(t, g.finalCopy(r, from, to, fleet.Load{Tokens: 10}), ErrNoCapacity)
 	must.Eq(t, 0, engines.last)
 	must.MapEmpty(t, g.Fleet.LocalLoads())
-	must.True(t, r.on("from"))
+	must.True(t, r.runsOn("from"))
 }
--- a/lib/gateway/plain.go
+++ b/lib/gateway/plain.go
@@ -18,9 +18,9 @@
 	maxDials = 4
 	// answerLimit bounds, in bytes, an answer that is held whole before it is passed on.
 	answerLimit = 16 << 20
-	// hedgeShare is the part of the time left after which a silent target is given up on, for a call that may be
+	// firstAttemptShare is the part of the time left after which a silent target is given up on, for a call that may be
 	// repeated: the rest must do for another target.
-	hedgeShare = 0.4
+	firstAttemptShare = 0.4
 )
 
 // exchange is one send to one target.
@@ -43,17 +43,17 @@
 		if !ok {
 			break
 		}
-		run := g.poison.Started(target.ID, c.print)
-		believed := g.Fleet.KnownState(time.Now(), target.ID)
+		run := g.poison.Started(target.ID, c.contentHash)
+		lastKnown := g.Fleet.KnownState(time.Now(), target.ID)
 		x := g.send(ctx, c, target, c.route.MayRepeat() && c.sends+1 < c.route.MaxAttempts)
-		g.ended(run, target, x.verdict == verdictGood, x.sent && x.err != nil && ctx.Err() == nil)
+		g.recordRunEnd(run, target, x.verdict == verdictGood, x.sent && x.err != nil && ctx.Err() == nil)
 		c.tried[target.ID] = true
 		outcome := x.outcome(ctx)
 		g.Fleet.Release(time.Now(), target.ID, fleet.Load{}, outcome)
 		if g.Owners != nil {
 			g.Owners.PlainOutcome(c.service, target.ID, outcome)
 		}
-		g.Log.Sent(c.entry(), target.ID, believed, x.statusCode(), x.verdict.String(), x.err)
+		g.Log.Sent(c.entry(), target.ID, lastKnown, x.statusCode(), x.verdict.String(), x.err)
 		c.count(metricSent, "outcome", x.verdict.String())
 		if !x.sent {
 			if ctx.Err() != nil {
@@ -66,9 +66,9 @@
 			continue
 		}
 		c.sends++
-		c.mayRan = c.mayRan || x.verdict != verdictNotRun
+		c.mayHaveRun = c.mayHaveRun || x.verdict != verdictNotRun
 		last = x
-		if ctx.Err() != nil || x.verdict == verdictGood || !g.onward(c, x) {
+		if ctx.Err() != nil || x.verdict == verdictGood || !g.retryPlain(c, x) {
 			break
 		}
 	}
@@ -76,30 +76,30 @@
 }
 
 const (
-	// listPoll is the pause between two looks at a list that is still filling.
-	listPoll = 20 * time.Millisecond
-	// listPart is the part of a call's time that it waits for one.
-	listPart = 0.5
+	// settlePoll is the pause between two looks at a list that is still filling.
+	settlePoll = 20 * time.Millisecond
+	// settleShare is the part of a call's time that it waits for one.
+	settleShare = 0.5
 )
 
 // acquire chooses a target. An instance that has just been started may know a list that lacks every target of
 // a service, because their entries lapsed in an outage; a refusal would use up the caller's only repeat.
 func (g *Gateway) acquire(ctx context.Context, c *call, need fleet.Need) (fleet.Info, bool) {
-	until := time.Now().Add(time.Duration(listPart * float64(c.left(time.Now()))))
+	deadline := time.Now().Add(time.Duration(settleShare * float64(c.timeLeft(time.Now()))))
 	for {
-		target, ok := g.take(ctx, need)
-		if ok || c.sends > 0 || !g.Fleet.Settling(time.Now()) || time.Now().After(until) || ctx.Err() != nil {
+		target, ok := g.acquirePermitted(ctx, need)
+		if ok || c.sends > 0 || !g.Fleet.Settling(time.Now()) || time.Now().After(deadline) || ctx.Err() != nil {
 			return target, ok
 		}
 		if stand := g.Fleet.Availability(time.Now(), need); stand.Blocked() {
 			return target, false // the list has targets, and no wait for others is worth the caller's time
 		}
-		time.Sleep(listPoll)
+		time.Sleep(settlePoll)
 	}
 }
 
-// onward decides whether a call goes to one more target after x.
-func (g *Gateway) onward(c *call, x *exchange) bool {
+// retryPlain decides whether a call goes to one more target after x.
+func (g *Gateway) retryPlain(c *call, x *exchange) bool {
 	if x.verdict == verdictNotRun {
 		return g.maySendAgain(c)
 	}
@@ -107,26 +107,26 @@
 }
 
 // send makes one exchange and reads the whole answer.
-func (g *Gateway) send(ctx context.Context, c *call, target fleet.Info, spare bool) *exchange {
+func (g *Gateway) send(ctx context.Context, c *call, target fleet.Info, keepTime bool) *exchange {
 	x := &exchange{target: target, verdict: verdictFaulty}
 	conn, err := g.connect(ctx, target)
 	if err != nil {
 		x.err = err
 		return x
 	}
-	if spare {
+	if keepTime {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(hedgeShare*float64(c.left(time.Now()))))
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(firstAttemptShare*float64(c.timeLeft(time.Now()))))
 		defer cancel()
 	}
 	stop := context.AfterFunc(ctx, conn.Close)
-	defer g.sends.add(target, conn.Close)()
-	asked := time.Now()
-	x.resp, x.err = g.ask(conn, c, g.request(c, target.ID, asked))
+	defer g.conns.add(target, conn.Close)()
+	sentAt := time.Now()
+	x.resp, x.err = g.roundTrip(conn, c, g.request(c, target.ID, sentAt))
 	x.sent = x.err == nil || wirehttp.MaybeSent(x.err)
 	if x.err == nil {
-		x.verdict = g.judge(x.resp)
-		g.ReadNotices(target, x.resp, asked)
+		x.verdict = g.classify(x.resp)
+		g.ReadNotices(target, x.resp, sentAt)
 		x.body, x.err = x.resp.ReadAll(answerLimit)
 		if x.err != nil {
 			// A cut answer proves nothing, whatever its head says.
@@ -155,8 +155,8 @@
 	return g.Pool.Get(ctx, target.Addr)
 }
 
-// ask sends the request and reads the answer's head.
-func (g *Gateway) ask(conn *wirehttp.Conn, c *call, req *wirehttp.Request) (*wirehttp.Response, error) {
+// roundTrip sends the request and reads the answer's head.
+func (g *Gateway) roundTrip(conn *wirehttp.Conn, c *call, req *wirehttp.Request) (*wirehttp.Response, error) {
 	if err := conn.Send(req); err != nil {
 		return nil, err
 	}
@@ -190,11 +190,11 @@
 func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, c *call, x *exchange) {
 	switch {
 	case x == nil:
-		g.refuse(w, c, g.unplaced(c))
+		g.refuse(w, c, g.noTargetRefusal(c))
 	case x.err == nil && (x.verdict == verdictGood || x.verdict == verdictFailure):
-		g.answer(w, c, x)
-	case x.verdict == verdictNotRun && !c.mayRan:
-		g.refuse(w, c, c.again("target_refused"))
+		g.writeAnswer(w, c, x)
+	case x.verdict == verdictNotRun && !c.mayHaveRun:
+		g.refuse(w, c, c.unavailable("target_refused"))
 	case ctx.Err() != nil:
 		g.refuse(w, c, refusal{status: http.StatusGatewayTimeout, reason: "time_limit"})
 	default:
@@ -202,8 +202,8 @@
 	}
 }
 
-// answer passes a whole answer on.
-func (g *Gateway) answer(w http.ResponseWriter, c *call, x *exchange) {
+// writeAnswer passes a whole answer on.
+func (g *Gateway) writeAnswer(w http.ResponseWriter, c *call, x *exchange) {
 	g.Log.Answered(c.entry(), x.target.ID, x.resp.Status, time.Since(c.arrived))
 	c.observe(metricAnswer)
 	g.copyHead(w, x.resp.Header)
--- a/lib/gateway/poison.go
+++ b/lib/gateway/poison.go
@@ -17,8 +17,8 @@
 	Vouch: 10 * time.Minute, MaxSize: 1024,
 }
 
-// blamesTold bounds the records in one news. They are told again with each news while they are young.
-const blamesTold = 24
+// maxBlames bounds the records in one news. They are told again with each news while they are young.
+const maxBlames = 24
 
 // fingerprint names what a call asks, whatever its id: the same comes again after each crash, at any instance.
 func (c *call) fingerprint() uint64 {
@@ -27,34 +27,34 @@
 
 // checkPoison refuses a call that has killed the targets which ran it.
 func (g *Gateway) checkPoison(c *call) *refusal {
-	c.print = c.fingerprint()
+	c.contentHash = c.fingerprint()
 	now := time.Now()
-	switch v, wait := g.poison.Check(now, c.print); v {
+	switch v, wait := g.poison.Check(now, c.contentHash); v {
 	case poison.Poisoned, poison.Settling:
-		return &refusal{status: 503, after: c.wait(max(wait, againStream)), reason: "content_" + v.String()}
+		return &refusal{status: 503, after: c.boundWait(max(wait, retryAfterStream)), reason: "content_" + v.String()}
 	case poison.Suspect:
-		for _, target := range g.poison.Avoid(now, c.print) {
+		for _, target := range g.poison.Avoid(now, c.contentHash) {
 			c.tried[target] = true
 		}
 	}
 	return nil
 }
 
-// ended tells how a run of a call ended at a target. One that broke off is blamed only if the target is gone: links
+// recordRunEnd tells how a run of a call ended at a target. One that broke off is blamed only if the target is gone: links
 // break, and targets break off, without anybody's fault.
-func (g *Gateway) ended(run poison.Run, target fleet.Info, finished, broke bool) {
+func (g *Gateway) recordRunEnd(run poison.Run, target fleet.Info, finished, broke bool) {
 	switch {
 	case finished:
 		g.poison.Finished(time.Now(), run)
 	case !broke || g.Fleet.IsLeaving(target.ID):
 		g.poison.Stopped(run)
 	default:
-		go g.inquire(run, target)
+		go g.checkAlive(run, target)
 	}
 }
 
-// inquire finds out whether a target died.
-func (g *Gateway) inquire(run poison.Run, target fleet.Info) {
+// checkAlive finds out whether a target died.
+func (g *Gateway) checkAlive(run poison.Run, target fleet.Info) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := g.Pool.Dial(ctx, target.Addr)
@@ -73,8 +73,8 @@
 // Blames lists what peers should know of contents that were aboard dying targets.
 func (g *Gateway) Blames() []*ownerpb.Blame {
 	recs, _ := g.poison.Since(time.Now(), 0)
-	if len(recs) > blamesTold {
-		recs = recs[len(recs)-blamesTold:]
+	if len(recs) > maxBlames {
+		recs = recs[len(recs)-maxBlames:]
 	}
 	out := make([]*ownerpb.Blame, len(recs))
 	for i, r := range recs {
--- a/lib/gateway/relay.go
+++ b/lib/gateway/relay.go
@@ -9,8 +9,8 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// learnReading learns how fast prompts are read, here and at the owner.
-func (g *Gateway) learnReading(m owner.Reading) {
+// recordReading learns how fast prompts are read, here and at the owner.
+func (g *Gateway) recordReading(m owner.Reading) {
 	g.placer.Prefill.Observe(m.Service, m.Unread, m.Took)
 	if g.Owners != nil {
 		g.Owners.Reading(m)
@@ -24,13 +24,13 @@
 	for {
 		n, err := x.resp.Read(p)
 		if n > 0 {
-			r.heard(x.target.ID)
+			r.recordContact(x.target.ID)
 			whole, count, id, eerr := events.add(p[:n])
 			if eerr != nil {
 				x.err = eerr
 				return endBroken
 			}
-			if werr := r.pass(x.resp, whole, count, id); werr != nil {
+			if werr := r.forward(x.resp, whole, count, id); werr != nil {
 				x.err = werr
 				return endCaller
 			}
@@ -38,27 +38,27 @@
 		switch {
 		case err == nil:
 			continue
-		case errors.Is(err, io.EOF) && !events.rest():
+		case errors.Is(err, io.EOF) && !events.incomplete():
 			x.whole = true
-			if r.stopped(x.resp) {
+			if r.stoppedByMove(x.resp) {
 				return endMoved
 			}
-			if !r.begun {
+			if !r.headSent {
 				// An empty stream is an answer, too.
-				if werr := r.pass(x.resp, nil, 0, ""); werr != nil {
+				if werr := r.forward(x.resp, nil, 0, ""); werr != nil {
 					return endCaller
 				}
 			}
 			return endComplete
 		default:
 			x.err = err
-			return r.broken()
+			return r.breakReason()
 		}
 	}
 }
 
-// stopped reports whether the end of an answer without a stated length is the doing of a move.
-func (r *run) stopped(resp *wirehttp.Response) bool {
+// stoppedByMove reports whether the end of an answer without a stated length is the doing of a move.
+func (r *run) stoppedByMove(resp *wirehttp.Response) bool {
 	if !resp.EndsWithConn() {
 		return false
 	}
@@ -67,8 +67,8 @@
 	return r.handoff != nil
 }
 
-// broken tells a stream that was stopped by a move from one that broke.
-func (r *run) broken() end {
+// breakReason tells a stream that was stopped by a move from one that broke.
+func (r *run) breakReason() end {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.handoff != nil {
@@ -77,25 +77,25 @@
 	return endBroken
 }
 
-// pass gives whole events to the caller. The head waits for the first one: until then another target can still answer.
-func (r *run) pass(resp *wirehttp.Response, whole []byte, count int, id string) error {
+// forward gives whole events to the caller. The head waits for the first one: until then another target can still answer.
+func (r *run) forward(resp *wirehttp.Response, whole []byte, count int, id string) error {
 	if r.lastID != "" {
-		var had int
-		if whole, had = after(whole, r.lastID); had > 0 {
-			r.repeated(had)
-			count -= had
+		var seen int
+		if whole, seen = dropSeen(whole, r.lastID); seen > 0 {
+			r.logRepeated(seen)
+			count -= seen
 		}
 	}
-	if len(whole) == 0 && (r.begun || !resp.Ended()) {
+	if len(whole) == 0 && (r.headSent || !resp.Ended()) {
 		return nil
 	}
-	if !r.begun {
-		r.begun = true
+	if !r.headSent {
+		r.headSent = true
 		r.g.copyHead(r.w, resp.Header)
 		r.w.WriteHeader(resp.Status)
 		r.firstAt = time.Now()
-		r.g.learnReading(owner.Reading{Service: r.c.service, Unread: r.believed.Load.Unread, Took: r.firstAt.Sub(r.sentAt)})
-		r.g.Log.Begun(r.c.entry(), r.at().ID, r.waited)
+		r.g.recordReading(owner.Reading{Service: r.c.service, Unread: r.lastKnown.Load.Unread, Took: r.firstAt.Sub(r.sentAt)})
+		r.g.Log.FirstEvent(r.c.entry(), r.currentTarget().ID, r.waited)
 		r.c.observe(metricFirst)
 	}
 	if _, err := r.w.Write(whole); err != nil {
@@ -106,22 +106,22 @@
 	}
 	if count > 0 {
 		now := time.Now()
-		if !r.passed.IsZero() {
-			r.c.observeGap(now.Sub(r.passed))
-			r.pause = max(r.pause, now.Sub(r.passed))
+		if !r.lastEventAt.IsZero() {
+			r.c.observeGap(now.Sub(r.lastEventAt))
+			r.pause = max(r.pause, now.Sub(r.lastEventAt))
 		}
-		r.passed = now
+		r.lastEventAt = now
 		r.events += count
-		r.grow(count)
+		r.addOutput(count)
 	}
-	return r.out.Flush()
+	return r.rc.Flush()
 }
 
-// repeated tells of events that a target sent although the caller has them, once a stream.
-func (r *run) repeated(n int) {
-	if !r.heardTwice {
-		r.g.Log.Repeated(r.c.entry(), r.at().ID, r.lastID, n)
+// logRepeated tells of events that a target sent although the caller has them, once a stream.
+func (r *run) logRepeated(n int) {
+	if !r.repeatLogged {
+		r.g.Log.EventsRepeated(r.c.entry(), r.currentTarget().ID, r.lastID, n)
 	}
-	r.heardTwice = true
+	r.repeatLogged = true
 	r.c.count(metricRepeat, "service", r.c.service)
 }
--- a/lib/gateway/run.go
+++ b/lib/gateway/run.go
@@ -11,32 +11,32 @@
 
 // run is one stream to a caller, across the targets that it runs on.
 type run struct {
-	g        *Gateway
-	c        *call
-	w        http.ResponseWriter
-	out      *http.ResponseController
-	begun    bool   // the caller has the head of the answer
-	lastID   string // of the last event that the caller has
-	events   int
-	firstAt  time.Time        // when the answer began
-	passed   time.Time        // when the last event went to the caller
-	believed fleet.KnownState // what the choice of its target rested on
-	sentAt   time.Time        // when it was last sent
-	waited   time.Duration    // for an engine, before the first send
-	pause    time.Duration    // longest time between two events
+	g           *Gateway
+	c           *call
+	w           http.ResponseWriter
+	rc          *http.ResponseController
+	headSent    bool   // the caller has the head of the answer
+	lastID      string // of the last event that the caller has
+	events      int
+	firstAt     time.Time        // when the answer began
+	lastEventAt time.Time        // when the last event went to the caller
+	lastKnown   fleet.KnownState // what the choice of its target rested on
+	sentAt      time.Time        // when it was last sent
+	waited      time.Duration    // for an engine, before the first send
+	pause       time.Duration    // longest time between two events
 
-	heardTwice bool // a target has sent events that the caller had
+	repeatLogged bool // a target has sent events that the caller had
 
-	mu      sync.Mutex
-	target  fleet.Info // where it runs now
-	counted fleet.Load // what it counts for there
-	made    int        // tokens of output so far
-	last    time.Time  // when its target was last heard on it
-	handoff chan next  // the copy to go on from, once a move has stopped the run; nil when no move is in its last part
-	early   earlyCopy  // what a move under way has copied already
-	booked  booking    // room at the destination of a move
-	copy    backup     // the copy that its engine keeps up to date, if any
-	ended   bool
+	mu           sync.Mutex
+	target       fleet.Info     // where it runs now
+	load         fleet.Load     // what it counts for there
+	outputTokens int            // tokens of output so far
+	lastContact  time.Time      // when its target was last heard on it
+	handoff      chan placement // the copy to go on from, once a move has stopped the run; nil when no move is in its last part
+	partial      partialCopy    // what a move under way has copied already
+	reserved     reservation    // room at the destination of a move
+	backup       backup         // the copy that its engine keeps up to date, if any
+	ended        bool
 }
 
 // need is what the run asks of a target now.
@@ -46,20 +46,20 @@
 	}
 }
 
-// enter counts the run at a target and lets moves find it. The first target was counted when it was chosen.
-func (r *run) enter(to next) {
+// start counts the run at a target and lets moves find it. The first target was counted when it was chosen.
+func (r *run) start(to placement) {
 	target := to.target
 	r.mu.Lock()
 	r.target = target
-	r.counted = to.counted
+	r.load = to.load
 	r.handoff = nil
-	if r.booked.at == target.ID {
-		r.booked = booking{} // it has passed to the run
+	if r.reserved.target == target.ID {
+		r.reserved = reservation{} // it has passed to the run
 	}
 	r.mu.Unlock()
 	r.g.runs.add(target.ID, r)
-	r.g.changed()
-	if r.c.engine != nil && r.c.engine.Moves && !r.stays() && r.g.Fleet.IsLeaving(target.ID) {
+	r.g.notifyOwners()
+	if r.c.engine != nil && r.c.engine.Moves && !r.staysOnLeaving() && r.g.Fleet.IsLeaving(target.ID) {
 		go r.g.move(r, target, time.Now(), moveplan.Step{})
 	}
 }
@@ -68,13 +68,13 @@
 func (r *run) leave(e end, x *exchange) {
 	r.g.runs.remove(x.target.ID, r)
 	r.mu.Lock()
-	counted := r.counted
+	counted := r.load
 	r.mu.Unlock()
 	r.g.Fleet.Release(time.Now(), x.target.ID, counted, e.outcome())
 	if r.g.Owners != nil {
 		r.g.Owners.Outcome(x.target.ID, e.outcome())
 	}
-	r.g.changed()
+	r.g.notifyOwners()
 }
 
 // outcome is what a run's end says of its target.
@@ -101,40 +101,40 @@
 	r.mu.Unlock()
 	select {
 	case n := <-ch:
-		r.g.abandon(r, n)
+		r.g.discardMove(r, n)
 	default:
 	}
 }
 
-func (r *run) at() fleet.Info {
+func (r *run) currentTarget() fleet.Info {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
 }
 
-// grow counts tokens beyond what was expected of the run.
-func (r *run) grow(events int) {
+// addOutput counts tokens beyond what was expected of the run.
+func (r *run) addOutput(events int) {
 	if r.c.engine == nil {
 		return
 	}
 	tokens := events * max(1, r.c.engine.Stride)
 	r.mu.Lock()
-	r.made += tokens
-	by := fleet.Load{Tokens: min(tokens, max(0, r.made-r.c.output/2)), Unread: -r.counted.Unread}
-	r.counted.Tokens += by.Tokens
-	r.counted.Unread = 0
+	r.outputTokens += tokens
+	by := fleet.Load{Tokens: min(tokens, max(0, r.outputTokens-r.c.output/2)), Unread: -r.load.Unread}
+	r.load.Tokens += by.Tokens
+	r.load.Unread = 0
 	id := r.target.ID
 	r.mu.Unlock()
 	if by != (fleet.Load{}) {
 		r.g.Fleet.AddLoad(id, by)
 	}
 	if by.Unread != 0 {
-		r.g.changed()
+		r.g.notifyOwners()
 	}
 }
 
-// taken waits for the copy that a move has made.
-func (r *run) taken() next {
+// awaitHandoff waits for the copy that a move has made.
+func (r *run) awaitHandoff() placement {
 	r.mu.Lock()
 	ch := r.handoff
 	r.mu.Unlock()
@@ -142,6 +142,6 @@
 	case n := <-ch:
 		return n
 	case <-time.After(handoffWait):
-		return next{}
+		return placement{}
 	}
 }
--- a/lib/gateway/runtable.go
+++ b/lib/gateway/runtable.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func (t *runTable) on(target string) []*run {
+func (t *runTable) onTarget(target string) []*run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*run, 0, len(t.runs[target]))
--- a/lib/gateway/sends.go
+++ b/lib/gateway/sends.go
@@ -6,27 +6,27 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// openSends finds the connections that requests are open on, by target. A target that starts again behind a cut link
+// openConns finds the connections that requests are open on, by target. A target that starts again behind a cut link
 // resets none of them: its streams would stay silent until their time limit, although nothing of them is left.
-type openSends struct {
+type openConns struct {
 	mu   sync.Mutex
-	byID map[string]map[*openSend]bool
+	byID map[string]map[*openConn]bool
 }
 
-type openSend struct {
-	born  int64 // life of the target that it went to
-	close func()
+type openConn struct {
+	incarnation int64 // life of the target that it went to
+	close       func()
 }
 
-func newOpenSends() openSends { return openSends{byID: make(map[string]map[*openSend]bool)} }
+func newOpenConns() openConns { return openConns{byID: make(map[string]map[*openConn]bool)} }
 
 // add notes a connection until the returned function is called.
-func (o *openSends) add(to fleet.Info, closeConn func()) (remove func()) {
-	s := &openSend{born: to.Born, close: closeConn}
+func (o *openConns) add(to fleet.Info, closeConn func()) (remove func()) {
+	s := &openConn{incarnation: to.Born, close: closeConn}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.byID[to.ID] == nil {
-		o.byID[to.ID] = make(map[*openSend]bool)
+		o.byID[to.ID] = make(map[*openConn]bool)
 	}
 	o.byID[to.ID][s] = true
 	return func() {
@@ -39,13 +39,13 @@
 	}
 }
 
-// before lists the connections to earlier lives of a target.
-func (o *openSends) before(t fleet.Info) []*openSend {
+// ofEarlierIncarnations lists the connections to earlier lives of a target.
+func (o *openConns) ofEarlierIncarnations(t fleet.Info) []*openConn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var out []*openSend
+	var out []*openConn
 	for s := range o.byID[t.ID] {
-		if s.born < t.Born {
+		if s.incarnation < t.Born {
 			out = append(out, s)
 		}
 	}
@@ -60,20 +60,20 @@
 		}
 	}
 	g.Pool.Drop(t.Addr)
-	for _, s := range g.sends.before(t) {
+	for _, s := range g.conns.ofEarlierIncarnations(t) {
 		s.close()
 	}
 }
 
 // forgetCopiesAt forgets what a target held of the run: it knows nothing of that any more.
 func (r *run) forgetCopiesAt(target string) {
-	if r.backupAt().ID == target {
+	if r.backupTarget().ID == target {
 		r.dropBackup()
 	}
 	r.mu.Lock()
-	from, at := r.early.from, r.early.next.target.ID
+	from, at := r.partial.source, r.partial.placement.target.ID
 	r.mu.Unlock()
 	if at == target {
-		r.g.dropCopy(r, from)
+		r.g.releasePartialCopy(r, from)
 	}
 }
--- a/lib/gateway/stop_test.go
+++ b/lib/gateway/stop_test.go
@@ -15,11 +15,11 @@
 func TestLongStreamsAreRefusedWhileStopping(t *testing.T) {
 	g := newTestGateway()
 	long := &call{service: "s", output: 1000, route: &routes.Route{Kind: routes.Stream}}
-	must.False(t, g.endsTooSoon(long))
+	must.False(t, g.outlastsInstance(long))
 	g.Stop(time.Now().Add(8 * time.Second))
-	must.False(t, g.endsTooSoon(long))
-	g.paces.saw("s", 100, time.Second)
-	must.True(t, g.endsTooSoon(long))
-	must.False(t, g.endsTooSoon(&call{service: "s", output: 100, route: long.route}))
-	must.False(t, g.endsTooSoon(&call{service: "s", output: 1000, route: &routes.Route{Kind: routes.Stream, Resumable: true}}))
+	must.False(t, g.outlastsInstance(long))
+	g.pace.observe("s", 100, time.Second)
+	must.True(t, g.outlastsInstance(long))
+	must.False(t, g.outlastsInstance(&call{service: "s", output: 100, route: long.route}))
+	must.False(t, g.outlastsInstance(&call{service: "s", output: 1000, route: &routes.Route{Kind: routes.Stream, Resumable: true}}))
 }
