--- a/lib/breaker/breaker_test.go
+++ b/lib/breaker/breaker_test.go
@@ -12,7 +12,7 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-func fail(t *testing.T, s *breaker.Set, now time.Time, n int) {
+func failAttempts(t *testing.T, s *breaker.Set, now time.Time, n int) {
 	t.Helper()
 	for range n {
 		tk, _, ok := s.Allow(now, "a")
@@ -21,17 +21,17 @@
 	}
 }
 
-// openUntil returns when the open link lets a probe through.
+// openUntil returns when the open link admits a probe.
 func openUntil(s *breaker.Set, now time.Time) time.Time {
 	_, wait, _ := s.Allow(now, "a")
 	return now.Add(wait)
 }
 
-// What callers see when a target's link fails: after three failures no more calls go there; once it is back, one call
-// tries it, then one more, and only then the rest follow. Another target's link is not touched.
+// After three failures no more calls go to the target. Once it has recovered, one call probes it, then another, and only then
+// do the rest follow. The links of other targets are not affected.
 func TestOpensProbesCloses(t *testing.T) {
 	s := breaker.New(breaker.DefaultConfig, 1)
-	fail(t, s, t0, 3)
+	failAttempts(t, s, t0, 3)
 	must.Eq(t, breaker.Open, s.State(t0, "a"))
 	must.True(t, s.Usable(t0, "b"))
 	must.False(t, s.Usable(t0, "a"))
@@ -50,23 +50,23 @@
 
 func TestFailedProbesLengthenThePeriod(t *testing.T) {
 	s := breaker.New(breaker.DefaultConfig, 1)
-	fail(t, s, t0, 3)
+	failAttempts(t, s, t0, 3)
 	now, last := t0, time.Duration(0)
 	for range 4 {
 		until := openUntil(s, now)
 		must.Greater(t, last, until.Sub(now))
 		last = until.Sub(now)
 		now = until
-		fail(t, s, now, 1)
+		failAttempts(t, s, now, 1)
 	}
 }
 
-// What a recovering target sees: probes of many instances spread over half a period, not all in one moment.
-func TestInstancesProbeApart(t *testing.T) {
+// Probes of many instances must reach a recovering target spread over half a period instead of all at once.
+func TestProbesOfInstancesAreSpread(t *testing.T) {
 	first, last := t0.Add(time.Hour), t0
 	for seed := range uint64(50) {
 		s := breaker.New(breaker.DefaultConfig, seed)
-		fail(t, s, t0, 3)
+		failAttempts(t, s, t0, 3)
 		at := openUntil(s, t0)
 		if at.Before(first) {
 			first = at
@@ -78,20 +78,20 @@
 	must.Greater(t, 400*time.Millisecond, last.Sub(first))
 }
 
-// A call that was sent before the link opened and ends after it closed says nothing about the link now.
+// A call sent before the link opened that ends after it closed must not affect the link's current state.
 func TestLateOutcomeOfOlderStateIsDropped(t *testing.T) {
 	s := breaker.New(breaker.DefaultConfig, 1)
 	old, _, _ := s.Allow(t0, "a")
-	fail(t, s, t0, 3)
+	failAttempts(t, s, t0, 3)
 	now := openUntil(s, t0)
 	old.Done(now, breaker.Failure)
 	must.Eq(t, breaker.HalfOpen, s.State(now, "a"))
 }
 
-// A probe whose caller never reports must not keep the link shut for ever.
+// A probe whose outcome is never reported must not keep the link open forever.
 func TestLostProbeCountsAsFailed(t *testing.T) {
 	s := breaker.New(breaker.DefaultConfig, 1)
-	fail(t, s, t0, 3)
+	failAttempts(t, s, t0, 3)
 	now := openUntil(s, t0)
 	_, _, ok := s.Allow(now, "a")
 	must.True(t, ok)
@@ -116,7 +116,7 @@
 	t.Fatal("never opened")
 }
 
-// Three failures in a row shut a link for about a second.
+// Three failures in a row open a link for about a second.
 func Example() {
 	links := breaker.New(breaker.DefaultConfig, 1)
 	now := time.Unix(0, 0)
--- a/lib/gateway/answer.go
+++ b/lib/gateway/answer.go
@@ -11,12 +11,12 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// responseHopHeaders of a target concern its connection with us.
+// responseHopHeaders are the headers of a target's response that concern only its connection with the gateway.
 var responseHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// refuse answers on the gateway's own behalf.
+// refuse answers a call with the gateway's own status, without a body.
 func (g *Gateway) refuse(w http.ResponseWriter, c *call, ref refusal) {
 	g.Log.Refused(c.entry(), ref.status, ref.reason, ref.after)
 	c.count(metricRefuse, "reason", ref.reason)
@@ -31,8 +31,8 @@
 	w.WriteHeader(ref.status)
 }
 
-// unavailable is a refusal of a request that no target has run and none will. The wait is at most a third of what the caller
-// has left: a longer one would not be kept to.
+// unavailable returns a 503 for a request that no target has executed. Retry-After is at most a third of the caller's
+// remaining time, because callers do not honour a longer one.
 func (c *call) unavailable(reason string) refusal {
 	after := retryAfterPlain
 	if c.engine != nil {
@@ -41,38 +41,38 @@
 	return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(after), reason: reason}
 }
 
-// noTargetRefusal is the refusal of a call that no target takes and none has run, with the reason why there is none.
+// noTargetRefusal returns the refusal for a call that no target accepts and none has executed, with the reason.
 func (g *Gateway) noTargetRefusal(c *call) refusal {
-	stand := g.Fleet.Availability(time.Now(), fleet.Need{Service: c.service, Regions: g.regions(c)})
-	g.Log.NoTarget(c.entry(), stand)
+	avail := g.Fleet.Availability(time.Now(), fleet.Need{Service: c.service, Regions: g.regions(c)})
+	g.Log.NoTarget(c.entry(), avail)
 	switch {
-	case stand.Blocked() && stand.Limited > 0:
-		// Callers that are refused together and told the same time would find one permit between them.
-		after := stand.RetryAfter + rand.N(retryAfterPlain)
+	case avail.Blocked() && avail.Limited > 0:
+		// Without jitter, callers refused together would retry together and compete for a single permit.
+		after := avail.RetryAfter + rand.N(retryAfterPlain)
 		return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(after), reason: "targets_limited"}
-	case stand.Blocked():
-		return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(stand.RetryAfter), reason: "targets_resting"}
-	case stand.Accepting > 0 && stand.Cold == stand.Accepting:
+	case avail.Blocked():
+		return refusal{status: http.StatusServiceUnavailable, after: c.boundWait(avail.RetryAfter), reason: "targets_resting"}
+	case avail.Accepting > 0 && avail.Cold == avail.Accepting:
 		return c.unavailable("targets_cold")
-	case stand.Accepting > 0:
+	case avail.Accepting > 0:
 		return c.unavailable("no_target")
-	case stand.Evacuated > 0:
+	case avail.Evacuated > 0:
 		return c.unavailable("evacuated")
-	case stand.OutOfRegion > 0:
+	case avail.OutOfRegion > 0:
 		return c.unavailable("out_of_region")
 	}
 	return c.unavailable("no_target")
 }
 
-// boundWait bounds a wait to what the caller keeps to.
+// boundWait limits a Retry-After to what the caller will honour.
 func (c *call) boundWait(after time.Duration) time.Duration {
 	return max(min(after, time.Duration(float64(time.Until(c.deadline))*maxWaitShare)), time.Millisecond)
 }
 
-// maxWaitShare of a caller's time is the longest wait told: callers keep to a third.
+// maxWaitShare is the share of the caller's remaining time that Retry-After may take. Callers honour up to a third.
 const maxWaitShare = 0.31
 
-// copyHead sets the headers of a target's answer.
+// copyHead copies the headers of a target's response, except those of its connection.
 func (g *Gateway) copyHead(w http.ResponseWriter, from http.Header) {
 	h := w.Header()
 	for name, values := range from {
@@ -86,17 +86,17 @@
 	}
 }
 
-// verdict is what an answer's head says.
+// verdict classifies a response by its head.
 type verdict uint8
 
 const (
 	verdictGood    verdict = iota
-	verdictFailure         // the target's own failure, which it may have run into midway
-	verdictNotRun          // the target proves that it did not run the request
-	verdictFaulty          // not an answer that can be passed on
+	verdictFailure         // the target failed, possibly in the middle of executing the request
+	verdictNotRun          // the target proves that it did not execute the request
+	verdictFaulty          // a response that must not be forwarded
 )
 
-// classify reads the head of an answer to this very request.
+// classify judges the head of a response to a request of this gateway.
 func (g *Gateway) classify(r *wirehttp.Response) verdict {
 	h := r.Header
 	if r.Status == http.StatusMisdirectedRequest {
@@ -107,7 +107,7 @@
 	}
 	switch r.Status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout:
-		// These promise the caller that nothing ran, and this target does not say so.
+		// These statuses promise the caller that nothing was executed, and this target does not state that.
 		return verdictFaulty
 	}
 	if r.Status >= 500 {
@@ -122,7 +122,7 @@
 	return verdictGood
 }
 
-// readLoad passes on the load that an answer tells.
+// readLoad reports the load named in a response to the fleet.
 func (g *Gateway) readLoad(id string, h http.Header) {
 	parts := strings.SplitN(h.Get(g.Names.Load), ",", 3)
 	if len(parts) < 2 {
--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -8,44 +8,44 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// minBackupFree is the share of an engine's memory that must stay free for it to hold a copy of another's run. With copies
-// of every run the engines' memory fills up and runs are preempted, which costs more than the copies save.
+// minBackupFree is the share of an engine's memory that must stay free for it to hold another run's backup. With backups of
+// every run the engines' memory fills up and runs are preempted, which costs more than the backups save.
 const minBackupFree = 0.7
 
-// backup is a copy of a run that its engine keeps up to date on another one.
+// backup is a copy of a run's memory that its engine keeps up to date on another engine.
 type backup struct {
 	target fleet.Info // empty: none
-	tokens int        // counted there
+	tokens int        // counted against the target's memory
 }
 
-// wantsBackup reports whether a copy of the run is to be kept: of one that can't be run again from its prompt. It is all
-// that survives the crash of the run's engine, and a notice too short for a move.
+// wantsBackup reports whether the run needs a backup, which holds for a run that can't be repeated from its prompt. Only a
+// backup survives the crash of the run's engine, or a termination notice too short for a move.
 func (r *run) wantsBackup() bool {
 	return r.c.engine != nil && r.c.engine.Backups && !r.c.route.MayRepeat() && r.g.Names.Backup != ""
 }
 
-// chooseBackup picks an engine for a copy of a run: the one that the owner has found with the run's own, or by what this
-// instance knows.
+// chooseBackup selects an engine for the run's backup: the one that the owner found along with the run's engine, or one
+// chosen from this instance's own state.
 func (r *run) chooseBackup(to placement) {
 	if !r.wantsBackup() {
 		return
 	}
 	tokens := r.currentLoad().Tokens
-	at, ok := r.g.Fleet.Info(to.backup)
+	engine, ok := r.g.Fleet.Info(to.backup)
 	if !to.byOwner {
 		need := fleet.Need{Service: to.target.Service, Tokens: tokens, Regions: r.g.regions(r.c)}
-		at, ok = r.g.Fleet.ChooseForCopy(time.Now(), need, to.target.ID, minBackupFree)
+		engine, ok = r.g.Fleet.ChooseForCopy(time.Now(), need, to.target.ID, minBackupFree)
 	}
 	if !ok {
 		return
 	}
-	r.g.Fleet.AddLoad(at.ID, fleet.Load{Tokens: tokens})
+	r.g.Fleet.AddLoad(engine.ID, fleet.Load{Tokens: tokens})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.backup = backup{target: at, tokens: tokens}
+	r.backup = backup{target: engine, tokens: tokens}
 }
 
-// dropBackup takes the copy's tokens off its engine and returns where it was.
+// dropBackup releases the backup's memory on its engine and returns that engine.
 func (r *run) dropBackup() fleet.Info {
 	r.mu.Lock()
 	b := r.backup
@@ -57,29 +57,29 @@
 	return b.target
 }
 
-// resumeFromBackup says how to go on from the copy after the run's engine has failed; ok is false when there is none.
+// resumeFromBackup returns the placement to continue from the backup after the run's engine failed; ok is false without one.
 func (r *run) resumeFromBackup() (placement, bool) {
-	at := r.dropBackup()
-	if at.ID == "" || r.events == 0 || r.g.Fleet.IsLeaving(at.ID) {
+	target := r.dropBackup()
+	if target.ID == "" || r.events == 0 || r.g.Fleet.IsLeaving(target.ID) {
 		return placement{}, false
 	}
 	size := r.currentLoad()
-	need := fleet.Need{Service: at.Service, Tokens: size.Tokens, Regions: r.g.regions(r.c), FoundByOwner: true}
-	to, ok := r.g.Fleet.AcquireAt(time.Now(), at.ID, need)
+	need := fleet.Need{Service: target.Service, Tokens: size.Tokens, Regions: r.g.regions(r.c), FoundByOwner: true}
+	engine, ok := r.g.Fleet.AcquireAt(time.Now(), target.ID, need)
 	if !ok {
 		return placement{}, false
 	}
-	return placement{target: to, load: fleet.Load{Tokens: size.Tokens}, copyFrom: to.Addr + "/" + r.c.id}, true
+	return placement{target: engine, load: fleet.Load{Tokens: size.Tokens}, copyFrom: engine.Addr + "/" + r.c.id}, true
 }
 
-// backupTarget returns the engine that holds the copy.
+// backupTarget returns the engine that holds the backup.
 func (r *run) backupTarget() fleet.Info {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.backup.target
 }
 
-// HeldMemory lists the memory that copies of this instance's runs take.
+// HeldMemory lists the memory that backups and move reservations of this instance's runs take on engines.
 func (g *Gateway) HeldMemory() []owner.Held {
 	var out []owner.Held
 	for _, list := range g.runs.all() {
--- a/lib/gateway/book.go
+++ b/lib/gateway/book.go
@@ -10,14 +10,14 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// reservation is the room that a run which moves has at its destination. It counts there as one run until it is given up, or
-// passes to the run when that goes on there.
+// reservation is the memory reserved for a moving run at its destination. It counts there as one run until it is released or
+// the run continues there and takes it over.
 type reservation struct {
 	target string // id of the destination; empty: none
 	tokens int
 }
 
-// reserveAt books room for a run at one engine; an empty id books none.
+// reserveAt reserves memory for a run on one engine; an empty id reserves none.
 func (g *Gateway) reserveAt(r *run, id string, need fleet.Need) (fleet.Info, bool) {
 	if id == "" {
 		return fleet.Info{}, false
@@ -34,7 +34,7 @@
 	g.notifyOwners()
 }
 
-// reserve books room at the best engine.
+// reserve reserves memory for a run on the best engine.
 func (g *Gateway) reserve(r *run, need fleet.Need) (fleet.Info, bool) {
 	to, ok := g.acquireForMove(r, need)
 	if ok {
@@ -43,10 +43,10 @@
 	return to, ok
 }
 
-// moveCapacityTimeout bounds the wait for an owner to find room for a run that moves: its engine is gone 1.5 s after the notice.
+// moveCapacityTimeout bounds the request to an owner for a move's destination: the engine may be gone 1.5 s after its notice.
 const moveCapacityTimeout = 400 * time.Millisecond
 
-// acquireForMove finds an engine with room for a run that moves, and counts the run there.
+// acquireForMove finds an engine with enough free memory for a moving run and counts the run there.
 func (g *Gateway) acquireForMove(r *run, need fleet.Need) (fleet.Info, bool) {
 	if g.Owners == nil {
 		return g.Fleet.Acquire(time.Now(), need)
@@ -63,12 +63,12 @@
 	if a.Action != admit.Admit {
 		return fleet.Info{}, false
 	}
-	need.RequireMemory = false // by what this instance alone knows
+	need.RequireMemory = false // the owner has checked; this instance's own state may be behind
 	need.Granted = true
 	return g.Fleet.AcquireAt(time.Now(), a.Target, need)
 }
 
-// releaseReservation gives the room up.
+// releaseReservation releases the run's reservation, if any.
 func (g *Gateway) releaseReservation(r *run) {
 	b := r.currentReservation()
 	r.setReservation(reservation{})
@@ -89,7 +89,7 @@
 	return r.reserved
 }
 
-// heldTokens returns the memory that copies of the run take on an engine: its backup's, and what is booked for a move.
+// heldTokens returns the tokens that the run's backup and its move reservation take on an engine.
 func (r *run) heldTokens(target string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 	return n
 }
 
-// hasOutput reports whether the run has made output: before that there is nothing to copy.
+// hasOutput reports whether the run has produced output: before that there is nothing to copy.
 func (r *run) hasOutput() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/gateway/book_test.go
+++ b/lib/gateway/book_test.go
@@ -13,20 +13,20 @@
 	"anvilwick.example/anvilwick/lib/routes"
 )
 
-// toldOwners counts how often owners are to hear of a change.
-type toldOwners struct {
+// countingOwners counts the changes reported to owners.
+type countingOwners struct {
 	Owners
 	changes int
 }
 
-func (o *toldOwners) Changed() { o.changes++ }
+func (o *countingOwners) Changed() { o.changes++ }
 
-// A run is planned to move. Until it is there its room was known to its own instance only, and peers sent new streams
-// into it, which then waited behind the run for seconds. Its room counts from the plan on, here and at peers, and is
-// free again once it is given up.
+// Until a moving run arrived, only its own instance knew of the memory it needs at the destination: peers sent new streams
+// there, which then waited behind the run for seconds. The reservation must count from the plan on, here and at peers, until
+// it is released.
 func TestRoomOfAMoveCountsEverywhere(t *testing.T) {
 	g := newTestGateway()
-	owners := new(toldOwners)
+	owners := new(countingOwners)
 	g.Owners = owners
 	g.Fleet.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: 1000}})
 	g.Fleet.Apply(time.Now(), []fleet.Info{{ID: "from", Service: "s"}, {ID: "to", Service: "s"}}, nil, 0)
@@ -47,7 +47,7 @@
 	must.True(t, ok)
 }
 
-// failingCopies answers the first copy and fails those after it, as a link that is reset does.
+// failingCopies answers the first copy and fails later ones, like a connection that is reset.
 type failingCopies struct {
 	Engines
 	copies int
@@ -62,14 +62,16 @@
 
 func (f *failingCopies) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
-// A copy is being brought up to date when its call fails, and the run goes on at its source. The next try books room at
-// another engine; the room of the first would count for as long as the process lives.
+// A copy fails while it is brought up to date, and the run continues at its source. The next attempt reserves memory on
+// another engine; if the first reservation is not released, it counts until the process exits.
 func TestFailedCopyKeepsNoRoom(t *testing.T) {
 	g := newTestGateway()
 	g.Engines = &failingCopies{}
 	g.Fleet.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: 1000}})
 	g.Fleet.Apply(time.Now(), []fleet.Info{{ID: "from", Service: "s"}, {ID: "a", Service: "s"}, {ID: "b", Service: "s"}}, nil, 0)
-	r := &run{g: g, c: &call{id: "x", service: "s", route: &routes.Route{Name: "r"}}, target: fleet.Info{ID: "from", Service: "s"}, outputTokens: 4}
+	r := &run{
+		g: g, c: &call{id: "x", service: "s", route: &routes.Route{Name: "r"}}, target: fleet.Info{ID: "from", Service: "s"}, outputTokens: 4,
+	}
 	r.load = fleet.Load{Tokens: 100}
 	g.runs.add("from", r)
 	g.move(r, r.target, time.Now().Add(500*time.Millisecond-moveTimeout), moveplan.Step{})
--- a/lib/gateway/call.go
+++ b/lib/gateway/call.go
@@ -14,7 +14,7 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// call is one attempt of a caller.
+// call is one request attempt of a caller.
 type call struct {
 	id        string
 	route     *routes.Route
@@ -23,52 +23,52 @@
 	workspace string
 	priority  int
 	method    string
-	target    string // request target as it came
+	target    string // request target as received
 	host      string
-	header    http.Header // as it goes to targets, without what differs from send to send
+	header    http.Header // forwarded to targets, without the headers that are set for each send
 	body      []byte
 	arrived   time.Time
-	deadline  time.Time // the caller waits no longer
-	limit     time.Time // the answer is due: the deadline or the route's limit
+	deadline  time.Time // the caller's deadline
+	limit     time.Time // the earlier of the deadline and the route's timeout
 	prompt    int       // tokens of the prompt
 	output    int       // expected tokens of the output
-	lastEvent string    // the last event that the caller had when it asked
+	lastEvent string    // id of the last event that the caller has, from its Last-Event-Id
 
-	contentHash uint64          // names what the call asks
-	sends       int             // targets that the call was sent to
-	mayHaveRun  bool            // a target may have run it
-	tried       map[string]bool // targets not to choose again
+	contentHash uint64          // fingerprint of the request's content
+	sends       int             // number of targets that the call was sent to
+	mayHaveRun  bool            // a target may have executed it
+	tried       map[string]bool // targets excluded from the next choice
 }
 
-// refusal is an answer of the gateway's own.
+// refusal is a response of the gateway itself.
 type refusal struct {
 	status int
 	after  time.Duration // for Retry-After; 0: none
 	reason string
 }
 
-// Waits told to callers whose request has not run.
+// Retry-After values for requests that no target has executed.
 const (
-	// retryAfterPlain suits short requests: a budget of a second leaves a third of it for the wait.
+	// retryAfterPlain suits short requests: a third of a one-second deadline is left for the wait.
 	retryAfterPlain = 150 * time.Millisecond
-	// retryAfterStream suits generations, whose targets are replaced within some seconds.
+	// retryAfterStream suits generations, whose targets are replaced within seconds.
 	retryAfterStream = 900 * time.Millisecond
-	// retryAfterStopping is for requests that any other instance can serve now: this one stops.
+	// retryAfterStopping is for requests refused because this instance is stopping; any other can serve them now.
 	retryAfterStopping = 20 * time.Millisecond
-	// retryAfterUnready is for requests that arrive before the instance knows its settings: the store is away, for seconds.
+	// retryAfterUnready is for requests that arrive before the first settings: the store is unavailable, usually for seconds.
 	retryAfterUnready = 2500 * time.Millisecond
 )
 
-// defaultDeadline holds for a request that names none on a route without a limit.
+// defaultDeadline applies to requests without a deadline on a route without a timeout.
 const defaultDeadline = 60 * time.Second
 
-// requestHopHeaders are about one connection, or set anew for each send.
+// requestHopHeaders concern a single connection, or are set for each send.
 var requestHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect", "Proxy-Authorization", "Proxy-Authenticate",
 }
 
-// accept reads a request and finds its route and workspace. The call is returned with a refusal, too, for the log.
+// accept reads a request and resolves its route and workspace. The call is returned along with a refusal, for the log.
 func (g *Gateway) accept(w http.ResponseWriter, r *http.Request) (*call, *refusal) {
 	c := &call{id: r.Header.Get(g.Names.RequestID), method: r.Method, target: r.RequestURI, host: r.Host, arrived: time.Now()}
 	t := g.table.Load()
@@ -101,7 +101,7 @@
 	return c, g.checkPoison(c)
 }
 
-// readBody reads the whole body: a request is sent only once it has arrived whole, with its length stated.
+// readBody reads the whole body: a request is forwarded only once it is complete, with its Content-Length.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, c *call, limit int64) *refusal {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
@@ -134,7 +134,7 @@
 	c.tried = make(map[string]bool)
 }
 
-// callerTimeout is how long the caller waits.
+// callerTimeout returns how long the caller waits for the response.
 func (g *Gateway) callerTimeout(r *http.Request) time.Duration {
 	if ms, err := strconv.ParseFloat(r.Header.Get(g.Names.Deadline), 64); err == nil && ms >= 0 {
 		return time.Duration(ms * float64(time.Millisecond))
@@ -142,7 +142,7 @@
 	return defaultDeadline
 }
 
-// tokens returns the prompt's size and a guess of the output's: the caller's own guess, else half of the largest.
+// tokens returns the prompt's size and an estimate of the output's: the caller's hint, or else half of the maximum.
 func (g *Gateway) tokens(h http.Header) (prompt, output int) {
 	in, most, _ := strings.Cut(h.Get(g.Names.Tokens), ",")
 	prompt = atoi(in)
@@ -150,14 +150,14 @@
 	if hint := atoi(h.Get(g.Names.Hint)); hint > 0 {
 		output = hint
 		if n := atoi(most); n > 0 {
-			output = min(output, n) // callers' guesses are often far off
+			output = min(output, n) // callers' hints are often far off
 		}
 	}
 	return prompt, output
 }
 
-// atoi reads a number that a caller may have got wrong; what can't be read counts as 0, which only makes the choice of
-// a target worse.
+// atoi parses a number sent by a caller or target. An invalid one counts as 0, which at worst leads to a poorer choice of
+// target.
 func atoi(s string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n < 0 {
@@ -166,7 +166,7 @@
 	return n
 }
 
-// forwardHeaders copies the headers that go on to targets.
+// forwardHeaders returns the request headers that are forwarded to targets.
 func (g *Gateway) forwardHeaders(h http.Header, c *call) http.Header {
 	out := h.Clone()
 	for name := range strings.SplitSeq(h.Get("Connection"), ",") {
@@ -188,8 +188,8 @@
 	return out
 }
 
-// urgency is the rank of every run in its engine's queue. An engine stops running runs for a more urgent one: their prompts are read
-// again and their callers see a pause, which costs more than the urgent one gains.
+// urgency is the queue rank of every run on its engine. An engine preempts running requests for a more urgent one: their
+// prompts are read again and their callers see a pause, which costs more than the urgent one gains.
 const urgency = 3
 
 func hostname(host string) string {
@@ -199,8 +199,8 @@
 	return host
 }
 
-// regions are those that the call is bound to by the settings in force now: an answer may take longer than a change of them may
-// take to be in force, and what is sent for it afterwards must keep to the change. nil: none.
+// regions returns the regions that the call is bound to by the settings now in force; nil means no restriction. A response
+// may outlast the rollout of a settings change, and later sends for it must comply with the change.
 func (g *Gateway) regions(c *call) []string {
 	t := g.table.Load()
 	if t == nil {
@@ -214,10 +214,10 @@
 	return t.Regions(route, c.workspace)
 }
 
-// timeLeft is the time that a target has for the call. A target works no longer than the caller waits.
+// timeLeft returns the time that a target has for the call; it ends when the caller stops waiting.
 func (c *call) timeLeft(now time.Time) time.Duration { return c.limit.Sub(now) }
 
-// request builds what goes to one target.
+// request builds the request to one target.
 func (g *Gateway) request(c *call, target string, now time.Time) *wirehttp.Request {
 	h := c.header.Clone()
 	h.Set(g.Names.Expect, target)
@@ -225,12 +225,12 @@
 	return &wirehttp.Request{Method: c.method, Target: c.target, Host: c.host, Header: h, Body: c.body}
 }
 
-// mayRepeat reports whether the call can be sent to one more target after one may have run it.
+// mayRepeat reports whether the call may be sent to one more target after an earlier one may have executed it.
 func (g *Gateway) mayRepeat(c *call) bool {
 	return c.route.MayRepeat() && c.sends < c.route.MaxAttempts && g.Budget.Take(time.Now(), c.service)
 }
 
-// maySendAgain is mayRepeat for a call that no target has run.
+// maySendAgain is like mayRepeat, for a call that no target has executed.
 func (g *Gateway) maySendAgain(c *call) bool {
 	return c.sends < c.route.MaxAttempts && g.Budget.Take(time.Now(), c.service)
 }
--- a/lib/gateway/copy.go
+++ b/lib/gateway/copy.go
@@ -8,36 +8,36 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// discardFailedCopy gives up what a failed try has left, if the run goes on at its source. If the source has ended, the run takes
-// the copy within the pause. A copy that was neither taken nor given up would count at its engine for good.
-func (g *Gateway) discardFailedCopy(r *run, from fleet.Info) {
+// discardFailedCopy releases the copy left by a failed attempt if the run continues at its source. If the source has ended,
+// the run takes the copy during the pause. A copy neither taken nor released would count on its engine forever.
+func (g *Gateway) discardFailedCopy(r *run, source fleet.Info) {
 	if r.partialCopySource().ID == "" {
 		return
 	}
 	time.Sleep(runPoll)
-	if r.runsOn(from.ID) {
-		g.releasePartialCopy(r, from)
+	if r.runsOn(source.ID) {
+		g.releasePartialCopy(r, source)
 	}
 }
 
-// partialCopy is a copy of a run that goes on at its source.
+// partialCopy is a copy of a run that still continues at its source.
 type partialCopy struct {
-	source    fleet.Info // the source; empty: there is no copy
+	source    fleet.Info // empty: there is no copy
 	placement placement
 }
 
-// setPartialCopy notes a copy in case that its source ends before the last part.
-func (r *run) setPartialCopy(from fleet.Info, n placement) {
+// setPartialCopy records a copy to resume from in case the source ends before the final copy.
+func (r *run) setPartialCopy(source fleet.Info, n placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.partial = partialCopy{source: from, placement: n}
+	r.partial = partialCopy{source: source, placement: n}
 }
 
-// takePartialCopy takes the copy made at a source, with its count; ok is false when there is none or it was taken before.
-func (r *run) takePartialCopy(from string) (n placement, ok bool) {
+// takePartialCopy returns and clears the copy made at a source; ok is false when there is none or it was taken before.
+func (r *run) takePartialCopy(source string) (n placement, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.partial.source.ID == "" || r.partial.source.ID != from {
+	if r.partial.source.ID == "" || r.partial.source.ID != source {
 		return placement{}, false
 	}
 	n = r.partial.placement
@@ -45,18 +45,18 @@
 	return n, true
 }
 
-// releasePartialCopy gives up the copy made at a source, if the run has not gone on from it.
-func (g *Gateway) releasePartialCopy(r *run, from fleet.Info) {
-	n, ok := r.takePartialCopy(from.ID)
+// releasePartialCopy releases the copy made at a source, unless the run has resumed from it.
+func (g *Gateway) releasePartialCopy(r *run, source fleet.Info) {
+	n, ok := r.takePartialCopy(source.ID)
 	if !ok {
 		return
 	}
 	g.releaseReservation(r)
 	_, handle, _ := strings.Cut(n.copyFrom, "/")
-	go g.releaseCopy(from, handle)
+	go g.releaseCopy(source, handle)
 }
 
-// partialCopySource returns where the run has a copy from.
+// partialCopySource returns the source of the run's partial copy.
 func (r *run) partialCopySource() fleet.Info {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/gateway/events.go
+++ b/lib/gateway/events.go
@@ -6,19 +6,18 @@
 	"strconv"
 )
 
-// eventLimit bounds, in bytes, one event of a stream.
+// eventLimit bounds the size of one event of a stream, in bytes.
 const eventLimit = 1 << 20
 
 var errEventTooLong = errors.New("gateway: event too long")
 
-// eventBuffer cuts a byte stream into whole events. Only whole ones are passed on: a target may break off midway, and
-// the run that goes on elsewhere starts after the last event that the caller has.
+// eventBuffer splits a byte stream into complete events. Only complete events are forwarded: a target may fail in the middle
+// of one, and the resumed run starts after the last event that the caller has.
 type eventBuffer struct {
 	buf []byte
 }
 
-// add takes in bytes and returns the whole events among all that came, with their number and the id of the last one.
-// The result is valid until the next call.
+// add appends bytes and returns the events completed so far, their count and the id of the last one.
 func (e *eventBuffer) add(p []byte) (whole []byte, n int, lastID string, err error) {
 	e.buf = append(e.buf, p...)
 	end := 0
@@ -44,12 +43,11 @@
 // incomplete reports whether the stream stopped within an event.
 func (e *eventBuffer) incomplete() bool { return len(e.buf) > 0 }
 
-// dropSeen leaves out the events up to and with the one named last, and returns how many these are. Ids grow within a
-// stream; where they are no numbers nothing is left out.
+// dropSeen removes the events up to and including the one with id last, and returns how many it removed. Ids increase within
+// a stream; if they are not numeric, nothing is removed.
 //
-// Failure: a run that had ended whole was taken for one that a move had stopped, and the engine that it went on at
-// sent the last event a second time. The caller took it for more of the answer. Whatever a target sends, a caller gets no
-// event that it has.
+// Failure: a run that had completed was taken for one stopped by a move, and the engine that resumed it sent the last event
+// again. The caller treated it as more of the answer. Whatever a target sends, a caller receives no event twice.
 func dropSeen(events []byte, last string) (rest []byte, dropped int) {
 	n, err := strconv.ParseInt(last, 10, 64)
 	if err != nil {
@@ -68,7 +66,7 @@
 	return events, dropped
 }
 
-// eventEnd returns the size of the first whole event, which an empty line ends; 0 when there is none.
+// eventEnd returns the size of the first complete event, which an empty line terminates; 0 when there is none.
 func eventEnd(b []byte) int {
 	for i := 0; i < len(b); {
 		nl := bytes.IndexByte(b[i:], '\n')
@@ -84,7 +82,7 @@
 	return 0
 }
 
-// eventID returns the id line of an event.
+// eventID returns the value of an event's id line.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		line = bytes.TrimRight(line, "\r\n")
--- a/lib/gateway/events_test.go
+++ b/lib/gateway/events_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// However a stream is cut into reads, whole events come out, all of them, in order, and no part of one.
+// However a stream is split into reads, all events come out complete and in order, and no partial event does.
 func TestEventsAreWholeHoweverTheyCome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nl := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "line end")
@@ -46,24 +46,24 @@
 	must.False(t, e.incomplete())
 }
 
-// A target that never ends an event must not fill our memory.
+// A target that never terminates an event must not exhaust the gateway's memory.
 func TestEndlessEventIsAnError(t *testing.T) {
 	var e eventBuffer
 	_, _, _, err := e.add(make([]byte, eventLimit+1))
 	must.ErrorIs(t, err, errEventTooLong)
 }
 
-// A target sends events that the caller has already. They are left out, and none that follow; ids that are no numbers say
-// nothing of an order.
-func TestEventsThatTheCallerHasAreLeftOut(t *testing.T) {
-	all := "id: 4\ndata: a\n\nid: 5\ndata: b\n\nid: 6\ndata: c\n\n"
+// A target repeats events that the caller has. Only those are dropped; ids that are not numeric define no order, so nothing is
+// dropped for them.
+func TestSeenEventsAreDropped(t *testing.T) {
+	events := "id: 4\ndata: a\n\nid: 5\ndata: b\n\nid: 6\ndata: c\n\n"
 	for _, c := range []struct {
 		last, rest string
 		dropped    int
 	}{
-		{"", all, 0}, {"3", all, 0}, {"4", all[len(all)/3:], 1}, {"6", "", 3}, {"9", "", 3}, {"x-5", all, 0},
+		{"", events, 0}, {"3", events, 0}, {"4", events[len(events)/3:], 1}, {"6", "", 3}, {"9", "", 3}, {"x-5", events, 0},
 	} {
-		rest, dropped := dropSeen([]byte(all), c.last)
+		rest, dropped := dropSeen([]byte(events), c.last)
 		must.Eq(t, c.rest, string(rest), must.Sprint(c.last))
 		must.Eq(t, c.dropped, dropped, must.Sprint(c.last))
 	}
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway passes callers' requests through to targets unchanged and answers with what the targets said.
+// Package gateway is the HTTP proxy between callers and targets. It forwards requests and responses unchanged.
 //
-// A request is matched to a route, its key to a workspace; a target is chosen; the answer goes back with the target's
-// headers. What may be repeated follows from the route's kind alone. A request that was given up on is answered at
-// once: 503 with Retry-After when it is sure that no target ran it, 502 or 504 when one may have.
+// Each request is matched to a route and its key to a workspace; a target is chosen and its response, headers included, is
+// returned. Whether a request may be repeated follows from the route's kind alone. A request that can't be served is
+// answered at once: 503 with Retry-After when it is certain that no target executed it, 502 or 504 when one may have.
 //
-// The names of headers and the calls to engines belong to the site and are passed in (Names, Engines).
+// The names of headers and the calls to engines are specific to a site and are passed in (Names, Engines).
 package gateway
 
 import (
@@ -24,51 +24,51 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// Names are the site's names of the headers that the gateway reads and sets.
+// Names are the header names, specific to the site, that the gateway reads and sets.
 type Names struct {
-	RequestID string // of one attempt of a caller; answers repeat it
-	Deadline  string // milliseconds that the caller, or the target, has
-	Key       string // the caller's key
+	RequestID string // id of one request attempt; responses repeat it
+	Deadline  string // milliseconds that the caller, or the target, has left
+	Key       string // the caller's API key
 	Workspace string // name of the key's workspace, for targets
-	Expect    string // id of the one target that may run the request
-	NotRun    string // in an answer: the target did not run the request
-	Seal      string // in an answer: the target's mark on it
-	Load      string // in an answer: requests running, waiting and slots, separated by commas
-	Limit     string // in an answer: the requests a second that the target takes from all instances together
-	Leaving   string // in an answer: the target takes nothing new
+	Expect    string // id of the only target that may execute the request
+	NotRun    string // in a response: the target did not execute the request
+	Seal      string // in a response: set by the target on its own responses
+	Load      string // in a response: running requests, waiting requests and slots, separated by commas
+	Limit     string // in a response: requests a second that the target accepts from all instances together
+	Leaving   string // in a response: the target accepts nothing new
 	LastEvent string // id of the last event that the caller has
-	Tokens    string // tokens of the prompt and largest number of output tokens
-	Hint      string // the caller's guess of the output's tokens
+	Tokens    string // prompt tokens and maximum output tokens
+	Hint      string // the caller's estimate of the output tokens
 	Urgency   string // rank in an engine's queue
-	Backup    string // address of an engine that is sent the run's memory as it grows
-	CopyFrom  string // address and handle of a copy of a run to go on from
+	Backup    string // address of an engine that receives the run's memory as it grows
+	CopyFrom  string // address and handle of a run's copy to continue from
 
-	Reserved []string // headers that only the gateway may set; a caller's are dropped
+	Reserved []string // headers that only the gateway may set; those of callers are dropped
 }
 
-// CopyResult is the answer to a copy of a run.
+// CopyResult is an engine's reply to a copy request.
 type CopyResult struct {
-	Handle string // names the copy
+	Handle string // identifies the copy
 }
 
-// Report is what an engine tells of itself.
+// Report is the state that an engine reports.
 type Report struct {
-	Leaving bool  // it was told to end, or is about to
-	Born    int64 // of the life that answers, as in fleet.Info
+	Leaving bool  // it was told to terminate, or is about to
+	Born    int64 // incarnation of the responding engine, as in fleet.Info
 }
 
-// Engines makes calls to model engines beside the requests themselves.
+// Engines makes control calls to model engines, beside the requests themselves.
 type Engines interface {
-	// Copy copies the memory of the run that serves request id from one engine to another, or what is new of it. last
-	// ends the run at its source before the rest is copied.
+	// Copy copies the memory of the run that serves request id from one engine to another; a repeated call copies only what
+	// was added since. last stops the run at its source before the rest is copied.
 	Copy(ctx context.Context, from, to fleet.Info, id string, last bool) (CopyResult, error)
-	// Report asks an engine for its state.
+	// Report requests an engine's state.
 	Report(ctx context.Context, at fleet.Info) (Report, error)
-	// ReleaseCopy gives up a copy at both ends.
+	// ReleaseCopy frees a copy at both ends.
 	ReleaseCopy(ctx context.Context, from fleet.Info, handle string) error
 }
 
-// Config is what a Gateway is made of.
+// Config holds the dependencies of a Gateway.
 type Config struct {
 	Names   Names
 	Engines Engines
@@ -76,58 +76,58 @@
 	Pool    *wirehttp.Pool
 	Budget  *retry.Share
 	Log     Log
-	// OnLeaving is told of a target that says in an answer that it leaves; nil: nobody is.
+	// OnLeaving is called for a target whose response says that it is leaving; may be nil.
 	OnLeaving func(t fleet.Info)
-	// Owners decides with others where streams go; nil: this instance decides alone.
+	// Owners coordinates placement with other instances; nil: this instance decides alone.
 	Owners Owners
 }
 
-// Owners are the instances that decide where streams go on engines which many instances send to. An error says that none
-// of them answers: then this instance decides alone.
+// Owners is the client of the instances that decide placement on engines shared by many instances. An error means that none
+// of them answered: then this instance decides alone.
 type Owners interface {
-	// Place finds an engine for a run, or says when its caller should come back.
+	// Place finds an engine for a run, or says when its caller should retry.
 	Place(ctx context.Context, a owner.Ask) (owner.Answer, error)
-	// Plan says where this instance's runs go that are on engines which leave.
+	// Plan returns the destinations of this instance's runs on engines that are leaving.
 	Plan(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
-	// LastHeard returns when any instance last heard an engine.
+	// LastHeard returns when any instance last received anything from an engine.
 	LastHeard(ctx context.Context, engine string) (time.Time, error)
-	// Changed says that what runs here has changed.
+	// Changed reports that this instance's set of runs has changed.
 	Changed()
-	// Outcome tells how a run ended at an engine.
+	// Outcome reports how a run ended on an engine.
 	Outcome(engine string, o fleet.Outcome)
-	// PlainOutcome tells how a request ended at a target of a plain service.
+	// PlainOutcome reports how a request to a plain service's target ended.
 	PlainOutcome(service, target string, o fleet.Outcome)
-	// Permit asks for leave to send a request to a target that has named a limit. One that must be sent is only counted.
+	// Permit requests a permit for a rate-limited target. With must, the request is sent anyway and is only counted.
 	Permit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
-	// Limited tells of the limit that an answer of a target named, or no longer named; changed says that it is news here.
+	// Limited reports the limit that a target's response named, or its end; changed says that it is new to this instance.
 	Limited(t fleet.Info, changed bool)
-	// Reading tells how long a first event took.
+	// Reading reports the time to a first event.
 	Reading(r owner.Reading)
 }
 
-// Gateway serves callers. It is an http.Handler.
+// Gateway serves callers' requests. It is an http.Handler.
 type Gateway struct {
 	Config
 	table         atomic.Pointer[routes.Table]
-	stopBy        atomic.Pointer[time.Time] // when open answers will be cut; nil: the instance is not stopping
-	openCtx       context.Context           // ends when open answers are to be broken off
+	stopBy        atomic.Pointer[time.Time] // when open responses are aborted; nil: the instance is not stopping
+	openCtx       context.Context           // cancelled to abort open responses
 	cancelOpen    context.CancelFunc
-	settingsReady chan struct{} // closed when settings are first in force
+	settingsReady chan struct{} // closed when the first settings are in force
 	runs          runTable
-	placer        admit.Placer // decides when streams go to engines
+	placer        admit.Placer // decides when streams are sent to engines
 	conns         openConns
 	pace          tokenPace
 	poison        *poison.Table
 }
 
-// maxSettingsWait bounds how long a request waits for the first settings; holdPart is the part of the caller's time that it
-// waits at most.
+// maxSettingsWait bounds how long a request waits for the first settings; the wait is also at most one settingsWaitPart-th of
+// the caller's deadline.
 const (
 	maxSettingsWait  = 500 * time.Millisecond
 	settingsWaitPart = 5
 )
 
-// New returns a Gateway that knows no settings yet.
+// New returns a Gateway without settings.
 func New(cfg Config) *Gateway {
 	open, cut := context.WithCancel(context.Background())
 	g := &Gateway{
@@ -140,8 +140,8 @@
 	return g
 }
 
-// Apply puts a table of routes in force. An older one than that in force is left out: a request handled by a state that
-// operators have replaced would undo what a caller has already seen.
+// Apply puts a routing table in force and reports whether it did. It ignores a table that is not newer than the current one:
+// serving from settings that operators have replaced would undo what callers have already seen.
 func (g *Gateway) Apply(t *routes.Table) bool {
 	for {
 		old := g.table.Load()
@@ -157,21 +157,21 @@
 	}
 }
 
-// Readings returns what is learnt of how fast prompts are read.
+// Readings returns the prefill rates learnt from streams.
 func (g *Gateway) Readings() *admit.PrefillRates { return g.placer.Prefill }
 
-// Table returns the table in force, nil before the first.
+// Table returns the table in force, or nil before the first.
 func (g *Gateway) Table() *routes.Table { return g.table.Load() }
 
-// Stop makes answers ask callers to close their connections. What is still open at by will be broken off.
+// Stop makes responses close their connections. Responses still open at by will be aborted.
 func (g *Gateway) Stop(by time.Time) { g.stopBy.Store(&by) }
 
 func (g *Gateway) stopping() bool { return g.stopBy.Load() != nil }
 
-// AbortOpen breaks off what is still open. Call it after Stop.
+// AbortOpen aborts the open responses. Call it after Stop.
 func (g *Gateway) AbortOpen() { g.cancelOpen() }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if g.stopping() {
 		w.Header().Set("Connection", "close")
@@ -194,8 +194,8 @@
 	g.servePlain(ctx, w, c)
 }
 
-// awaitSettings holds a request that came before the first settings. An instance that was just started knows them within
-// some tens of milliseconds, and a refusal would use up the caller's only repeat.
+// awaitSettings delays a request that arrives before the first settings. A newly started instance has them within tens of
+// milliseconds, and a refusal would use up the caller's only retry.
 func (g *Gateway) awaitSettings(r *http.Request) {
 	if g.table.Load() != nil {
 		return
--- a/lib/gateway/gateway_test.go
+++ b/lib/gateway/gateway_test.go
@@ -26,8 +26,10 @@
 func testTable(t *testing.T, version int64) *routes.Table {
 	t.Helper()
 	tab, err := routes.NewTable(&routes.Revision{
-		Version:    version,
-		Routes:     []routes.Route{{Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Second, MaxAttempts: 2, Split: []routes.Share{{Service: "s"}}}},
+		Version: version,
+		Routes: []routes.Route{{
+			Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Second, MaxAttempts: 2, Split: []routes.Share{{Service: "s"}},
+		}},
 		Services:   []routes.Service{{Name: "s"}},
 		Workspaces: []routes.Workspace{{Name: "w", Keys: []string{"k"}}},
 		Keyed:      true,
@@ -36,7 +38,7 @@
 	return tab
 }
 
-// A version in force is only ever replaced by a newer one, whichever way an older one comes.
+// The table in force is replaced only by a newer version, in whatever order versions arrive.
 func TestApplyRefusesOlderVersions(t *testing.T) {
 	g := newTestGateway()
 	must.True(t, g.Apply(testTable(t, 5)))
@@ -46,7 +48,7 @@
 	must.True(t, g.Apply(testTable(t, 6)))
 }
 
-// What an answer's head proves. Only a target's own word lets us say that a call has not run.
+// Only a statement of the target itself proves that a request was not executed.
 func TestJudge(t *testing.T) {
 	g := newTestGateway()
 	for _, c := range []struct {
@@ -71,7 +73,7 @@
 	}
 }
 
-// A caller can't set what is ours to say, and its key goes no further.
+// A caller can't set headers reserved for the gateway, and its API key is not forwarded.
 func TestForwardedHeaders(t *testing.T) {
 	g := newTestGateway()
 	must.True(t, g.Apply(testTable(t, 1)))
@@ -92,11 +94,11 @@
 	for _, name := range []string{"Key", "Connection", "X-Hop"} {
 		must.Eq(t, "", out.Get(name), must.Sprint(name))
 	}
-	// Later, a target has only what is left.
+	// A later send grants the target only the remaining time.
 	must.Eq(t, "200", g.request(c, "t1", c.arrived.Add(500*time.Millisecond)).Header.Get("Left"))
 }
 
-// A wait that is told is at most a third of the caller's time, or it would not be kept to.
+// Retry-After is at most a third of the caller's time, because callers don't honour a longer one.
 func TestWaitFitsTheCallersTime(t *testing.T) {
 	c := &call{deadline: time.Now().Add(900 * time.Millisecond)}
 	must.Less(t, 300*time.Millisecond, c.boundWait(5*time.Second))
--- a/lib/gateway/handoff.go
+++ b/lib/gateway/handoff.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// beginHandoff tells the run that its stream is about to be stopped, and returns where the copy is to be handed over; nil
-// when the run is no longer there.
+// beginHandoff marks the run's stream as about to be stopped by a move and returns the channel for the copy to continue from;
+// nil when the run is no longer on the target or a handoff is in progress.
 func (r *run) beginHandoff(target string) chan placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -14,8 +14,8 @@
 	return r.handoff
 }
 
-// cancelHandoff takes stopFor back: the engine says that it did not stop the run. A run whose stream has ended meanwhile is told
-// that there is nothing to go on from.
+// cancelHandoff undoes beginHandoff after the engine reported that it did not stop the run. A run whose stream has ended
+// meanwhile receives an empty placement: there is nothing to continue from.
 func (r *run) cancelHandoff(ch chan<- placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -23,8 +23,8 @@
 	ch <- placement{}
 }
 
-// completeHandoff tells the run where it goes on. One that has ended by itself takes nothing: what the move had booked and
-// copied would count at the destination for as long as the process lives.
+// completeHandoff passes the run the placement to continue at. If the run has ended by itself, the reservation and the copy
+// are released; otherwise they would count at the destination until the process exits.
 func (r *run) completeHandoff(ch chan<- placement, n placement) {
 	r.mu.Lock()
 	ended := r.ended
@@ -37,7 +37,7 @@
 	}
 }
 
-// discardMove gives up what a move has made ready for a run that has ended at its source.
+// discardMove releases what a move has prepared for a run that ended at its source.
 func (g *Gateway) discardMove(r *run, n placement) {
 	g.releaseReservation(r)
 	if _, handle, ok := strings.Cut(n.copyFrom, "/"); ok {
--- a/lib/gateway/log.go
+++ b/lib/gateway/log.go
@@ -12,13 +12,13 @@
 	"anvilwick.example/anvilwick/lib/logline"
 )
 
-// Log writes one line for each decision about a request. Lines carry no key and no body.
+// Log writes one line for each decision about a request. Lines contain no keys and no bodies.
 type Log struct {
 	Version func() int64 // of the settings in force
-	Era     func() int64 // of the store's history that these were last read in; nil: not told
+	Era     func() int64 // of the store's history that the settings were read in; nil: not logged
 }
 
-// entry is what each line about a call says of it.
+// entry holds the fields common to all log lines of a call.
 type entry struct {
 	id, route, kind, service string
 	age                      time.Duration
@@ -33,41 +33,42 @@
 	return e
 }
 
-func (l Log) line(at *log.Entry, event string, e entry) *log.Entry {
-	at = at.Str("event", event).Str("request", e.id).Str("route", e.route).Str("kind", e.kind)
-	at = at.Str("service", e.service).Int64("age_ms", e.age.Milliseconds())
+func (l Log) line(ev *log.Entry, event string, e entry) *log.Entry {
+	ev = ev.Str("event", event).Str("request", e.id).Str("route", e.route).Str("kind", e.kind)
+	ev = ev.Str("service", e.service).Int64("age_ms", e.age.Milliseconds())
 	if l.Version != nil {
-		at = at.Int64("settings", l.Version())
+		ev = ev.Int64("settings", l.Version())
 	}
 	if l.Era != nil {
-		at = at.Int64("era", l.Era())
+		ev = ev.Int64("era", l.Era())
 	}
-	return at
+	return ev
 }
 
-// Refused tells of an answer of the gateway's own.
+// Refused logs a response of the gateway itself.
 func (l Log) Refused(e entry, status int, reason string, after time.Duration) {
 	l.line(log.Warn(), "refused", e).Int("status", status).Str("reason", reason).Int64("retry_after_ms", after.Milliseconds()).Msg("")
 }
 
-// NoTarget tells why no target takes a call.
-func (l Log) NoTarget(e entry, s fleet.Availability) {
-	at := l.line(log.Info(), "no_target", e).Int("takes", s.Accepting).Int("cold", s.Cold).Int("limited", s.Limited).Int("resting", s.InBackoff)
-	at.Int("evacuated", s.Evacuated).Int("out_of_region", s.OutOfRegion).Msg("")
+// NoTarget logs why no target accepts a call.
+func (l Log) NoTarget(e entry, a fleet.Availability) {
+	ev := l.line(log.Info(), "no_target", e).Int("takes", a.Accepting).Int("cold", a.Cold).Int("limited", a.Limited).
+		Int("resting", a.InBackoff)
+	ev.Int("evacuated", a.Evacuated).Int("out_of_region", a.OutOfRegion).Msg("")
 }
 
-// Sent tells how a send to one target ended, and what was believed of that target when it was chosen.
-func (l Log) Sent(e entry, target string, b fleet.KnownState, status int, outcome string, err error) {
-	at := l.line(log.Info(), "sent", e).Str("target", target).Int("ready", b.ReadyTargets)
-	at = at.Int("runs", b.Load.Runs).Int("tokens", b.Load.Tokens).Int("unread", b.Load.Unread)
-	at = at.Int("peers", b.Peers).Int64("news_ms", b.OldestUpdate.Milliseconds())
-	if len(b.Skipped) > 0 {
-		at = at.Str("passed_over", passedOver(b.Skipped))
+// Sent logs how an exchange with a target ended, and the state of the target assumed when it was chosen.
+func (l Log) Sent(e entry, target string, known fleet.KnownState, status int, outcome string, err error) {
+	ev := l.line(log.Info(), "sent", e).Str("target", target).Int("ready", known.ReadyTargets)
+	ev = ev.Int("runs", known.Load.Runs).Int("tokens", known.Load.Tokens).Int("unread", known.Load.Unread)
+	ev = ev.Int("peers", known.Peers).Int64("news_ms", known.OldestUpdate.Milliseconds())
+	if len(known.Skipped) > 0 {
+		ev = ev.Str("passed_over", passedOver(known.Skipped))
 	}
-	logline.Cause(at.Int("status", status).Str("outcome", outcome), err)
+	logline.Cause(ev.Int("status", status).Str("outcome", outcome), err)
 }
 
-// passedOver writes targets with what they said, its age in milliseconds and who heard it, as in w1:limit:120:told.
+// passedOver formats skipped targets as id, reason, its age in milliseconds and its source, as in w1:limit:120:told.
 func passedOver(list []fleet.SkippedTarget) string {
 	out := make([]string, len(list))
 	for i, p := range list {
@@ -80,71 +81,71 @@
 	return strings.Join(out, " ")
 }
 
-// TargetLeaving tells that a target says in an answer that it leaves.
+// TargetLeaving logs that a target's response says that it is leaving.
 func (l Log) TargetLeaving(t fleet.Info) {
 	log.Info().Str("event", "target_says_it_leaves").Str("target", t.ID).Str("service", t.Service).Msg("")
 }
 
-// FirstEvent tells of a stream's first event, and how long the stream had waited for an engine before it was sent.
+// FirstEvent logs a stream's first event, and how long the stream had waited for an engine before it was sent.
 func (l Log) FirstEvent(e entry, target string, waited time.Duration) {
-	at := l.line(log.Info(), "first_event", e).Str("target", target).Int64("after_ms", e.age.Milliseconds())
-	at.Int64("waited_ms", waited.Milliseconds()).Msg("")
+	ev := l.line(log.Info(), "first_event", e).Str("target", target).Int64("after_ms", e.age.Milliseconds())
+	ev.Int64("waited_ms", waited.Milliseconds()).Msg("")
 }
 
-// Answered tells of an answer passed on whole.
+// Answered logs a response forwarded whole.
 func (l Log) Answered(e entry, target string, status int, after time.Duration) {
 	l.line(log.Info(), "answered", e).Str("target", target).Int("status", status).Int64("after_ms", after.Milliseconds()).Msg("")
 }
 
-// Streamed tells of a stream passed on whole, with its longest pause between two events.
+// Streamed logs a stream forwarded to its end, with its longest pause between two events.
 func (l Log) Streamed(e entry, target string, events int, pause time.Duration) {
-	at := l.line(log.Info(), "answered", e).Str("target", target).Int("status", http.StatusOK).Int64("after_ms", e.age.Milliseconds())
-	at.Int("events", events).Int64("pause_ms", pause.Milliseconds()).Msg("")
+	ev := l.line(log.Info(), "answered", e).Str("target", target).Int("status", http.StatusOK).Int64("after_ms", e.age.Milliseconds())
+	ev.Int("events", events).Int64("pause_ms", pause.Milliseconds()).Msg("")
 }
 
-// StreamCut tells of a stream broken off midway.
+// StreamCut logs a stream aborted midway.
 func (l Log) StreamCut(e entry, target, reason string, events int) {
 	l.line(log.Warn(), "cut", e).Str("target", target).Str("reason", reason).Int("events", events).Msg("")
 }
 
-// EventsRepeated tells of events that were left out because the caller has them; last is the newest of those.
+// EventsRepeated logs events dropped because the caller has them; last is the id of the newest of those.
 func (l Log) EventsRepeated(e entry, target, last string, n int) {
 	l.line(log.Warn(), "events_repeated", e).Str("target", target).Str("last_event", last).Int("events", n).Msg("")
 }
 
-// TargetSilent tells of a target given up on because nothing comes from it.
+// TargetSilent logs that a stream was ended because its target went silent.
 func (l Log) TargetSilent(e entry, target string, since time.Duration) {
 	l.line(log.Warn(), "target_silent", e).Str("target", target).Int64("silent_ms", since.Milliseconds()).Msg("")
 }
 
-// ResumedFromBackup tells of a run that goes on from its copy after its engine failed.
+// ResumedFromBackup logs a run that resumes from a copy after its engine failed.
 func (l Log) ResumedFromBackup(e entry, to string, events int) {
 	l.line(log.Warn(), "from_backup", e).Str("to", to).Int("events", events).Msg("")
 }
 
-// Moved tells how a move of a run ended.
+// Moved logs how a move of a run ended.
 func (l Log) Moved(e entry, from, to string, took time.Duration, err error) {
 	logline.Cause(l.line(log.Info(), "moved", e).Str("from", from).Str("to", to).Int64("took_ms", took.Milliseconds()), err)
 }
 
-// LimitChanged tells that a target's limit begins, changes or ends.
+// LimitChanged logs that a target's limit begins, changes or ends.
 func (l Log) LimitChanged(t fleet.Info, limit fleet.Limit) {
-	at := log.Info().Str("event", "target_limit").Str("target", t.ID).Str("service", t.Service)
-	at.Bool("on", limit.On).Float64("per_second", limit.PerSecond).Msg("")
+	ev := log.Info().Str("event", "target_limit").Str("target", t.ID).Str("service", t.Service)
+	ev.Bool("on", limit.On).Float64("per_second", limit.PerSecond).Msg("")
 }
 
-// TargetResting tells that a target wants nothing from this instance for some time.
-func (l Log) TargetResting(t fleet.Info, rest time.Duration) {
-	at := log.Info().Str("event", "target_rests").Str("target", t.ID).Str("service", t.Service)
-	at.Int64("for_ms", rest.Milliseconds()).Msg("")
+// TargetResting logs that a target accepts nothing from this instance for some time.
+func (l Log) TargetResting(t fleet.Info, wait time.Duration) {
+	ev := log.Info().Str("event", "target_rests").Str("target", t.ID).Str("service", t.Service)
+	ev.Int64("for_ms", wait.Milliseconds()).Msg("")
 }
 
-// Warn tells of something that touches no single request.
+// Warn logs an event that belongs to no single request.
 func (l Log) Warn(event, subject string, err error) {
 	logline.Cause(log.Warn().Str("event", event).Str("subject", subject), err)
 }
 
-// String returns the name used in logs.
+// String returns the verdict's name in logs.
 func (v verdict) String() string {
 	return [...]string{"good", "failure", "not_run", "faulty"}[v]
 }
--- a/lib/gateway/metrics.go
+++ b/lib/gateway/metrics.go
@@ -9,21 +9,21 @@
 	"anvilwick.example/anvilwick/lib/routes"
 )
 
-// Names of the metrics of calls.
+// Metrics of calls.
 const (
-	metricAnswer = "anvilwick_gateway_answer_seconds"        // from a call's arrival to its whole answer
-	metricFirst  = "anvilwick_gateway_first_event_seconds"   // to a stream's first event
+	metricAnswer = "anvilwick_gateway_answer_seconds"        // from a call's arrival to its complete response
+	metricFirst  = "anvilwick_gateway_first_event_seconds"   // from a call's arrival to its stream's first event
 	metricSent   = "anvilwick_gateway_sent_total"            // exchanges with targets, by outcome
-	metricRefuse = "anvilwick_gateway_refused_total"         // answers of our own, by reason
-	metricCut    = "anvilwick_gateway_cut_total"             // streams broken off, by reason
-	metricRepeat = "anvilwick_gateway_repeated_events_total" // sent by targets to callers that had them, and left out
-	metricMoves  = "anvilwick_gateway_moves_total"           // moves of runs, by whether they succeeded
+	metricRefuse = "anvilwick_gateway_refused_total"         // responses of the gateway itself, by reason
+	metricCut    = "anvilwick_gateway_cut_total"             // aborted streams, by reason
+	metricRepeat = "anvilwick_gateway_repeated_events_total" // events dropped because the caller had them
+	metricMoves  = "anvilwick_gateway_moves_total"           // moves of runs, by success
 )
 
-// Metrics have a workspace and a kind of route as labels. Both come from settings, never from callers, so that the
-// number of series is bounded by them.
+// The metrics of calls are labelled by workspace and kind of route. Both come from settings, never from callers, which bounds
+// the number of series.
 
-// observe adds the time since a call arrived to a histogram.
+// observe adds the time since the call's arrival to a histogram.
 func (c *call) observe(name string) {
 	metrics.GetOrCreateHistogram(fmt.Sprintf("%s{%s}", name, c.labels())).UpdateDuration(c.arrived)
 }
@@ -33,7 +33,7 @@
 	metrics.GetOrCreateHistogram("anvilwick_gateway_gap_seconds{" + c.labels() + "}").Update(d.Seconds())
 }
 
-// count adds one to a counter of a call's outcomes.
+// count increments a counter of a call's outcomes.
 func (c *call) count(name, label, value string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("%s{%s,%s=%q}", name, c.labels(), label, value)).Inc()
 }
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("workspace=%q,kind=%q", c.workspace, kind)
 }
 
-// ExportBudget serves what is left of the budget of repeats, by service.
+// ExportBudget registers gauges of the remaining retry budget of each service.
 func (g *Gateway) ExportBudget(t *routes.Table) {
 	t.Services(func(s *routes.Service) {
 		name := s.Name
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -11,37 +11,37 @@
 	"anvilwick.example/anvilwick/lib/routes"
 )
 
-// Errors that Engines return for a copy.
+// Errors returned by Engines.Copy.
 var (
-	// ErrNoRun says that the engine runs no such request now: it has not begun, or has ended.
+	// ErrNoRun means that the engine has no such run: it has not begun, or has ended.
 	ErrNoRun = errors.New("gateway: no such run")
-	// ErrNoCapacity says that the destination has no room or can't be reached by the source.
-	ErrNoCapacity = errors.New("gateway: no room for a copy")
+	// ErrNoCapacity means that the destination lacks free memory or can't be reached by the source.
+	ErrNoCapacity = errors.New("gateway: no capacity for a copy")
 )
 
 const (
-	// idleCopyTime is the time of a repeated copy under which the link is taken to be free. The last part is sent only then:
-	// the run stands still for as long as that part queues, and a pause over the route's aim makes the answer late.
+	// idleCopyTime is the duration of a repeated copy below which the link counts as idle. Only then is the final copy made:
+	// the run is paused while that copy queues, and a pause above the route's objective makes the response late.
 	idleCopyTime = 45 * time.Millisecond
-	// maxCatchUp is how long after the notice the last part is sent even on a busy link: copies are kept for some seconds only.
+	// maxCatchUp is how long after the notice the final copy is made even on a congested link: copies expire after some seconds.
 	maxCatchUp = 4 * time.Second
-	// catchUpPause is the pause before a copy on a busy link is brought up to date again: at 100 tokens a second it then lacks
-	// less than the engine reads in one step or two.
+	// catchUpPause is the pause before a copy on a congested link is brought up to date again. At 100 tokens a second the copy
+	// then lacks less than the engine reads in one or two steps.
 	catchUpPause = 150 * time.Millisecond
-	// maxStartDelay bounds the wait for a run's turn on the links: engines may leave 1.5 s after their notice.
+	// maxStartDelay bounds how long a run waits for its turn on the links: engines may terminate 1.5 s after their notice.
 	maxStartDelay = 1100 * time.Millisecond
-	// moveTimeout is when no further destination is tried.
+	// moveTimeout is the time after the notice from which no further destination is tried.
 	moveTimeout = 4 * time.Second
-	// copyTimeout bounds one copy.
+	// copyTimeout bounds one copy or release call.
 	copyTimeout = 3 * time.Second
-	// runPoll is the pause before asking again for a run that has not begun.
+	// runPoll is the pause before retrying the move of a run that has no output yet or no destination.
 	runPoll = 50 * time.Millisecond
-	// remoteDomainCost is what another failure domain than the source's costs a destination: copies take twice as long there.
+	// remoteDomainCost penalises destinations outside the source's failure domain: copies to them take twice as long.
 	remoteDomainCost = 0.5
 )
 
 // MoveRuns moves the runs of targets that are leaving to other engines. It returns at once. Targets of one service that
-// leave together are planned together: their runs share the links of the same destinations.
+// leave together are planned together, because their runs share the links of the same destinations.
 func (g *Gateway) MoveRuns(targets []fleet.Info) {
 	t := g.table.Load()
 	if t == nil {
@@ -86,11 +86,11 @@
 	}()
 }
 
-// planTimeout bounds the wait for the owners' plan. Engines may leave 1.5 s after their notice.
+// planTimeout bounds the wait for the owners' plan. Engines may terminate 1.5 s after their notice.
 const planTimeout = 250 * time.Millisecond
 
-// planMoves plans the moves of runs: as the owners say, which know of the other instances' runs there, or alone. A run that
-// the owners have not heard of yet goes at once, to where they find room.
+// planMoves plans the moves of runs: by the owners, which know the runs of all instances, or locally if they don't answer. A
+// run that the owners do not know yet starts at once, to a destination that they choose then.
 func (g *Gateway) planMoves(svc *routes.Service, from map[string]fleet.Info, runs []moveplan.Run) []moveplan.Step {
 	leaving := make([]fleet.Info, 0, len(from))
 	engines := make([]moveplan.Engine, 0, len(from))
@@ -121,7 +121,7 @@
 	return out
 }
 
-// MoveLink is what a service's engines' links carry; ok is false when its runs don't move.
+// MoveLink returns the link capacity of a service's engines; ok is false when its runs can't be moved.
 func (g *Gateway) MoveLink(service string) (link moveplan.Link, ok bool) {
 	t := g.table.Load()
 	if t == nil {
@@ -134,7 +134,7 @@
 	return linkOf(svc.Engine), true
 }
 
-// destinations lists the engines that the runs of leaving ones can go to.
+// destinations lists the engines that can receive the runs of leaving ones.
 func (g *Gateway) destinations(service string, leaving map[string]fleet.Info) []moveplan.Engine {
 	var out []moveplan.Engine
 	for _, candidate := range g.Fleet.MoveCandidates(time.Now(), service, nil) {
@@ -155,13 +155,13 @@
 	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, CrossDomainFactor: crossDomainFactor}
 }
 
-// move copies a run to another engine while it goes on, stops it once little is left to copy, and hands the copy over.
+// move copies a run to another engine while it continues, stops it once little is left to copy, and hands the copy over.
 func (g *Gateway) move(r *run, from fleet.Info, notice time.Time, step moveplan.Step) {
 	excluded := map[string]bool{from.ID: true}
-	// The room is booked before the run's turn on the links, so that neither this instance nor its peers send new streams
-	// there meanwhile: a run that moves in goes before all that wait at an engine, and these would be late.
+	// The memory is reserved before the run's turn on the links, so that neither this instance nor its peers send new streams
+	// there meanwhile: a moved run is placed ahead of all that wait on an engine, and those streams would be late.
 	need := g.moveNeed(r, from, excluded)
-	need.RequireMemory, need.FoundByOwner = g.Owners == nil, true // an owner that has chosen the destination knows better what it holds
+	need.RequireMemory, need.FoundByOwner = g.Owners == nil, true // the owner's view of the destination's load is more complete
 	to, reserved := g.reserveAt(r, step.To, need)
 	if step.Start > 0 {
 		time.Sleep(min(step.Start, maxStartDelay))
@@ -199,19 +199,19 @@
 	}
 }
 
-// moveNeed is what a run asks of a destination.
+// moveNeed returns a run's requirements on a destination.
 func (g *Gateway) moveNeed(r *run, from fleet.Info, excluded map[string]bool) fleet.Need {
 	return fleet.Need{
-		Service: from.Service, Tokens: r.currentLoad().Tokens, Exclude: excluded, PreferredDomain: from.Domain, CrossDomainCost: remoteDomainCost, RequireMemory: true,
-		Regions: g.regions(r.c),
+		Service: from.Service, Tokens: r.currentLoad().Tokens, Exclude: excluded, PreferredDomain: from.Domain,
+		CrossDomainCost: remoteDomainCost, RequireMemory: true, Regions: g.regions(r.c),
 	}
 }
 
-// moveTo moves a run to one engine, where the caller has counted it. On success the count passes to the run.
+// moveTo moves a run to an engine on which the caller has reserved memory. On success the reservation passes to the run.
 //
-// The last part is sent only over an idle link: the run stands still for as long as that part queues. On a busy link the
-// run goes on at its source for as long as that lives, and then from the copy, which lacks what was made since it was
-// last brought up to date: some tens of tokens, read in one step.
+// The final copy is made only over an idle link, because the run is paused while that copy queues. On a congested link the
+// run continues at its source until that terminates, and then resumes from the copy, which lacks the output produced since
+// it was last brought up to date: some tens of tokens, read in one step.
 func (g *Gateway) moveTo(r *run, from, to fleet.Info, notice time.Time) error {
 	size := fleet.Load{Tokens: r.currentReservation().tokens}
 	copied, err := g.copyRun(from, to, r.c.id, false)
@@ -236,10 +236,10 @@
 	return g.finalCopy(r, from, to, size)
 }
 
-// finalCopy stops the run at its source and hands it over with what the copy lacks.
+// finalCopy stops the run at its source, copies the remainder and hands the run over.
 func (g *Gateway) finalCopy(r *run, from, to fleet.Info, size fleet.Load) error {
 	if g.Fleet.Evacuated(to.Domain) {
-		// Nothing may be sent there any more: a run that is stopped for it would be lost where its source may get nothing either.
+		// Nothing may be sent to this domain any more. If the source's domain is evacuated too, a run stopped now would be lost.
 		g.releasePartialCopy(r, from)
 		return ErrNoCapacity
 	}
@@ -252,17 +252,17 @@
 	partial, ok := r.takePartialCopy(from.ID)
 	switch {
 	case !ok:
-		return err // the run has gone on from the copy already
+		return err // the run has already resumed from the copy
 	case err == nil:
 		r.completeHandoff(ch, placement{target: to, load: size, copyFrom: from.Addr + "/" + last.Handle, source: from})
 		return nil
 	case last.Handle != "":
-		// The run has stopped, and its memory is at the source only.
+		// The run has stopped, and its memory exists at the source only.
 		r.completeHandoff(ch, placement{target: from, copyFrom: from.Addr + "/" + last.Handle})
 	case errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity):
 		r.cancelHandoff(ch)
 	default:
-		// The source ended before the last part. The run's connection has ended with it.
+		// The source terminated before the final copy, which also ended the run's connection.
 		g.Log.Warn("last_part_lost", from.ID, err)
 		r.completeHandoff(ch, partial)
 		return nil
@@ -271,14 +271,14 @@
 	return err
 }
 
-// runsOn reports whether the run is still on a target and goes on.
+// runsOn reports whether the run is on a target and not being handed off.
 func (r *run) runsOn(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.ended && r.target.ID == target && r.handoff == nil
 }
 
-// currentLoad is what the run counts for at its target.
+// currentLoad returns the load that the run counts for on its target.
 func (r *run) currentLoad() fleet.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/gateway/news.go
+++ b/lib/gateway/news.go
@@ -9,14 +9,14 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// notifyOwners tells that what runs here has changed, so that owners should hear of it.
+// notifyOwners reports to the owners that this instance's set of runs has changed.
 func (g *Gateway) notifyOwners() {
 	if g.Owners != nil {
 		g.Owners.Changed()
 	}
 }
 
-// planRun is the run as plans of moves see it.
+// planRun describes the run for the planning of moves.
 func (r *run) planRun() moveplan.Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -26,15 +26,15 @@
 	}
 }
 
-// maxStayTokens is the most output that a run which may be repeated is expected to have, in tokens, for it to stay on an
-// engine that leaves: a tenth of a second to a second of work, over before the shortest notices (1.5 s).
+// maxStayTokens is the expected output, in tokens, up to which a repeatable run is left on an engine that is leaving. It
+// amounts to a tenth of a second up to a second of work, less than the shortest termination notice (1.5 s).
 const maxStayTokens = 100
 
-// staysOnLeaving reports whether the run is left on an engine that leaves. It ends in time, or is repeated elsewhere if it does
-// not, and moving it would keep the link from runs that are lost with the engine.
+// staysOnLeaving reports whether the run is left on an engine that is leaving. It ends in time or is repeated elsewhere, and
+// moving it would take link capacity from runs that are lost with the engine.
 func (r *run) staysOnLeaving() bool { return r.c.route.MayRepeat() && r.c.output <= maxStayTokens }
 
-// kvSize is the run's part of its engine's memory.
+// kvSize returns the memory that the run holds on its engine and is expected to add.
 func (r *run) kvSize() fleet.Size {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +68,7 @@
 	return out
 }
 
-// ownerRun is the run as it is told to owners.
+// ownerRun describes the run for reports to owners.
 func (r *run) ownerRun(target string) owner.Run {
 	m := r.planRun()
 	return owner.Run{
@@ -77,7 +77,7 @@
 	}
 }
 
-// forEach calls visit for each run and its target, which must not change the table.
+// forEach calls visit for each run and its target. visit must not change the table.
 func (t *runTable) forEach(visit func(target string, r *run)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lib/gateway/notice.go
+++ b/lib/gateway/notice.go
@@ -13,16 +13,16 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// metricNotices counts what targets say of themselves in answers, when it begins, changes or ends.
+// metricNotices counts changes in what targets report about themselves in responses, by kind of notice.
 const metricNotices = "anvilwick_gateway_notices_total"
 
-// ResponseHook is told of an answer of a target, to a request or call that was sent at asked.
-type ResponseHook func(target fleet.Info, resp *wirehttp.Response, asked time.Time)
+// ResponseHook is called with a target's response to a request or call that was sent at sentAt.
+type ResponseHook func(target fleet.Info, resp *wirehttp.Response, sentAt time.Time)
 
-// ReadNotices takes in what an answer says of its target, to a request or call that was sent at asked.
+// ReadNotices applies what a response says about its target. The request or call was sent at sentAt.
 func (g *Gateway) ReadNotices(target fleet.Info, resp *wirehttp.Response, sentAt time.Time) {
 	if resp.Status == http.StatusMisdirectedRequest {
-		return // another target has the address
+		return // the address belongs to another target
 	}
 	g.readLoad(target.ID, resp.Header)
 	g.readLeaving(target, resp.Header)
@@ -30,22 +30,22 @@
 	g.readRetryAfter(target, resp)
 }
 
-// readRetryAfter takes in that a target which turns a request away wants no other from this instance for some time.
+// readRetryAfter applies the back-off that a target requests from this instance by Retry-After in a refusal.
 func (g *Gateway) readRetryAfter(target fleet.Info, resp *wirehttp.Response) {
 	if resp.Status != http.StatusServiceUnavailable && resp.Status != http.StatusTooManyRequests {
 		return
 	}
 	now := time.Now()
-	rest := retry.After(resp.Header, now)
-	if rest <= 0 || !g.Fleet.BackOff(now, target, now.Add(rest)) {
+	wait := retry.After(resp.Header, now)
+	if wait <= 0 || !g.Fleet.BackOff(now, target, now.Add(wait)) {
 		return
 	}
-	g.Log.TargetResting(target, rest)
+	g.Log.TargetResting(target, wait)
 	metrics.GetOrCreateCounter(metricNotices + `{notice="rest"}`).Inc()
 }
 
-// readLeaving takes in that a target says that it leaves. The list of targets may tell it much later: while the store is away, only
-// answers do.
+// readLeaving handles a response that says that its target is leaving. The list of targets may say so much later: while the
+// store is unavailable, responses are the only source.
 func (g *Gateway) readLeaving(target fleet.Info, h http.Header) {
 	if v := strings.TrimSpace(h.Get(g.Names.Leaving)); v == "" || v == "0" || g.OnLeaving == nil {
 		return
@@ -61,7 +61,7 @@
 func (g *Gateway) readLimit(target fleet.Info, h http.Header, sentAt time.Time) {
 	limit, ok := readLimit(h.Values(g.Names.Limit))
 	if !limit.On && h.Get(g.Names.Seal) == "" {
-		ok = false // only a target's own answer says that it no longer has a limit
+		ok = false // only the target's own response proves that its limit has ended
 	}
 	if !ok {
 		return
@@ -77,7 +77,7 @@
 	metrics.GetOrCreateCounter(metricNotices + `{notice="limit"}`).Inc()
 }
 
-// readLimit reads a limit; without a value there is none. Of several values the lowest counts. ok is false when none can be read.
+// readLimit parses a limit; no value means no limit, and the lowest of several counts. ok is false when none is valid.
 func readLimit(values []string) (limit fleet.Limit, ok bool) {
 	if len(values) == 0 {
 		return fleet.Limit{}, true
--- a/lib/gateway/notice_test.go
+++ b/lib/gateway/notice_test.go
@@ -11,7 +11,7 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// What targets write as a limit. Of several the lowest holds, and what can't be read says nothing.
+// Limits as targets write them. The lowest of several applies; an invalid one is ignored.
 func TestReadLimit(t *testing.T) {
 	for _, c := range []struct {
 		values []string
@@ -35,7 +35,7 @@
 	}
 }
 
-// What another target answers that has the address now neither begins nor ends a limit.
+// A response from another target that now has the address neither begins nor ends a limit.
 func TestOnlyATargetsOwnAnswerTellsOfItsLimit(t *testing.T) {
 	g := newTestGateway()
 	target := fleet.Info{ID: "t", Service: "s"}
@@ -51,21 +51,21 @@
 	must.False(t, g.Fleet.LimitOf("t").On)
 }
 
-// Two answers name different times: the later one holds, whichever comes last. Another target at the address, and an answer to an
-// earlier life, say nothing of this one.
+// Two responses name different back-offs: the one that ends later applies, whichever arrives last. Responses from another
+// target at the address, or from an earlier incarnation, don't count.
 func TestLongestRestHolds(t *testing.T) {
 	g := newTestGateway()
 	target := fleet.Info{ID: "t", Service: "s", Born: 2}
 	g.Fleet.Apply(time.Now(), []fleet.Info{target}, nil, 0)
-	turnsAway := func(from fleet.Info, status int, after string) {
+	respond := func(from fleet.Info, status int, after string) {
 		g.ReadNotices(from, &wirehttp.Response{Status: status, Header: http.Header{"Retry-After": {after}}}, time.Now())
 	}
-	turnsAway(target, 421, "9")
-	turnsAway(target, 200, "9")
-	turnsAway(fleet.Info{ID: "t", Service: "s", Born: 1}, 503, "9")
+	respond(target, 421, "9")
+	respond(target, 200, "9")
+	respond(fleet.Info{ID: "t", Service: "s", Born: 1}, 503, "9")
 	must.False(t, g.Fleet.InBackoff(time.Now(), "t"))
-	turnsAway(target, 503, "9")
-	turnsAway(target, 503, "0.1")
+	respond(target, 503, "9")
+	respond(target, 503, "0.1")
 	must.True(t, g.Fleet.InBackoff(time.Now().Add(8*time.Second), "t"))
 	must.False(t, g.Fleet.InBackoff(time.Now().Add(9*time.Second), "t"))
 	target.Born = 3
--- a/lib/gateway/pace.go
+++ b/lib/gateway/pace.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// paceWeight is the weight of one run in a service's pace: about the last twenty count.
+// paceWeight is the weight of one run in a service's average, which covers about the last twenty runs.
 const paceWeight = 0.05
 
-// tokenPace learns how long the engines of each service take for a token of output, from the streams passed on.
+// tokenPace averages the time per output token of each service's engines, measured on the forwarded streams.
 type tokenPace struct {
 	mu        sync.Mutex
-	byService map[string]time.Duration // by service
+	byService map[string]time.Duration
 }
 
-// observe takes in that a whole stream made tokens after its first event within d.
+// observe adds a completed stream that produced tokens in the time d after its first event.
 func (p *tokenPace) observe(service string, tokens int, d time.Duration) {
 	if tokens <= 0 || d <= 0 {
 		return
@@ -33,7 +33,7 @@
 	p.byService[service] = old + time.Duration(paceWeight*float64(each-old))
 }
 
-// expectedDuration is how long an output of tokens takes; 0 while nothing is known.
+// expectedDuration returns how long an output of tokens takes; 0 while the service's pace is unknown.
 func (p *tokenPace) expectedDuration(service string, tokens int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/lib/gateway/permit.go
+++ b/lib/gateway/permit.go
@@ -9,11 +9,11 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// metricPermits counts the permits asked for: given, denied, given by this instance alone, or for what is sent in any case.
+// metricPermits counts permit requests by outcome: given, denied, given by this instance alone, or forced.
 const metricPermits = "anvilwick_gateway_permits_total"
 
-// acquirePermitted chooses a target, with a permit where the target has named a limit, and counts the request there. A target for which there is no
-// permit is passed over until there may be one.
+// acquirePermitted chooses a target and counts the request there. If the target has named a limit, it needs a permit: a target
+// without one is passed over until a permit may be available.
 func (g *Gateway) acquirePermitted(ctx context.Context, need fleet.Need) (fleet.Info, bool) {
 	for {
 		target, ok := g.Fleet.Acquire(time.Now(), need)
@@ -24,7 +24,7 @@
 	}
 }
 
-// permitted reports whether a request may be sent to a target now, which takes a permit if the target has named a limit.
+// permitted reports whether a request may be sent to a target now. It obtains a permit if the target has named a limit.
 func (g *Gateway) permitted(ctx context.Context, t fleet.Info) bool {
 	if !g.Fleet.LimitOf(t.ID).On {
 		return true
@@ -50,14 +50,14 @@
 	return g.Fleet.PermitWithoutOwner(time.Now(), t.ID), "alone"
 }
 
-// countForced counts a request that is sent whatever its target's limit says: without it a run would be lost.
+// countForced reports a request that is sent regardless of its target's limit, because its run would be lost otherwise.
 func (g *Gateway) countForced(t fleet.Info) {
 	if g.Owners == nil || !g.Fleet.LimitOf(t.ID).On {
 		return
 	}
 	countPermit("forced")
 	go func() {
-		// Nobody waits for the answer: without one the owner does not know of this one request.
+		// The answer isn't needed; if the call fails, the owner misses this one request in its count.
 		_, _ = g.Owners.Permit(context.Background(), t, true)
 	}()
 }
--- a/lib/gateway/permit_test.go
+++ b/lib/gateway/permit_test.go
@@ -20,8 +20,8 @@
 	return g, target
 }
 
-// Many callers are refused in one moment, since the only target has a limit. Told one time they would all come back for one permit.
-func TestCallersRefusedForALimitAreToldDifferentTimes(t *testing.T) {
+// Many callers are refused at once by the only target's limit. With equal Retry-After values all would return for one permit.
+func TestRetryAfterOfLimitedCallersIsSpread(t *testing.T) {
 	const holdOff = 100 * time.Millisecond
 	g, target := limitedGateway(5)
 	g.Fleet.HoldOff(time.Now(), target.ID, holdOff)
@@ -37,8 +37,8 @@
 	must.Greater(t, retryAfterPlain/2, most-least)
 }
 
-// No owner answers: the instance sends its small share by its own choice, and passes the target over for the rest.
-func TestWithoutAnOwnerAnInstanceKeepsToItsShare(t *testing.T) {
+// When no owner answers, the instance sends only its small share of the limit and passes the target over otherwise.
+func TestInstanceWithoutOwnerKeepsToItsShare(t *testing.T) {
 	g, _ := limitedGateway(10)
 	sent := 0
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/lib/gateway/place.go
+++ b/lib/gateway/place.go
@@ -10,12 +10,12 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// maxUnknownTargets is how often an owner is asked again that has chosen a target which this instance does not know, or knows to
-// leave: lists reach instances some milliseconds apart.
+// maxUnknownTargets is how many times an owner is asked for a target, when it chooses ones that this instance does not know or
+// knows to be leaving: lists reach instances some milliseconds apart.
 const maxUnknownTargets = 2
 
-// place chooses a target for the run, where it is then counted, or says after what time its caller should come back. With
-// neither there is none to be had.
+// place chooses a target for the run and counts the run there, or returns when its caller should retry. If it returns neither,
+// no target is available.
 func (r *run) place(ctx context.Context) (to placement, retryAfter time.Duration) {
 	need := r.need()
 	to.load = fleet.Load{Tokens: need.Tokens, Unread: need.Unread}
@@ -37,33 +37,33 @@
 	return to, retryAfter
 }
 
-// awaitUnblocked waits while all engines rest, or have a limit that leaves this instance nothing. It reports false at once if that outlasts
-// the stream's wait for room.
+// awaitUnblocked waits while all engines are in back-off or have a limit that leaves this instance no share. It returns false
+// at once if that outlasts the stream's wait for capacity.
 func (r *run) awaitUnblocked(ctx context.Context, need fleet.Need) bool {
 	now := time.Now()
-	stand := r.g.Fleet.Availability(now, need)
-	if !stand.Blocked() {
+	avail := r.g.Fleet.Availability(now, need)
+	if !avail.Blocked() {
 		return true
 	}
 	s := r.admitStream(need)
-	if now.Add(stand.RetryAfter).After(s.WaitDeadline()) {
+	if now.Add(avail.RetryAfter).After(s.WaitDeadline()) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(stand.RetryAfter):
+	case <-time.After(avail.RetryAfter):
 	}
 	return true
 }
 
-// admitStream is the run as a stream that waits for an engine.
+// admitStream describes the run to admission control.
 func (r *run) admitStream(need fleet.Need) admit.Stream {
 	need.Peak = r.kvSize()
 	return admit.Stream{Arrived: r.c.arrived, Objective: r.c.route.Aim, MaxRetryAfter: r.c.boundWait(time.Until(r.c.deadline)), Need: need}
 }
 
-// placeByOwner lets the owner decide; ok is false when this instance has to. A stream that a target has turned back takes
-// any target.
+// placeByOwner lets the owner choose; ok is false when this instance has to. A stream that a target has rejected accepts any
+// target.
 func (r *run) placeByOwner(ctx context.Context, need fleet.Need) (to placement, retryAfter time.Duration, ok bool) {
 	excluded := make(map[string]bool, len(need.Exclude))
 	for id := range need.Exclude {
@@ -99,7 +99,7 @@
 	return placement{}, 0, false
 }
 
-// placeLocally decides by what this instance knows.
+// placeLocally chooses a target from this instance's own state.
 func (r *run) placeLocally(ctx context.Context, need fleet.Need) (target fleet.Info, retryAfter time.Duration) {
 	if r.c.sends == 0 {
 		d := r.awaitCapacity(ctx, need)
@@ -114,7 +114,7 @@
 	return target, 0
 }
 
-// awaitCapacity lets the stream wait for an engine with room.
+// awaitCapacity waits until an engine has free capacity for the stream or admission control rejects it.
 func (r *run) awaitCapacity(ctx context.Context, need fleet.Need) admit.Decision {
 	s := r.admitStream(need)
 	p := r.g.placer
--- a/lib/gateway/places_test.go
+++ b/lib/gateway/places_test.go
@@ -12,8 +12,8 @@
 	"anvilwick.example/anvilwick/lib/routes"
 )
 
-// A run was placed, or its copy made, seconds before its engine's failure domain is emptied. What is sent then is sent to nobody
-// there: the choice was right when it was made, so only the last step before the send can see it.
+// A run was placed, or its copy made, seconds before its engine's failure domain is evacuated. The choice was valid when it was
+// made, so only the check before the send can prevent the run from being sent there.
 func TestNothingIsSentToAnEvacuatedDomain(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -34,8 +34,8 @@
 	conn.Close()
 }
 
-// Regions bind by the settings in force when something is sent, not by those of the request's arrival: a stream lasts longer than a
-// change of them may take to be in force.
+// The settings in force at the time of a send determine the regions, not those at the request's arrival: a stream may outlast the
+// rollout of a change.
 func TestRegionsFollowTheSettingsInForce(t *testing.T) {
 	g := newTestGateway()
 	apply := func(version int64, route, workspace []string) {
@@ -62,7 +62,7 @@
 	must.SliceEmpty(t, g.regions(c))
 }
 
-// lastCopies counts the copies that stop a run.
+// lastCopies counts the final copies, which stop a run.
 type lastCopies struct {
 	Engines
 	last int
@@ -77,8 +77,8 @@
 
 func (c *lastCopies) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
-// A run has a copy at an engine whose domain is emptied before the last part. Stopped for it, the run could go on at neither end where
-// its source may get nothing, too; it is not stopped, and its room there is given up.
+// A run has a copy on an engine whose domain is evacuated before the final copy. If it were stopped, it could continue at neither
+// end when its source is evacuated, too. It must not be stopped, and its reservation there must be released.
 func TestRunIsNotStoppedForAnEvacuatedDestination(t *testing.T) {
 	g := newTestGateway()
 	engines := new(lastCopies)
--- a/lib/gateway/plain.go
+++ b/lib/gateway/plain.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// dialTimeout bounds opening a connection. Targets are milliseconds away; one that is dark never answers.
+	// dialTimeout bounds opening a connection. Targets are milliseconds away; an unreachable one never answers.
 	dialTimeout = 250 * time.Millisecond
-	// maxDials bounds the targets tried for one call without sending anything.
+	// maxDials bounds the unsuccessful connection attempts for one call.
 	maxDials = 4
-	// answerLimit bounds, in bytes, an answer that is held whole before it is passed on.
+	// answerLimit bounds the size of a response that is buffered before it is forwarded, in bytes.
 	answerLimit = 16 << 20
-	// firstAttemptShare is the part of the time left after which a silent target is given up on, for a call that may be
-	// repeated: the rest must do for another target.
+	// firstAttemptShare is the share of the remaining time after which an attempt without a response is abandoned, if the call
+	// may be repeated: the rest is needed for another target.
 	firstAttemptShare = 0.4
 )
 
-// exchange is one send to one target.
+// exchange is one request to one target and its result.
 type exchange struct {
 	target  fleet.Info
 	verdict verdict
@@ -31,10 +31,10 @@
 	body    []byte
 	err     error
 	sent    bool // a target may have seen the request
-	whole   bool // a stream that ended between two events, and not by an error
+	whole   bool // the stream ended between two events and without an error
 }
 
-// servePlain serves a call with one answer, which is read whole before the caller sees any of it.
+// servePlain serves a call with a single response, which is read completely before any of it is forwarded.
 func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, c *call) {
 	var last *exchange
 	dials := 0
@@ -76,14 +76,14 @@
 }
 
 const (
-	// settlePoll is the pause between two looks at a list that is still filling.
+	// settlePoll is the interval of checks on a list of targets that is still incomplete.
 	settlePoll = 20 * time.Millisecond
-	// settleShare is the part of a call's time that it waits for one.
+	// settleShare is the share of a call's time that it waits for such a list.
 	settleShare = 0.5
 )
 
-// acquire chooses a target. An instance that has just been started may know a list that lacks every target of
-// a service, because their entries lapsed in an outage; a refusal would use up the caller's only repeat.
+// acquire chooses a target. An instance that was just started may have a list without any target of a service, because the
+// entries expired in an outage of the store; it waits for them, since a refusal would use up the caller's only retry.
 func (g *Gateway) acquire(ctx context.Context, c *call, need fleet.Need) (fleet.Info, bool) {
 	deadline := time.Now().Add(time.Duration(settleShare * float64(c.timeLeft(time.Now()))))
 	for {
@@ -91,14 +91,14 @@
 		if ok || c.sends > 0 || !g.Fleet.Settling(time.Now()) || time.Now().After(deadline) || ctx.Err() != nil {
 			return target, ok
 		}
-		if stand := g.Fleet.Availability(time.Now(), need); stand.Blocked() {
-			return target, false // the list has targets, and no wait for others is worth the caller's time
+		if avail := g.Fleet.Availability(time.Now(), need); avail.Blocked() {
+			return target, false // the list has targets; waiting for others isn't worth the caller's time
 		}
 		time.Sleep(settlePoll)
 	}
 }
 
-// retryPlain decides whether a call goes to one more target after x.
+// retryPlain decides whether a call is sent to one more target after x.
 func (g *Gateway) retryPlain(c *call, x *exchange) bool {
 	if x.verdict == verdictNotRun {
 		return g.maySendAgain(c)
@@ -106,7 +106,7 @@
 	return g.mayRepeat(c)
 }
 
-// send makes one exchange and reads the whole answer.
+// send sends the call to one target and reads the whole response. With keepTime it leaves time for another attempt.
 func (g *Gateway) send(ctx context.Context, c *call, target fleet.Info, keepTime bool) *exchange {
 	x := &exchange{target: target, verdict: verdictFaulty}
 	conn, err := g.connect(ctx, target)
@@ -129,7 +129,7 @@
 		g.ReadNotices(target, x.resp, sentAt)
 		x.body, x.err = x.resp.ReadAll(answerLimit)
 		if x.err != nil {
-			// A cut answer proves nothing, whatever its head says.
+			// A truncated response proves nothing, whatever its head says.
 			x.verdict = verdictFaulty
 		}
 	}
@@ -141,11 +141,11 @@
 	return x
 }
 
-// errEvacuated says that a target was chosen just before its failure domain was evacuated.
+// errEvacuated means that a target was chosen just before its failure domain was evacuated.
 var errEvacuated = errors.New("gateway: the target's failure domain is evacuated")
 
-// connect opens or reuses a connection within dialTimeout. All that is sent to targets on callers' behalf passes here, whatever
-// has chosen its target: a run that moves or goes on from a copy was placed seconds ago.
+// connect opens or reuses a connection within dialTimeout. All requests on callers' behalf pass through here, so it checks for
+// evacuation: a run that is moved or resumed from a copy may have been placed seconds ago.
 func (g *Gateway) connect(ctx context.Context, target fleet.Info) (*wirehttp.Conn, error) {
 	if g.Fleet.Evacuated(target.Domain) {
 		return nil, errEvacuated
@@ -155,7 +155,7 @@
 	return g.Pool.Get(ctx, target.Addr)
 }
 
-// roundTrip sends the request and reads the answer's head.
+// roundTrip sends the request and reads the head of the response.
 func (g *Gateway) roundTrip(conn *wirehttp.Conn, c *call, req *wirehttp.Request) (*wirehttp.Response, error) {
 	if err := conn.Send(req); err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 	return conn.Receive(c.method, g.Names.RequestID, c.id)
 }
 
-// outcome is what the exchange says of its target.
+// outcome classifies the exchange for the target's health.
 func (x *exchange) outcome(ctx context.Context) fleet.Outcome {
 	switch {
 	case ctx.Err() != nil && x.err != nil:
@@ -186,7 +186,7 @@
 	return x.resp.Status
 }
 
-// finishPlain answers the caller with what is known.
+// finishPlain responds to the caller with the last exchange, or with a refusal.
 func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, c *call, x *exchange) {
 	switch {
 	case x == nil:
@@ -202,13 +202,13 @@
 	}
 }
 
-// writeAnswer passes a whole answer on.
+// writeAnswer forwards a complete response.
 func (g *Gateway) writeAnswer(w http.ResponseWriter, c *call, x *exchange) {
 	g.Log.Answered(c.entry(), x.target.ID, x.resp.Status, time.Since(c.arrived))
 	c.observe(metricAnswer)
 	g.copyHead(w, x.resp.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(x.body)))
 	w.WriteHeader(x.resp.Status)
-	// The caller's leaving is the only cause of an error here, and nobody is left to tell.
+	// Write fails only if the caller has disconnected; then nobody is left to inform.
 	_, _ = w.Write(x.body)
 }
--- a/lib/gateway/poison.go
+++ b/lib/gateway/poison.go
@@ -10,22 +10,22 @@
 	"anvilwick.example/anvilwick/lib/poison"
 )
 
-// poisonConfig refuses a content after the third target that died under it. Two would be enough to name it, but
-// targets here also die of themselves, under whatever they run.
+// poisonConfig refuses a content after the third target that died executing it. Two deaths would identify it, but targets here
+// also die for other reasons, whatever they run.
 var poisonConfig = poison.Config{
 	Weight: 3, Newest: 2, Window: 5 * time.Minute, Refuse: time.Minute, Settle: 300 * time.Millisecond,
 	Vouch: 10 * time.Minute, MaxSize: 1024,
 }
 
-// maxBlames bounds the records in one news. They are told again with each news while they are young.
+// maxBlames bounds the records in one message to peers. Recent records are repeated in each message.
 const maxBlames = 24
 
-// fingerprint names what a call asks, whatever its id: the same comes again after each crash, at any instance.
+// fingerprint identifies a call's content, independent of its id: the same content returns after each crash, on any instance.
 func (c *call) fingerprint() uint64 {
 	return poison.Fingerprint(strings.Join([]string{c.workspace, c.method, c.host, c.target}, "\x00"), c.body)
 }
 
-// checkPoison refuses a call that has killed the targets which ran it.
+// checkPoison refuses a call whose content has killed the targets that executed it.
 func (g *Gateway) checkPoison(c *call) *refusal {
 	c.contentHash = c.fingerprint()
 	now := time.Now()
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// recordRunEnd tells how a run of a call ended at a target. One that broke off is blamed only if the target is gone: links
-// break, and targets break off, without anybody's fault.
+// recordRunEnd records how a call's execution on a target ended. A broken one is blamed on its content only if the target has
+// died: connections and targets also fail for reasons unrelated to the content.
 func (g *Gateway) recordRunEnd(run poison.Run, target fleet.Info, finished, broke bool) {
 	switch {
 	case finished:
@@ -53,7 +53,7 @@
 	}
 }
 
-// checkAlive finds out whether a target died.
+// checkAlive blames the content if the target no longer accepts connections.
 func (g *Gateway) checkAlive(run poison.Run, target fleet.Info) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -67,10 +67,10 @@
 	g.poison.Lost(time.Now(), run, 1)
 }
 
-// BlamesChanged has a value when there are blames that peers have not been told.
+// BlamesChanged receives a value when there are blames not yet sent to peers.
 func (g *Gateway) BlamesChanged() <-chan struct{} { return g.poison.News() }
 
-// Blames lists what peers should know of contents that were aboard dying targets.
+// Blames lists the blames to send to peers, on contents that were executing on targets when these died.
 func (g *Gateway) Blames() []*ownerpb.Blame {
 	recs, _ := g.poison.Since(time.Now(), 0)
 	if len(recs) > maxBlames {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// MergeBlames takes in what a peer tells.
+// MergeBlames applies the blames received from a peer.
 func (g *Gateway) MergeBlames(blames []*ownerpb.Blame) {
 	if len(blames) == 0 {
 		return
--- a/lib/gateway/relay.go
+++ b/lib/gateway/relay.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// recordReading learns how fast prompts are read, here and at the owner.
+// recordReading records the time to a first event for the prefill rates, here and at the owner.
 func (g *Gateway) recordReading(m owner.Reading) {
 	g.placer.Prefill.Observe(m.Service, m.Unread, m.Took)
 	if g.Owners != nil {
@@ -17,7 +17,7 @@
 	}
 }
 
-// relay passes whole events on as they come.
+// relay forwards complete events as they arrive.
 func (r *run) relay(x *exchange) end {
 	var events eventBuffer
 	p := make([]byte, 4<<10)
@@ -44,7 +44,7 @@
 				return endMoved
 			}
 			if !r.headSent {
-				// An empty stream is an answer, too.
+				// An empty stream is a valid response, too.
 				if werr := r.forward(x.resp, nil, 0, ""); werr != nil {
 					return endCaller
 				}
@@ -57,7 +57,7 @@
 	}
 }
 
-// stoppedByMove reports whether the end of an answer without a stated length is the doing of a move.
+// stoppedByMove reports whether the end of a response without Content-Length was caused by a move.
 func (r *run) stoppedByMove(resp *wirehttp.Response) bool {
 	if !resp.EndsWithConn() {
 		return false
@@ -67,7 +67,7 @@
 	return r.handoff != nil
 }
 
-// breakReason tells a stream that was stopped by a move from one that broke.
+// breakReason distinguishes a stream stopped by a move from a broken one.
 func (r *run) breakReason() end {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +77,7 @@
 	return endBroken
 }
 
-// forward gives whole events to the caller. The head waits for the first one: until then another target can still answer.
+// forward sends complete events to the caller. The head is sent with the first event: until then another target can respond.
 func (r *run) forward(resp *wirehttp.Response, whole []byte, count int, id string) error {
 	if r.lastID != "" {
 		var seen int
@@ -117,7 +117,7 @@
 	return r.rc.Flush()
 }
 
-// logRepeated tells of events that a target sent although the caller has them, once a stream.
+// logRepeated counts events that a target sent although the caller has them, and logs them once per stream.
 func (r *run) logRepeated(n int) {
 	if !r.repeatLogged {
 		r.g.Log.EventsRepeated(r.c.entry(), r.currentTarget().ID, r.lastID, n)
--- a/lib/gateway/run.go
+++ b/lib/gateway/run.go
@@ -9,44 +9,44 @@
 	"anvilwick.example/anvilwick/lib/moveplan"
 )
 
-// run is one stream to a caller, across the targets that it runs on.
+// run is one stream to a caller, across all targets that execute it.
 type run struct {
 	g           *Gateway
 	c           *call
 	w           http.ResponseWriter
 	rc          *http.ResponseController
-	headSent    bool   // the caller has the head of the answer
-	lastID      string // of the last event that the caller has
+	headSent    bool   // the response's head has been sent to the caller
+	lastID      string // id of the last event that the caller has
 	events      int
-	firstAt     time.Time        // when the answer began
-	lastEventAt time.Time        // when the last event went to the caller
-	lastKnown   fleet.KnownState // what the choice of its target rested on
-	sentAt      time.Time        // when it was last sent
+	firstAt     time.Time        // when the head was sent
+	lastEventAt time.Time        // when the last event was forwarded
+	lastKnown   fleet.KnownState // state of the target assumed when it was chosen
+	sentAt      time.Time        // when the request was last sent
 	waited      time.Duration    // for an engine, before the first send
 	pause       time.Duration    // longest time between two events
 
-	repeatLogged bool // a target has sent events that the caller had
+	repeatLogged bool // a target has sent events that the caller had, and this was logged
 
 	mu           sync.Mutex
 	target       fleet.Info     // where it runs now
-	load         fleet.Load     // what it counts for there
-	outputTokens int            // tokens of output so far
-	lastContact  time.Time      // when its target was last heard on it
-	handoff      chan placement // the copy to go on from, once a move has stopped the run; nil when no move is in its last part
-	partial      partialCopy    // what a move under way has copied already
-	reserved     reservation    // room at the destination of a move
-	backup       backup         // the copy that its engine keeps up to date, if any
+	load         fleet.Load     // counted for the run on its target
+	outputTokens int            // produced so far
+	lastContact  time.Time      // when its target last sent something for it
+	handoff      chan placement // where to continue once a move has stopped the run; nil unless a move makes its final copy
+	partial      partialCopy    // made by a move in progress
+	reserved     reservation    // at the destination of a move
+	backup       backup         // kept up to date by the run's engine
 	ended        bool
 }
 
-// need is what the run asks of a target now.
+// need returns the run's current requirements on a target.
 func (r *run) need() fleet.Need {
 	return fleet.Need{
 		Service: r.c.service, Tokens: r.c.prompt + r.c.output/2, Unread: r.c.prompt, Exclude: r.c.tried, Regions: r.g.regions(r.c),
 	}
 }
 
-// start counts the run at a target and lets moves find it. The first target was counted when it was chosen.
+// start registers the run on a target, so that moves find it. Its load was counted when the target was chosen.
 func (r *run) start(to placement) {
 	target := to.target
 	r.mu.Lock()
@@ -54,7 +54,7 @@
 	r.load = to.load
 	r.handoff = nil
 	if r.reserved.target == target.ID {
-		r.reserved = reservation{} // it has passed to the run
+		r.reserved = reservation{} // the run's own load replaces it
 	}
 	r.mu.Unlock()
 	r.g.runs.add(target.ID, r)
@@ -64,7 +64,7 @@
 	}
 }
 
-// leave takes the run off its target.
+// leave deregisters the run from its target and reports the outcome.
 func (r *run) leave(e end, x *exchange) {
 	r.g.runs.remove(x.target.ID, r)
 	r.mu.Lock()
@@ -77,7 +77,7 @@
 	r.g.notifyOwners()
 }
 
-// outcome is what a run's end says of its target.
+// outcome classifies a run's end for its target's health.
 func (e end) outcome() fleet.Outcome {
 	switch e {
 	case endComplete:
@@ -93,7 +93,7 @@
 	}
 }
 
-// finish ends the run for good, with what a move may have made ready for it.
+// finish ends the run for good and releases what a move may have prepared for it.
 func (r *run) finish() {
 	r.mu.Lock()
 	r.ended = true
@@ -112,7 +112,7 @@
 	return r.target
 }
 
-// addOutput counts tokens beyond what was expected of the run.
+// addOutput counts the output of events, and adds load beyond what was expected of the run.
 func (r *run) addOutput(events int) {
 	if r.c.engine == nil {
 		return
@@ -133,7 +133,7 @@
 	}
 }
 
-// awaitHandoff waits for the copy that a move has made.
+// awaitHandoff waits for the copy made by a move.
 func (r *run) awaitHandoff() placement {
 	r.mu.Lock()
 	ch := r.handoff
--- a/lib/gateway/runtable.go
+++ b/lib/gateway/runtable.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// runTable finds the runs on a target.
+// runTable indexes runs by target.
 type runTable struct {
 	mu   sync.Mutex
 	runs map[string]map[*run]bool
--- a/lib/gateway/sends.go
+++ b/lib/gateway/sends.go
@@ -6,21 +6,21 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// openConns finds the connections that requests are open on, by target. A target that starts again behind a cut link
-// resets none of them: its streams would stay silent until their time limit, although nothing of them is left.
+// openConns holds the connections with open requests, by target. A target that restarts behind a broken link resets none of
+// them: its streams would stay silent until their timeout, although the target has lost them.
 type openConns struct {
 	mu   sync.Mutex
 	byID map[string]map[*openConn]bool
 }
 
 type openConn struct {
-	incarnation int64 // life of the target that it went to
+	incarnation int64 // of the target when the connection was opened
 	close       func()
 }
 
 func newOpenConns() openConns { return openConns{byID: make(map[string]map[*openConn]bool)} }
 
-// add notes a connection until the returned function is called.
+// add registers a connection until the returned function is called.
 func (o *openConns) add(to fleet.Info, closeConn func()) (remove func()) {
 	s := &openConn{incarnation: to.Born, close: closeConn}
 	o.mu.Lock()
@@ -39,20 +39,20 @@
 	}
 }
 
-// ofEarlierIncarnations lists the connections to earlier lives of a target.
-func (o *openConns) ofEarlierIncarnations(t fleet.Info) []*openConn {
+// ofEarlierIncarnations lists the connections to earlier incarnations of a target.
+func (o *openConns) ofEarlierIncarnations(target fleet.Info) []*openConn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var out []*openConn
-	for s := range o.byID[t.ID] {
-		if s.incarnation < t.Born {
+	for s := range o.byID[target.ID] {
+		if s.incarnation < target.Born {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// TargetRestarted ends what is open on earlier lives of a target, and forgets the copies that these held.
+// TargetRestarted closes the connections to earlier incarnations of a target and forgets the copies that these held.
 func (g *Gateway) TargetRestarted(t fleet.Info) {
 	for _, runs := range g.runs.all() {
 		for _, r := range runs {
@@ -65,15 +65,15 @@
 	}
 }
 
-// forgetCopiesAt forgets what a target held of the run: it knows nothing of that any more.
+// forgetCopiesAt forgets the run's copies on a target that has lost them.
 func (r *run) forgetCopiesAt(target string) {
 	if r.backupTarget().ID == target {
 		r.dropBackup()
 	}
 	r.mu.Lock()
-	from, at := r.partial.source, r.partial.placement.target.ID
+	from, dest := r.partial.source, r.partial.placement.target.ID
 	r.mu.Unlock()
-	if at == target {
+	if dest == target {
 		r.g.releasePartialCopy(r, from)
 	}
 }
--- a/lib/gateway/stop_test.go
+++ b/lib/gateway/stop_test.go
@@ -9,9 +9,9 @@
 	"anvilwick.example/anvilwick/lib/routes"
 )
 
-// An instance is stopped and ends in 8 s. A stream that takes longer is cut then, and lost if it can't be run again: it
-// is refused at once, while other instances can begin it in time. Short ones, those that can be run again, and all
-// before anything is known of the engines' pace are served.
+// An instance terminates in 8 s. A stream that takes longer would be cut, and lost if it can't be repeated, so it is refused at
+// once, while other instances can start it in time. Short streams, repeatable ones, and all streams while the engines' pace
+// is unknown are served.
 func TestLongStreamsAreRefusedWhileStopping(t *testing.T) {
 	g := newTestGateway()
 	long := &call{service: "s", output: 1000, route: &routes.Route{Kind: routes.Stream}}
--- a/lib/gateway/stream.go
+++ b/lib/gateway/stream.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// handoffWait bounds the wait for the copy of a run whose stream has stopped for it.
+	// handoffWait bounds how long a stopped run waits for the copy to continue from.
 	handoffWait = copyTimeout + 500*time.Millisecond
 )
 
-// end is how a run ended at one target.
+// end is how a run's execution on one target ended.
 type end uint8
 
 const (
 	endComplete end = iota
 	endUnsent       // no connection, nothing was sent
-	endNotRun       // the target proves that it ran nothing
-	endFailure      // the target answered with a failure, before any event
+	endNotRun       // the target proves that it executed nothing
+	endFailure      // the target responded with a failure, before any event
 	endBroken       // the stream stopped short
-	endMoved        // the run was stopped to go on elsewhere
-	endCaller       // the caller left, or the time is over
+	endMoved        // the run was stopped by a move, to continue elsewhere
+	endCaller       // the caller disconnected, or the time limit has passed
 )
 
 var endNames = [...]string{"complete", "unsent", "not_run", "failure", "broken", "moved", "caller"}
@@ -32,17 +32,17 @@
 // String returns the name used in logs.
 func (e end) String() string { return endNames[e] }
 
-// placement says where a run goes on.
+// placement is where a run starts or continues.
 type placement struct {
 	target   fleet.Info
-	load     fleet.Load // what the run counts for there already
-	copyFrom string     // address and handle of a copy; empty: from the prompt and the last event
-	source   fleet.Info // where the run has stopped, which keeps its memory; empty: not known, or target itself
-	byOwner  bool       // an owner has chosen the target
-	backup   string     // id of the engine that the owner has found for a copy; empty: none
+	load     fleet.Load // already counted for the run there
+	copyFrom string     // address and handle of a copy; empty: start from the prompt and the last event
+	source   fleet.Info // where a move has stopped the run, which keeps its memory; empty: unknown, or target itself
+	byOwner  bool       // the target was chosen by an owner
+	backup   string     // id of the engine that the owner found for the backup; empty: none
 }
 
-// serveStream serves a call that is answered by events.
+// serveStream serves a call whose response is a stream of events.
 func (g *Gateway) serveStream(ctx context.Context, w http.ResponseWriter, c *call) {
 	if g.outlastsInstance(c) {
 		g.refuse(w, c, refusal{status: http.StatusServiceUnavailable, after: c.boundWait(retryAfterStopping), reason: "stopping"})
@@ -90,11 +90,11 @@
 	}
 }
 
-// stopShare is the part of the time until this instance ends that a stream may be expected to take. Guesses of length are
-// often short by half, a stream that is cut is lost, and one that is refused at once begins elsewhere in time.
+// stopShare is the share of the time until this instance terminates that a stream is expected to take at most. Estimates of
+// length are often too low by half, a stream that is cut is lost, and one that is refused at once starts elsewhere in time.
 const stopShare = 0.5
 
-// outlastsInstance reports whether this instance stops before a stream would end that can't be run again elsewhere.
+// outlastsInstance reports whether a stream that can't be repeated elsewhere would not end before this instance terminates.
 func (g *Gateway) outlastsInstance(c *call) bool {
 	by := g.stopBy.Load()
 	if by == nil || c.route.MayRepeat() {
@@ -103,12 +103,12 @@
 	return g.pace.expectedDuration(c.service, c.output) > time.Duration(stopShare*float64(time.Until(*by)))
 }
 
-// decideNext decides what comes after the run has ended at the target of at: where it goes on, with an empty target for a
-// new choice, or that its answer is done.
+// decideNext decides what follows the end of the run at prev: the placement to continue at, where an empty target means a new
+// choice, or that the response is done.
 func (r *run) decideNext(ctx context.Context, e end, x *exchange, prev placement) (to placement, done bool) {
 	resumed := prev.copyFrom != ""
 	if (e == endUnsent || e == endNotRun) && prev.source.ID != "" {
-		// A copy that was not taken is still good, and so is what it was made of.
+		// The copy was not taken, so it is still valid, and so is the run's memory at its source.
 		r.g.Budget.Spend(time.Now(), r.c.service)
 		return placement{target: prev.source, copyFrom: prev.copyFrom}, false
 	}
@@ -123,7 +123,7 @@
 	case endMoved:
 		to = r.awaitHandoff()
 		if to.target.ID == "" && x.whole {
-			// The stream ended by itself: its engine had no run left to stop.
+			// The stream had completed: its engine had no run left to stop.
 			r.conclude(ctx, endComplete)
 			return placement{}, true
 		}
@@ -140,7 +140,7 @@
 			return n, false
 		}
 		if resumed {
-			break // the copy is of the run before it moved, and has not grown since
+			break // the backup is of the run before it moved, and has not been updated since
 		}
 		if n, ok := r.resumeFromBackup(); ok {
 			r.g.Log.ResumedFromBackup(r.c.entry(), n.target.ID, r.events)
@@ -157,7 +157,7 @@
 	return placement{}, false
 }
 
-// retryStream decides whether the run goes to one more target from its prompt.
+// retryStream decides whether the run is sent to one more target, from its prompt.
 func (r *run) retryStream(e end, resumed bool) bool {
 	if e == endNotRun && !resumed && !r.headSent {
 		return r.g.maySendAgain(r.c)
@@ -165,7 +165,7 @@
 	return r.g.mayRepeat(r.c)
 }
 
-// runOn runs the stream on one target until it ends there.
+// runOn executes the run on one target until it ends there.
 func (r *run) runOn(ctx context.Context, to placement) (end, *exchange) {
 	x := &exchange{target: to.target}
 	r.start(to)
@@ -197,7 +197,7 @@
 	return e, x
 }
 
-// exchange sends the request and passes the events on.
+// exchange sends the request and forwards the events.
 func (r *run) exchange(ctx context.Context, conn *wirehttp.Conn, to placement, x *exchange) end {
 	req := r.g.request(r.c, to.target.ID, time.Now())
 	if r.lastID != "" {
@@ -205,7 +205,7 @@
 	}
 	if to.copyFrom != "" {
 		r.g.countForced(to.target)
-		r.dropBackup() // of the run before it went on here
+		r.dropBackup() // made before the run continued here
 		req.Header.Set(r.g.Names.CopyFrom, to.copyFrom)
 	} else {
 		r.chooseBackup(to)
@@ -247,7 +247,7 @@
 	return endBroken
 }
 
-// conclude ends the answer: whole, or visibly cut.
+// conclude ends the response: complete, or visibly cut.
 func (r *run) conclude(ctx context.Context, e end) {
 	if e == endComplete {
 		r.g.pace.observe(r.c.service, r.outputTokens, r.lastEventAt.Sub(r.firstAt))
@@ -265,7 +265,7 @@
 	r.g.refuse(r.w, r.c, reason)
 }
 
-// giveUp ends a run that has no target to go to.
+// giveUp ends a run that can't be continued anywhere.
 func (r *run) giveUp(ctx context.Context, reason string) {
 	switch {
 	case r.headSent:
@@ -279,7 +279,7 @@
 	}
 }
 
-// endWithoutTarget ends a run that finds no target.
+// endWithoutTarget ends a run for which no target was found.
 func (r *run) endWithoutTarget(ctx context.Context) {
 	if !r.headSent && !r.c.mayHaveRun && ctx.Err() == nil {
 		r.g.refuse(r.w, r.c, r.g.noTargetRefusal(r.c))
@@ -288,7 +288,7 @@
 	r.giveUp(ctx, "no_target")
 }
 
-// fail ends a run whose last target failed it.
+// fail ends a run whose last target failed.
 func (r *run) fail(ctx context.Context, e end, x *exchange) {
 	if e == endFailure && !r.headSent {
 		r.g.writeAnswer(r.w, r.c, x)
@@ -297,7 +297,7 @@
 	r.giveUp(ctx, "target_"+e.String())
 }
 
-// abort cuts the caller's connection, so that a stream that stopped short does not look complete.
+// abort closes the caller's connection, so that a truncated stream does not look complete.
 func (r *run) abort(reason string) {
 	r.g.Log.StreamCut(r.c.entry(), r.currentTarget().ID, reason, r.events)
 	r.c.count(metricCut, "reason", reason)
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// firstShare is the part of a route's aim after which a resumable stream without a first event looks silent.
+	// firstShare is the share of a route's latency objective after which a resumable stream without a first event is suspect.
 	firstShare = 0.6
-	// stallFactor is how many times the route's longest pause a stream may be silent before it looks silent.
+	// stallFactor is how many times the route's objective for pauses a stream may be silent before it is suspect.
 	stallFactor = 4
-	// minSilence is the shortest silence that is looked at.
+	// minSilence is the shortest silence that makes a stream suspect.
 	minSilence = 700 * time.Millisecond
-	// aliveWindow is how long a target that was heard on any run is taken to be alive. A busy engine is silent on one run
-	// for long, but not on all; a dark one is.
+	// aliveWindow is how long a target counts as alive after it was last heard from on any run. An engine under load is silent
+	// on one run for long, but not on all; an unreachable one is.
 	aliveWindow = 600 * time.Millisecond
 )
 
-// watch ends a resumable stream whose target has gone dark, by closing its connection, so that the run goes on
-// elsewhere. A target that is merely busy is left alone: reading the prompt again elsewhere makes all of them busier.
+// watch closes the connection of a resumable stream whose target has become unreachable, so that the run continues elsewhere.
+// A target that is only under load is left alone: reading the prompt again elsewhere would increase the load on all targets.
 type watch struct {
 	r      *run
 	conn   *wirehttp.Conn
@@ -44,7 +44,7 @@
 	return w
 }
 
-// silenceLimit is the silence after which the run is looked at.
+// silenceLimit returns the silence after which the run's target is checked.
 func (r *run) silenceLimit() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +54,7 @@
 	return max(minSilence, stallFactor*r.c.route.GapAim)
 }
 
-// check closes the connection of a silent target and comes back later to any other.
+// check closes the connection if the target is unreachable, and otherwise schedules the next check.
 func (w *watch) check() {
 	alive := w.alive()
 	now := time.Now()
@@ -72,23 +72,23 @@
 	w.timer = time.AfterFunc(max(left, minSilence/4), w.check)
 }
 
-// lastContactTimeout bounds the wait for an owner's word of when an engine was last heard.
+// lastContactTimeout bounds the request to an owner for an engine's last contact.
 const lastContactTimeout = 200 * time.Millisecond
 
-// alive reports whether the run's target is heard on some run, of this instance or, by what the owner was told, of another.
+// alive reports whether the run's target was heard from recently, on a run of this instance or, as the owner knows, of another.
 func (w *watch) alive() bool {
 	g := w.r.g
-	at := g.Fleet.LastContact(w.target)
+	contact := g.Fleet.LastContact(w.target)
 	silent := time.Since(w.r.lastContactAt()) >= w.r.silenceLimit()
-	if silent && time.Since(at) >= aliveWindow && g.Owners != nil {
+	if silent && time.Since(contact) >= aliveWindow && g.Owners != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), lastContactTimeout)
 		defer cancel()
-		// Without an answer this instance goes by its own runs.
-		if reported, err := g.Owners.LastHeard(ctx, w.target); err == nil && reported.After(at) {
-			at = reported
+		// Without an answer this instance uses its own contacts only.
+		if reported, err := g.Owners.LastHeard(ctx, w.target); err == nil && reported.After(contact) {
+			contact = reported
 		}
 	}
-	return time.Since(at) < aliveWindow
+	return time.Since(contact) < aliveWindow
 }
 
 func (w *watch) stop() {
@@ -100,7 +100,7 @@
 	}
 }
 
-// recordContact notes that something came from the run's target, or was just sent there.
+// recordContact records that something arrived from the run's target, or was just sent there.
 func (r *run) recordContact(target string) {
 	now := time.Now()
 	r.mu.Lock()
--- a/lib/stall/histogram.go
+++ b/lib/stall/histogram.go
@@ -1,5 +1,5 @@
-// Package stall tells a generation that no longer makes progress from one that is merely slow, by the gaps between
-// tokens that its own target has shown, and a frozen link from a stalled generation.
+// Package stall detects generations that no longer make progress. It distinguishes them from slow ones by the gaps between
+// tokens observed on the same target, and from streams on a frozen link by the silence of the link's other streams.
 package stall
 
 import (
@@ -8,18 +8,18 @@
 )
 
 const (
-	minGap    = 100 * time.Microsecond // lower edge of the first bucket
-	growth    = 1.25                   // ratio of neighbouring edges
-	numBucket = 64                     // up to about 160 s
+	minGap     = 100 * time.Microsecond // upper edge of the first bucket
+	growth     = 1.25                   // ratio of neighbouring edges
+	numBuckets = 64                     // up to about 160 s
 )
 
 var logGrowth = math.Log(growth)
 
 // histogram counts gaps in buckets of growing width, with exponential decay over time.
 type histogram struct {
-	counts [numBucket]float64
-	total  float64
-	last   time.Time
+	counts    [numBuckets]float64
+	total     float64
+	lastDecay time.Time
 }
 
 func bucketOf(gap time.Duration) int {
@@ -27,10 +27,10 @@
 		return 0
 	}
 	i := int(math.Log(float64(gap)/float64(minGap))/logGrowth) + 1
-	return min(i, numBucket-1)
+	return min(i, numBuckets-1)
 }
 
-// upperEdge is the largest gap of bucket i.
+// upperEdge returns the largest gap counted in bucket i.
 func upperEdge(i int) time.Duration {
 	return time.Duration(float64(minGap) * math.Pow(growth, float64(i)))
 }
@@ -40,19 +40,19 @@
 	h.total++
 }
 
-// decayStep bounds how often all buckets are rescaled.
+// decayStep is the shortest interval at which the buckets are rescaled.
 const decayStep = time.Second
 
 func (h *histogram) decay(now time.Time, halfLife time.Duration) {
-	if h.last.IsZero() {
-		h.last = now
+	if h.lastDecay.IsZero() {
+		h.lastDecay = now
 		return
 	}
-	dt := now.Sub(h.last)
+	dt := now.Sub(h.lastDecay)
 	if dt < decayStep {
 		return
 	}
-	h.last = now
+	h.lastDecay = now
 	f := math.Exp2(-dt.Seconds() / halfLife.Seconds())
 	for i := range h.counts {
 		h.counts[i] *= f
@@ -63,7 +63,7 @@
 // quantile returns the upper edge of the bucket that holds quantile q.
 func (h *histogram) quantile(q float64) time.Duration {
 	left := (1 - q) * h.total
-	for i := numBucket - 1; i > 0; i-- {
+	for i := numBuckets - 1; i > 0; i-- {
 		left -= h.counts[i]
 		if left < 0 {
 			return upperEdge(i)
--- a/lib/stall/monitor.go
+++ b/lib/stall/monitor.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Config sets how patient a Monitor is.
+// Config holds the thresholds of a Monitor.
 type Config struct {
-	Quantile   float64       // of gaps between tokens
+	Quantile   float64       // of the gaps between tokens
 	Factor     float64       // timeout = Factor x that quantile
-	Floor      time.Duration // a timeout is never shorter
-	Cap        time.Duration // nor longer
+	Floor      time.Duration // shortest timeout
+	Cap        time.Duration // longest timeout
 	Cold       time.Duration // timeout of a target with fewer than MinSamples gaps
 	MinSamples float64
-	FirstToken time.Duration // timeout before the first token, when nothing tells prefill from a stall
+	FirstToken time.Duration // timeout before the first token, when prefill and a stall look alike
 	HalfLife   time.Duration // of a gap's weight
-	// A link is frozen when at least LinkStreams of its streams are silent and they are at least LinkShare of them.
+	// A link is frozen when at least LinkStreams of its streams, and at least the share LinkShare of them, are silent.
 	LinkStreams int
 	LinkShare   float64
 }
@@ -28,12 +28,12 @@
 	MinSamples: 50, FirstToken: 30 * time.Second, HalfLife: 2 * time.Minute, LinkStreams: 3, LinkShare: 0.8,
 }
 
-// Kind tells what a Stall is about.
+// Kind is the scope of a Stall.
 type Kind uint8
 
 // Kinds.
 const (
-	Generation Kind = iota + 1 // this stream alone stopped
+	Generation Kind = iota + 1 // only this stream stopped
 	Link                       // nearly all streams of the link stopped together
 )
 
@@ -48,7 +48,7 @@
 	Silent time.Duration
 }
 
-// Monitor watches the streams of one entry. It is safe for concurrent use.
+// Monitor detects stalls among the streams of one entry. It is safe for concurrent use.
 type Monitor struct {
 	cfg     Config
 	mu      sync.Mutex
@@ -58,10 +58,10 @@
 }
 
 type stream struct {
-	target   string
-	last     time.Time
-	started  bool // has given a token
-	reported bool
+	target    string
+	lastToken time.Time
+	started   bool // has produced a token
+	reported  bool
 }
 
 type linkCount struct{ streams, silent int }
@@ -74,14 +74,14 @@
 	}
 }
 
-// Start begins to watch a stream; id is unique in this entry.
+// Start begins monitoring a stream. The id is unique within the entry.
 func (m *Monitor) Start(now time.Time, id uint64, target string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.streams[id] = &stream{target: target, last: now}
+	m.streams[id] = &stream{target: target, lastToken: now}
 }
 
-// Token records progress. The time to the first token does not count as a gap: it holds queueing and prefill.
+// Token records progress. The time to the first token does not count as a gap, because it includes queueing and prefill.
 func (m *Monitor) Token(now time.Time, id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,28 +90,28 @@
 		return
 	}
 	if s.started {
-		m.observe(now, s.target, now.Sub(s.last))
+		m.observe(now, s.target, now.Sub(s.lastToken))
 	}
 	s.started = true
 	s.reported = false
-	s.last = now
+	s.lastToken = now
 }
 
-// End stops watching a stream.
+// End stops monitoring a stream.
 func (m *Monitor) End(id uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.streams, id)
 }
 
-// Forget drops what was learnt of target.
+// Forget drops the gaps observed on target.
 func (m *Monitor) Forget(target string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.gaps, target)
 }
 
-// Timeout is how long a started stream of target may stay silent.
+// Timeout returns how long a started stream on target may stay silent.
 func (m *Monitor) Timeout(target string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,8 +129,8 @@
 
 // observe adds a gap. Gaps are clipped at Cap.
 //
-// Failure: an engine that freezes again and again teaches the histogram its own stalls, and the timeout grows until
-// no stall is seen. The clip bounds what one gap can teach, and Cap bounds the timeout.
+// Failure: an engine that froze repeatedly fed its own stalls into the histogram, and the timeout grew until no stall was
+// detected. Clipping bounds the influence of one gap, and Cap bounds the timeout.
 func (m *Monitor) observe(now time.Time, target string, gap time.Duration) {
 	h := m.gaps[target]
 	if h == nil {
@@ -141,16 +141,16 @@
 	h.add(min(gap, m.cfg.Cap))
 }
 
-// Check appends each newly stalled stream to dst and returns it. A stream is reported once for each silence, as
-// Generation, or as Link when its whole link is silent: then the entry should leave the link, not fence the streams
-// one by one as if the generations were at fault.
+// Check appends each newly stalled stream to dst and returns it. Each silence is reported once: as Generation, or as Link when
+// the whole link is silent. For Link the entry should leave the link instead of fencing the streams one by one as if the
+// generations were at fault.
 func (m *Monitor) Check(now time.Time, dst []Stall) []Stall {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.links)
 	from := len(dst)
 	for id, s := range m.streams {
-		silent := now.Sub(s.last)
+		silent := now.Sub(s.lastToken)
 		limit := m.limit(s)
 		m.countLink(s, silent > limit/2)
 		if silent > limit && !s.reported {
@@ -160,7 +160,7 @@
 	}
 	slices.SortFunc(dst[from:], func(a, b Stall) int { return cmp.Compare(a.Stream, b.Stream) })
 	for i := from; i < len(dst); i++ {
-		if m.frozen(dst[i].Target) {
+		if m.linkFrozen(dst[i].Target) {
 			dst[i].Kind = Link
 		}
 	}
@@ -174,9 +174,9 @@
 	return m.timeout(s.target)
 }
 
-// countLink counts a stream towards its link. Neighbours count as silent from half their timeout on: the streams of a
-// frozen link gave their last tokens some milliseconds apart, and the first to time out would else look alone.
-// A stream still in prefill is silent for good reason and doesn't speak for its link.
+// countLink counts a stream towards its link. Neighbours count as silent from half their timeout on: the streams of a frozen
+// link produced their last tokens some milliseconds apart, and the first to time out would otherwise look like the only one.
+// A stream in prefill is expected to be silent and does not count until its own limit.
 func (m *Monitor) countLink(s *stream, silent bool) {
 	if !s.started && !silent {
 		return
@@ -192,7 +192,7 @@
 	}
 }
 
-func (m *Monitor) frozen(target string) bool {
+func (m *Monitor) linkFrozen(target string) bool {
 	l := m.links[target]
 	return l.silent >= m.cfg.LinkStreams && float64(l.silent) >= m.cfg.LinkShare*float64(l.streams)
 }
--- a/lib/stream/state.go
+++ b/lib/stream/state.go
@@ -1,7 +1,7 @@
-// Package stream keeps the promise of one token stream: each token once, in order, from one generation.
+// Package stream guarantees that a caller receives each token of a generation exactly once, in order and from one generation.
 //
-// State is pure: it sees the numbers on each frame and answers whether the token may be delivered. It holds no text
-// and does no I/O, so that it can be driven by randomised tests.
+// State is a pure state machine: it checks the numbers on each frame and decides whether the token may be delivered. It
+// holds no text and does no I/O, so that randomised tests can drive it.
 package stream
 
 import (
@@ -10,52 +10,52 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// Verdict is what State makes of a frame.
+// Verdict is State's decision on a frame.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts, with the action to take.
 const (
-	Deliver Verdict = iota + 1 // the next token: hand it on
-	Repeat                     // an index already delivered: drop
-	Late                       // of an earlier, fenced attempt: drop
-	Foreign                    // of another generation, or of an attempt never started: drop
+	Deliver Verdict = iota + 1 // the next token: deliver
+	Repeat                     // an index that was already delivered: drop
+	Late                       // from an earlier, fenced attempt: drop
+	Foreign                    // from another generation, or from an attempt never started: drop
 	Gap                        // an index beyond the next: the attempt has failed
-	End                        // the end mark, and it counts exactly the tokens delivered
-	Short                      // an end mark that counts other than was delivered: the attempt has failed
+	End                        // an end mark whose count matches the tokens delivered
+	Short                      // an end mark whose count differs from the tokens delivered: the attempt has failed
 	Over                       // the generation has ended: drop
 )
 
 var verdictNames = [...]string{"", "deliver", "repeat", "late", "foreign", "gap", "end", "short", "over"}
 
-// String returns the verdict as metrics label it.
+// String returns the verdict's label in metrics.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Drop reports whether the frame is ignored and the attempt goes on.
+// Drop reports whether the frame is ignored while the attempt continues.
 func (v Verdict) Drop() bool { return v == Repeat || v == Late || v == Foreign || v == Over }
 
-// Failed reports whether the frame shows that the attempt can't give the rest.
+// Failed reports whether the frame shows that the attempt can't deliver the remaining tokens.
 func (v Verdict) Failed() bool { return v == Gap || v == Short }
 
-// Errors of Begin.
+// Errors returned by Begin.
 var (
-	ErrNotFenced = errors.New("the attempt before is not fenced")
-	ErrEnded     = errors.New("the generation has ended")
+	ErrNotFenced = errors.New("stream: previous attempt is not fenced")
+	ErrEnded     = errors.New("stream: generation has ended")
 )
 
-// State is the position of one generation. It is not safe for concurrent use.
+// State is the delivery state of one generation. It is not safe for concurrent use.
 type State struct {
 	gen     ids.Generation
 	attempt uint32 // current or last attempt; 0: none yet
-	fenced  uint32 // frames of attempts up to here are late
+	fenced  uint32 // frames of attempts up to this one are late
 	next    uint32 // index of the next token
 	ended   bool
 }
 
-// New returns the State of a generation of which nothing ran.
+// New returns the State of a generation without attempts.
 func New(g ids.Generation) *State { return &State{gen: g} }
 
-// Restore returns the State of a generation of which attempts up to attempt ran elsewhere and delivered next tokens.
-// Those attempts count as fenced.
+// Restore returns the State of a generation whose attempts up to attempt ran on another entry and delivered next tokens. Those
+// attempts count as fenced.
 func Restore(g ids.Generation, attempt, next uint32) *State {
 	return &State{gen: g, attempt: attempt, fenced: attempt, next: next}
 }
@@ -74,8 +74,8 @@
 
 // Begin starts the next attempt and returns its number.
 //
-// Two attempts at once would each offer the same index, and the caller could see a mixture of two answers. The one
-// before must therefore be fenced first; from then on its frames are Late whatever they carry.
+// Concurrent attempts would each offer the same index, and the caller could receive a mixture of two answers. The previous
+// attempt must therefore be fenced first; from then on all its frames are Late.
 func (s *State) Begin() (uint32, error) {
 	if s.ended {
 		return 0, ErrEnded
@@ -87,12 +87,12 @@
 	return s.attempt, nil
 }
 
-// Fence makes every frame of the current attempt and of those before it late.
+// Fence makes all frames of the current and earlier attempts Late.
 func (s *State) Fence() { s.fenced = s.attempt }
 
-// Token judges a token frame, and moves on when it is delivered.
+// Token checks a token frame and advances the position if the token is to be delivered.
 func (s *State) Token(g ids.Generation, attempt, index uint32) Verdict {
-	if v := s.judge(g, attempt); v != Deliver {
+	if v := s.check(g, attempt); v != Deliver {
 		return v
 	}
 	switch {
@@ -105,9 +105,9 @@
 	return Deliver
 }
 
-// Finish judges an end mark; count is the total of tokens that the target says the generation has.
+// Finish checks an end mark; count is the target's count of the generation's tokens.
 func (s *State) Finish(g ids.Generation, attempt, count uint32) Verdict {
-	if v := s.judge(g, attempt); v != Deliver {
+	if v := s.check(g, attempt); v != Deliver {
 		return v
 	}
 	if count != s.next {
@@ -117,10 +117,10 @@
 	return End
 }
 
-// Current reports whether a frame with these numbers is of the attempt that may now deliver.
-func (s *State) Current(g ids.Generation, attempt uint32) bool { return s.judge(g, attempt) == Deliver }
+// Current reports whether a frame with these numbers belongs to the attempt that may deliver now.
+func (s *State) Current(g ids.Generation, attempt uint32) bool { return s.check(g, attempt) == Deliver }
 
-func (s *State) judge(g ids.Generation, attempt uint32) Verdict {
+func (s *State) check(g ids.Generation, attempt uint32) Verdict {
 	switch {
 	case g != s.gen:
 		return Foreign
--- a/lib/stream/state_test.go
+++ b/lib/stream/state_test.go
@@ -9,9 +9,8 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// The caller sees a token twice, out of order or from another answer when a frame that is repeated, late, foreign or
-// early gets through. Frames of every kind are thrown at one generation here, attempts are fenced and begun at any
-// moment, and the delivered indexes must still be 0, 1, 2, ...
+// A repeated, late, foreign or premature frame that gets through shows the caller a token twice, out of order or from another
+// answer. With frames of every kind, and attempts fenced and begun at any time, the delivered indexes must be 0, 1, 2, ...
 func TestStateDeliversEachIndexOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, other := ids.From(1, 1), ids.From(1, 2)
@@ -43,8 +42,8 @@
 	})
 }
 
-// A second attempt that starts while the first may still speak lets both offer the same index, and the caller gets a
-// mixture. Begin must refuse until the first is fenced, and then call all its frames late.
+// A second attempt that starts before the first is fenced lets both offer the same index, and the caller receives a mixture.
+// Begin must refuse until the first attempt is fenced, and all frames of that attempt are Late from then on.
 func TestStateFencesBeforeNextAttempt(t *testing.T) {
 	g := ids.From(1, 1)
 	s := New(g)
@@ -63,7 +62,7 @@
 	must.Eq(t, Deliver, s.Token(g, 2, 1))
 }
 
-// An end mark that counts more tokens than were delivered hides a hole at the end of the answer.
+// An end mark that counts more tokens than were delivered must not hide tokens missing at the end of the answer.
 func TestStateFinish(t *testing.T) {
 	g := ids.From(1, 1)
 	s := New(g)
@@ -101,7 +100,7 @@
 	must.Eq(t, 3, x.Size())
 }
 
-// Two texts that read alike but fall into other tokens must not pass for each other, since indexes count tokens.
+// Equal texts split into different tokens must have different digests, since indexes count tokens.
 func TestDigest(t *testing.T) {
 	sum := func(tokens ...string) Digest {
 		var x Text
--- a/lib/stream/text.go
+++ b/lib/stream/text.go
@@ -1,7 +1,7 @@
 package stream
 
-// Text keeps the tokens delivered so far, in order, so that the rest can be asked of another target and a caller can
-// take up its stream again. It costs the text plus four bytes a token. It is not safe for concurrent use.
+// Text holds the tokens delivered so far, in order, so that another target can be asked for the rest and a caller can resume
+// its stream. It takes the size of the text plus four bytes per token. It is not safe for concurrent use.
 type Text struct {
 	buf  []byte
 	ends []uint32
--- a/lib/suspect/suspect.go
+++ b/lib/suspect/suspect.go
@@ -1,10 +1,11 @@
-// Package suspect judges plain targets by what all instances' requests show.
+// Package suspect detects failing targets of plain services from the outcomes of all instances' requests.
 //
-// Load pattern: a target fails part of its requests while its health answers are good. Each of many instances sends it a request now
-// and then; one that goes by its own requests alone needs ten or more to tell a failing target from callers' bad luck, and by then
-// each has lost some. The instance that ranks to judge a service adds up what all report and tells all whom to avoid.
+// Load pattern: a target fails part of its requests while its health checks pass. Each of many instances sends it a request now
+// and then. From its own requests alone, an instance needs ten or more to tell a failing target from random failures, and loses
+// some of them until then. The instance ranked first for a service aggregates the reports of all and tells them which targets
+// to avoid.
 //
-// Nothing here does I/O or reads a clock.
+// The package does no I/O and reads no clock.
 package suspect
 
 import (
@@ -17,56 +18,56 @@
 )
 
 const (
-	// memory is the time over which outcomes are averaged.
-	memory = 2 * time.Second
-	// leastFailed and leastShare are the failures, and their share of all outcomes, from which a target is suspected. Some requests
-	// fail wherever they run.
-	leastFailed = 3
-	leastShare  = 0.3
-	// worse is how many times the share of the service's other targets a suspect's is: where all fail alike, avoiding one helps
-	// nobody.
-	worse = 2
-	// mostNew bounds what one report adds for one target, and mostFirst what the first of an instance does: a counter that jumps, or
-	// has grown for long unseen, says nothing of now.
-	mostNew   = 64
-	mostFirst = 16
-	// DetectorReplicas is how many instances are told, in rank: the one that judges and the one that takes over.
+	// averagingTime is the time constant of the decaying averages of outcomes.
+	averagingTime = 2 * time.Second
+	// minFailed and minShare are the failures, and their share of all outcomes, from which a target is suspected. Some requests
+	// fail on any target.
+	minFailed = 3
+	minShare  = 0.3
+	// minShareRatio is how many times the failure share of the service's other targets a suspect must have: where all targets
+	// fail alike, avoiding one does not help.
+	minShareRatio = 2
+	// maxNew bounds what one report adds for one target, and maxFirst what an instance's first report adds: a counter that jumps,
+	// or that grew unobserved for long, says nothing about the present.
+	maxNew   = 64
+	maxFirst = 16
+	// DetectorReplicas is how many instances receive the reports, by rank: the active detector and its successor.
 	DetectorReplicas = 2
-	// VerdictTTL is how long a verdict holds that is not told again.
+	// VerdictTTL is how long a verdict holds unless it is repeated.
 	VerdictTTL = 1500 * time.Millisecond
-	// holdFirst and holdMax bound how long a target stays suspected that gets no more requests: each time that it fails again when it
-	// is tried, twice as long.
-	holdFirst = 3 * time.Second
-	holdMax   = 24 * time.Second
-	// countsLife is how long counts are kept that are not reported again: their instance is gone, or asks other targets.
-	countsLife = time.Minute
-	// countsMax bounds the counts that are kept.
-	countsMax = 1 << 16
+	// firstHold and maxHold bound how long a target without new requests stays suspected. The time doubles each time the target
+	// fails again when it is retried.
+	firstHold = 3 * time.Second
+	maxHold   = 24 * time.Second
+	// countsTTL is how long counts are kept without a new report: their instance is gone, or uses other targets.
+	countsTTL = time.Minute
+	// maxCounts bounds the number of counts kept.
+	maxCounts = 1 << 16
 )
 
-// Count is how requests of one instance ended at a target since that instance was started.
+// Count holds the outcomes of one instance's requests to a target since that instance started.
 type Count struct {
 	Target         string
 	Served, Failed uint32
 }
 
-// Verdict says that a target fails.
+// Verdict states that a target is failing.
 type Verdict struct {
 	Target string
 	Share  float64 // of its requests that fail
 }
 
-// Detector adds up what instances report. It is not safe for concurrent use.
+// Detector aggregates the reports of instances. It is not safe for concurrent use.
 type Detector struct {
-	last    map[reporter]counted
-	pruned  time.Time         // when counts were last forgotten
-	targets map[string]*tally // by target
+	lastCounts map[reporter]reportedCount
+	lastPrune  time.Time
+	targets    map[string]*tally // by target
 }
 
-// counted is the newest count of an instance at a target.
-type counted struct {
+// reportedCount is the latest count of an instance for a target.
+type reportedCount struct {
 	Count
-	at time.Time
+	receivedAt time.Time
 }
 
 type reporter struct {
@@ -78,41 +79,41 @@
 type tally struct {
 	service        string
 	served, failed float64 // decayed
-	at             time.Time
-	until          time.Time     // it stays suspected
-	hold           time.Duration // the last time for which it did
-	seen           float64       // share that failed when it was last found to fail
+	updatedAt      time.Time
+	suspectedUntil time.Time
+	hold           time.Duration // length of the latest suspicion
+	lastShare      float64       // failure share when it was last found to fail
 }
 
-// NewDetector returns a Judge that knows nothing.
+// NewDetector returns an empty Detector.
 func NewDetector() *Detector {
-	return &Detector{last: make(map[reporter]counted), targets: make(map[string]*tally)}
+	return &Detector{lastCounts: make(map[reporter]reportedCount), targets: make(map[string]*tally)}
 }
 
-// Observe takes in an instance's counts for targets of a service.
-func (j *Detector) Observe(now time.Time, service, instance string, incarnation uint64, counts []Count) {
+// Observe adds an instance's counts for targets of a service.
+func (d *Detector) Observe(now time.Time, service, instance string, incarnation uint64, counts []Count) {
 	for _, c := range counts {
 		key := reporter{instance, incarnation, c.Target}
-		last, known := j.last[key]
-		if !known && len(j.last) >= countsMax {
+		last, known := d.lastCounts[key]
+		if !known && len(d.lastCounts) >= maxCounts {
 			continue
 		}
 		if c.Served < last.Served || c.Failed < last.Failed {
-			continue // it comes late
+			continue // out of order
 		}
-		j.last[key] = counted{Count: c, at: now}
+		d.lastCounts[key] = reportedCount{Count: c, receivedAt: now}
 		served, failed := c.Served-last.Served, c.Failed-last.Failed
-		most := uint32(mostNew)
+		limit := uint32(maxNew)
 		if !known {
-			most = mostFirst
+			limit = maxFirst
 		}
-		if served > most || failed > most {
+		if served > limit || failed > limit {
 			continue
 		}
-		t := j.targets[c.Target]
+		t := d.targets[c.Target]
 		if t == nil {
 			t = &tally{service: service}
-			j.targets[c.Target] = t
+			d.targets[c.Target] = t
 		}
 		t.decay(now)
 		t.served += float64(served)
@@ -120,12 +121,12 @@
 	}
 }
 
-// Active reports whether there is something to judge.
-func (j *Detector) Active() bool { return len(j.targets) > 0 }
+// Active reports whether there are outcomes to evaluate.
+func (d *Detector) Active() bool { return len(d.targets) > 0 }
 
 func (t *tally) decay(now time.Time) {
-	keep := math.Exp(-now.Sub(t.at).Seconds() / memory.Seconds())
-	t.served, t.failed, t.at = t.served*keep, t.failed*keep, now
+	keep := math.Exp(-now.Sub(t.updatedAt).Seconds() / averagingTime.Seconds())
+	t.served, t.failed, t.updatedAt = t.served*keep, t.failed*keep, now
 }
 
 func (t *tally) share() float64 {
@@ -135,48 +136,48 @@
 	return t.failed / (t.served + t.failed)
 }
 
-// Verdicts returns the targets that fail now, and forgets those that nobody has reported for long.
-func (j *Detector) Verdicts(now time.Time) []Verdict {
+// Verdicts returns the targets that are failing now, and forgets targets without recent reports.
+func (d *Detector) Verdicts(now time.Time) []Verdict {
 	var out []Verdict
-	for id, t := range j.targets {
+	for id, t := range d.targets {
 		t.decay(now)
-		if t.served+t.failed < 0.01 && now.Sub(t.until) > holdMax {
-			delete(j.targets, id)
+		if t.served+t.failed < 0.01 && now.Sub(t.suspectedUntil) > maxHold {
+			delete(d.targets, id)
 		}
 	}
-	j.prune(now)
-	for id, t := range j.targets {
-		if now.After(t.until) && j.fails(id, t) {
+	d.prune(now)
+	for id, t := range d.targets {
+		if now.After(t.suspectedUntil) && d.fails(id, t) {
 			t.suspect(now)
 		}
-		if !now.After(t.until) {
-			out = append(out, Verdict{Target: id, Share: t.seen})
+		if !now.After(t.suspectedUntil) {
+			out = append(out, Verdict{Target: id, Share: t.lastShare})
 		}
 	}
 	slices.SortFunc(out, func(a, b Verdict) int { return cmp.Compare(a.Target, b.Target) })
 	return out
 }
 
-func (j *Detector) fails(id string, t *tally) bool {
-	return t.failed >= leastFailed && t.share() >= leastShare && t.share() >= worse*j.others(id, t.service)
+func (d *Detector) fails(id string, t *tally) bool {
+	return t.failed >= minFailed && t.share() >= minShare && t.share() >= minShareRatio*d.otherTargetsShare(id, t.service)
 }
 
-// suspect begins a time in which the target is avoided. What is known of it is forgotten then: the next try is judged by itself.
+// suspect begins a period in which the target is avoided. Its outcomes are reset, so that the next try is judged by itself.
 func (t *tally) suspect(now time.Time) {
-	t.hold = min(max(2*t.hold, holdFirst), holdMax)
-	if now.Sub(t.until) > holdMax {
-		t.hold = holdFirst // it was sound for long
+	t.hold = min(max(2*t.hold, firstHold), maxHold)
+	if now.Sub(t.suspectedUntil) > maxHold {
+		t.hold = firstHold // it was healthy for long
 	}
-	t.until = now.Add(t.hold)
-	t.seen = t.share()
+	t.suspectedUntil = now.Add(t.hold)
+	t.lastShare = t.share()
 	t.served, t.failed = 0, 0
 }
 
-// others is the share of requests that fail at a service's other targets.
-func (j *Detector) others(not, service string) float64 {
+// otherTargetsShare returns the failure share of a service's other targets.
+func (d *Detector) otherTargetsShare(exclude, service string) float64 {
 	var sum tally
-	for id, t := range j.targets {
-		if id != not && t.service == service {
+	for id, t := range d.targets {
+		if id != exclude && t.service == service {
 			sum.served += t.served
 			sum.failed += t.failed
 		}
@@ -184,23 +185,23 @@
 	return sum.share()
 }
 
-// prune forgets the counts of instances that are gone.
+// prune drops the counts of instances that are gone.
 //
-// Failure: each start of an instance has counts of its own. Kept for as long as their target lives they fill all the room there is within
-// days, and those of new instances are left out: nobody would be suspected any more.
-func (j *Detector) prune(now time.Time) {
-	if now.Sub(j.pruned) < countsLife/4 {
+// Failure: each start of an instance has counts of its own. When these were kept for as long as their target lived, they reached
+// maxCounts within days, and the counts of new instances were ignored: no target would have been suspected any more.
+func (d *Detector) prune(now time.Time) {
+	if now.Sub(d.lastPrune) < countsTTL/4 {
 		return
 	}
-	j.pruned = now
-	for key, c := range j.last {
-		if now.Sub(c.at) > countsLife {
-			delete(j.last, key)
+	d.lastPrune = now
+	for key, c := range d.lastCounts {
+		if now.Sub(c.receivedAt) > countsTTL {
+			delete(d.lastCounts, key)
 		}
 	}
 }
 
-// Ranked returns the names of the instances that judge a service, the first in rank first.
+// Ranked returns the instances that evaluate a service, in order of rank.
 func Ranked(service string, instances []string) []string {
 	key := rendezvous.Hash("judge " + service)
 	out := slices.Clone(instances)
