--- a/lib/breaker/breaker.go
+++ b/lib/breaker/breaker.go
@@ -2,7 +2,6 @@
 //
 // It replaces github.com/sony/gobreaker, which reads the wall clock itself, reopens after a fixed period (so that all instances
 // probe a recovering target at the same moment) and does not lengthen the period of a link that stays down.
-
 package breaker
 
 import (
--- a/lib/gateway/call.go
+++ b/lib/gateway/call.go
@@ -32,7 +32,7 @@
 	limit     time.Time // the earlier of the deadline and the route's timeout
 	prompt    int       // tokens of the prompt
 	output    int       // expected tokens of the output
-	lastEvent string    // id of the last event that the caller has, from its Last-Event-Id
+	lastEvent string    // id of the last event that the caller has
 
 	contentHash uint64          // fingerprint of the request's content
 	sends       int             // number of targets that the call was sent to
--- a/lib/gateway/permit_test.go
+++ b/lib/gateway/permit_test.go
@@ -26,15 +26,15 @@
 	g, target := limitedGateway(5)
 	g.Fleet.HoldOff(time.Now(), target.ID, holdOff)
 	c := &call{service: "s", route: &routes.Route{}, deadline: time.Now().Add(5 * time.Second)}
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 200 {
 		ref := g.noTargetRefusal(c)
 		must.Eq(t, "targets_limited", ref.reason)
-		least, most = min(least, ref.after), max(most, ref.after)
+		shortest, longest = min(shortest, ref.after), max(longest, ref.after)
 	}
-	must.Greater(t, holdOff/2, least)
-	must.Less(t, holdOff+retryAfterPlain, most)
-	must.Greater(t, retryAfterPlain/2, most-least)
+	must.Greater(t, holdOff/2, shortest)
+	must.Less(t, holdOff+retryAfterPlain, longest)
+	must.Greater(t, retryAfterPlain/2, longest-shortest)
 }
 
 // When no owner answers, the instance sends only its small share of the limit and passes the target over otherwise.
--- a/lib/gateway/place.go
+++ b/lib/gateway/place.go
@@ -10,8 +10,8 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// maxUnknownTargets is how many times an owner is asked for a target, when it chooses ones that this instance does not know or
-// knows to be leaving: lists reach instances some milliseconds apart.
+// maxUnknownTargets is how often an owner may choose a target that this instance does not know, or knows to be leaving, before
+// the instance decides alone. Lists of targets reach instances some milliseconds apart.
 const maxUnknownTargets = 2
 
 // place chooses a target for the run and counts the run there, or returns when its caller should retry. If it returns neither,
@@ -75,14 +75,14 @@
 	for range maxUnknownTargets {
 		need.Exclude, need.Granted = excluded, false
 		need.PreferredDomain = r.g.Fleet.Domain()
-		a := owner.Ask{Run: rendezvous.Hash(r.c.id), Print: r.c.contentHash, Stream: r.admitStream(need)}
+		req := owner.Ask{Run: rendezvous.Hash(r.c.id), Print: r.c.contentHash, Stream: r.admitStream(need)}
 		if r.c.sends > 0 {
-			a.Mode = owner.Any
+			req.Mode = owner.Any
 		}
 		if r.wantsBackup() {
-			a.Backup = need.Tokens
+			req.Backup = need.Tokens
 		}
-		answer, err := r.g.Owners.Place(ctx, a)
+		answer, err := r.g.Owners.Place(ctx, req)
 		switch {
 		case err != nil || answer.Action == admit.Fallback:
 			return placement{}, 0, false
--- a/lib/gateway/book.go
+++ b/lib/gateway/reservation.go
@@ -29,8 +29,8 @@
 	return to, ok
 }
 
-func (g *Gateway) recordReservation(r *run, b reservation) {
-	r.setReservation(b)
+func (g *Gateway) recordReservation(r *run, res reservation) {
+	r.setReservation(res)
 	g.notifyOwners()
 }
 
@@ -53,34 +53,34 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), moveCapacityTimeout)
 	defer cancel()
-	ask := owner.Ask{
+	req := owner.Ask{
 		Run: rendezvous.Hash(r.c.id), Mode: owner.Room, Stream: admit.Stream{Need: need, Arrived: time.Now()},
 	}
-	a, err := g.Owners.Place(ctx, ask)
+	answer, err := g.Owners.Place(ctx, req)
 	if err != nil {
 		return g.Fleet.Acquire(time.Now(), need)
 	}
-	if a.Action != admit.Admit {
+	if answer.Action != admit.Admit {
 		return fleet.Info{}, false
 	}
 	need.RequireMemory = false // the owner has checked; this instance's own state may be behind
 	need.Granted = true
-	return g.Fleet.AcquireAt(time.Now(), a.Target, need)
+	return g.Fleet.AcquireAt(time.Now(), answer.Target, need)
 }
 
 // releaseReservation releases the run's reservation, if any.
 func (g *Gateway) releaseReservation(r *run) {
-	b := r.currentReservation()
+	res := r.currentReservation()
 	r.setReservation(reservation{})
-	if b.target != "" {
-		g.Fleet.Release(time.Now(), b.target, fleet.Load{Tokens: b.tokens}, fleet.Abandoned)
+	if res.target != "" {
+		g.Fleet.Release(time.Now(), res.target, fleet.Load{Tokens: res.tokens}, fleet.Abandoned)
 	}
 }
 
-func (r *run) setReservation(b reservation) {
+func (r *run) setReservation(res reservation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reserved = b
+	r.reserved = res
 }
 
 func (r *run) currentReservation() reservation {
--- a/lib/suspect/suspect.go
+++ b/lib/suspect/suspect.go
@@ -2,8 +2,8 @@
 //
 // Load pattern: a target fails part of its requests while its health checks pass. Each of many instances sends it a request now
 // and then. From its own requests alone, an instance needs ten or more to tell a failing target from random failures, and loses
-// some of them until then. The instance ranked first for a service aggregates the reports of all and tells them which targets
-// to avoid.
+// some of them until then. The instance ranked first for a service aggregates the reports of all and publishes the targets to
+// avoid.
 //
 // The package does no I/O and reads no clock.
 package suspect
@@ -27,8 +27,8 @@
 	// minShareRatio is how many times the failure share of the service's other targets a suspect must have: where all targets
 	// fail alike, avoiding one does not help.
 	minShareRatio = 2
-	// maxNew bounds what one report adds for one target, and maxFirst what an instance's first report adds: a counter that jumps,
-	// or that grew unobserved for long, says nothing about the present.
+	// maxNew bounds what one report may add for one target, and maxFirst what an instance's first report may add. Larger reports
+	// are ignored: a counter that jumps, or that grew unobserved for long, says nothing about the present.
 	maxNew   = 64
 	maxFirst = 16
 	// DetectorReplicas is how many instances receive the reports, by rank: the active detector and its successor.
