--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -241,7 +241,7 @@
 		id := s.rng.Uint64()
 		work.Go(func() {
 			need := fleet.Need{Service: engines, Tokens: 3000, Unread: 3000, Peak: fleet.Size{Held: 3000, Remaining: 200}}
-			a := owner.Ask{Run: id, Stream: admit.Stream{Arrived: time.Now(), Objective: 1800 * time.Millisecond, MaxRetryAfter: 10 * time.Second, Need: need}}
+			a := owner.PlaceRequest{Run: id, Stream: admit.Stream{Arrived: time.Now(), Objective: 1800 * time.Millisecond, MaxRetryAfter: 10 * time.Second, Need: need}}
 			got, err := m.Place(context.Background(), a)
 			mu.Lock()
 			defer mu.Unlock()
--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -80,17 +80,17 @@
 }
 
 // HeldMemory lists the memory that backups and move reservations of this instance's runs take on engines.
-func (g *Gateway) HeldMemory() []owner.Held {
-	var out []owner.Held
+func (g *Gateway) HeldMemory() []owner.Copy {
+	var out []owner.Copy
 	for _, list := range g.runs.all() {
 		for _, r := range list {
 			id := rendezvous.Hash(r.c.id)
 			r.mu.Lock()
 			if r.backup.target.ID != "" {
-				out = append(out, owner.Held{Target: r.backup.target.ID, Tokens: r.backup.tokens, Run: id})
+				out = append(out, owner.Copy{Target: r.backup.target.ID, Tokens: r.backup.tokens, Run: id})
 			}
 			if r.reserved.target != "" {
-				out = append(out, owner.Held{Target: r.reserved.target, Tokens: r.reserved.tokens, Run: id})
+				out = append(out, owner.Copy{Target: r.reserved.target, Tokens: r.reserved.tokens, Run: id})
 			}
 			r.mu.Unlock()
 		}
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -86,23 +86,23 @@
 // of them answered: then this instance decides alone.
 type Owners interface {
 	// Place finds an engine for a run, or says when its caller should retry.
-	Place(ctx context.Context, a owner.Ask) (owner.Answer, error)
-	// Plan returns the destinations of this instance's runs on engines that are leaving.
-	Plan(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
-	// LastHeard returns when any instance last received anything from an engine.
-	LastHeard(ctx context.Context, engine string) (time.Time, error)
-	// Changed reports that this instance's set of runs has changed.
-	Changed()
-	// Outcome reports how a run ended on an engine.
-	Outcome(engine string, o fleet.Outcome)
-	// PlainOutcome reports how a request to a plain service's target ended.
-	PlainOutcome(service, target string, o fleet.Outcome)
-	// Permit requests a permit for a rate-limited target. With must, the request is sent anyway and is only counted.
-	Permit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
-	// Limited reports the limit that a target's response named, or its end; changed says that it is new to this instance.
-	Limited(t fleet.Info, changed bool)
-	// Reading reports the time to a first event.
-	Reading(r owner.Reading)
+	Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error)
+	// RequestMoves returns the destinations of this instance's runs on engines that are leaving.
+	RequestMoves(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
+	// LastContact returns when any instance last received anything from an engine.
+	LastContact(ctx context.Context, engine string) (time.Time, error)
+	// ScheduleReport reports that this instance's set of runs has changed.
+	ScheduleReport()
+	// RecordOutcome reports how a run ended on an engine.
+	RecordOutcome(engine string, o fleet.Outcome)
+	// RecordPlainOutcome reports how a request to a plain service's target ended.
+	RecordPlainOutcome(service, target string, o fleet.Outcome)
+	// RequestPermit requests a permit for a rate-limited target. With must, the request is sent anyway and is only counted.
+	RequestPermit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
+	// ReportLimit reports the limit that a target's response named, or its end; changed says that it is new to this instance.
+	ReportLimit(t fleet.Info, changed bool)
+	// RecordPrefill reports the time to a first event.
+	RecordPrefill(r owner.PrefillSample)
 }
 
 // Gateway serves callers' requests. It is an http.Handler.
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -103,7 +103,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
-	planned, err := g.Owners.Plan(ctx, leaving)
+	planned, err := g.Owners.RequestMoves(ctx, leaving)
 	if err != nil {
 		g.Log.Warn("moves_planned_alone", svc.Name, err)
 		return moveplan.Plan(runs, engines, g.destinations(svc.Name, from), linkOf(svc.Engine))
--- a/lib/gateway/notice.go
+++ b/lib/gateway/notice.go
@@ -68,7 +68,7 @@
 	}
 	changed := g.Fleet.ApplyLimit(target.ID, fleet.LimitNotice{Limit: limit, RequestedAt: sentAt, ReceivedAt: time.Now()})
 	if g.Owners != nil && (limit.On || changed) {
-		g.Owners.Limited(target, changed)
+		g.Owners.ReportLimit(target, changed)
 	}
 	if !changed {
 		return
--- a/lib/gateway/ownerreport.go
+++ b/lib/gateway/ownerreport.go
@@ -12,7 +12,7 @@
 // notifyOwners reports to the owners that this instance's set of runs has changed.
 func (g *Gateway) notifyOwners() {
 	if g.Owners != nil {
-		g.Owners.Changed()
+		g.Owners.ScheduleReport()
 	}
 }
 
@@ -72,8 +72,8 @@
 func (r *run) ownerRun(target string) owner.Run {
 	m := r.planRun()
 	return owner.Run{
-		ID: m.ID, Target: target, Tokens: m.Tokens, Expected: m.Expected, Unread: r.currentLoad().Unread, Left: r.kvSize().Remaining,
-		Stays: r.staysOnLeaving(), Silent: time.Since(r.lastContactAt()),
+		ID: m.ID, Target: target, Tokens: m.Tokens, Expected: m.Expected, Unread: r.currentLoad().Unread, Remaining: r.kvSize().Remaining,
+		Pinned: r.staysOnLeaving(), SinceContact: time.Since(r.lastContactAt()),
 	}
 }
 
--- a/lib/gateway/place.go
+++ b/lib/gateway/place.go
@@ -75,7 +75,7 @@
 	for range maxUnknownTargets {
 		need.Exclude, need.Granted = excluded, false
 		need.PreferredDomain = r.g.Fleet.Domain()
-		req := owner.Ask{Run: rendezvous.Hash(r.c.id), Print: r.c.contentHash, Stream: r.admitStream(need)}
+		req := owner.PlaceRequest{Run: rendezvous.Hash(r.c.id), Fingerprint: r.c.contentHash, Stream: r.admitStream(need)}
 		if r.c.sends > 0 {
 			req.Mode = owner.Any
 		}
@@ -91,7 +91,7 @@
 		}
 		need.Granted = true
 		if target, known := r.g.Fleet.AcquireAt(time.Now(), answer.Target, need); known {
-			r.lastKnown = answer.Belief
+			r.lastKnown = answer.Estimate
 			return placement{target: target, byOwner: true, backup: answer.Backup}, 0, true
 		}
 		excluded[answer.Target] = true
--- a/lib/gateway/reservation.go
+++ b/lib/gateway/reservation.go
@@ -53,8 +53,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), moveCapacityTimeout)
 	defer cancel()
-	req := owner.Ask{
-		Run: rendezvous.Hash(r.c.id), Mode: owner.Room, Stream: admit.Stream{Need: need, Arrived: time.Now()},
+	req := owner.PlaceRequest{
+		Run: rendezvous.Hash(r.c.id), Mode: owner.MustFit, Stream: admit.Stream{Need: need, Arrived: time.Now()},
 	}
 	answer, err := g.Owners.Place(ctx, req)
 	if err != nil {
--- a/lib/gateway/reservation_test.go
+++ b/lib/gateway/reservation_test.go
@@ -19,7 +19,7 @@
 	changes int
 }
 
-func (o *countingOwners) Changed() { o.changes++ }
+func (o *countingOwners) ScheduleReport() { o.changes++ }
 
 // Until a moving run arrived, only its own instance knew of the memory it needs at the destination: peers sent new streams
 // there, which then waited behind the run for seconds. The reservation must count from the plan on, here and at peers, until
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -84,7 +84,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), lastContactTimeout)
 		defer cancel()
 		// Without an answer this instance uses its own contacts only.
-		if reported, err := g.Owners.LastHeard(ctx, w.target); err == nil && reported.After(contact) {
+		if reported, err := g.Owners.LastContact(ctx, w.target); err == nil && reported.After(contact) {
 			contact = reported
 		}
 	}
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -302,7 +302,7 @@
 	p.mu.Unlock()
 	p.gate.Stop(start.Add(p.cfg.Grace - cutMargin))
 	// Others look for another owner and another reader now, while this one still answers them.
-	p.link.Desk.Leave()
+	p.link.Coordinator.Leave()
 	p.start(func() { p.unregister(context.Background()) })
 	time.Sleep(min(outOfRotation, p.cfg.Grace/2))
 	cut := time.AfterFunc(p.cfg.Grace-time.Since(start)-cutMargin, p.gate.AbortOpen)
--- a/lib/ownerlink/suspects.go
+++ b/lib/ownerlink/suspects.go
@@ -111,8 +111,10 @@
 	return out
 }
 
-// PlainOutcome counts how a request of this instance ended at a target that nobody owns.
-func (l *Link) PlainOutcome(service, target string, o fleet.Outcome) { l.plain.saw(service, target, o) }
+// RecordPlainOutcome counts how a request of this instance ended at a target that nobody owns.
+func (l *Link) RecordPlainOutcome(service, target string, o fleet.Outcome) {
+	l.plain.saw(service, target, o)
+}
 
 // judge tells outcomes to those that judge, and verdicts to all. It rests while there is nothing to tell or to judge.
 func (l *Link) judge(ctx context.Context) {
@@ -204,8 +206,8 @@
 func (l *Link) handleSuspects(body *ownerpb.Suspects) {
 	now := time.Now()
 	for _, s := range body.Suspects {
-		if l.Fleet.Suspect(s.Target, float64(min(s.Permille, permille))/permille, now.Add(suspect.VerdictTTL)) && l.Suspected != nil {
-			l.Suspected(s.Target, s.Permille)
+		if l.Fleet.Suspect(s.Target, float64(min(s.Permille, permille))/permille, now.Add(suspect.VerdictTTL)) && l.OnSuspected != nil {
+			l.OnSuspected(s.Target, s.Permille)
 		}
 	}
 }
