--- a/lib/admit/admit.go
+++ b/lib/admit/admit.go
@@ -19,21 +19,21 @@
 const (
 	// PollInterval is the pause between two steps of a stream that waits: about the age of peers' news.
 	PollInterval = 20 * time.Millisecond
-	// waitShare is the part of a stream's aim that it waits for an engine with room.
-	waitShare = 0.6
-	// backShare is how many aims a stream waits that has come back: refused once more its caller has nothing. Callers give up
+	// maxWaitShare is the part of a stream's aim that it waits for an engine with room.
+	maxWaitShare = 0.6
+	// retryWaitObjectives is how many aims a stream waits that has come back: refused once more its caller has nothing. Callers give up
 	// after 4.
-	backShare = 3
-	// readShare is the part of a stream's aim within which the prompts that wait on an engine must be read, with its own.
+	retryWaitObjectives = 3
+	// prefillShare is the part of a stream's aim within which the prompts that wait on an engine must be read, with its own.
 	// Engines that started empty were sent six or seven prompts at once, read one after another, and nine in ten of the
 	// last were late.
-	readShare = 0.6
-	// leftShare is the part of the aim by which the prompts must be read, the wait included. The rest is for what is not
+	prefillShare = 0.6
+	// prefillDeadlineShare is the part of the aim by which the prompts must be read, the wait included. The rest is for what is not
 	// foreseen.
-	leftShare = 0.9
-	// awayMin is the least time after which a stream that found no room is asked to come back. What frees up sooner goes
+	prefillDeadlineShare = 0.9
+	// minRetryAfter is the least time after which a stream that found no room is asked to come back. What frees up sooner goes
 	// to streams that wait already.
-	awayMin = time.Second
+	minRetryAfter = time.Second
 )
 
 // Stream is what is known of a stream when it comes.
@@ -53,9 +53,9 @@
 // that its caller has left, of which Keeps is a third.
 func (s *Stream) WaitDeadline() time.Time {
 	if s.IsRetry {
-		return s.Arrived.Add(min(time.Duration(backShare*float64(s.Objective)), 3*s.MaxRetryAfter/2))
+		return s.Arrived.Add(min(time.Duration(retryWaitObjectives*float64(s.Objective)), 3*s.MaxRetryAfter/2))
 	}
-	return s.Arrived.Add(time.Duration(waitShare * float64(s.Objective)))
+	return s.Arrived.Add(time.Duration(maxWaitShare * float64(s.Objective)))
 }
 
 // Action is what a stream does now.
@@ -93,13 +93,13 @@
 	need := s.Need
 	need.RequireMemory = true
 	if s.Objective > 0 {
-		need.MaxUnread = p.Prefill.TokensWithin(need.Service, s.readTime(now))
+		need.MaxUnread = p.Prefill.TokensWithin(need.Service, s.prefillBudget(now))
 	}
-	take := p.Acquire
-	if take == nil {
-		take = p.Fleet.Acquire
+	acquire := p.Acquire
+	if acquire == nil {
+		acquire = p.Fleet.Acquire
 	}
-	if target, ok := take(now, need); ok {
+	if target, ok := acquire(now, need); ok {
 		return Decision{Action: Admit, Target: target}
 	}
 	if p.Fleet.AllExcluded(need) {
@@ -116,28 +116,28 @@
 
 // Reject turns a stream away, with a time to come back.
 func (p *Placer) Reject(s Stream) Decision {
-	return Decision{Action: RetryLater, RetryAfter: p.away(s.MaxRetryAfter)}
+	return Decision{Action: RetryLater, RetryAfter: p.retryAfter(s.MaxRetryAfter)}
 }
 
-// readTime is how long the prompts on an engine may take that is chosen now: a part of the aim, and no more than is left
+// prefillBudget is how long the prompts on an engine may take that is chosen now: a part of the aim, and no more than is left
 // of it after the wait.
-func (s *Stream) readTime(now time.Time) time.Duration {
+func (s *Stream) prefillBudget(now time.Time) time.Duration {
 	if s.IsRetry {
-		return time.Duration(readShare * float64(s.Objective))
+		return time.Duration(prefillShare * float64(s.Objective))
 	}
-	left := time.Duration(leftShare*float64(s.Objective)) - now.Sub(s.Arrived)
-	return max(1, min(time.Duration(readShare*float64(s.Objective)), left))
+	left := time.Duration(prefillDeadlineShare*float64(s.Objective)) - now.Sub(s.Arrived)
+	return max(1, min(time.Duration(prefillShare*float64(s.Objective)), left))
 }
 
-// away is how long a stream that found no room should stay away. Engines stay full for seconds, and callers must not all
+// retryAfter is how long a stream that found no room should stay away. Engines stay full for seconds, and callers must not all
 // come back at once: the time is drawn from all that they keep to.
-func (p *Placer) away(keeps time.Duration) time.Duration {
-	if keeps <= awayMin {
-		return keeps
+func (p *Placer) retryAfter(maxRetryAfter time.Duration) time.Duration {
+	if maxRetryAfter <= minRetryAfter {
+		return maxRetryAfter
 	}
 	random := p.Random
 	if random == nil {
 		random = rand.Int64N
 	}
-	return awayMin + time.Duration(random(int64(keeps-awayMin)))
+	return minRetryAfter + time.Duration(random(int64(maxRetryAfter-minRetryAfter)))
 }
--- a/lib/admit/admit_test.go
+++ b/lib/admit/admit_test.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-func placerOf(kv int, ids ...string) Placer {
+func newTestPlacer(kv int, ids ...string) Placer {
 	f := fleet.New("z")
 	f.SetSpecs(map[string]fleet.Spec{service: {KVTokens: kv}})
 	for _, id := range ids {
@@ -18,23 +18,23 @@
 	return Placer{Fleet: f, Prefill: new(PrefillRates)}
 }
 
-func streamOf(aim time.Duration) Stream {
-	return Stream{Arrived: start, Objective: aim, MaxRetryAfter: keeps, Need: fleet.Need{
+func newTestStream(aim time.Duration) Stream {
+	return Stream{Arrived: start, Objective: aim, MaxRetryAfter: maxRetryAfter, Need: fleet.Need{
 		Service: service, Tokens: 500, Unread: 500, Peak: fleet.Size{Held: 500},
 	}}
 }
 
 // A stream waits for room, then is told to come back within what its caller keeps to; it never waits its whole time out.
-func TestWaitsThenIsToldToComeBack(t *testing.T) {
-	p := placerOf(1000, "e")
+func TestWaitsThenIsRejectedWithRetryAfter(t *testing.T) {
+	p := newTestPlacer(1000, "e")
 	p.Fleet.SetPeerLoad(start, "peer", nil, map[string][]fleet.Size{"e": {{Held: 900}}})
-	s := streamOf(time.Second)
+	s := newTestStream(time.Second)
 	must.Eq(t, Wait, p.Step(start, s).Action)
 	must.Eq(t, Wait, p.Step(start.Add(599*time.Millisecond), s).Action)
 	for range 20 {
 		d := p.Step(start.Add(600*time.Millisecond), s)
 		must.Eq(t, RetryLater, d.Action)
-		must.Between(t, awayMin, d.RetryAfter, keeps)
+		must.Between(t, minRetryAfter, d.RetryAfter, maxRetryAfter)
 	}
 	s.MaxRetryAfter = 400 * time.Millisecond
 	must.Eq(t, s.MaxRetryAfter, p.Step(start.Add(time.Second), s).RetryAfter)
@@ -42,10 +42,10 @@
 
 // A stream that came back is past its aim. It waits for three of them, but for no more than half of what its caller has left,
 // and prompts read before its own may take as long as for one that has just come.
-func TestWhoCameBackWaitsForLonger(t *testing.T) {
-	p := placerOf(1000, "e")
+func TestRetriedStreamWaitsLonger(t *testing.T) {
+	p := newTestPlacer(1000, "e")
 	p.Fleet.SetPeerLoad(start, "peer", nil, map[string][]fleet.Size{"e": {{Held: 900}}})
-	s := streamOf(time.Second)
+	s := newTestStream(time.Second)
 	s.IsRetry = true
 	must.Eq(t, Wait, p.Step(start.Add(2999*time.Millisecond), s).Action)
 	must.Eq(t, RetryLater, p.Step(start.Add(3*time.Second), s).Action)
@@ -57,25 +57,25 @@
 }
 
 // Engines stand free: the first look takes room, and nothing is refused or left to chance.
-func TestFreeEnginesAreTakenAtOnce(t *testing.T) {
+func TestFreeEnginesAdmitImmediately(t *testing.T) {
 	for range 20 {
-		p := placerOf(1000, "a", "b", "c")
-		must.Eq(t, Admit, p.Step(start, streamOf(time.Second)).Action)
+		p := newTestPlacer(1000, "a", "b", "c")
+		must.Eq(t, Admit, p.Step(start, newTestStream(time.Second)).Action)
 	}
 }
 
 // A route names no aim. Its streams can't be late: they are not refused for want of time, nor kept waiting for it.
-func TestNoAimIsNotAnAimOfZero(t *testing.T) {
-	p := placerOf(1000, "e")
+func TestNoObjectiveIsNotZeroObjective(t *testing.T) {
+	p := newTestPlacer(1000, "e")
 	p.Prefill.Observe(service, 100, time.Second)
 	p.Fleet.SetPeerLoad(start, "peer", map[string]fleet.Load{"e": {Runs: 1, Unread: 300}}, nil)
-	must.Eq(t, Admit, p.Step(start, streamOf(0)).Action)
+	must.Eq(t, Admit, p.Step(start, newTestStream(0)).Action)
 	p.Fleet.SetPeerLoad(start, "peer", nil, map[string][]fleet.Size{"e": {{Held: 900}}})
-	must.Eq(t, Fallback, p.Step(start, streamOf(0)).Action)
+	must.Eq(t, Fallback, p.Step(start, newTestStream(0)).Action)
 }
 
 // No engine is listed: an instance that was just started may know a list that still fills, and must not refuse.
-func TestNoEngineIsNotWantOfRoom(t *testing.T) {
-	p := placerOf(1000)
-	must.Eq(t, Fallback, p.Step(start.Add(time.Second), streamOf(time.Second)).Action)
+func TestNoEngineFallsBack(t *testing.T) {
+	p := newTestPlacer(1000)
+	must.Eq(t, Fallback, p.Step(start.Add(time.Second), newTestStream(time.Second)).Action)
 }
--- a/lib/admit/bench_test.go
+++ b/lib/admit/bench_test.go
@@ -26,11 +26,11 @@
 		f.SetPeerLoad(now, fmt.Sprintf("i%d", i), loads, sizes)
 	}
 	p := Placer{Fleet: f, Prefill: new(PrefillRates)}
-	s := Stream{Arrived: now, Objective: 1800 * time.Millisecond, MaxRetryAfter: keeps, Need: fleet.Need{
+	stream := Stream{Arrived: now, Objective: 1800 * time.Millisecond, MaxRetryAfter: maxRetryAfter, Need: fleet.Need{
 		Service: service, Tokens: 3200, Unread: 3000, Peak: fleet.Size{Held: 3000, Remaining: 400},
 	}}
 	for b.Loop() {
-		if d := p.Step(now, s); d.Action == Admit {
+		if d := p.Step(now, stream); d.Action == Admit {
 			f.Release(now, d.Target.ID, fleet.Load{Tokens: 3200, Unread: 3000}, fleet.Served)
 		}
 	}
--- a/lib/admit/common_test.go
+++ b/lib/admit/common_test.go
@@ -5,8 +5,8 @@
 const (
 	service = "engine"
 	kv      = 22_000
-	// keeps is the longest time to stay away that callers keep to.
-	keeps = 12 * time.Second
+	// maxRetryAfter is the longest time to stay away that callers keep to.
+	maxRetryAfter = 12 * time.Second
 )
 
 var start = time.Unix(1_000_000, 0)
--- a/lib/admit/reading.go
+++ b/lib/admit/reading.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// readStep is how far one sample moves what is learnt, as a part of it: the last fifty or so count.
-const readStep = 0.05
+// rateStep is how far one sample moves what is learnt, as a part of it: the last fifty or so count.
+const rateStep = 0.05
 
 // PrefillRates learns how long the engines of each service take to read a token of a prompt, from the first events of streams
 // and what was believed to wait on their engines. The median is followed: some first events wait for memory, too, and a
 // mean would take their time for reading. The zero value is ready for use.
 type PrefillRates struct {
-	mu sync.Mutex
-	of map[string]float64 // nanoseconds a token, by service
+	mu         sync.Mutex
+	nsPerToken map[string]float64 // nanoseconds a token, by service
 }
 
 // Observe takes in that the first event came after d on an engine with so many tokens to read.
@@ -21,20 +21,20 @@
 	if unread <= 0 || d <= 0 {
 		return
 	}
-	each := float64(d) / float64(unread)
+	perToken := float64(d) / float64(unread)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, known := s.of[service]
+	old, known := s.nsPerToken[service]
 	switch {
 	case !known:
-		if s.of == nil {
-			s.of = make(map[string]float64)
+		if s.nsPerToken == nil {
+			s.nsPerToken = make(map[string]float64)
 		}
-		s.of[service] = each
-	case each > old:
-		s.of[service] = old * (1 + readStep)
+		s.nsPerToken[service] = perToken
+	case perToken > old:
+		s.nsPerToken[service] = old * (1 + rateStep)
 	default:
-		s.of[service] = old * (1 - readStep)
+		s.nsPerToken[service] = old * (1 - rateStep)
 	}
 }
 
@@ -42,9 +42,9 @@
 func (s *PrefillRates) TokensWithin(service string, d time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	each := s.of[service]
-	if each <= 0 {
+	perToken := s.nsPerToken[service]
+	if perToken <= 0 {
 		return 0
 	}
-	return max(1, int(float64(d)/each))
+	return max(1, int(float64(d)/perToken))
 }
--- a/lib/admit/reading_test.go
+++ b/lib/admit/reading_test.go
@@ -8,7 +8,7 @@
 )
 
 // One first event in four waits seconds for memory. What is learnt is the time of reading: the median is not drawn up.
-func TestReadingsFollowTheMedian(t *testing.T) {
+func TestPrefillRatesFollowMedian(t *testing.T) {
 	var r PrefillRates
 	must.Eq(t, 0, r.TokensWithin("s", time.Second)) // nothing is known: nothing is bounded
 	for i := range 400 {
--- a/lib/fleet/choose.go
+++ b/lib/fleet/choose.go
@@ -4,24 +4,24 @@
 
 // Constants of the choice. Scores are in units of a full target.
 const (
-	// failStep is the weight of one outcome in the share of failures: about the last ten requests count.
-	failStep = 0.1
-	// failFree is the share of failures that is borne as the callers' own: some requests fail wherever they run.
-	failFree = 0.25
-	// failCost is the score of a target that fails everything, beyond failFree.
-	failCost = 3.0
-	// awayCost is the score of another failure domain: bytes between domains cost, but less than waiting.
-	awayCost = 0.04
-	// reportLife is how long a report of load is believed.
-	reportLife = 400 * time.Millisecond
-	// avoidFirst and avoidMax bound how long a target that could not be reached gets nothing.
-	avoidFirst = 250 * time.Millisecond
-	avoidMax   = 2 * time.Second
+	// failureWeight is the weight of one outcome in the share of failures: about the last ten requests count.
+	failureWeight = 0.1
+	// toleratedFailures is the share of failures that is borne as the callers' own: some requests fail wherever they run.
+	toleratedFailures = 0.25
+	// failureCost is the score of a target that fails everything, beyond failFree.
+	failureCost = 3.0
+	// crossDomainCost is the score of another failure domain: bytes between domains cost, but less than waiting.
+	crossDomainCost = 0.04
+	// reportTTL is how long a report of load is believed.
+	reportTTL = 400 * time.Millisecond
+	// avoidMin and avoidMax bound how long a target that could not be reached gets nothing.
+	avoidMin = 250 * time.Millisecond
+	avoidMax = 2 * time.Second
 	// OutageGrace is how long an entry that lapsed while the store was away is still believed: entries of targets that
 	// live are back within about two seconds of the store's return.
 	OutageGrace = 2 * time.Second
-	// peerLife is how long a peer's news of its sends is believed.
-	peerLife = 1500 * time.Millisecond
+	// peerTTL is how long a peer's news of its sends is believed.
+	peerTTL = 1500 * time.Millisecond
 	// jitter keeps instances that believe the same from choosing the same target.
 	jitter = 0.02
 	// minConns is the number of connections that an instance may hold to a target however many instances there are.
@@ -61,7 +61,7 @@
 		return Info{}, false
 	}
 	f.countPaced(now, best, &n)
-	best.own.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
+	best.local.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
 	return best.Info, true
 }
 
@@ -87,7 +87,7 @@
 		return Info{}, false
 	}
 	f.countPaced(now, t, &n)
-	t.own.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
+	t.local.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
 	return t.Info, true
 }
 
@@ -120,32 +120,32 @@
 // call.
 func (f *Fleet) among(service string, ids []string) []*Target {
 	if ids == nil {
-		return f.index.of(service)
+		return f.index.targetsOf(service)
 	}
-	f.named = f.named[:0]
+	f.amongBuf = f.amongBuf[:0]
 	for _, id := range ids {
 		if t := f.targets[id]; t != nil {
-			f.named = append(f.named, t)
+			f.amongBuf = append(f.amongBuf, t)
 		}
 	}
-	return f.named
+	return f.amongBuf
 }
 
 func (f *Fleet) allowed(now time.Time, t *Target, n Need) bool {
 	switch {
-	case t.Service != n.Service, n.Exclude[t.ID], !f.takes(t), t.isGranted() && !n.Granted && !n.FoundByOwner:
+	case t.Service != n.Service, n.Exclude[t.ID], !f.accepts(t), t.isGranted() && !n.Granted && !n.FoundByOwner:
 		return false
-	case !n.asOwner && now.Before(t.restUntil):
+	case !n.asOwner && now.Before(t.backoffUntil):
 		return false
-	case !f.within(t, n.Regions), !f.paceAllows(now, t, &n):
+	case !f.inRegions(t, n.Regions), !f.paceAllows(now, t, &n):
 		return false
 	}
 	spec := f.specs[t.Service]
-	if spec.ConnCap > 0 && float64(t.own.Runs) >= max(minConns, f.share*float64(spec.ConnCap)) {
+	if spec.ConnCap > 0 && float64(t.local.Runs) >= max(minConns, f.share*float64(spec.ConnCap)) {
 		return false
 	}
 	if n.RequireMemory && n.MaxUnread > 0 {
-		if unread := f.carried(t).Unread; unread > 0 && unread+n.Unread > n.MaxUnread {
+		if unread := f.totalLoad(t).Unread; unread > 0 && unread+n.Unread > n.MaxUnread {
 			return false
 		}
 	}
@@ -153,7 +153,7 @@
 		return f.fits(t, n.Peak, spec.KVTokens)
 	}
 	if n.RequireMemory && spec.KVTokens > 0 {
-		return f.carried(t).Tokens+n.Tokens <= spec.KVTokens
+		return f.totalLoad(t).Tokens+n.Tokens <= spec.KVTokens
 	}
 	return true
 }
@@ -185,20 +185,20 @@
 	Relayed bool          // another instance heard it
 }
 
-// passedMost bounds the targets that a Belief names.
-const passedMost = 6
+// maxSkipped bounds the targets that a Belief names.
+const maxSkipped = 6
 
-// passedFor is how long after its word a target that leaves is named.
-const passedFor = 5 * time.Second
+// leavingShownFor is how long after its word a target that leaves is named.
+const leavingShownFor = 5 * time.Second
 
-// passed tells whether a target gets nothing now because of what it said.
-func (t *Target) passed(now time.Time) (SkippedTarget, bool) {
+// skipReason tells whether a target gets nothing now because of what it said.
+func (t *Target) skipReason(now time.Time) (SkippedTarget, bool) {
 	p := SkippedTarget{ID: t.ID}
 	switch {
-	case t.state == Leaving && now.Sub(t.leavingAt) < passedFor:
-		p.Reason, p.Age = SkipLeaving, now.Sub(t.leavingAt)
-	case t.state != Leaving && now.Before(t.restUntil):
-		p.Reason, p.Age = SkipBackoff, now.Sub(t.restFrom)
+	case t.state == Leaving && now.Sub(t.leftAt) < leavingShownFor:
+		p.Reason, p.Age = SkipLeaving, now.Sub(t.leftAt)
+	case t.state != Leaving && now.Before(t.backoffUntil):
+		p.Reason, p.Age = SkipBackoff, now.Sub(t.backoffSince)
 	case t.state != Leaving && t.limit.On && now.Before(t.pacer.holdOff):
 		p.Reason, p.Age, p.Relayed = SkipLimit, now.Sub(t.limit.ReceivedAt), t.limit.Relayed
 	}
@@ -213,56 +213,56 @@
 	if t == nil {
 		return KnownState{}
 	}
-	b := KnownState{Load: f.carried(t), Peers: len(f.peers)}
+	state := KnownState{Load: f.totalLoad(t), Peers: len(f.peers)}
 	for _, p := range f.peers {
-		b.OldestUpdate = max(b.OldestUpdate, now.Sub(p.at))
+		state.OldestUpdate = max(state.OldestUpdate, now.Sub(p.receivedAt))
 	}
 	for domain, n := range f.index.services[t.Service].ready {
 		if !f.evacuated[domain] {
-			b.ReadyTargets += n
+			state.ReadyTargets += n
 		}
 	}
-	pass := func(other *Target) bool {
-		if p, ok := other.passed(now); ok && other.Service == t.Service {
-			b.Skipped = append(b.Skipped, p)
+	addSkipped := func(other *Target) bool {
+		if p, ok := other.skipReason(now); ok && other.Service == t.Service {
+			state.Skipped = append(state.Skipped, p)
 		}
-		return len(b.Skipped) < passedMost
+		return len(state.Skipped) < maxSkipped
 	}
-	f.index.leftSince(now.Add(-passedFor), pass)
-	for _, other := range f.index.worded {
-		if len(b.Skipped) >= passedMost || !pass(other) {
+	f.index.leftSince(now.Add(-leavingShownFor), addSkipped)
+	for _, other := range f.index.signalled {
+		if len(state.Skipped) >= maxSkipped || !addSkipped(other) {
 			break
 		}
 	}
-	return b
+	return state
 }
 
-// carried is the load of all instances, as far as this one knows.
-func (f *Fleet) carried(t *Target) Load {
-	sum := t.own
-	sum.add(f.toldOf(t).load)
+// totalLoad is the load of all instances, as far as this one knows.
+func (f *Fleet) totalLoad(t *Target) Load {
+	sum := t.local
+	sum.add(f.peerTotal(t).load)
 	return sum
 }
 
 func (f *Fleet) score(now time.Time, t *Target, n Need) float64 {
-	load := f.carried(t)
-	s := failCost*max(0, t.failing(now)-failFree) + jitter*f.random()
-	if kv := f.specs[t.Service].KVTokens; kv > 0 {
-		s += (float64(load.Tokens+n.Tokens) + unreadWeight*float64(load.Unread)) / float64(kv)
-		s += runWeight * float64(load.Runs)
+	load := f.totalLoad(t)
+	score := failureCost*max(0, t.failureEstimate(now)-toleratedFailures) + jitter*f.random()
+	if memory := f.specs[t.Service].KVTokens; memory > 0 {
+		score += (float64(load.Tokens+n.Tokens) + unreadWeight*float64(load.Unread)) / float64(memory)
+		score += runWeight * float64(load.Runs)
 	} else {
 		busy := float64(load.Runs)
-		if now.Sub(t.reportedAt) < reportLife {
-			busy = max(busy, t.reported)
+		if now.Sub(t.reportedAt) < reportTTL {
+			busy = max(busy, t.reportedLoad)
 		}
-		s += busy / float64(max(1, t.Slots))
+		score += busy / float64(max(1, t.Slots))
 	}
-	near := n.PreferredDomain
-	if near == "" {
-		near = f.domain
+	preferred := n.PreferredDomain
+	if preferred == "" {
+		preferred = f.domain
 	}
-	if t.Domain != near {
-		s += max(awayCost, n.CrossDomainCost)
+	if t.Domain != preferred {
+		score += max(crossDomainCost, n.CrossDomainCost)
 	}
-	return s
+	return score
 }
--- a/lib/fleet/fleet.go
+++ b/lib/fleet/fleet.go
@@ -42,28 +42,28 @@
 // Target is one target. Its fields are the fleet's; read them through the methods of Fleet.
 type Target struct {
 	Info
-	state      State
-	leavingAt  time.Time
-	presumed   bool // it is taken as gone since its entry was missing: nobody has said that it leaves
-	own        Load
-	fails      float64 // decayed share of this instance's requests that the target failed
-	avoidUntil time.Time
-	avoidStep  time.Duration
-	reported   float64 // requests running and waiting, as its last answer told
-	reportedAt time.Time
-	heard      time.Time // when anything last came from it, to this instance or a peer
-	restFrom   time.Time // when it said so
-	restUntil  time.Time // it wants nothing from this instance until then
-	listed     bool      // the list has an entry of it
-	missing    time.Time // since when a list read after an outage has not had it; zero: it is listed
-	told       told      // what peers carry there
-	unreadable bool      // its entry names no target; until it has written another
-	grantedAt  time.Time // when an owner last named it; zero: it is one of those that this instance holds
-	coldUntil  time.Time // it is slow after its start until then
-	pacer      pacer
-	suspect    suspicion
-	limit      LimitNotice
-	seat       seat
+	state        State
+	leftAt       time.Time
+	presumedGone bool // it is taken as gone since its entry was missing: nobody has said that it leaves
+	local        Load
+	failureShare float64 // decayed share of this instance's requests that the target failed
+	avoidUntil   time.Time
+	avoidStep    time.Duration
+	reportedLoad float64 // requests running and waiting, as its last answer told
+	reportedAt   time.Time
+	lastContact  time.Time // when anything last came from it, to this instance or a peer
+	backoffSince time.Time // when it said so
+	backoffUntil time.Time // it wants nothing from this instance until then
+	listed       bool      // the list has an entry of it
+	missingSince time.Time // since when a list read after an outage has not had it; zero: it is listed
+	peers        peerTotal // what peers carry there
+	unreadable   bool      // its entry names no target; until it has written another
+	grantedAt    time.Time // when an owner last named it; zero: it is one of those that this instance holds
+	coldUntil    time.Time // it is slow after its start until then
+	pacer        pacer
+	suspicion    suspicion
+	limit        LimitNotice
+	listing      indexEntry
 }
 
 // Load is what a target carries.
@@ -83,28 +83,28 @@
 type Fleet struct {
 	domain string
 
-	mu      sync.Mutex
-	targets map[string]*Target
-	index   index
-	random  func() float64
-	peers   map[string]*peer
-	specs   map[string]Spec // by service
-	born    time.Time       // when the list was first read
-	share   float64         // this instance's part of a target's connections
-	sizes   func(target string) []Size
-
-	part      bool              // it knows a part of the list only
+	mu           sync.Mutex
+	targets      map[string]*Target
+	index        index
+	random       func() float64
+	peers        map[string]*peer
+	specs        map[string]Spec // by service
+	firstApplied time.Time       // when the list was first read
+	share        float64         // this instance's part of a target's connections
+	sizes        func(target string) []Size
+
+	partial   bool              // it knows a part of the list only
 	evacuated map[string]bool   // failure domains whose targets get nothing new
 	regions   map[string]string // of failure domains
 	senders   func(target string, n int) bool
 
-	named []*Target // of the last call of among
+	amongBuf []*Target // of the last call of among
 }
 
 type peer struct {
-	loads map[string]Load
-	sizes map[string][]Size
-	at    time.Time
+	loads      map[string]Load
+	sizes      map[string][]Size
+	receivedAt time.Time
 }
 
 // New returns an empty fleet of an instance in domain.
@@ -133,7 +133,7 @@
 		if spec.KVTokens == 0 {
 			continue
 		}
-		for _, t := range f.index.of(service) {
+		for _, t := range f.index.targetsOf(service) {
 			if t.state == in {
 				out = append(out, t.Info)
 			}
@@ -188,9 +188,9 @@
 func (f *Fleet) SetPeerLoad(now time.Time, name string, loads map[string]Load, sizes map[string][]Size) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.peers[name].forgetTold(f.targets)
-	p := &peer{loads: loads, sizes: sizes, at: now}
-	p.forgetTold(f.targets)
+	f.peers[name].invalidateTotals(f.targets)
+	p := &peer{loads: loads, sizes: sizes, receivedAt: now}
+	p.invalidateTotals(f.targets)
 	f.peers[name] = p
 }
 
@@ -200,8 +200,8 @@
 	defer f.mu.Unlock()
 	out := make(map[string]Load)
 	for id, t := range f.targets {
-		if t.own.Runs > 0 {
-			out[id] = t.own
+		if t.local.Runs > 0 {
+			out[id] = t.local
 		}
 	}
 	return out
@@ -225,8 +225,8 @@
 	return s.Accepting > 0 && s.Limited+s.InBackoff == s.Accepting && !s.Partial
 }
 
-// block counts a target that takes requests, but none from this instance for some time.
-func (s *Availability) block(count *int, wait time.Duration) {
+// countBlocked counts a target that takes requests, but none from this instance for some time.
+func (s *Availability) countBlocked(count *int, wait time.Duration) {
 	if s.Limited+s.InBackoff == 0 || wait < s.RetryAfter {
 		s.RetryAfter = wait
 	}
@@ -237,11 +237,11 @@
 func (f *Fleet) Availability(now time.Time, n Need) Availability {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := Availability{Partial: f.part && f.specs[n.Service].KVTokens > 0}
-	for _, t := range f.index.of(n.Service) {
+	out := Availability{Partial: f.partial && f.specs[n.Service].KVTokens > 0}
+	for _, t := range f.index.targetsOf(n.Service) {
 		switch {
 		case t.state != Ready || t.unreadable:
-		case !f.within(t, n.Regions):
+		case !f.inRegions(t, n.Regions):
 			out.OutOfRegion++
 		case f.evacuated[t.Domain]:
 			out.Evacuated++
@@ -250,12 +250,12 @@
 			if f.isCold(now, t) {
 				out.Cold++
 			}
-			rest, holdOff := t.restUntil.Sub(now), t.pacer.holdOff.Sub(now)
+			backoff, holdOff := t.backoffUntil.Sub(now), t.pacer.holdOff.Sub(now)
 			switch {
-			case rest > 0:
-				out.block(&out.InBackoff, rest)
+			case backoff > 0:
+				out.countBlocked(&out.InBackoff, backoff)
 			case t.limit.On && holdOff > 0:
-				out.block(&out.Limited, holdOff)
+				out.countBlocked(&out.Limited, holdOff)
 			}
 		}
 	}
@@ -275,7 +275,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
-	return t != nil && t.presumed
+	return t != nil && t.presumedGone
 }
 
 // AddLoad changes what a request counts for at its target.
@@ -283,7 +283,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
-		t.own.add(by)
+		t.local.add(by)
 	}
 }
 
@@ -292,7 +292,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
-		t.reported = float64(running + waiting)
+		t.reportedLoad = float64(running + waiting)
 		t.reportedAt = now
 	}
 }
@@ -301,8 +301,8 @@
 func (f *Fleet) RecordContact(at time.Time, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if t := f.targets[id]; t != nil && at.After(t.heard) {
-		t.heard = at
+	if t := f.targets[id]; t != nil && at.After(t.lastContact) {
+		t.lastContact = at
 	}
 }
 
@@ -311,7 +311,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
-		return t.heard
+		return t.lastContact
 	}
 	return time.Time{}
 }
--- a/lib/fleet/fleet_test.go
+++ b/lib/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-func engines(n int) *Fleet {
+func newEngineFleet(n int) *Fleet {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000, ConnCap: 100}, "plain": {ConnCap: 10}})
 	for i := range n {
@@ -21,22 +21,22 @@
 
 // Instances that each choose by their own sends alone all take the engine that looks idle. Told of each other's runs,
 // they spread.
-func TestPeersLoadCounts(t *testing.T) {
-	f := engines(2)
+func TestPeerLoadIsCounted(t *testing.T) {
+	f := newEngineFleet(2)
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Runs: 2, Tokens: 6000}}, nil)
 	for range 3 {
 		got, ok := f.Acquire(t0, Need{Service: "engine", Tokens: 1000})
 		must.True(t, ok)
 		must.Eq(t, "e1", got.ID)
 	}
-	f.Tick(t0.Add(peerLife + time.Second))
+	f.Tick(t0.Add(peerTTL + time.Second))
 	got, _ := f.Acquire(t0, Need{Service: "engine", Tokens: 1000})
 	must.Eq(t, "e0", got.ID) // old news is not believed
 }
 
 // A prompt that waits to be read delays a new one more than the same tokens at rest.
-func TestUnreadPromptsCount(t *testing.T) {
-	f := engines(2)
+func TestUnreadPromptsWeighMore(t *testing.T) {
+	f := newEngineFleet(2)
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Runs: 1, Tokens: 3000, Unread: 3000}, "e1": {Runs: 1, Tokens: 4000}}, nil)
 	got, _ := f.Acquire(t0, Need{Service: "engine", Tokens: 1000, Unread: 1000})
 	must.Eq(t, "e1", got.ID)
@@ -45,7 +45,7 @@
 // A target that leaves gets nothing new. A stale entry that calls it ready again doesn't bring it back, and its leaving
 // is told once.
 func TestLeavingIsFinal(t *testing.T) {
-	f := engines(1)
+	f := newEngineFleet(1)
 	e := Info{ID: "e0", Service: "engine", Leaving: true}
 	must.Len(t, 1, f.Apply(t0, []Info{e}, nil, 0).Leaving)
 	e.Leaving = false
@@ -58,8 +58,8 @@
 
 // Entries lapse while the store is away. The targets are believed for a grace, are back unharmed when their entries
 // return, and are taken as gone when these don't.
-func TestLapsedEntries(t *testing.T) {
-	f := engines(2)
+func TestLapsedEntriesKeptForGrace(t *testing.T) {
+	f := newEngineFleet(2)
 	ch := f.Apply(t0, nil, []string{"e0", "e1"}, 5*time.Second)
 	must.Len(t, 0, ch.Leaving)
 	f.Apply(t0.Add(time.Second), []Info{{ID: "e0", Service: "engine"}}, nil, 0)
@@ -72,7 +72,7 @@
 
 // A target was taken as gone since its entry was missing for too long. Its entry comes back, so it lives and is used again; others are not
 // told that it left. One that has said that it leaves stays so.
-func TestTargetThatWasPresumedGoneComesBack(t *testing.T) {
+func TestPresumedGoneTargetReturns(t *testing.T) {
 	for name, gone := range map[string]func(f *Fleet) Change{
 		"after an outage": func(f *Fleet) Change {
 			f.Apply(t0, nil, []string{"e0"}, 5*time.Second)
@@ -80,7 +80,7 @@
 		},
 		"after a copy": func(f *Fleet) Change { return f.PresumeGone(t0, []string{"e0"}) },
 	} {
-		f := engines(1)
+		f := newEngineFleet(1)
 		ch := gone(f)
 		must.Len(t, 1, ch.Leaving, must.Sprint(name))
 		must.SliceEmpty(t, f.LeftSince(t0.Add(-time.Second)))
@@ -97,7 +97,7 @@
 }
 
 // One instance must not use up the connections that a target accepts from all.
-func TestConnectionsAreShared(t *testing.T) {
+func TestConnectionCapIsShared(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"plain": {ConnCap: 10}})
 	f.SetShare(0.3)
@@ -112,8 +112,8 @@
 }
 
 // A target that can't be reached gets nothing for a while, but is better than a refusal when all are so.
-func TestUnreachableTargetsRest(t *testing.T) {
-	f := engines(2)
+func TestUnreachableTargetIsAvoided(t *testing.T) {
+	f := newEngineFleet(2)
 	got, _ := f.Acquire(t0, Need{Service: "engine"})
 	f.Release(t0, got.ID, Load{}, Unreachable)
 	for range 5 {
@@ -148,8 +148,8 @@
 }
 
 // Copies of runs take memory that nobody else needs, or none.
-func TestSpareLeavesRoom(t *testing.T) {
-	f := engines(2)
+func TestCopyLeavesMinimumFree(t *testing.T) {
+	f := newEngineFleet(2)
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Tokens: 2000}, "e1": {Tokens: 5000}}, nil)
 	got, ok := f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 1000}, "", 0.5)
 	must.True(t, ok)
@@ -160,7 +160,7 @@
 
 // A peer tells late that a target has left, when this instance has already read of its next life under the same id. The
 // news is of the earlier life; taken for the new one it would keep that out for as long as it lives.
-func TestLateNewsOfAnEarlierLife(t *testing.T) {
+func TestStaleLeaveOfEarlierIncarnation(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}})
 	entry := Info{ID: "e", Service: "engine", Born: 100}
@@ -176,7 +176,7 @@
 
 // The list is away when an engine starts again. Its own report tells the new life: what ran on the one before is broken,
 // once, and a report that names the same life or none changes nothing.
-func TestReportOfANewLife(t *testing.T) {
+func TestReportOfNewIncarnation(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "e", Service: "engine", Born: 100}}, nil, 0)
 	must.Len(t, 0, f.MarkRestarted(t0, "e", 0).Restarted)
@@ -188,7 +188,7 @@
 
 // What peers carry is added up once and kept. It follows their news, the news that stops, and a target that is listed
 // only after they told of it.
-func TestSumsFollowPeersNews(t *testing.T) {
+func TestPeerTotalsFollowUpdates(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}})
 	tokens := func() int { return f.KnownState(t0, "e").Load.Tokens }
@@ -197,23 +197,23 @@
 	must.Eq(t, 100, tokens())
 	f.SetPeerLoad(t0, "b", map[string]Load{"e": {Tokens: 50}}, nil)
 	must.Eq(t, 150, tokens())
-	f.SetPeerLoad(t0.Add(peerLife), "a", map[string]Load{"other": {Tokens: 7}}, nil)
+	f.SetPeerLoad(t0.Add(peerTTL), "a", map[string]Load{"other": {Tokens: 7}}, nil)
 	must.Eq(t, 50, tokens())
-	f.Tick(t0.Add(peerLife + time.Second))
+	f.Tick(t0.Add(peerTTL + time.Second))
 	must.Eq(t, 0, tokens())
 }
 
 // A target has said that it leaves, and for longer than it is remembered otherwise the list can't be read, or goes on saying ready. Read
 // again, the old entry does not bring it back.
-func TestTargetThatLeftIsNotTakenForANewOne(t *testing.T) {
+func TestLeftTargetIsNotReadded(t *testing.T) {
 	f := New("z1")
 	entry := []Info{{ID: "t", Service: "s", Slots: 6}}
 	f.Apply(t0, entry, nil, 0)
 	must.SliceNotEmpty(t, f.MarkLeaving(t0, "t", 0).Leaving)
-	f.Tick(t0.Add(2 * goneAfter))
-	f.Apply(t0.Add(2*goneAfter), entry, nil, 0)
-	_, ok := f.Acquire(t0.Add(2*goneAfter), Need{Service: "s"})
+	f.Tick(t0.Add(2 * forgetAfter))
+	f.Apply(t0.Add(2*forgetAfter), entry, nil, 0)
+	_, ok := f.Acquire(t0.Add(2*forgetAfter), Need{Service: "s"})
 	must.False(t, ok)
-	f.Apply(t0.Add(2*goneAfter), nil, []string{"t"}, 0)
-	must.SliceNotEmpty(t, f.Tick(t0.Add(2*goneAfter+time.Second)).Gone)
+	f.Apply(t0.Add(2*forgetAfter), nil, []string{"t"}, 0)
+	must.SliceNotEmpty(t, f.Tick(t0.Add(2*forgetAfter+time.Second)).Gone)
 }
--- a/lib/fleet/grant.go
+++ b/lib/fleet/grant.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// grantedFor is how long a target that an owner has named is held without a request of this instance there.
-const grantedFor = 10 * time.Second
+// grantTTL is how long a target that an owner has named is held without a request of this instance there.
+const grantTTL = 10 * time.Second
 
 // isGranted reports whether a target is held only for what owners have sent there. It is chosen by nobody else.
 func (t *Target) isGranted() bool { return !t.grantedAt.IsZero() }
@@ -18,12 +18,12 @@
 	case t == nil:
 		t = &Target{Info: e, state: Ready, grantedAt: now}
 		f.targets[e.ID] = t
-		f.index.place(t)
+		f.index.update(t)
 	case t.Born != 0 && e.Born > t.Born:
 		t.restart()
 		ch.Restarted = append(ch.Restarted, e)
 		t.Info = e
-		f.index.place(t)
+		f.index.update(t)
 	}
 	if t.isGranted() {
 		t.grantedAt = now
@@ -42,13 +42,13 @@
 			continue
 		}
 		ch.Dropped = append(ch.Dropped, t.Info)
-		if t.own == (Load{}) {
+		if t.local == (Load{}) {
 			f.forget(t)
 			continue
 		}
 		f.index.unlist(t)
-		t.listed, t.missing, t.grantedAt = false, time.Time{}, now
-		f.index.place(t)
+		t.listed, t.missingSince, t.grantedAt = false, time.Time{}, now
+		f.index.update(t)
 	}
 	return ch
 }
@@ -57,7 +57,7 @@
 // as long as it does.
 func (f *Fleet) forgetGranted(now time.Time) {
 	for _, t := range f.index.granted {
-		if t.own == (Load{}) && t.state == Ready && now.Sub(t.grantedAt) > grantedFor && !now.Before(t.restUntil) {
+		if t.local == (Load{}) && t.state == Ready && now.Sub(t.grantedAt) > grantTTL && !now.Before(t.backoffUntil) {
 			f.forget(t)
 		}
 	}
@@ -67,5 +67,5 @@
 func (f *Fleet) SetPartial(part bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.part = part
+	f.partial = part
 }
--- a/lib/fleet/limit.go
+++ b/lib/fleet/limit.go
@@ -24,32 +24,32 @@
 	Relayed     bool      // another instance got the answer
 }
 
-// after reports whether a word holds in place of another.
+// supersedes reports whether a word holds in place of another.
 //
 // Answers on different connections overtake each other: of two that may have been made in any order the stricter one holds, until
 // the answer to a request that was sent after both.
-func (w *LimitNotice) after(old *LimitNotice) bool {
-	if w.RequestedAt.After(old.ReceivedAt) {
+func (n *LimitNotice) supersedes(old *LimitNotice) bool {
+	if n.RequestedAt.After(old.ReceivedAt) {
 		return true
 	}
-	return w.On && (!old.On || w.PerSecond < old.PerSecond)
+	return n.On && (!old.On || n.PerSecond < old.PerSecond)
 }
 
 // ApplyLimit takes in the word of an answer that this or another instance got. It reports whether that changes the limit.
-func (f *Fleet) ApplyLimit(id string, w LimitNotice) bool {
+func (f *Fleet) ApplyLimit(id string, n LimitNotice) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
-	if t == nil || w.ReceivedAt.IsZero() || !w.Valid() || !w.after(&t.limit) {
+	if t == nil || n.ReceivedAt.IsZero() || !n.Valid() || !n.supersedes(&t.limit) {
 		return false
 	}
-	changed := w.Limit != t.limit.Limit
+	changed := n.Limit != t.limit.Limit
 	if changed {
 		t.pacer.holdOff = time.Time{}
 	}
-	t.limit = w
-	if w.On {
-		f.index.worded[t.ID] = t
+	t.limit = n
+	if n.On {
+		f.index.signalled[t.ID] = t
 	}
 	return changed
 }
@@ -70,7 +70,7 @@
 	defer f.mu.Unlock()
 	for _, id := range ids {
 		t := f.targets[id]
-		if t == nil || !f.takes(t) {
+		if t == nil || !f.accepts(t) {
 			continue
 		}
 		if !t.limit.On {
@@ -93,7 +93,7 @@
 //
 // Load pattern: a target in need takes a few requests a second from all instances together, and each of them has requests for it. Shares
 // of so little are under one request for each and go unused where no request comes, so each request asks.
-func (f *Fleet) Permit(now time.Time, id, instance string, must bool) (p Permit, ok bool) {
+func (f *Fleet) Permit(now time.Time, id, instance string, force bool) (p Permit, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
@@ -104,28 +104,28 @@
 	if !paced {
 		return Permit{Granted: true}, true
 	}
-	l := f.ownerLimiter(now, t, pace)
-	if must {
-		l.ReserveN(now, 1)
+	limiter := f.ownerLimiter(now, t, pace)
+	if force {
+		limiter.ReserveN(now, 1)
 		return Permit{Granted: true}, true
 	}
-	if l.AllowN(now, 1) {
+	if limiter.AllowN(now, 1) {
 		delete(t.pacer.denied, instance)
 		return Permit{Granted: true}, true
 	}
-	next := (1 - l.TokensAt(now)) / pace
-	crowd := crowdPart * float64(t.pacer.deny(now, instance)) / pace
-	return Permit{RetryAfter: time.Duration((next + f.random()*crowd) * float64(time.Second))}, true
+	untilToken := (1 - limiter.TokensAt(now)) / pace
+	spread := contentionSpread * float64(t.pacer.recordDenied(now, instance)) / pace
+	return Permit{RetryAfter: time.Duration((untilToken + f.random()*spread) * float64(time.Second))}, true
 }
 
-// deny notes that an instance wants a permit, and returns how many do.
-func (p *pacer) deny(now time.Time, instance string) int {
+// recordDenied notes that an instance wants a permit, and returns how many do.
+func (p *pacer) recordDenied(now time.Time, instance string) int {
 	if p.denied == nil {
 		p.denied = make(map[string]time.Time)
 	}
 	p.denied[instance] = now
 	for name, at := range p.denied {
-		if now.Sub(at) > deniedFor {
+		if now.Sub(at) > deniedTTL {
 			delete(p.denied, name)
 		}
 	}
@@ -144,18 +144,18 @@
 	if !paced {
 		return Permit{Granted: true}
 	}
-	l := f.aloneLimiter(now, t, alonePart*pace, alonePart*pace)
+	limiter := f.localLimiter(now, t, noOwnerShare*pace, noOwnerShare*pace)
 	switch {
-	case l == nil:
-		return Permit{RetryAfter: aloneAgain}
-	case l.AllowN(now, 1):
+	case limiter == nil:
+		return Permit{RetryAfter: noShareRetryAfter}
+	case limiter.AllowN(now, 1):
 		return Permit{Granted: true}
 	}
-	return Permit{RetryAfter: time.Duration((1 - l.TokensAt(now)) / float64(l.Limit()) * float64(time.Second))}
+	return Permit{RetryAfter: time.Duration((1 - limiter.TokensAt(now)) / float64(limiter.Limit()) * float64(time.Second))}
 }
 
-// aloneAgain is when an instance without a part of its own asks an owner again.
-const aloneAgain = 500 * time.Millisecond
+// noShareRetryAfter is when an instance without a part of its own asks an owner again.
+const noShareRetryAfter = 500 * time.Millisecond
 
 // HoldOff notes that this instance gets no permit for a target for some time.
 func (f *Fleet) HoldOff(now time.Time, id string, after time.Duration) {
--- a/lib/fleet/list.go
+++ b/lib/fleet/list.go
@@ -11,18 +11,18 @@
 
 // Apply takes in entries of the list and the ids whose entries were removed. silent is how long the list could not be
 // read before. It returns what changed.
-func (f *Fleet) Apply(now time.Time, entries []Info, removed []string, silent time.Duration) Change {
+func (f *Fleet) Apply(now time.Time, entries []Info, removed []string, outage time.Duration) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.born.IsZero() {
-		f.born = now
+	if f.firstApplied.IsZero() {
+		f.firstApplied = now
 	}
 	var ch Change
 	for _, e := range entries {
 		f.upsert(now, e, &ch)
 	}
 	for _, id := range removed {
-		f.remove(now, id, silent, &ch)
+		f.remove(now, id, outage, &ch)
 	}
 	return ch
 }
@@ -39,8 +39,8 @@
 	case t.Born != 0 && e.Born > t.Born:
 		t.restart()
 		ch.Restarted = append(ch.Restarted, e)
-	case t.presumed && !e.Leaving:
-		t.state, t.presumed = Ready, false // it lives, and was late to write
+	case t.presumedGone && !e.Leaving:
+		t.state, t.presumedGone = Ready, false // it lives, and was late to write
 		ch.Added = append(ch.Added, e)
 	}
 	if t.isGranted() {
@@ -50,45 +50,45 @@
 	t.Info = e
 	t.listed = true
 	f.startCold(now, t, e.ColdFor)
-	t.missing = time.Time{}
+	t.missingSince = time.Time{}
 	t.unreadable = false
 	if e.Leaving {
-		f.leave(now, t, ch)
+		f.markLeaving(now, t, ch)
 	}
-	f.index.place(t)
+	f.index.update(t)
 }
 
 // restart forgets what was learnt of the life before. What this instance had sent there is released as it breaks.
 func (t *Target) restart() {
-	*t = Target{Info: t.Info, state: Ready, own: t.own, grantedAt: t.grantedAt, seat: t.seat}
+	*t = Target{Info: t.Info, state: Ready, local: t.local, grantedAt: t.grantedAt, listing: t.listing}
 }
 
-// leave is final for one life of a target: a stale entry that says ready doesn't bring it back.
-func (f *Fleet) leave(now time.Time, t *Target, ch *Change) {
-	t.presumed = false
+// markLeaving is final for one life of a target: a stale entry that says ready doesn't bring it back.
+func (f *Fleet) markLeaving(now time.Time, t *Target, ch *Change) {
+	t.presumedGone = false
 	if t.state == Leaving {
 		return
 	}
 	t.state = Leaving
-	t.leavingAt = now
+	t.leftAt = now
 	ch.Leaving = append(ch.Leaving, t.Info)
-	f.index.place(t)
+	f.index.update(t)
 }
 
-func (f *Fleet) remove(now time.Time, id string, silent time.Duration, ch *Change) {
+func (f *Fleet) remove(now time.Time, id string, outage time.Duration, ch *Change) {
 	t := f.targets[id]
 	if t == nil {
 		return
 	}
 	t.listed = false
-	if silent > 0 && t.state == Ready {
-		if t.missing.IsZero() {
-			t.missing = now
-			f.index.place(t)
+	if outage > 0 && t.state == Ready {
+		if t.missingSince.IsZero() {
+			t.missingSince = now
+			f.index.update(t)
 		}
 		return
 	}
-	f.leave(now, t, ch)
+	f.markLeaving(now, t, ch)
 }
 
 // PresumeGone takes targets as gone whose entries are missing, although nobody has said that they leave. One whose entry comes back is used
@@ -100,24 +100,24 @@
 	for _, id := range ids {
 		if t := f.targets[id]; t != nil {
 			t.listed = false
-			f.lapse(now, t, &ch)
+			f.presumeGone(now, t, &ch)
 		}
 	}
 	return ch
 }
 
-func (f *Fleet) lapse(now time.Time, t *Target, ch *Change) {
-	t.missing = time.Time{}
+func (f *Fleet) presumeGone(now time.Time, t *Target, ch *Change) {
+	t.missingSince = time.Time{}
 	if t.state == Ready {
-		f.leave(now, t, ch)
-		t.presumed = true
+		f.markLeaving(now, t, ch)
+		t.presumedGone = true
 	}
-	f.index.place(t)
+	f.index.update(t)
 }
 
-// goneAfter is how long a target that left is remembered, for runs that still end there. One that the list still has is remembered for
+// forgetAfter is how long a target that left is remembered, for runs that still end there. One that the list still has is remembered for
 // as long: forgotten, it would be taken for a new one as soon as the list is read again.
-const goneAfter = 30 * time.Second
+const forgetAfter = 30 * time.Second
 
 // Tick ends the grace of entries that have not come back and forgets targets that left long ago.
 func (f *Fleet) Tick(now time.Time) Change {
@@ -125,27 +125,27 @@
 	defer f.mu.Unlock()
 	var ch Change
 	for _, t := range f.index.missing {
-		if now.Sub(t.missing) > OutageGrace {
-			f.lapse(now, t, &ch)
+		if now.Sub(t.missingSince) > OutageGrace {
+			f.presumeGone(now, t, &ch)
 		}
 	}
 	f.forgetGranted(now)
-	f.index.leftBefore(now.Add(-goneAfter), func(t *Target) bool {
-		if t.listed || t.own.Runs > 0 {
+	f.index.leftBefore(now.Add(-forgetAfter), func(t *Target) bool {
+		if t.listed || t.local.Runs > 0 {
 			return false
 		}
 		f.forget(t)
 		ch.Gone = append(ch.Gone, t.Info)
 		return true
 	})
-	for id, t := range f.index.worded {
-		if !t.limit.On && !now.Before(t.restUntil) {
-			delete(f.index.worded, id)
+	for id, t := range f.index.signalled {
+		if !t.limit.On && !now.Before(t.backoffUntil) {
+			delete(f.index.signalled, id)
 		}
 	}
 	for name, p := range f.peers {
-		if now.Sub(p.at) > peerLife {
-			p.forgetTold(f.targets)
+		if now.Sub(p.receivedAt) > peerTTL {
+			p.invalidateTotals(f.targets)
 			delete(f.peers, name)
 		}
 	}
@@ -171,7 +171,7 @@
 	defer f.mu.Unlock()
 	var ch Change
 	if t := f.targets[id]; t != nil && (born == 0 || born >= t.Born) {
-		f.leave(now, t, &ch)
+		f.markLeaving(now, t, &ch)
 	}
 	return ch
 }
@@ -196,7 +196,7 @@
 	for _, id := range ids {
 		if t := f.targets[id]; t != nil {
 			t.unreadable = true
-			f.index.place(t)
+			f.index.update(t)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	defer f.mu.Unlock()
 	var out []LeftTarget
 	f.index.leftSince(at, func(t *Target) bool {
-		if !t.presumed {
+		if !t.presumedGone {
 			out = append(out, LeftTarget{ID: t.ID, Born: t.Born})
 		}
 		return true
@@ -229,5 +229,5 @@
 func (f *Fleet) Settling(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.born.IsZero() || now.Sub(f.born) < settleTime
+	return f.firstApplied.IsZero() || now.Sub(f.firstApplied) < settleTime
 }
--- a/lib/fleet/outcome.go
+++ b/lib/fleet/outcome.go
@@ -21,8 +21,8 @@
 	if t == nil {
 		return
 	}
-	t.own.add(Load{Runs: -1, Tokens: -l.Tokens, Unread: -l.Unread})
-	t.learn(now, o)
+	t.local.add(Load{Runs: -1, Tokens: -l.Tokens, Unread: -l.Unread})
+	t.recordOutcome(now, o)
 }
 
 // RecordOutcome takes in how a request of another instance ended.
@@ -30,20 +30,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
-		t.learn(now, o)
+		t.recordOutcome(now, o)
 	}
 }
 
-func (t *Target) learn(now time.Time, o Outcome) {
+func (t *Target) recordOutcome(now time.Time, o Outcome) {
 	switch o {
 	case Served:
-		t.fails -= failStep * t.fails
+		t.failureShare -= failureWeight * t.failureShare
 		t.avoidStep = 0
 	case Failed:
-		t.fails += failStep * (1 - t.fails)
+		t.failureShare += failureWeight * (1 - t.failureShare)
 	case Unreachable, Refused:
-		t.fails += failStep * (1 - t.fails)
-		t.avoidStep = min(max(2*t.avoidStep, avoidFirst), avoidMax)
+		t.failureShare += failureWeight * (1 - t.failureShare)
+		t.avoidStep = min(max(2*t.avoidStep, avoidMin), avoidMax)
 		t.avoidUntil = now.Add(t.avoidStep)
 	case Abandoned:
 	}
@@ -54,13 +54,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for _, t := range f.index.of(service) {
-		if now.Before(t.avoidUntil) || now.Before(t.restUntil) {
+	for _, t := range f.index.targetsOf(service) {
+		if now.Before(t.avoidUntil) || now.Before(t.backoffUntil) {
 			out = append(out, t.ID)
 		}
 	}
 	for _, t := range f.index.granted {
-		if t.Service == service && (now.Before(t.avoidUntil) || now.Before(t.restUntil)) {
+		if t.Service == service && (now.Before(t.avoidUntil) || now.Before(t.backoffUntil)) {
 			out = append(out, t.ID)
 		}
 	}
--- a/lib/fleet/pace.go
+++ b/lib/fleet/pace.go
@@ -12,24 +12,24 @@
 // No burst is under one request. What a target with a limit has left for a moment may be sent a little later, two requests at least, or
 // much of it would go unused.
 const (
-	ownerBurst = 0.2  // seconds of the pace
-	limitBurst = 0.4  // seconds of the limit
-	limitLeast = 2    // requests
-	alonePart  = 0.15 // of the pace
-	plainBurst = 0.5  // seconds of the pace
-	// trialPace is the least pace, in requests a second: only an answer shows that a limit of none has ended.
-	trialPace = 0.2
-	// deniedFor is how long an instance that was denied a permit is taken to want one.
-	deniedFor = 2 * time.Second
-	// crowdPart spreads the times told to instances that want permits: with half of one permit's time for each, about two ask for each
+	ownerBurst    = 0.2  // seconds of the pace
+	limitBurst    = 0.4  // seconds of the limit
+	limitMinBurst = 2    // requests
+	noOwnerShare  = 0.15 // of the pace
+	plainBurst    = 0.5  // seconds of the pace
+	// probePace is the least pace, in requests a second: only an answer shows that a limit of none has ended.
+	probePace = 0.2
+	// deniedTTL is how long an instance that was denied a permit is taken to want one.
+	deniedTTL = 2 * time.Second
+	// contentionSpread spreads the times told to instances that want permits: with half of one permit's time for each, about two ask for each
 	// permit that comes up.
-	crowdPart = 0.5
+	contentionSpread = 0.5
 )
 
 // pacer bounds what a paced target gets by way of this instance.
 type pacer struct {
 	owner   *rate.Limiter        // what it grants to others and to itself as the target's owner
-	alone   *rate.Limiter        // what it sends by its own choice
+	local   *rate.Limiter        // what it sends by its own choice
 	denied  map[string]time.Time // instances that it denied a permit, as the target's owner
 	holdOff time.Time            // no permit is to be had for this instance until then
 }
@@ -42,8 +42,8 @@
 }
 
 // startCold notes that a target is slow for some time from now on.
-func (f *Fleet) startCold(now time.Time, t *Target, last time.Duration) {
-	if until := now.Add(last); until.After(t.coldUntil) {
+func (f *Fleet) startCold(now time.Time, t *Target, duration time.Duration) {
+	if until := now.Add(duration); until.After(t.coldUntil) {
 		t.coldUntil = until
 	}
 }
@@ -56,7 +56,7 @@
 // pace is how many requests a second a target takes from all instances together; ok is false when it takes as many as ever.
 func (f *Fleet) pace(now time.Time, t *Target) (perSecond float64, ok bool) {
 	if t.limit.On {
-		perSecond, ok = max(t.limit.PerSecond, trialPace), true
+		perSecond, ok = max(t.limit.PerSecond, probePace), true
 	}
 	if f.isCold(now, t) {
 		if cold := f.specs[t.Service].ColdRate; !ok || cold < perSecond {
@@ -109,7 +109,7 @@
 func (f *Fleet) ownerLimiter(now time.Time, t *Target, pace float64) *rate.Limiter {
 	burst := ownerBurst * pace
 	if t.limit.On && !f.isCold(now, t) {
-		burst = max(limitLeast, limitBurst*pace)
+		burst = max(limitMinBurst, limitBurst*pace)
 	}
 	return adjust(&t.pacer.owner, now, pace, burst)
 }
@@ -118,18 +118,18 @@
 func (f *Fleet) coldLimiter(now time.Time, t *Target, pace float64) *rate.Limiter {
 	share, burst := pace, plainBurst*pace
 	if f.specs[t.Service].KVTokens > 0 {
-		share, burst = alonePart*pace, alonePart*pace
+		share, burst = noOwnerShare*pace, noOwnerShare*pace
 	}
-	return f.aloneLimiter(now, t, share, burst)
+	return f.localLimiter(now, t, share, burst)
 }
 
-// aloneLimiter returns this instance's part of a share of a target's pace; nil when it has none.
-func (f *Fleet) aloneLimiter(now time.Time, t *Target, share, burst float64) *rate.Limiter {
+// localLimiter returns this instance's part of a share of a target's pace; nil when it has none.
+func (f *Fleet) localLimiter(now time.Time, t *Target, share, burst float64) *rate.Limiter {
 	senders := max(1, int(burst)) // each has a burst of one
 	if f.senders != nil && !f.senders(t.ID, senders) {
 		return nil
 	}
-	return adjust(&t.pacer.alone, now, share/float64(senders), 1)
+	return adjust(&t.pacer.local, now, share/float64(senders), 1)
 }
 
 // adjust brings a limiter to a rate and a burst, and makes it if it is not there.
--- a/lib/fleet/pace_test.go
+++ b/lib/fleet/pace_test.go
@@ -20,8 +20,8 @@
 	return f
 }
 
-// most returns the largest number of times within any second.
-func most(times []time.Duration) int {
+// maxPerSecond returns the largest number of times within any second.
+func maxPerSecond(times []time.Duration) int {
 	n := 0
 	for i, from := range times {
 		k := i
@@ -35,7 +35,7 @@
 
 // A plain target comes back cold and is the idlest of all. Seventy instances that know nothing of each other's sends all have
 // requests for it at any moment; together they send no more than it bears, and still send.
-func TestColdTargetIsSharedByThoseThatDecideAlone(t *testing.T) {
+func TestColdRateSharedWithoutOwner(t *testing.T) {
 	const instances = 70
 	fleets := make([]*Fleet, instances)
 	for i := range fleets {
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	must.LessEq(t, int(1.5*coldRate), most(sent))
+	must.LessEq(t, int(1.5*coldRate), maxPerSecond(sent))
 	must.GreaterEq(t, int(0.9*coldRate*coldFor.Seconds()), len(sent))
 	_, ok := fleets[instances-1].Acquire(t0.Add(coldFor), Need{Service: "plain"})
 	must.True(t, ok) // warm
@@ -58,7 +58,7 @@
 
 // A group of engines comes back empty. Its owner is asked for hundreds of streams, and instances that can't reach the owner decide
 // alone meanwhile: all of them together stay under what a cold engine bears.
-func TestColdEngineIsSharedByItsOwnerAndOthers(t *testing.T) {
+func TestColdRateSharedByOwnerAndOthers(t *testing.T) {
 	owner := coldFleet("engine", 1<<20)
 	alone := make([]*Fleet, 70)
 	for i := range alone {
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	must.LessEq(t, int(1.5*coldRate), most(sent))
+	must.LessEq(t, int(1.5*coldRate), maxPerSecond(sent))
 	must.GreaterEq(t, int(0.7*coldRate*coldFor.Seconds()), len(sent))
 }
 
@@ -95,7 +95,7 @@
 }
 
 // An engine goes cold again at any moment, or starts again behind a list that doesn't tell: it counts as cold from then on.
-func TestTargetsGoColdAgain(t *testing.T) {
+func TestTargetBecomesColdAgain(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
 	stand := func(at time.Duration) Availability { return f.Availability(t0.Add(at), Need{Service: "engine"}) }
 	must.Eq(t, Availability{Accepting: 1, Cold: 1}, stand(coldFor-1))
@@ -109,7 +109,7 @@
 }
 
 // The settings change what a cold target bears, while it is cold: from then on it gets that. A change that says the same gives nothing anew.
-func TestColdRateFollowsTheSettings(t *testing.T) {
+func TestColdRateFollowsSettings(t *testing.T) {
 	f := coldFleet("plain", 0)
 	given := func(at time.Duration) int {
 		n := 0
@@ -131,7 +131,7 @@
 }
 
 // Engines that have just started are no place for runs that move or for copies: these can't wait for their turn there.
-func TestNoMovesToColdEngines(t *testing.T) {
+func TestNoMovesOrCopiesToColdEngines(t *testing.T) {
 	f := coldFleet("engine", 10_000)
 	must.Len(t, 0, f.MoveCandidates(t0, "engine", nil))
 	_, ok := f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 1}, "", 0)
--- a/lib/fleet/peak.go
+++ b/lib/fleet/peak.go
@@ -20,17 +20,17 @@
 	for _, r := range runs {
 		held += r.Held
 	}
-	most := held
+	peak := held
 	for i, r := range runs {
-		most = max(most, held+(len(runs)-i)*r.Remaining)
+		peak = max(peak, held+(len(runs)-i)*r.Remaining)
 		held -= r.Held // it has ended, and what it had added is free, too
 	}
-	return most
+	return peak
 }
 
-// fillShare is the part of an engine's memory that streams are sent to fill. News is some milliseconds old and guesses of
+// maxFill is the part of an engine's memory that streams are sent to fill. News is some milliseconds old and guesses of
 // length are often short; an engine that runs out preempts a run, whose prompt is read again.
-const fillShare = 0.97
+const maxFill = 0.97
 
 // sizesOn lists the sizes of all runs on an engine, as far as this instance knows.
 func (f *Fleet) sizesOn(t *Target) []Size {
@@ -38,12 +38,12 @@
 	if f.sizes != nil {
 		out = append(out, f.sizes(t.ID)...)
 	}
-	return append(out, f.toldOf(t).sizes...)
+	return append(out, f.peerTotal(t).sizes...)
 }
 
 // fits tells whether an engine has memory for one more run until it and those beside it have ended.
-func (f *Fleet) fits(t *Target, s Size, kv int) bool {
-	runs := append(f.sizesOn(t), s)
+func (f *Fleet) fits(t *Target, size Size, memory int) bool {
+	runs := append(f.sizesOn(t), size)
 	// A guess of length may be absurd: an engine with nothing else on it has room, whatever the guess says.
-	return len(runs) == 1 || float64(Peak(runs)) <= fillShare*float64(kv)
+	return len(runs) == 1 || float64(Peak(runs)) <= maxFill*float64(memory)
 }
--- a/lib/fleet/peak_test.go
+++ b/lib/fleet/peak_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// played lets runs add a token each a step, and end when nothing is left, and returns the most they held.
-func played(runs []Size) int {
+// simulatePeak lets runs add a token each a step, and end when nothing is left, and returns the most they held.
+func simulatePeak(runs []Size) int {
 	runs = slices.Clone(runs)
 	most := 0
 	for len(runs) > 0 {
@@ -28,18 +28,18 @@
 	return most
 }
 
-func TestPeakIsWhatPlayingTheRunsGives(t *testing.T) {
+func TestPeakMatchesSimulation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Size {
 			return Size{Held: rapid.IntRange(0, 50).Draw(t, "now"), Remaining: rapid.IntRange(0, 30).Draw(t, "left")}
 		}), 0, 6).Draw(t, "runs")
-		must.Eq(t, played(runs), Peak(slices.Clone(runs)))
+		must.Eq(t, simulatePeak(runs), Peak(slices.Clone(runs)))
 	})
 }
 
 // Two runs that fill an engine at different times fit beside each other; two that do at the same time don't, and the
 // new one is not sent there, however little they hold now.
-func TestRoomIsJudgedByThePeak(t *testing.T) {
+func TestMemoryFitIsJudgedByPeak(t *testing.T) {
 	now := time.Unix(1, 0)
 	f := New("z")
 	f.SetSpecs(map[string]Spec{"s": {KVTokens: 100}})
@@ -60,7 +60,7 @@
 
 // Prompts that wait on an engine are read one after another. One with room in memory but too much to read first is left
 // out; one with nothing to read takes any prompt.
-func TestReadingBoundsWhatAnEngineTakes(t *testing.T) {
+func TestMaxUnreadBoundsAdmission(t *testing.T) {
 	now := time.Unix(1, 0)
 	f := New("z")
 	f.SetSpecs(map[string]Spec{"s": {KVTokens: 10_000}})
@@ -79,7 +79,7 @@
 
 // A caller's guess of its output is absurd: more than any engine holds. An engine with nothing on it takes the stream all
 // the same; beside others the guess counts, up to the part of the memory that is filled.
-func TestAbsurdGuessFindsAnEmptyEngine(t *testing.T) {
+func TestOversizedEstimateFitsEmptyEngine(t *testing.T) {
 	now := time.Unix(1, 0)
 	f := New("z")
 	f.SetSpecs(map[string]Spec{"s": {KVTokens: 1000}})
--- a/lib/fleet/places.go
+++ b/lib/fleet/places.go
@@ -9,8 +9,8 @@
 	f.regions = regions
 }
 
-// takes reports whether a target takes new requests at all.
-func (f *Fleet) takes(t *Target) bool {
+// accepts reports whether a target takes new requests at all.
+func (f *Fleet) accepts(t *Target) bool {
 	return t.state == Ready && !t.unreadable && !f.evacuated[t.Domain]
 }
 
@@ -22,31 +22,33 @@
 	if len(f.evacuated) == 0 && n.Regions == nil {
 		return false
 	}
-	barred := false
-	for _, t := range f.index.of(n.Service) {
+	excluded := false
+	for _, t := range f.index.targetsOf(n.Service) {
 		if t.state != Ready || t.unreadable {
 			continue
 		}
-		if f.takes(t) && f.within(t, n.Regions) {
+		if f.accepts(t) && f.inRegions(t, n.Regions) {
 			return false
 		}
-		barred = true
+		excluded = true
 	}
-	return barred
+	return excluded
 }
 
 // DomainAllowed reports whether requests that are bound to some regions may go to a failure domain; nil stands for all regions.
 func (f *Fleet) DomainAllowed(domain string, regions []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.evacuated[domain] && f.inRegions(domain, regions)
+	return !f.evacuated[domain] && f.domainInRegions(domain, regions)
 }
 
-// within reports whether a target lies in one of some regions; nil stands for all. A failure domain whose region is not known
+// inRegions reports whether a target lies in one of some regions; nil stands for all. A failure domain whose region is not known
 // lies in none: a request that is bound to regions must not leave them on a guess.
-func (f *Fleet) within(t *Target, regions []string) bool { return f.inRegions(t.Domain, regions) }
+func (f *Fleet) inRegions(t *Target, regions []string) bool {
+	return f.domainInRegions(t.Domain, regions)
+}
 
-func (f *Fleet) inRegions(domain string, regions []string) bool {
+func (f *Fleet) domainInRegions(domain string, regions []string) bool {
 	if regions == nil {
 		return true
 	}
--- a/lib/fleet/places_test.go
+++ b/lib/fleet/places_test.go
@@ -22,7 +22,7 @@
 
 // A failure domain is emptied. Whatever chooses a target, for new requests, copies or moves, takes none there, however full the
 // others are; an instance that kept one way open would go on sending.
-func TestEvacuatedDomainGetsNothing(t *testing.T) {
+func TestEvacuatedDomainGetsNoNewWork(t *testing.T) {
 	f := twoDomains()
 	f.Evacuate("z1")
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e-z2": {Runs: 30, Tokens: 9000}, "p-z2": {Runs: 30}}, nil)
@@ -55,7 +55,7 @@
 }
 
 // A request is bound to a region. It goes to no target elsewhere, also when those are idle and its own are full or unknown.
-func TestRequestsStayInTheirRegions(t *testing.T) {
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	f := twoDomains()
 	f.Apply(t0, []Info{{ID: "p-z3", Service: "plain", Domain: "z3", Slots: 8}}, nil, 0) // no region is known for z3
 	f.SetPeerLoad(t0, "peer", map[string]Load{"p-z2": {Runs: 50}}, nil)
@@ -76,7 +76,7 @@
 
 // Targets of an emptied domain were restarted before it is taken back, and their entries say so only later. They count as just
 // started from the moment at which the domain is back.
-func TestReturnedDomainCountsAsJustStarted(t *testing.T) {
+func TestReturnedDomainIsCold(t *testing.T) {
 	f := twoDomains()
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000, ColdFor: 5 * time.Second, ColdRate: 2}})
 	f.Evacuate("z1")
--- a/lib/fleet/rest.go
+++ b/lib/fleet/rest.go
@@ -11,10 +11,10 @@
 	if t == nil || t.Born != target.Born {
 		return false
 	}
-	begins := !now.Before(t.restUntil)
-	if until.After(t.restUntil) {
-		t.restFrom, t.restUntil = now, until
-		f.index.worded[t.ID] = t
+	begins := !now.Before(t.backoffUntil)
+	if until.After(t.backoffUntil) {
+		t.backoffSince, t.backoffUntil = now, until
+		f.index.signalled[t.ID] = t
 	}
 	return begins
 }
@@ -24,5 +24,5 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
-	return t != nil && now.Before(t.restUntil)
+	return t != nil && now.Before(t.backoffUntil)
 }
--- a/lib/fleet/rooms.go
+++ b/lib/fleet/rooms.go
@@ -5,18 +5,18 @@
 // ChooseForCopy chooses the engine with the most free memory for a copy of a run, which the caller of Spare counts there. It gives
 // none where less than the share free of an engine's memory would be left: copies must not push out runs. Paced engines get none: a run
 // that goes on from its copy can't wait for its turn there.
-func (f *Fleet) ChooseForCopy(now time.Time, n Need, without string, free float64) (Info, bool) {
+func (f *Fleet) ChooseForCopy(now time.Time, n Need, exclude string, minFree float64) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	kv := f.specs[n.Service].KVTokens
+	memory := f.specs[n.Service].KVTokens
 	var best *Target
-	most := int(free * float64(kv))
+	mostFree := int(minFree * float64(memory))
 	for _, t := range f.among(n.Service, n.Among) {
-		if t.Service != n.Service || !f.takes(t) || t.ID == without || !f.within(t, n.Regions) || f.isPaced(now, t) {
+		if t.Service != n.Service || !f.accepts(t) || t.ID == exclude || !f.inRegions(t, n.Regions) || f.isPaced(now, t) {
 			continue
 		}
-		if left := kv - f.carried(t).Tokens - n.Tokens; left > most {
-			best, most = t, left
+		if free := memory - f.totalLoad(t).Tokens - n.Tokens; free > mostFree {
+			best, mostFree = t, free
 		}
 	}
 	if best == nil {
@@ -30,20 +30,20 @@
 func (f *Fleet) Utilization(among []string, waiting int) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	used, room := float64(waiting), 0.0
+	used, capacity := float64(waiting), 0.0
 	for _, id := range among {
 		t := f.targets[id]
-		if t == nil || !f.takes(t) {
+		if t == nil || !f.accepts(t) {
 			continue
 		}
-		load := f.carried(t)
+		load := f.totalLoad(t)
 		used += float64(load.Tokens) + unreadWeight*float64(load.Unread)
-		room += float64(f.specs[t.Service].KVTokens)
+		capacity += float64(f.specs[t.Service].KVTokens)
 	}
-	if room == 0 {
+	if capacity == 0 {
 		return 1
 	}
-	return used / room
+	return used / capacity
 }
 
 // Candidate is a target of a service that takes requests, and the engine memory in tokens that nobody is known to use.
@@ -59,28 +59,28 @@
 	most := 0
 	for _, id := range among {
 		t := f.targets[id]
-		if t == nil || !f.takes(t) {
+		if t == nil || !f.accepts(t) {
 			continue
 		}
-		kv := fillShare * float64(f.specs[t.Service].KVTokens)
-		most = max(most, int(kv)-Peak(f.sizesOn(t)))
+		usable := maxFill * float64(f.specs[t.Service].KVTokens)
+		most = max(most, int(usable)-Peak(f.sizesOn(t)))
 	}
 	return most
 }
 
 // EngineWithMostFree is the engine, of some without others, that has the most room for a run beside those there; empty: none takes
 // requests.
-func (f *Fleet) EngineWithMostFree(among []string, without map[string]bool) string {
+func (f *Fleet) EngineWithMostFree(among []string, exclude map[string]bool) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	best, most := "", 0
+	best, mostFree := "", 0
 	for _, id := range among {
 		t := f.targets[id]
-		if without[id] || t == nil || !f.takes(t) {
+		if exclude[id] || t == nil || !f.accepts(t) {
 			continue
 		}
-		if room := f.specs[t.Service].KVTokens - Peak(f.sizesOn(t)); best == "" || room > most {
-			best, most = id, room
+		if free := f.specs[t.Service].KVTokens - Peak(f.sizesOn(t)); best == "" || free > mostFree {
+			best, mostFree = id, free
 		}
 	}
 	return best
@@ -93,15 +93,15 @@
 	defer f.mu.Unlock()
 	var out, limited []Candidate
 	for _, t := range f.among(service, among) {
-		if t.Service != service || !f.takes(t) || f.isCold(now, t) || now.Before(t.restUntil) {
+		if t.Service != service || !f.accepts(t) || f.isCold(now, t) || now.Before(t.backoffUntil) {
 			continue
 		}
-		room := Candidate{Info: t.Info, Free: f.specs[service].KVTokens - f.carried(t).Tokens}
+		candidate := Candidate{Info: t.Info, Free: f.specs[service].KVTokens - f.totalLoad(t).Tokens}
 		if t.limit.On {
-			limited = append(limited, room)
+			limited = append(limited, candidate)
 			continue
 		}
-		out = append(out, room)
+		out = append(out, candidate)
 	}
 	if len(out) == 0 {
 		return limited
@@ -114,7 +114,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
-		if t := f.targets[id]; t != nil && f.carried(t).Runs > 0 {
+		if t := f.targets[id]; t != nil && f.totalLoad(t).Runs > 0 {
 			busy = append(busy, id)
 		} else {
 			idle = append(idle, id)
--- a/lib/fleet/suspect.go
+++ b/lib/fleet/suspect.go
@@ -16,16 +16,16 @@
 	if t == nil {
 		return false
 	}
-	news := t.suspect.until.IsZero()
-	t.suspect = suspicion{share: share, until: until}
-	return news
+	first := t.suspicion.until.IsZero()
+	t.suspicion = suspicion{share: share, until: until}
+	return first
 }
 
-// failing is the part of a target's requests that is taken to fail.
-func (t *Target) failing(now time.Time) float64 {
-	if now.Before(t.suspect.until) {
-		return max(t.fails, t.suspect.share)
+// failureEstimate is the part of a target's requests that is taken to fail.
+func (t *Target) failureEstimate(now time.Time) float64 {
+	if now.Before(t.suspicion.until) {
+		return max(t.failureShare, t.suspicion.share)
 	}
-	t.suspect = suspicion{}
-	return t.fails
+	t.suspicion = suspicion{}
+	return t.failureShare
 }
