--- a/lib/admit/admit.go
+++ b/lib/admit/admit.go
@@ -1,12 +1,11 @@
-// Package admit decides what a stream does that comes to crowded engines: go to one now, wait, or come back later.
+// Package admit decides whether a stream goes to an engine now, waits for capacity, or is rejected with a time to retry.
 //
-// Load pattern: engines leave in groups at short notice and others start empty some seconds later, so for seconds at a
-// time there is less engine memory, and less time for reading prompts, than streams ask for. Whoever is sent to a full
-// engine waits there although another has room first, or pushes a run out, whose prompt is read again; then all are late.
-// Streams wait with their instance instead, where they take up no memory, and those that would be late anywhere are told
-// so at once.
+// Engines leave in groups at short notice, and replacements start empty some seconds later, so for seconds at a time there is less engine
+// memory and prefill capacity than streams need. A stream sent to a full engine waits there although another engine may have capacity
+// first, or preempts a run, whose prompt must then be prefilled again; all of them end up late. Streams therefore wait at their instance,
+// where they use no engine memory, and those that would be late on any engine are rejected early.
 //
-// Nothing here does I/O or reads a clock: the caller asks again after Poll for as long as the answer is Wait.
+// The package does no I/O and reads no clock: the caller calls Step again after PollInterval while the answer is Wait.
 package admit
 
 import (
@@ -17,40 +16,39 @@
 )
 
 const (
-	// PollInterval is the pause between two steps of a stream that waits: about the age of peers' news.
+	// PollInterval is the pause between two steps of a waiting stream: about the age of the peers' load updates.
 	PollInterval = 20 * time.Millisecond
-	// maxWaitShare is the part of a stream's aim that it waits for an engine with room.
+	// maxWaitShare is the share of a stream's latency objective that it may wait for an engine with capacity.
 	maxWaitShare = 0.6
-	// retryWaitObjectives is how many aims a stream waits that has come back: refused once more its caller has nothing. Callers give up
-	// after 4.
+	// retryWaitObjectives is how many latency objectives a retried stream waits: if rejected again, its caller is left with nothing.
+	// Callers give up after 4.
 	retryWaitObjectives = 3
-	// prefillShare is the part of a stream's aim within which the prompts that wait on an engine must be read, with its own.
-	// Engines that started empty were sent six or seven prompts at once, read one after another, and nine in ten of the
-	// last were late.
+	// prefillShare is the share of a stream's objective within which the prompts waiting on an engine, its own included, must be
+	// prefilled. Without it, engines that started empty were sent six or seven prompts at once; prefilled one after another, nine in ten
+	// of the last ones were late.
 	prefillShare = 0.6
-	// prefillDeadlineShare is the part of the aim by which the prompts must be read, the wait included. The rest is for what is not
-	// foreseen.
+	// prefillDeadlineShare is the share of the objective by which prefill must be done, counted from arrival. The rest is a reserve for
+	// unforeseen delays.
 	prefillDeadlineShare = 0.9
-	// minRetryAfter is the least time after which a stream that found no room is asked to come back. What frees up sooner goes
-	// to streams that wait already.
+	// minRetryAfter is the shortest retry time given to rejected streams. Capacity that frees up sooner goes to streams that already
+	// wait.
 	minRetryAfter = time.Second
 )
 
-// Stream is what is known of a stream when it comes.
+// Stream describes an arriving stream.
 type Stream struct {
 	Arrived       time.Time
-	Objective     time.Duration // to its first event, from its arrival; 0: none, it is never late
-	MaxRetryAfter time.Duration // longest time to stay away that its caller keeps to
-	IsRetry       bool          // its caller has come back as told
-	Need          fleet.Need    // of an engine; Peak with the run's whole size
+	Objective     time.Duration // from arrival to the first event; 0: none, the stream is never late
+	MaxRetryAfter time.Duration // longest retry time that the caller respects
+	IsRetry       bool          // the caller has retried after a rejection
+	Need          fleet.Need    // requirements on the engine; Peak with the run's whole size
 }
 
-// WaitDeadline is until when the stream waits for room.
+// WaitDeadline returns until when the stream waits for capacity.
 //
-// Load pattern: memory is short for seconds, and streams that were told to come back do so while it still is. One that has come
-// back is past its aim, and refused a second time its caller has nothing. Placed before all others it would be late all the same
-// and make those late, too. So it waits for longer, behind those that can still be in time, and for no more than half of the time
-// that its caller has left, of which Keeps is a third.
+// Memory shortages last for seconds, and rejected streams retry while they still last. A retried stream is already past its objective; if
+// rejected again, its caller is left with nothing. Placed before all others it would still be late and delay them, too. So it waits longer,
+// behind streams that can still be on time, but for no more than half of the time its caller has left, of which MaxRetryAfter is a third.
 func (s *Stream) WaitDeadline() time.Time {
 	if s.IsRetry {
 		return s.Arrived.Add(min(time.Duration(retryWaitObjectives*float64(s.Objective)), 3*s.MaxRetryAfter/2))
@@ -58,37 +56,37 @@
 	return s.Arrived.Add(time.Duration(maxWaitShare * float64(s.Objective)))
 }
 
-// Action is what a stream does now.
+// Action is the decision on a stream.
 type Action uint8
 
 // Values of Action.
 const (
-	Wait       Action = iota // ask again after Poll
-	Admit                    // to Target, where it is counted
-	RetryLater               // it would be late anywhere: come back after After
-	Fallback                 // no engine is known to take requests, or none has room for a stream that can't be late: take any
+	Wait       Action = iota // call Step again after PollInterval
+	Admit                    // send to Target, where the stream has been counted
+	RetryLater               // would be late on any engine: reject with RetryAfter
+	Fallback                 // no engine is known to accept requests, or none has capacity for a stream without objective: take any
 )
 
-// Decision is an Action with its object.
+// Decision is an Action with its target or retry time.
 type Decision struct {
 	Action     Action
 	Target     fleet.Info
 	RetryAfter time.Duration
 }
 
-// Placer decides for the streams of one instance.
+// Placer decides on the streams of one instance.
 type Placer struct {
 	Fleet   *fleet.Fleet
 	Prefill *PrefillRates
-	Random  func(n int64) int64 // up to n, n left out; nil: math/rand
+	Random  func(n int64) int64 // in [0, n); nil: math/rand
 	// Acquire chooses a target and counts the stream there; nil: Fleet.Acquire.
 	Acquire func(now time.Time, need fleet.Need) (fleet.Info, bool)
 }
 
-// Step decides what a stream does at now.
+// Step decides on a stream at the given time.
 //
-// Streams that wait at an instance that decides alone stand in no order: the first may find no room for long while the others would.
-// An owner has an order in which they don't stand by meanwhile (lib/owner).
+// Without an owner, waiting streams of an instance have no order: the first may find no capacity for long while others would. An
+// owner keeps an order that avoids idle capacity (lib/owner).
 func (p *Placer) Step(now time.Time, s Stream) Decision {
 	need := s.Need
 	need.RequireMemory = true
@@ -114,13 +112,13 @@
 	return p.Reject(s)
 }
 
-// Reject turns a stream away, with a time to come back.
+// Reject returns a decision that rejects a stream, with a time to retry.
 func (p *Placer) Reject(s Stream) Decision {
 	return Decision{Action: RetryLater, RetryAfter: p.retryAfter(s.MaxRetryAfter)}
 }
 
-// prefillBudget is how long the prompts on an engine may take that is chosen now: a part of the aim, and no more than is left
-// of it after the wait.
+// prefillBudget returns how long the pending prompts on an engine chosen now may take: a share of the objective, and no more than is
+// left of it after the wait.
 func (s *Stream) prefillBudget(now time.Time) time.Duration {
 	if s.IsRetry {
 		return time.Duration(prefillShare * float64(s.Objective))
@@ -129,8 +127,8 @@
 	return max(1, min(time.Duration(prefillShare*float64(s.Objective)), left))
 }
 
-// retryAfter is how long a stream that found no room should stay away. Engines stay full for seconds, and callers must not all
-// come back at once: the time is drawn from all that they keep to.
+// retryAfter returns when a rejected stream should retry. Engines stay full for seconds and callers must not all return at once, so the
+// time is random over the range that callers respect.
 func (p *Placer) retryAfter(maxRetryAfter time.Duration) time.Duration {
 	if maxRetryAfter <= minRetryAfter {
 		return maxRetryAfter
--- a/lib/admit/admit_test.go
+++ b/lib/admit/admit_test.go
@@ -18,13 +18,13 @@
 	return Placer{Fleet: f, Prefill: new(PrefillRates)}
 }
 
-func newTestStream(aim time.Duration) Stream {
-	return Stream{Arrived: start, Objective: aim, MaxRetryAfter: maxRetryAfter, Need: fleet.Need{
+func newTestStream(objective time.Duration) Stream {
+	return Stream{Arrived: start, Objective: objective, MaxRetryAfter: maxRetryAfter, Need: fleet.Need{
 		Service: service, Tokens: 500, Unread: 500, Peak: fleet.Size{Held: 500},
 	}}
 }
 
-// A stream waits for room, then is told to come back within what its caller keeps to; it never waits its whole time out.
+// A stream waits for capacity and is then rejected with a retry time that its caller respects; it never waits for its whole objective.
 func TestWaitsThenIsRejectedWithRetryAfter(t *testing.T) {
 	p := newTestPlacer(1000, "e")
 	p.Fleet.SetPeerLoad(start, "peer", nil, map[string][]fleet.Size{"e": {{Held: 900}}})
@@ -40,8 +40,8 @@
 	must.Eq(t, s.MaxRetryAfter, p.Step(start.Add(time.Second), s).RetryAfter)
 }
 
-// A stream that came back is past its aim. It waits for three of them, but for no more than half of what its caller has left,
-// and prompts read before its own may take as long as for one that has just come.
+// A retried stream is past its objective. It waits for three objectives, but for at most half of the time its caller has left, and may wait
+// for as much prefill as a new stream.
 func TestRetriedStreamWaitsLonger(t *testing.T) {
 	p := newTestPlacer(1000, "e")
 	p.Fleet.SetPeerLoad(start, "peer", nil, map[string][]fleet.Size{"e": {{Held: 900}}})
@@ -56,7 +56,7 @@
 	must.Eq(t, Admit, p.Step(start.Add(1400*time.Millisecond), s).Action)
 }
 
-// Engines stand free: the first look takes room, and nothing is refused or left to chance.
+// With free engines the first step admits the stream.
 func TestFreeEnginesAdmitImmediately(t *testing.T) {
 	for range 20 {
 		p := newTestPlacer(1000, "a", "b", "c")
@@ -64,7 +64,7 @@
 	}
 }
 
-// A route names no aim. Its streams can't be late: they are not refused for want of time, nor kept waiting for it.
+// A stream without an objective can't be late: it is neither rejected nor delayed for lack of time.
 func TestNoObjectiveIsNotZeroObjective(t *testing.T) {
 	p := newTestPlacer(1000, "e")
 	p.Prefill.Observe(service, 100, time.Second)
@@ -74,7 +74,7 @@
 	must.Eq(t, Fallback, p.Step(start, newTestStream(0)).Action)
 }
 
-// No engine is listed: an instance that was just started may know a list that still fills, and must not refuse.
+// No engine is listed: the list of an instance that has just started may still be incomplete, so it must not reject.
 func TestNoEngineFallsBack(t *testing.T) {
 	p := newTestPlacer(1000)
 	must.Eq(t, Fallback, p.Step(start.Add(time.Second), newTestStream(time.Second)).Action)
--- a/lib/admit/bench_test.go
+++ b/lib/admit/bench_test.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// BenchmarkStep is one decision with 72 instances' news of 60 engines, six runs each.
+// BenchmarkStep measures one decision with load updates of 72 instances for 60 engines, six runs each.
 func BenchmarkStep(b *testing.B) {
 	f := fleet.New("z")
 	f.SetSpecs(map[string]fleet.Spec{service: {KVTokens: kv}})
--- a/lib/admit/common_test.go
+++ b/lib/admit/common_test.go
@@ -5,7 +5,7 @@
 const (
 	service = "engine"
 	kv      = 22_000
-	// maxRetryAfter is the longest time to stay away that callers keep to.
+	// maxRetryAfter is the longest retry time that callers respect.
 	maxRetryAfter = 12 * time.Second
 )
 
--- a/lib/admit/reading.go
+++ b/lib/admit/reading.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// rateStep is how far one sample moves what is learnt, as a part of it: the last fifty or so count.
+// rateStep is the relative step by which one sample moves the estimate: about the last fifty samples count.
 const rateStep = 0.05
 
-// PrefillRates learns how long the engines of each service take to read a token of a prompt, from the first events of streams
-// and what was believed to wait on their engines. The median is followed: some first events wait for memory, too, and a
-// mean would take their time for reading. The zero value is ready for use.
+// PrefillRates estimates how long the engines of each service take to prefill a prompt token, from the times to first event and the prompt
+// tokens known to be pending on the engine. It tracks the median: some first events wait for memory as well, and a mean would count that
+// time as prefill. The zero value is ready for use.
 type PrefillRates struct {
 	mu         sync.Mutex
-	nsPerToken map[string]float64 // nanoseconds a token, by service
+	nsPerToken map[string]float64 // by service
 }
 
-// Observe takes in that the first event came after d on an engine with so many tokens to read.
+// Observe records a first event that came after d on an engine with the given prompt tokens pending.
 func (s *PrefillRates) Observe(service string, unread int, d time.Duration) {
 	if unread <= 0 || d <= 0 {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// TokensWithin is how many tokens are read in d; 0 while nothing is known.
+// TokensWithin returns how many prompt tokens are prefilled in d; 0 if there is no estimate yet.
 func (s *PrefillRates) TokensWithin(service string, d time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lib/admit/reading_test.go
+++ b/lib/admit/reading_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// One first event in four waits seconds for memory. What is learnt is the time of reading: the median is not drawn up.
+// One first event in four waits seconds for memory. The estimate must be the prefill time: a median is not raised by such outliers.
 func TestPrefillRatesFollowMedian(t *testing.T) {
 	var r PrefillRates
-	must.Eq(t, 0, r.TokensWithin("s", time.Second)) // nothing is known: nothing is bounded
+	must.Eq(t, 0, r.TokensWithin("s", time.Second)) // no estimate: no bound
 	for i := range 400 {
 		d := 300 * time.Millisecond
 		if i%4 == 3 {
--- a/lib/fleet/rest.go
+++ b/lib/fleet/backoff.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// BackOff notes that a life of a target wants nothing from this instance until a time, which others may be free of. Of several times the
-// latest holds. It reports whether the target did not rest before.
+// BackOff records that an incarnation of a target accepts nothing from this instance until a time; other instances may not be affected. Of
+// several times the latest holds. It reports whether the target was not already in backoff.
 func (f *Fleet) BackOff(now time.Time, target Info, until time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -19,7 +19,7 @@
 	return begins
 }
 
-// InBackoff reports whether a target wants nothing from this instance now.
+// InBackoff reports whether a target accepts nothing from this instance now.
 func (f *Fleet) InBackoff(now time.Time, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/rooms.go
+++ b/lib/fleet/capacity.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ChooseForCopy chooses the engine with the most free memory for a copy of a run, which the caller of Spare counts there. It gives
-// none where less than the share free of an engine's memory would be left: copies must not push out runs. Paced engines get none: a run
-// that goes on from its copy can't wait for its turn there.
+// ChooseForCopy chooses the engine with the most free memory for a copy of a run; the caller counts the copy there. It chooses none that
+// would be left with less than the share minFree of its memory, since copies must not displace runs. Paced engines are excluded: a run that
+// resumes from its copy can't wait for its turn there.
 func (f *Fleet) ChooseForCopy(now time.Time, n Need, exclude string, minFree float64) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,8 +25,8 @@
 	return best.Info, true
 }
 
-// Utilization is the part of the memory of some engines that is spoken for, with prompts to read weighed as in a choice, and with
-// tokens that wait for room there. It is 1 and more where none takes requests.
+// Utilization returns the share of the given engines' memory that is in use, with unprefilled prompt tokens weighted as in target
+// selection, plus the tokens that wait for capacity there. It is at least 1 if none of them accepts requests.
 func (f *Fleet) Utilization(among []string, waiting int) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,13 +46,13 @@
 	return used / capacity
 }
 
-// Candidate is a target of a service that takes requests, and the engine memory in tokens that nobody is known to use.
+// Candidate is a target of a service that accepts requests, with its engine memory, in tokens, that is not known to be in use.
 type Candidate struct {
 	Info
 	Free int
 }
 
-// MaxFreeTokens is the largest memory, in tokens, that a run may take on one of some engines beside the runs there.
+// MaxFreeTokens returns the largest memory, in tokens, that a run may take on one of the given engines beside the runs there.
 func (f *Fleet) MaxFreeTokens(among []string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,8 +68,7 @@
 	return most
 }
 
-// EngineWithMostFree is the engine, of some without others, that has the most room for a run beside those there; empty: none takes
-// requests.
+// EngineWithMostFree returns the engine, except excluded ones, with the most free memory beside its runs; empty if none accepts requests.
 func (f *Fleet) EngineWithMostFree(among []string, exclude map[string]bool) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,8 +85,8 @@
 	return best
 }
 
-// MoveCandidates lists the engines of a service that runs can move to, among those named or, with nil, among all. Paced engines are left out: a
-// run that was stopped can't wait for its turn. Those that have named a limit are listed where there are no others.
+// MoveCandidates lists the engines of a service that runs can move to, out of the given ids or, if nil, of all. Cold engines are left out,
+// since a stopped run can't wait for its turn. Engines with a limit are listed only if there are no others.
 func (f *Fleet) MoveCandidates(now time.Time, service string, among []string) []Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,7 +108,7 @@
 	return out
 }
 
-// SplitBusy divides targets into those that carry runs of any instance, as far as is known, and others.
+// SplitBusy divides targets into those that carry runs of any instance, as far as known, and the others.
 func (f *Fleet) SplitBusy(ids []string) (busy, idle []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,7 +122,7 @@
 	return busy, idle
 }
 
-// Memory is the memory, in tokens, of a service's engines; 0 for a plain service.
+// Memory returns the memory, in tokens, of a service's engines; 0 for a plain service.
 func (f *Fleet) Memory(service string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/choose.go
+++ b/lib/fleet/choose.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Constants of the choice. Scores are in units of a full target.
+// Constants of target selection. Scores are in units of one fully loaded target.
 const (
-	// failureWeight is the weight of one outcome in the share of failures: about the last ten requests count.
+	// failureWeight is the weight of one outcome in the moving failure share: about the last ten requests count.
 	failureWeight = 0.1
-	// toleratedFailures is the share of failures that is borne as the callers' own: some requests fail wherever they run.
+	// toleratedFailures is the failure share that carries no penalty: some requests fail on any target because of their own content.
 	toleratedFailures = 0.25
-	// failureCost is the score of a target that fails everything, beyond failFree.
+	// failureCost is the penalty, beyond toleratedFailures, of a target that fails every request.
 	failureCost = 3.0
-	// crossDomainCost is the score of another failure domain: bytes between domains cost, but less than waiting.
+	// crossDomainCost is the penalty for another failure domain: traffic between domains costs, but less than waiting does.
 	crossDomainCost = 0.04
-	// reportTTL is how long a report of load is believed.
+	// reportTTL is how long a load report is used.
 	reportTTL = 400 * time.Millisecond
-	// avoidMin and avoidMax bound how long a target that could not be reached gets nothing.
+	// avoidMin and avoidMax bound the exponential backoff of a target that could not be reached.
 	avoidMin = 250 * time.Millisecond
 	avoidMax = 2 * time.Second
-	// OutageGrace is how long an entry that lapsed while the store was away is still believed: entries of targets that
-	// live are back within about two seconds of the store's return.
+	// OutageGrace is how long targets whose entries expired during a store outage are kept: live targets write their entries again
+	// within about two seconds of the store's return.
 	OutageGrace = 2 * time.Second
-	// peerTTL is how long a peer's news of its sends is believed.
+	// peerTTL is how long a peer's load update is used.
 	peerTTL = 1500 * time.Millisecond
-	// jitter keeps instances that believe the same from choosing the same target.
+	// jitter keeps instances with the same view from all choosing the same target.
 	jitter = 0.02
-	// minConns is the number of connections that an instance may hold to a target however many instances there are.
+	// minConns is the number of connections that an instance may always hold to a target, however many instances there are.
 	minConns = 2
-	// unreadWeight is what a token of a prompt that waits to be read costs, against one in memory: prompts are read one
-	// chunk between the tokens of others, so a second one doubles the time to the first token of both.
+	// unreadWeight is the cost of a prompt token that waits for prefill, relative to one in memory: prompts are prefilled one chunk
+	// between decode steps, so a second prompt doubles the time to first token of both.
 	unreadWeight = 2.0
-	// runWeight is the score of one more run on an engine, beside its memory: each run slows the others' tokens.
+	// runWeight is the cost of one more run on an engine, besides its memory: each run slows down decoding for the others.
 	runWeight = 0.01
 )
 
-// Need is what a request asks of a target.
+// Need describes what a request requires of a target.
 type Need struct {
 	Service         string
 	Tokens          int             // of engine memory; 0 for a plain service
-	Unread          int             // tokens of its prompt to read
+	Unread          int             // prompt tokens to prefill
 	Exclude         map[string]bool // targets not to choose
 	Among           []string        // ids of the targets to choose among, sorted; nil: all
-	Reserved        map[string]bool // targets that are kept for other requests
-	PreferredDomain string          // failure domain to prefer; empty: the instance's own
-	RequireMemory   bool            // engine memory must hold Tokens: for copies, which are refused otherwise
-	Peak            Size            // if set with Must: engine memory must hold this run beside the others to their ends
-	MaxUnread       int             // with Must: prompts that wait to be read there, with this one, hold no more tokens; 0: any
-	CrossDomainCost float64         // score of another failure domain than Near; 0: the constant awayCost
-	Regions         []string        // regions that the request is bound to; nil: any
-	Granted         bool            // the target's owner has chosen it and counted the request there
-	FoundByOwner    bool            // the target was found by an owner: it may be one that this instance does not list
+	Reserved        map[string]bool // targets that are reserved for other requests
+	PreferredDomain string          // preferred failure domain; empty: the instance's own
+	RequireMemory   bool            // refuse unless engine memory holds Tokens; set for copies
+	Peak            Size            // if set, with RequireMemory: engine memory must hold this run beside the others until they end
+	MaxUnread       int             // with RequireMemory: limit on prompt tokens waiting for prefill there, this request's included; 0: none
+	CrossDomainCost float64         // penalty for a domain other than PreferredDomain, if above the default
+	Regions         []string        // regions that the request is restricted to; nil: any
+	Granted         bool            // the target's owner chose it and has counted the request there
+	FoundByOwner    bool            // an owner found the target, which this instance's list may not contain
 	asOwner         bool            // this instance chooses as the target's owner
 }
 
-// Acquire chooses a target and counts the request there until Release.
+// Acquire chooses a target and counts the request there until it is released.
 func (f *Fleet) Acquire(now time.Time, n Need) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +65,7 @@
 	return best.Info, true
 }
 
-// Choose chooses a target for a request of another instance, which counts it.
+// Choose chooses a target for a request of another instance, which counts the request itself.
 func (f *Fleet) Choose(now time.Time, n Need) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +78,7 @@
 	return best.Info, true
 }
 
-// AcquireAt counts a request at one target, if it may be chosen.
+// AcquireAt counts a request at the given target if the target may be chosen.
 func (f *Fleet) AcquireAt(now time.Time, id string, n Need) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,14 +110,14 @@
 		}
 	}
 	if best == nil && !n.RequireMemory {
-		// All were unreachable lately; the one whose pause ends first is better than a refusal.
+		// All were unreachable recently: the one whose backoff ends first is better than refusing the request.
 		return last
 	}
 	return best
 }
 
-// among returns the targets of some ids, or with nil all of a service, in the order of their ids. The list is valid until the next
-// call.
+// among returns the targets with the given ids, or all targets of the service if ids is nil, ordered by id. The result is valid until
+// the next call.
 func (f *Fleet) among(service string, ids []string) []*Target {
 	if ids == nil {
 		return f.index.targetsOf(service)
@@ -158,40 +158,40 @@
 	return true
 }
 
-// KnownState is what a choice of a target rested on.
+// KnownState is the state of a target, and of its service, on which a choice was based.
 type KnownState struct {
-	ReadyTargets int             // targets of the service that take requests
-	Load         Load            // of the target, with the request itself
-	Peers        int             // instances whose news are counted in the load
-	OldestUpdate time.Duration   // age of the oldest of these
-	Skipped      []SkippedTarget // targets of the service that were passed over by their own word, some of them if there are many
+	ReadyTargets int             // targets of the service that accept requests
+	Load         Load            // of the target, including the request itself
+	Peers        int             // instances whose updates the load includes
+	OldestUpdate time.Duration   // age of the oldest of these updates
+	Skipped      []SkippedTarget // targets of the service that their own notices excluded, at most maxSkipped
 }
 
-// SkipReason is a kind of thing that a target says of itself in answers.
+// SkipReason is the kind of notice, sent by a target with its responses, that excludes it from selection.
 type SkipReason string
 
-// Values of Word, as they are written in logs.
+// Values of SkipReason as written to logs.
 const (
 	SkipLimit   SkipReason = "limit"
 	SkipBackoff SkipReason = "rests"
 	SkipLeaving SkipReason = "leaves"
 )
 
-// SkippedTarget is a target that gets nothing because of what it said of itself.
+// SkippedTarget is a target that is excluded because of a notice it sent.
 type SkippedTarget struct {
 	ID      string
 	Reason  SkipReason
-	Age     time.Duration // of the word
-	Relayed bool          // another instance heard it
+	Age     time.Duration // of the notice
+	Relayed bool          // another instance received the notice
 }
 
-// maxSkipped bounds the targets that a Belief names.
+// maxSkipped bounds the targets listed in a KnownState.
 const maxSkipped = 6
 
-// leavingShownFor is how long after its word a target that leaves is named.
+// leavingShownFor is how long a target is listed as skipped after it announced that it leaves.
 const leavingShownFor = 5 * time.Second
 
-// skipReason tells whether a target gets nothing now because of what it said.
+// skipReason reports whether a notice from the target excludes it now.
 func (t *Target) skipReason(now time.Time) (SkippedTarget, bool) {
 	p := SkippedTarget{ID: t.ID}
 	switch {
@@ -205,7 +205,7 @@
 	return p, p.Reason != ""
 }
 
-// KnownState tells what is believed of a target, for logs.
+// KnownState returns the known state of a target, for logs.
 func (f *Fleet) KnownState(now time.Time, id string) KnownState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -237,7 +237,7 @@
 	return state
 }
 
-// totalLoad is the load of all instances, as far as this one knows.
+// totalLoad returns the load of all instances on a target, as far as known.
 func (f *Fleet) totalLoad(t *Target) Load {
 	sum := t.local
 	sum.add(f.peerTotal(t).load)
--- a/lib/fleet/evacuate.go
+++ b/lib/fleet/evacuate.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Evacuate says that the targets of a failure domain get nothing new. What runs there goes on.
+// Evacuate stops new requests to the targets of a failure domain. Running requests continue.
 func (f *Fleet) Evacuate(domain string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -12,8 +12,8 @@
 	f.evacuated[domain] = true
 }
 
-// EndEvacuation takes an evacuation back. The targets of the domain count as just started: they may have been restarted meanwhile, and
-// their entries that say so come up to a heartbeat later. For that long their whole share of callers would come at once.
+// EndEvacuation reverses Evacuate. The targets of the domain count as just started: they may have been restarted meanwhile, and entries
+// that say so arrive up to a heartbeat later. Until then each would receive its full share of requests at once.
 func (f *Fleet) EndEvacuation(now time.Time, domain string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// Evacuated reports whether the targets of a failure domain get nothing new.
+// Evacuated reports whether a failure domain is evacuated.
 func (f *Fleet) Evacuated(domain string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/fleet.go
+++ b/lib/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet holds what one instance believes of the targets it sends to, and chooses among them.
+// Package fleet holds one instance's view of the targets that it sends to, and chooses among them.
 //
-// What it believes comes from the list of targets, from its own sends and their outcomes, and from what peers tell of
-// theirs. Nothing here does I/O or reads a clock: times are passed in.
+// The view is built from the list of targets, from the outcomes of the instance's own requests, and from load updates of its peers.
+// The package does no I/O and reads no clock: times are passed in.
 package fleet
 
 import (
@@ -11,66 +11,66 @@
 	"time"
 )
 
-// State is a target's place in its life.
+// State is the lifecycle state of a target.
 type State uint8
 
 const (
 	Ready   State = iota + 1
-	Leaving       // takes no new requests, finishes what it has for a short while
+	Leaving       // takes no new requests and finishes running ones for a short while
 )
 
-// Info is what the list says of a target.
+// Info is a target's entry in the list.
 type Info struct {
-	ID      string // a restart has another id, or the same id and a later Born
-	Born    int64  // Unix milliseconds of the start of this life; 0: not told
+	ID      string // a restarted target has another id, or the same id and a later Born
+	Born    int64  // start of this incarnation in Unix milliseconds; 0: unknown
 	Service string
 	Addr    string
 	Domain  string // failure domain
 	Slots   int
 	Leaving bool
-	ColdFor time.Duration // it stays slow for so long
+	ColdFor time.Duration // remaining time that the target is cold (slow after its start)
 }
 
-// Spec is what the settings say of a service's targets.
+// Spec holds the settings of a service's targets.
 type Spec struct {
-	KVTokens int           // memory of an engine in tokens; 0 for a plain service
+	KVTokens int           // engine memory in tokens; 0 for a plain service
 	ConnCap  int           // connections that a target accepts from all instances together
-	ColdFor  time.Duration // after its start a target is slow for so long
-	ColdRate float64       // requests a second that it takes meanwhile, from all instances together; 0: as many as ever
+	ColdFor  time.Duration // how long a target is cold after its start
+	ColdRate float64       // requests per second that a cold target takes from all instances together; 0: no limit
 }
 
-// Target is one target. Its fields are the fleet's; read them through the methods of Fleet.
+// Target is one target. Its fields are protected by the Fleet's lock; access them through the methods of Fleet.
 type Target struct {
 	Info
 	state        State
 	leftAt       time.Time
-	presumedGone bool // it is taken as gone since its entry was missing: nobody has said that it leaves
+	presumedGone bool // treated as leaving because its entry is missing, without a notice that it leaves
 	local        Load
 	failureShare float64 // decayed share of this instance's requests that the target failed
 	avoidUntil   time.Time
 	avoidStep    time.Duration
-	reportedLoad float64 // requests running and waiting, as its last answer told
+	reportedLoad float64 // running and waiting requests, from its last response
 	reportedAt   time.Time
-	lastContact  time.Time // when anything last came from it, to this instance or a peer
-	backoffSince time.Time // when it said so
-	backoffUntil time.Time // it wants nothing from this instance until then
-	listed       bool      // the list has an entry of it
-	missingSince time.Time // since when a list read after an outage has not had it; zero: it is listed
-	peers        peerTotal // what peers carry there
-	unreadable   bool      // its entry names no target; until it has written another
-	grantedAt    time.Time // when an owner last named it; zero: it is one of those that this instance holds
-	coldUntil    time.Time // it is slow after its start until then
+	lastContact  time.Time // when this instance or a peer last received anything from it
+	backoffSince time.Time // when it last asked for backoff
+	backoffUntil time.Time // it accepts nothing from this instance until then
+	listed       bool      // the list has an entry for it
+	missingSince time.Time // since when a list read after an outage has lacked it; zero: it is listed
+	peers        peerTotal // load of the peers there
+	unreadable   bool      // its entry could not be decoded; reset by the next valid entry
+	grantedAt    time.Time // when an owner last granted it; zero: it is on this instance's own list
+	coldUntil    time.Time // it is cold until then
 	pacer        pacer
 	suspicion    suspicion
 	limit        LimitNotice
 	listing      indexEntry
 }
 
-// Load is what a target carries.
+// Load is the load on a target.
 type Load struct {
 	Runs   int
-	Tokens int // of engine memory, now and expected
-	Unread int // tokens of prompts that are not read yet
+	Tokens int // engine memory, held and expected
+	Unread int // prompt tokens that are not prefilled yet
 }
 
 func (l *Load) add(m Load) {
@@ -79,7 +79,7 @@
 	l.Unread += m.Unread
 }
 
-// Fleet is safe for concurrent use.
+// Fleet is the set of targets known to one instance. It is safe for concurrent use.
 type Fleet struct {
 	domain string
 
@@ -90,15 +90,15 @@
 	peers        map[string]*peer
 	specs        map[string]Spec // by service
 	firstApplied time.Time       // when the list was first read
-	share        float64         // this instance's part of a target's connections
+	share        float64         // this instance's share of a target's connections
 	sizes        func(target string) []Size
 
-	partial   bool              // it knows a part of the list only
-	evacuated map[string]bool   // failure domains whose targets get nothing new
-	regions   map[string]string // of failure domains
+	partial   bool              // the instance holds only a part of the list
+	evacuated map[string]bool   // failure domains whose targets get no new requests
+	regions   map[string]string // by failure domain
 	senders   func(target string, n int) bool
 
-	amongBuf []*Target // of the last call of among
+	amongBuf []*Target // result of the last call of among
 }
 
 type peer struct {
@@ -107,24 +107,24 @@
 	receivedAt time.Time
 }
 
-// New returns an empty fleet of an instance in domain.
+// New returns an empty Fleet for an instance in the given failure domain.
 func New(domain string) *Fleet {
 	return &Fleet{
 		domain: domain, random: rand.Float64, targets: make(map[string]*Target), index: newIndex(), peers: make(map[string]*peer), share: 1,
 	}
 }
 
-// Domain is the failure domain of the instance.
+// Domain returns the failure domain of the instance.
 func (f *Fleet) Domain() string { return f.domain }
 
-// SetRandom replaces the source of chance, between 0 and 1, so that a choice can be repeated.
+// SetRandom replaces the source of random numbers in [0, 1), to make choices reproducible.
 func (f *Fleet) SetRandom(random func() float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.random = random
 }
 
-// Engines lists the targets with engine memory that are in a state.
+// Engines lists the targets with engine memory that are in the given state.
 func (f *Fleet) Engines(in State) []Info {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +142,7 @@
 	return out
 }
 
-// Ready counts the targets of a service that take requests, evacuations aside, by failure domain.
+// Ready counts the targets of a service that accept requests, by failure domain, regardless of evacuations.
 func (f *Fleet) Ready(service string) map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// Info returns what the list says of a target.
+// Info returns the list entry of a target.
 func (f *Fleet) Info(id string) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,28 +163,28 @@
 	return t.Info, true
 }
 
-// SetShare sets this instance's part of the connections that targets accept.
+// SetShare sets this instance's share of the connections that targets accept.
 func (f *Fleet) SetShare(share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.share = share
 }
 
-// SetSpecs sets what is known of each service's targets.
+// SetSpecs sets the settings of each service's targets.
 func (f *Fleet) SetSpecs(specs map[string]Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.specs = specs
 }
 
-// SetSizes sets what tells the sizes of this instance's own runs on a target. It must not call the Fleet.
+// SetSizes sets the function that returns the sizes of this instance's own runs on a target. It must not call the Fleet.
 func (f *Fleet) SetSizes(own func(target string) []Size) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sizes = own
 }
 
-// SetPeerLoad takes in what a peer carries on each target, and the sizes of its runs there.
+// SetPeerLoad replaces the load of a peer on each target, and the sizes of its runs there.
 func (f *Fleet) SetPeerLoad(now time.Time, name string, loads map[string]Load, sizes map[string][]Size) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,7 +194,7 @@
 	f.peers[name] = p
 }
 
-// LocalLoads returns what this instance carries on each target.
+// LocalLoads returns the load of this instance on each target.
 func (f *Fleet) LocalLoads() map[string]Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,25 +207,25 @@
 	return out
 }
 
-// Availability counts the targets that a request might go to, and why others get none.
+// Availability counts the targets that a request could go to, and the reasons why others can't take it.
 type Availability struct {
-	Accepting   int // take requests, cold ones among them
-	Cold        int // of these, have just started and take few
-	Limited     int // of these, have named a limit that leaves this instance nothing now
-	InBackoff   int // of these, want nothing from this instance now
-	Evacuated   int // in a failure domain whose targets get nothing new
-	OutOfRegion int // outside the regions that the request is bound to
-
-	RetryAfter time.Duration // until the first of those that are limited or rest may take one
-	Partial    bool          // others may be there that this instance does not know
+	Accepting   int // targets that accept requests, including cold ones
+	Cold        int // of the accepting: just started, at a reduced rate
+	Limited     int // of the accepting: announced a limit that leaves no request to this instance now
+	InBackoff   int // of the accepting: asked this instance to back off
+	Evacuated   int // in an evacuated failure domain
+	OutOfRegion int // outside the regions that the request is restricted to
+
+	RetryAfter time.Duration // until the first limited or backing-off target may accept a request
+	Partial    bool          // there may be targets that this instance does not know
 }
 
-// Blocked reports whether targets are there, and each of them leaves this instance nothing now.
+// Blocked reports whether targets are known and none of them accepts a request from this instance now.
 func (s *Availability) Blocked() bool {
 	return s.Accepting > 0 && s.Limited+s.InBackoff == s.Accepting && !s.Partial
 }
 
-// countBlocked counts a target that takes requests, but none from this instance for some time.
+// countBlocked counts a target that accepts requests, but none from this instance until wait has passed.
 func (s *Availability) countBlocked(count *int, wait time.Duration) {
 	if s.Limited+s.InBackoff == 0 || wait < s.RetryAfter {
 		s.RetryAfter = wait
@@ -233,7 +233,7 @@
 	*count++
 }
 
-// Availability counts the targets for a request.
+// Availability counts the targets available to a request.
 func (f *Fleet) Availability(now time.Time, n Need) Availability {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -278,7 +278,7 @@
 	return t != nil && t.presumedGone
 }
 
-// AddLoad changes what a request counts for at its target.
+// AddLoad changes the load of a request at its target.
 func (f *Fleet) AddLoad(id string, by Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -287,7 +287,7 @@
 	}
 }
 
-// SetReportedLoad takes in the load that a target told with an answer.
+// SetReportedLoad records the load that a target reported with a response.
 func (f *Fleet) SetReportedLoad(now time.Time, id string, running, waiting int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -297,7 +297,7 @@
 	}
 }
 
-// RecordContact notes that a target was heard at a time.
+// RecordContact records that something was received from a target.
 func (f *Fleet) RecordContact(at time.Time, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -306,7 +306,7 @@
 	}
 }
 
-// LastContact returns when anything last came from a target.
+// LastContact returns when anything was last received from a target.
 func (f *Fleet) LastContact(id string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/fleet_test.go
+++ b/lib/fleet/fleet_test.go
@@ -19,8 +19,7 @@
 	return f
 }
 
-// Instances that each choose by their own sends alone all take the engine that looks idle. Told of each other's runs,
-// they spread.
+// Instances that each choose by their own requests alone all take the engine that looks idle. With each other's load they spread out.
 func TestPeerLoadIsCounted(t *testing.T) {
 	f := newEngineFleet(2)
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Runs: 2, Tokens: 6000}}, nil)
@@ -31,10 +30,10 @@
 	}
 	f.Tick(t0.Add(peerTTL + time.Second))
 	got, _ := f.Acquire(t0, Need{Service: "engine", Tokens: 1000})
-	must.Eq(t, "e0", got.ID) // old news is not believed
+	must.Eq(t, "e0", got.ID) // the old update has expired
 }
 
-// A prompt that waits to be read delays a new one more than the same tokens at rest.
+// A prompt that waits for prefill delays a new one more than the same number of tokens in memory.
 func TestUnreadPromptsWeighMore(t *testing.T) {
 	f := newEngineFleet(2)
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Runs: 1, Tokens: 3000, Unread: 3000}, "e1": {Runs: 1, Tokens: 4000}}, nil)
@@ -42,8 +41,7 @@
 	must.Eq(t, "e1", got.ID)
 }
 
-// A target that leaves gets nothing new. A stale entry that calls it ready again doesn't bring it back, and its leaving
-// is told once.
+// A leaving target gets no new requests. A stale entry that calls it ready does not bring it back, and its leaving is reported once.
 func TestLeavingIsFinal(t *testing.T) {
 	f := newEngineFleet(1)
 	e := Info{ID: "e0", Service: "engine", Leaving: true}
@@ -56,9 +54,9 @@
 	must.Eq(t, []LeftTarget{{ID: "e0"}}, f.LeftSince(t0.Add(-time.Second)))
 }
 
-// Entries lapse while the store is away. The targets are believed for a grace, are back unharmed when their entries
-// return, and are taken as gone when these don't.
-func TestLapsedEntriesKeptForGrace(t *testing.T) {
+// Entries expire during a store outage. The targets are kept for a grace period, stay usable if their entries return, and are treated as
+// leaving if not.
+func TestLapsedEntries(t *testing.T) {
 	f := newEngineFleet(2)
 	ch := f.Apply(t0, nil, []string{"e0", "e1"}, 5*time.Second)
 	must.Len(t, 0, ch.Leaving)
@@ -70,8 +68,8 @@
 	must.Len(t, 1, f.Apply(t0, nil, []string{"e0"}, 0).Leaving) // without an outage a removal counts at once
 }
 
-// A target was taken as gone since its entry was missing for too long. Its entry comes back, so it lives and is used again; others are not
-// told that it left. One that has said that it leaves stays so.
+// A target was presumed gone because its entry was missing for too long. When its entry returns it is used again, and it is not reported to
+// others as having left. A target that announced leaving stays gone.
 func TestPresumedGoneTargetReturns(t *testing.T) {
 	for name, gone := range map[string]func(f *Fleet) Change{
 		"after an outage": func(f *Fleet) Change {
@@ -96,7 +94,7 @@
 	}
 }
 
-// One instance must not use up the connections that a target accepts from all.
+// One instance must not use up the connections that a target accepts from all instances.
 func TestConnectionCapIsShared(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"plain": {ConnCap: 10}})
@@ -111,7 +109,7 @@
 	must.Eq(t, 3, n)
 }
 
-// A target that can't be reached gets nothing for a while, but is better than a refusal when all are so.
+// An unreachable target gets no requests for a while, but is chosen over a refusal if all targets are unreachable.
 func TestUnreachableTargetIsAvoided(t *testing.T) {
 	f := newEngineFleet(2)
 	got, _ := f.Acquire(t0, Need{Service: "engine"})
@@ -128,7 +126,7 @@
 	must.False(t, ok)
 }
 
-// A target that fails half of what it gets is avoided while others don't.
+// A target that fails half of its requests is avoided while others fail none.
 func TestFailingTargetIsAvoided(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"plain": {}})
@@ -147,7 +145,7 @@
 	}
 }
 
-// Copies of runs take memory that nobody else needs, or none.
+// Copies are placed only where the minimum share of memory stays free.
 func TestCopyLeavesMinimumFree(t *testing.T) {
 	f := newEngineFleet(2)
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Tokens: 2000}, "e1": {Tokens: 5000}}, nil)
@@ -158,8 +156,8 @@
 	must.False(t, ok)
 }
 
-// A peer tells late that a target has left, when this instance has already read of its next life under the same id. The
-// news is of the earlier life; taken for the new one it would keep that out for as long as it lives.
+// A peer reports late that a target has left, after this instance has read the entry of its next incarnation under the same id. The report
+// is about the earlier incarnation; applied to the new one, it would exclude that for good.
 func TestStaleLeaveOfEarlierIncarnation(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}})
@@ -174,8 +172,8 @@
 	must.Len(t, 1, f.MarkLeaving(t0, "e", 200).Leaving)
 }
 
-// The list is away when an engine starts again. Its own report tells the new life: what ran on the one before is broken,
-// once, and a report that names the same life or none changes nothing.
+// An engine restarts while the list can't be read. Its own report shows the new incarnation: runs on the previous one are reported as
+// broken once, and a report of the same incarnation or of none changes nothing.
 func TestReportOfNewIncarnation(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "e", Service: "engine", Born: 100}}, nil, 0)
@@ -186,8 +184,7 @@
 	must.Len(t, 0, f.Apply(t0, []Info{{ID: "e", Service: "engine", Born: 200}}, nil, 0).Restarted)
 }
 
-// What peers carry is added up once and kept. It follows their news, the news that stops, and a target that is listed
-// only after they told of it.
+// The sum of the peers' loads is cached. It must follow their updates, their expiry, and targets that are listed only after the updates.
 func TestPeerTotalsFollowUpdates(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}})
@@ -203,9 +200,9 @@
 	must.Eq(t, 0, tokens())
 }
 
-// A target has said that it leaves, and for longer than it is remembered otherwise the list can't be read, or goes on saying ready. Read
-// again, the old entry does not bring it back.
-func TestLeftTargetIsNotReadded(t *testing.T) {
+// A target has announced leaving, and the list can't be read, or still shows it as ready, for longer than such targets are remembered. The
+// old entry, when read again, must not bring it back.
+func TestTargetThatLeftIsNotTakenForANewOne(t *testing.T) {
 	f := New("z1")
 	entry := []Info{{ID: "t", Service: "s", Slots: 6}}
 	f.Apply(t0, entry, nil, 0)
--- a/lib/fleet/grant.go
+++ b/lib/fleet/grant.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// grantTTL is how long a target that an owner has named is held without a request of this instance there.
+// grantTTL is how long a target granted by an owner is kept without a request of this instance on it.
 const grantTTL = 10 * time.Second
 
-// isGranted reports whether a target is held only for what owners have sent there. It is chosen by nobody else.
+// isGranted reports whether a target is held only for requests that owners have placed there; it is not chosen for any others.
 func (t *Target) isGranted() bool { return !t.grantedAt.IsZero() }
 
-// Grant takes in what an owner says of a target that it has chosen for this instance, which may hold no more than a part of the list.
+// Grant adds the target that an owner has chosen for this instance, whose own list may be partial.
 func (f *Fleet) Grant(now time.Time, e Info) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,7 +31,7 @@
 	return ch
 }
 
-// Drop forgets targets that this instance no longer needs to know. Those that it has requests on are held until these end.
+// Drop forgets targets that this instance no longer needs to know. Those with requests of this instance are kept until these end.
 func (f *Fleet) Drop(now time.Time, ids []string) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,8 +53,7 @@
 	return ch
 }
 
-// forgetGranted forgets targets that owners have named and that this instance has nothing on. One that wants to rest is remembered for
-// as long as it does.
+// forgetGranted forgets granted targets that have no load of this instance, but not before their backoff has ended.
 func (f *Fleet) forgetGranted(now time.Time) {
 	for _, t := range f.index.granted {
 		if t.local == (Load{}) && t.state == Ready && now.Sub(t.grantedAt) > grantTTL && !now.Before(t.backoffUntil) {
@@ -63,7 +62,7 @@
 	}
 }
 
-// SetPartial says whether this instance holds only a part of the list. What it holds then says nothing of the other targets.
+// SetPartial sets whether this instance holds only a part of the list, which then says nothing about other targets.
 func (f *Fleet) SetPartial(part bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/grant_test.go
+++ b/lib/fleet/grant_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// An owner has chosen an engine that this instance does not hold. The run goes there, and nothing else by this instance's own choice;
-// once nothing is there any more it is forgotten.
-func TestGrantedTargetTakesOnlyGrants(t *testing.T) {
+// An owner has chosen an engine that is not on this instance's list. The granted run goes there and no other of this instance does; once
+// unused, the engine is forgotten.
+func TestGrantedTargetTakesWhatItWasGrantedFor(t *testing.T) {
 	f := newEngineFleet(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	must.SliceEmpty(t, f.Grant(t0, e).Added)
@@ -37,14 +37,14 @@
 	must.False(t, held)
 }
 
-// A granted engine leaves, starts anew, or comes into the list that this instance holds.
-func TestGrantedTargetLifecycle(t *testing.T) {
+// A granted engine leaves, restarts, and is added to this instance's list.
+func TestLifeOfAGrantedTarget(t *testing.T) {
 	f := newEngineFleet(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	f.Grant(t0, e)
 	must.Len(t, 1, f.MarkLeaving(t0, "far", 5).Leaving)
 	f.Grant(t0, e)
-	must.True(t, f.IsLeaving("far")) // the owner's word was late
+	must.True(t, f.IsLeaving("far")) // the owner's grant was stale
 	e.Born = 6
 	must.Len(t, 1, f.Grant(t0, e).Restarted)
 	must.False(t, f.IsLeaving("far"))
@@ -52,7 +52,7 @@
 	must.Eq(t, 2, f.Availability(t0, Need{Service: "engine"}).Accepting)
 }
 
-// Targets that this instance no longer needs are forgotten, but for those that it has requests on. None of them is said to leave.
+// Dropped targets are forgotten, except those with requests of this instance. None of them is reported as leaving.
 func TestDroppedTargetsAreForgotten(t *testing.T) {
 	f := newEngineFleet(3)
 	need := Need{Service: "engine", Tokens: 10}
@@ -75,7 +75,7 @@
 	must.Len(t, 1, f.Apply(t0, []Info{{ID: "e0", Service: "engine", Domain: "z1"}}, nil, 0).Added)
 }
 
-// The index names each target once, in the order of ids, however they come, move and go.
+// The index lists each target once, ordered by id, however targets are added, moved and removed.
 func TestIndexIsSortedByID(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"a": {}, "b": {}})
--- a/lib/fleet/index.go
+++ b/lib/fleet/index.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// index finds targets without a walk over all of them.
+// index finds targets without scanning all of them.
 type index struct {
 	services   map[string]*serviceTargets
-	missing    map[string]*Target // whose entries a list read after an outage has not had
-	signalled  map[string]*Target // that have named a limit or want to rest
-	granted    map[string]*Target // that are held for what owners sent there
-	departures []departure        // in the order in which they left
+	missing    map[string]*Target // whose entries were missing from a list read after an outage
+	signalled  map[string]*Target // that announced a limit or asked for backoff
+	granted    map[string]*Target // held only for requests placed by owners
+	departures []departure        // ordered by time of leaving
 }
 
-// serviceTargets lists a service's targets.
+// serviceTargets holds the targets of one service.
 type serviceTargets struct {
-	targets  []*Target      // in the order of their ids, but for the last ones
-	unsorted int            // how many are not in order yet
-	ready    map[string]int // targets that take requests, evacuations aside, by failure domain
+	targets  []*Target      // ordered by id, except for the last unsorted ones
+	unsorted int            // number of targets at the end that are not in order yet
+	ready    map[string]int // targets that accept requests, regardless of evacuations, by failure domain
 }
 
-// departure is a target that left at a time.
+// departure records that a target left at a given time.
 type departure struct {
 	t  *Target
 	at time.Time
 }
 
-// current reports whether the target has not come back since.
+// current reports whether the target has not returned since.
 func (l *departure) current() bool { return l.t.state == Leaving && l.t.leftAt.Equal(l.at) }
 
-// indexEntry is where a target is counted in the index.
+// indexEntry records where the index counts a target.
 type indexEntry struct {
 	service, domain string
 	ready           bool
@@ -39,10 +39,13 @@
 }
 
 func newIndex() index {
-	return index{services: make(map[string]*serviceTargets), missing: make(map[string]*Target), signalled: make(map[string]*Target), granted: make(map[string]*Target)}
+	return index{
+		services: make(map[string]*serviceTargets), missing: make(map[string]*Target),
+		signalled: make(map[string]*Target), granted: make(map[string]*Target),
+	}
 }
 
-// targetsOf returns a service's targets in the order of their ids: the same choice for the same state.
+// targetsOf returns a service's targets ordered by id, so that equal state gives equal choices.
 func (x *index) targetsOf(service string) []*Target {
 	r := x.services[service]
 	if r == nil {
@@ -52,7 +55,7 @@
 	return r.targets
 }
 
-// maxUnsortedShare is the part of a roster up to which targets that came late are each put in their place; of more all are sorted.
+// maxUnsortedShare is the share of unsorted targets up to which each is inserted in place; beyond it, the whole list is sorted.
 const maxUnsortedShare = 0.01
 
 func (r *serviceTargets) sort() {
@@ -89,7 +92,7 @@
 	}
 }
 
-// updateListing lists a target among those of its service.
+// updateListing updates the target's place and ready count in its service.
 func (x *index) updateListing(t *Target) {
 	ready := t.state == Ready && !t.unreadable
 	if s := t.listing; s.service != t.Service || s.domain != t.Domain || s.ready != ready {
@@ -122,7 +125,7 @@
 	return r
 }
 
-// unlist takes a target off its service's roster.
+// unlist removes a target from the list of its service.
 func (x *index) unlist(t *Target) {
 	r := x.services[t.listing.service]
 	if r == nil {
@@ -139,7 +142,7 @@
 	t.listing.service = ""
 }
 
-// remove forgets a target.
+// remove deletes a target from the index.
 func (x *index) remove(t *Target) {
 	x.unlist(t)
 	delete(x.missing, t.ID)
@@ -147,7 +150,7 @@
 	delete(x.granted, t.ID)
 }
 
-// leftSince calls visit for the targets that have left since a time, the last first, until that returns false.
+// leftSince calls visit for the targets that left after a time, the latest first, until visit returns false.
 func (x *index) leftSince(at time.Time, visit func(*Target) bool) {
 	for i := len(x.departures) - 1; i >= 0 && x.departures[i].at.After(at); i-- {
 		if x.departures[i].current() && !visit(x.departures[i].t) {
@@ -156,7 +159,7 @@
 	}
 }
 
-// leftBefore calls drop for the targets that left before a time. One for which it returns true is not visited again.
+// leftBefore calls drop for the targets that left before a time. Those for which drop returns true are removed.
 func (x *index) leftBefore(at time.Time, drop func(*Target) bool) {
 	n, kept := 0, x.departures[:0]
 	for ; n < len(x.departures) && x.departures[n].at.Before(at); n++ {
--- a/lib/fleet/limit.go
+++ b/lib/fleet/limit.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Limit is how many requests a second a target takes from all instances together, by its own word. The zero Limit is none.
+// Limit is the rate of requests, from all instances together, that a target has announced to accept. The zero Limit means none.
 type Limit struct {
 	On        bool
 	PerSecond float64
 }
 
-// Valid reports whether a limit can be kept to.
+// Valid reports whether the limit is a usable rate.
 func (l Limit) Valid() bool {
 	return !l.On || l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 1)
 }
 
-// LimitNotice is an answer's word of its target's limit.
+// LimitNotice is the limit that a target announced in a response.
 type LimitNotice struct {
 	Limit
-	RequestedAt time.Time // when the request was sent, so that the answer was made later
-	ReceivedAt  time.Time // when the answer came; the zero time: no answer has
-	Relayed     bool      // another instance got the answer
+	RequestedAt time.Time // when the request was sent, which is before the response was made
+	ReceivedAt  time.Time // when the response arrived; zero: there was none
+	Relayed     bool      // another instance received the response
 }
 
-// supersedes reports whether a word holds in place of another.
+// supersedes reports whether a notice replaces an earlier one.
 //
-// Answers on different connections overtake each other: of two that may have been made in any order the stricter one holds, until
-// the answer to a request that was sent after both.
+// Responses on different connections overtake each other. Of two notices that may have been made in either order, the stricter one
+// holds until the response to a request that was sent after both.
 func (n *LimitNotice) supersedes(old *LimitNotice) bool {
 	if n.RequestedAt.After(old.ReceivedAt) {
 		return true
@@ -35,7 +35,7 @@
 	return n.On && (!old.On || n.PerSecond < old.PerSecond)
 }
 
-// ApplyLimit takes in the word of an answer that this or another instance got. It reports whether that changes the limit.
+// ApplyLimit applies a notice received by this or another instance. It reports whether the limit changed.
 func (f *Fleet) ApplyLimit(id string, n LimitNotice) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +54,7 @@
 	return changed
 }
 
-// LimitOf returns the newest word of a target's limit.
+// LimitOf returns the current limit notice of a target.
 func (f *Fleet) LimitOf(id string) LimitNotice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,7 +64,7 @@
 	return LimitNotice{}
 }
 
-// TotalLimit adds up the limits, in requests a second, of those of some targets that take requests; ok is false unless each has one.
+// TotalLimit adds up the limits of those of the given targets that accept requests; ok is false unless each of them has one.
 func (f *Fleet) TotalLimit(ids []string) (perSecond float64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -82,17 +82,17 @@
 	return perSecond, ok
 }
 
-// Permit is the leave to send one request to a target that has named a limit.
+// Permit is the result of asking to send one request to a target with a limit.
 type Permit struct {
 	Granted    bool
-	RetryAfter time.Duration // when to ask again, if it is not given
+	RetryAfter time.Duration // when to ask again, if not granted
 }
 
-// Permit gives an instance leave to send a request, as the target's owner. What must be sent, because a run would be lost, is given
-// always and counted against those that come after it. ok is false when the target is not known here.
+// Permit grants or denies an instance's request for a permit, on behalf of the target's owner. With force it is always granted and counted
+// against later requests: such a request must be sent because a run would be lost. ok is false if the target is unknown.
 //
-// Load pattern: a target in need takes a few requests a second from all instances together, and each of them has requests for it. Shares
-// of so little are under one request for each and go unused where no request comes, so each request asks.
+// An overloaded target takes a few requests per second from all instances together, and every instance has requests for it. A fixed share
+// per instance would be less than one request and would go unused where no request arrives, so each request asks for a permit.
 func (f *Fleet) Permit(now time.Time, id, instance string, force bool) (p Permit, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +118,7 @@
 	return Permit{RetryAfter: time.Duration((untilToken + f.random()*spread) * float64(time.Second))}, true
 }
 
-// recordDenied notes that an instance wants a permit, and returns how many do.
+// recordDenied records that an instance is waiting for a permit, and returns how many are.
 func (p *pacer) recordDenied(now time.Time, instance string) int {
 	if p.denied == nil {
 		p.denied = make(map[string]time.Time)
@@ -132,7 +132,7 @@
 	return len(p.denied)
 }
 
-// PermitWithoutOwner gives this instance's own part of what a target with a limit takes, while no owner answers.
+// PermitWithoutOwner draws from this instance's own share of a limited target's rate while no owner can be reached.
 func (f *Fleet) PermitWithoutOwner(now time.Time, id string) Permit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,10 +154,10 @@
 	return Permit{RetryAfter: time.Duration((1 - limiter.TokensAt(now)) / float64(limiter.Limit()) * float64(time.Second))}
 }
 
-// noShareRetryAfter is when an instance without a part of its own asks an owner again.
+// noShareRetryAfter is when an instance without a share of its own asks an owner again.
 const noShareRetryAfter = 500 * time.Millisecond
 
-// HoldOff notes that this instance gets no permit for a target for some time.
+// HoldOff records that this instance gets no permit for a target for the given time.
 func (f *Fleet) HoldOff(now time.Time, id string, after time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/limit_test.go
+++ b/lib/fleet/limit_test.go
@@ -10,45 +10,45 @@
 	"github.com/shoenig/test/must"
 )
 
-func limitNotice(perSecond float64, asked, heard time.Duration) LimitNotice {
-	return LimitNotice{Limit: Limit{On: true, PerSecond: perSecond}, RequestedAt: t0.Add(asked), ReceivedAt: t0.Add(heard)}
+func limitNotice(perSecond float64, requestedAt, receivedAt time.Duration) LimitNotice {
+	return LimitNotice{Limit: Limit{On: true, PerSecond: perSecond}, RequestedAt: t0.Add(requestedAt), ReceivedAt: t0.Add(receivedAt)}
 }
 
-func noLimitNotice(asked, heard time.Duration) LimitNotice {
-	return LimitNotice{RequestedAt: t0.Add(asked), ReceivedAt: t0.Add(heard)}
+func noLimitNotice(requestedAt, receivedAt time.Duration) LimitNotice {
+	return LimitNotice{RequestedAt: t0.Add(requestedAt), ReceivedAt: t0.Add(receivedAt)}
 }
 
-// Answers overtake each other. An older one must neither end a limit nor raise it.
-func TestStaleResponsesDoNotRelaxLimit(t *testing.T) {
+// Responses overtake each other. An older one must neither end nor raise a limit.
+func TestOlderAnswersDoNotEaseALimit(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		words []LimitNotice
-		want  Limit
+		notices []LimitNotice
+		want    Limit
 	}{
-		"begins":                   {[]LimitNotice{limitNotice(5, 0, 10*ms)}, Limit{true, 5}},
-		"ends":                     {[]LimitNotice{limitNotice(5, 0, 10*ms), noLimitNotice(11*ms, 20*ms)}, Limit{}},
-		"ended by an older answer": {[]LimitNotice{limitNotice(5, 0, 10*ms), noLimitNotice(9*ms, 20*ms)}, Limit{true, 5}},
-		"begins after its end":     {[]LimitNotice{noLimitNotice(0, 10*ms), limitNotice(5, 5*ms, 20*ms)}, Limit{true, 5}},
-		"lower, older":             {[]LimitNotice{limitNotice(5, 0, 10*ms), limitNotice(3, 5*ms, 20*ms)}, Limit{true, 3}},
-		"higher, older":            {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(5, 5*ms, 20*ms)}, Limit{true, 3}},
-		"higher, newer":            {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(5, 11*ms, 20*ms)}, Limit{true, 5}},
-		"not a number":             {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(math.NaN(), 11*ms, 20*ms)}, Limit{true, 3}},
-		"below zero":               {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(-1, 11*ms, 20*ms)}, Limit{true, 3}},
-		"without end":              {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(math.Inf(1), 11*ms, 20*ms)}, Limit{true, 3}},
-		"of nobody's":              {[]LimitNotice{limitNotice(3, 0, 10*ms), {}}, Limit{true, 3}},
-		"zero":                     {[]LimitNotice{limitNotice(0, 0, 10*ms)}, Limit{true, 0}},
+		"begins":                     {[]LimitNotice{limitNotice(5, 0, 10*ms)}, Limit{true, 5}},
+		"ends":                       {[]LimitNotice{limitNotice(5, 0, 10*ms), noLimitNotice(11*ms, 20*ms)}, Limit{}},
+		"ended by an older response": {[]LimitNotice{limitNotice(5, 0, 10*ms), noLimitNotice(9*ms, 20*ms)}, Limit{true, 5}},
+		"begins after its end":       {[]LimitNotice{noLimitNotice(0, 10*ms), limitNotice(5, 5*ms, 20*ms)}, Limit{true, 5}},
+		"lower, older":               {[]LimitNotice{limitNotice(5, 0, 10*ms), limitNotice(3, 5*ms, 20*ms)}, Limit{true, 3}},
+		"higher, older":              {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(5, 5*ms, 20*ms)}, Limit{true, 3}},
+		"higher, newer":              {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(5, 11*ms, 20*ms)}, Limit{true, 5}},
+		"not a number":               {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(math.NaN(), 11*ms, 20*ms)}, Limit{true, 3}},
+		"negative rate":              {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(-1, 11*ms, 20*ms)}, Limit{true, 3}},
+		"infinite rate":              {[]LimitNotice{limitNotice(3, 0, 10*ms), limitNotice(math.Inf(1), 11*ms, 20*ms)}, Limit{true, 3}},
+		"empty notice":               {[]LimitNotice{limitNotice(3, 0, 10*ms), {}}, Limit{true, 3}},
+		"zero":                       {[]LimitNotice{limitNotice(0, 0, 10*ms)}, Limit{true, 0}},
 	} {
 		f := New("z1")
 		f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6}}, nil, 0)
-		for _, w := range c.words {
-			f.ApplyLimit("t", w)
+		for _, notice := range c.notices {
+			f.ApplyLimit("t", notice)
 		}
 		must.Eq(t, c.want, f.LimitOf("t").Limit, must.Sprint(name))
 	}
 }
 
-// A target that starts again under its id has named no limit yet.
-func TestRestartClearsLimit(t *testing.T) {
+// A restarted target has not announced a limit yet.
+func TestLimitEndsWithTheTargetsLife(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6, Born: 1}}, nil, 0)
 	must.True(t, f.ApplyLimit("t", limitNotice(0, 0, time.Millisecond)))
@@ -56,12 +56,12 @@
 	must.False(t, f.LimitOf("t").On)
 }
 
-// limitSim is a play of instances that all have requests for one target, all the time, by the clock of the test alone.
+// limitSim simulates instances that constantly have requests for one target, on a simulated clock.
 type limitSim struct {
 	instances     int
 	limit         float64
-	ownerDiesAt   time.Duration // from then on the first owner gives nothing, and the next does
-	isolatedShare float64       // of the instances reach no owner, those first that rank to send alone
+	ownerDiesAt   time.Duration // from then on the first owner grants nothing and the next one takes over
+	isolatedShare float64       // of the instances reach no owner, starting with those that may send without one
 }
 
 // run returns when requests reached the target.
@@ -102,22 +102,22 @@
 	return sent
 }
 
-// A target in need names a limit, and tens or hundreds of instances have requests for it all the time: they reach its owner, the owner
-// dies, some of them reach nobody. In any four seconds it gets no more than one and a half times what it takes, and five more; and
-// while its owner lives most of what it takes is used.
-func TestLimitHoldsInEveryWindow(t *testing.T) {
+// An overloaded target announces a limit while tens or hundreds of instances constantly have requests for it. They reach its owner, the
+// owner dies, or some reach no owner. In any four seconds the target gets at most 1.5 times its limit plus five requests; without
+// faults most of the limit is used.
+func TestLimitIsKeptInEveryWindow(t *testing.T) {
 	const span = 12 * time.Second
 	for _, n := range []int{3, 7, 70, 295} {
 		for _, limit := range []float64{0, 0.5, 4.5, 30, 200} {
 			for name, p := range map[string]limitSim{
-				"calm":       {instances: n, limit: limit},
-				"owner dies": {instances: n, limit: limit, ownerDiesAt: 5 * time.Second},
-				"some cut":   {instances: n, limit: limit, isolatedShare: 0.4},
+				"without faults": {instances: n, limit: limit},
+				"owner dies":     {instances: n, limit: limit, ownerDiesAt: 5 * time.Second},
+				"some isolated":  {instances: n, limit: limit, isolatedShare: 0.4},
 			} {
 				sent := p.run(span)
 				label := must.Sprintf("%s, %d instances, limit %v", name, n, limit)
 				must.LessEq(t, 1.5*4*limit+5, float64(maxInWindow(sent, 4*time.Second)), label)
-				if name == "calm" {
+				if name == "without faults" {
 					must.GreaterEq(t, 0.85*limit*span.Seconds(), float64(len(sent)), label)
 				}
 			}
@@ -137,13 +137,13 @@
 	return n
 }
 
-// A target that takes nothing at all is tried now and then: no other message says that its need is over.
-func TestZeroLimitIsProbed(t *testing.T) {
+// A target with a limit of zero is probed occasionally: no other message shows that the limit has ended.
+func TestLimitOfNoneIsTriedNowAndThen(t *testing.T) {
 	sent := limitSim{instances: 7, limit: 0}.run(30 * time.Second)
 	must.Between(t, 4, len(sent), 8)
 }
 
-// What is sent in any case, because a run would be lost, is counted against what comes after it.
+// Requests that must be sent because a run would be lost are counted against later ones.
 func TestForcedRequestsAreCounted(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6}}, nil, 0)
--- a/lib/fleet/list.go
+++ b/lib/fleet/list.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Change is what an update of the list did.
+// Change is the result of an update of the list.
 type Change struct {
 	Added, Leaving, Gone []Info
-	Restarted            []Info // a new life under an id that was known: what ran on the one before is broken
-	Dropped              []Info // targets that this instance no longer needs to know, whatever becomes of them
+	Restarted            []Info // a new incarnation under a known id: runs on the previous one are broken
+	Dropped              []Info // targets that this instance no longer needs to know, whatever happens to them
 }
 
-// Apply takes in entries of the list and the ids whose entries were removed. silent is how long the list could not be
-// read before. It returns what changed.
+// Apply applies entries of the list and the ids of removed entries. outage is how long the list could not be read before. It returns what
+// changed.
 func (f *Fleet) Apply(now time.Time, entries []Info, removed []string, outage time.Duration) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,12 +35,12 @@
 		f.targets[e.ID] = t
 		ch.Added = append(ch.Added, e)
 	case e.Born != 0 && e.Born < t.Born:
-		return // a stale entry of an earlier life
+		return // a stale entry of an earlier incarnation
 	case t.Born != 0 && e.Born > t.Born:
 		t.restart()
 		ch.Restarted = append(ch.Restarted, e)
 	case t.presumedGone && !e.Leaving:
-		t.state, t.presumedGone = Ready, false // it lives, and was late to write
+		t.state, t.presumedGone = Ready, false // it is alive and only wrote its entry late
 		ch.Added = append(ch.Added, e)
 	}
 	if t.isGranted() {
@@ -58,12 +58,12 @@
 	f.index.update(t)
 }
 
-// restart forgets what was learnt of the life before. What this instance had sent there is released as it breaks.
+// restart discards the state of the previous incarnation. This instance's load there is released as its requests fail.
 func (t *Target) restart() {
 	*t = Target{Info: t.Info, state: Ready, local: t.local, grantedAt: t.grantedAt, listing: t.listing}
 }
 
-// markLeaving is final for one life of a target: a stale entry that says ready doesn't bring it back.
+// markLeaving is final for an incarnation: a stale entry that says ready does not bring it back.
 func (f *Fleet) markLeaving(now time.Time, t *Target, ch *Change) {
 	t.presumedGone = false
 	if t.state == Leaving {
@@ -91,8 +91,8 @@
 	f.markLeaving(now, t, ch)
 }
 
-// PresumeGone takes targets as gone whose entries are missing, although nobody has said that they leave. One whose entry comes back is used
-// again.
+// PresumeGone treats targets as leaving because their entries are missing, without a notice that they leave. A target whose entry
+// returns is used again.
 func (f *Fleet) PresumeGone(now time.Time, ids []string) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,11 +115,11 @@
 	f.index.update(t)
 }
 
-// forgetAfter is how long a target that left is remembered, for runs that still end there. One that the list still has is remembered for
-// as long: forgotten, it would be taken for a new one as soon as the list is read again.
+// forgetAfter is how long a target that left is remembered, for runs that still end there. A target that is still listed is kept longer:
+// once forgotten, it would be taken for a new one the next time the list is read.
 const forgetAfter = 30 * time.Second
 
-// Tick ends the grace of entries that have not come back and forgets targets that left long ago.
+// Tick ends the grace period of entries that have not returned and forgets targets that left long ago.
 func (f *Fleet) Tick(now time.Time) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +152,7 @@
 	return ch
 }
 
-// HasMissing reports whether entries of targets are missing that are believed for a grace: Tick is to be called often.
+// HasMissing reports whether targets are in the grace period of missing entries, so that Tick must be called often.
 func (f *Fleet) HasMissing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,8 +164,8 @@
 	f.index.remove(t)
 }
 
-// MarkLeaving marks a life of a target that was seen to leave, although the list has not told. News of an earlier life than
-// the one known is late and says nothing of it; news of a later one says that the one known has ended, too.
+// MarkLeaving marks an incarnation of a target as leaving before the list says so. A notice about an earlier incarnation than the known
+// one is stale and ignored; one about a later incarnation implies that the known one has ended.
 func (f *Fleet) MarkLeaving(now time.Time, id string, born int64) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,7 +176,7 @@
 	return ch
 }
 
-// MarkRestarted takes in that a target answers as another life than the one listed. The list tells the rest of it later.
+// MarkRestarted records that a target responds as a later incarnation than the listed one. The list supplies the rest later.
 func (f *Fleet) MarkRestarted(now time.Time, id string, born int64) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,7 +189,7 @@
 	return ch
 }
 
-// MarkUnreadable notes that the entries of targets name none. They get nothing new until they have written others.
+// MarkUnreadable records that the entries of targets could not be decoded. The targets get no new requests until their next valid entry.
 func (f *Fleet) MarkUnreadable(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,13 +201,13 @@
 	}
 }
 
-// LeftTarget is a life of a target that has left.
+// LeftTarget is an incarnation of a target that has left.
 type LeftTarget struct {
 	ID   string
 	Born int64 // as in Info
 }
 
-// LeftSince lists the targets that have left since a time.
+// LeftSince lists the targets that announced leaving, or were removed from the list, after a time; presumed departures are left out.
 func (f *Fleet) LeftSince(at time.Time) []LeftTarget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,11 +221,11 @@
 	return out
 }
 
-// settleTime is how long a list that was just read for the first time may lack targets that live: entries that lapsed
-// while the store was away come back within OutageGrace, by the targets' own writing.
+// settleTime is how long a list read for the first time may lack live targets: targets whose entries expired during a store outage write
+// them again within OutageGrace.
 const settleTime = OutageGrace + 500*time.Millisecond
 
-// Settling reports whether targets that live may still be missing from the list.
+// Settling reports whether live targets may still be missing from the list.
 func (f *Fleet) Settling(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/outcome.go
+++ b/lib/fleet/outcome.go
@@ -6,14 +6,14 @@
 type Outcome uint8
 
 const (
-	Served      Outcome = iota // it answered
-	Failed                     // it answered with a failure of its own, or broke off
-	Unreachable                // no connection could be made
-	Refused                    // it was full, or another target has the address
-	Abandoned                  // the caller left, or the run went on elsewhere: says nothing of the target
+	Served      Outcome = iota // the target responded
+	Failed                     // the target responded with an error of its own, or the response broke off
+	Unreachable                // the connection failed
+	Refused                    // the target was full, or another target has the address
+	Abandoned                  // the caller left, or the run continued elsewhere: says nothing about the target
 )
 
-// Release takes a request off a target and learns from its outcome.
+// Release removes a request's load from its target and records the outcome.
 func (f *Fleet) Release(now time.Time, id string, l Load, o Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,7 +25,7 @@
 	t.recordOutcome(now, o)
 }
 
-// RecordOutcome takes in how a request of another instance ended.
+// RecordOutcome records how a request of another instance ended.
 func (f *Fleet) RecordOutcome(now time.Time, id string, o Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// Avoided lists the targets of a service that this instance could not reach lately, or that turned it away.
+// Avoided lists the targets of a service that this instance avoids because they were unreachable or asked it to back off.
 func (f *Fleet) Avoided(now time.Time, service string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lib/fleet/pace_test.go
+++ b/lib/fleet/pace_test.go
@@ -33,9 +33,9 @@
 	return n
 }
 
-// A plain target comes back cold and is the idlest of all. Seventy instances that know nothing of each other's sends all have
-// requests for it at any moment; together they send no more than it bears, and still send.
-func TestColdRateSharedWithoutOwner(t *testing.T) {
+// A plain target returns cold and is the least loaded of all. Seventy instances that don't know of each other's requests constantly have
+// requests for it; together they must stay within what it can take, and use it.
+func TestColdTargetIsSharedByThoseThatDecideAlone(t *testing.T) {
 	const instances = 70
 	fleets := make([]*Fleet, instances)
 	for i := range fleets {
@@ -56,9 +56,9 @@
 	must.True(t, ok) // warm
 }
 
-// A group of engines comes back empty. Its owner is asked for hundreds of streams, and instances that can't reach the owner decide
-// alone meanwhile: all of them together stay under what a cold engine bears.
-func TestColdRateSharedByOwnerAndOthers(t *testing.T) {
+// A group of engines returns empty. The owner has requests for hundreds of streams, and instances that can't reach the owner decide on
+// their own; all together must stay within what a cold engine can take.
+func TestColdEngineIsSharedByItsOwnerAndOthers(t *testing.T) {
 	owner := coldFleet("engine", 1<<20)
 	alone := make([]*Fleet, 70)
 	for i := range alone {
@@ -80,7 +80,7 @@
 	must.GreaterEq(t, int(0.7*coldRate*coldFor.Seconds()), len(sent))
 }
 
-// An owner has counted a stream at a cold engine. The instance that sends it has no say of its own, and uses up nothing.
+// An owner has counted a stream at a cold engine. The sending instance, which may not choose the engine itself, uses up no pace.
 func TestGrantedStreamIsCountedOnce(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
 	f.SetSenders(func(string, int) bool { return false })
@@ -94,7 +94,7 @@
 	}
 }
 
-// An engine goes cold again at any moment, or starts again behind a list that doesn't tell: it counts as cold from then on.
+// An engine becomes cold again at any time, or restarts without the list showing it: it counts as cold from then on.
 func TestTargetBecomesColdAgain(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
 	stand := func(at time.Duration) Availability { return f.Availability(t0.Add(at), Need{Service: "engine"}) }
@@ -108,7 +108,7 @@
 	must.Eq(t, 0, stand(3*coldFor).Cold)
 }
 
-// The settings change what a cold target bears, while it is cold: from then on it gets that. A change that says the same gives nothing anew.
+// The cold rate changes in the settings while a target is cold and applies from then on. Setting the same value must not refill the burst.
 func TestColdRateFollowsSettings(t *testing.T) {
 	f := coldFleet("plain", 0)
 	given := func(at time.Duration) int {
@@ -130,7 +130,7 @@
 	must.Eq(t, 100, given(2*time.Second))
 }
 
-// Engines that have just started are no place for runs that move or for copies: these can't wait for their turn there.
+// Cold engines are excluded for moved runs and for copies, which can't wait for their turn there.
 func TestNoMovesOrCopiesToColdEngines(t *testing.T) {
 	f := coldFleet("engine", 10_000)
 	must.Len(t, 0, f.MoveCandidates(t0, "engine", nil))
@@ -139,8 +139,8 @@
 	must.Len(t, 1, f.MoveCandidates(t0.Add(coldFor), "engine", nil))
 }
 
-// BenchmarkAcquire is one choice among 64 engines that 300 runs are on, some of them cold, one domain of four evacuated and the
-// request bound to a region.
+// BenchmarkAcquire measures one choice among 64 engines with 300 runs, some of them cold, with one of four domains evacuated and the
+// request restricted to a region.
 func BenchmarkAcquire(b *testing.B) {
 	f := New("z0")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 20_000, ColdFor: coldFor, ColdRate: 25}})
--- a/lib/fleet/peak.go
+++ b/lib/fleet/peak.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Size is a run's part of an engine's memory, in tokens.
+// Size is the engine memory of a run, in tokens.
 type Size struct {
-	Held      int // it holds
-	Remaining int // it is expected to add before it ends
+	Held      int // held now
+	Remaining int // expected to be added before the run ends
 }
 
-// Peak returns the most memory that runs will take together, if all add tokens at one pace and none joins them: it is
-// reached when one of them is about to end. Counting each at its full size would leave room unused, since runs that are
-// at different places don't reach it together.
+// Peak returns the largest total memory that runs will hold, assuming that all add tokens at the same rate and none joins. The maximum is
+// reached when one of them is about to end. Counting each run at its full size would leave memory unused, since runs at different stages
+// don't reach their full sizes together.
 func Peak(runs []Size) int {
 	slices.SortFunc(runs, func(a, b Size) int { return cmp.Compare(a.Remaining, b.Remaining) })
 	held := 0
@@ -23,16 +23,16 @@
 	peak := held
 	for i, r := range runs {
 		peak = max(peak, held+(len(runs)-i)*r.Remaining)
-		held -= r.Held // it has ended, and what it had added is free, too
+		held -= r.Held // the run has ended; the tokens it added are free as well
 	}
 	return peak
 }
 
-// maxFill is the part of an engine's memory that streams are sent to fill. News is some milliseconds old and guesses of
-// length are often short; an engine that runs out preempts a run, whose prompt is read again.
+// maxFill is the share of an engine's memory that streams may fill. Load updates are some milliseconds old and length estimates are often
+// too low; an engine that runs out of memory preempts a run, whose prompt must be prefilled again.
 const maxFill = 0.97
 
-// sizesOn lists the sizes of all runs on an engine, as far as this instance knows.
+// sizesOn lists the sizes of all runs on an engine, as far as known.
 func (f *Fleet) sizesOn(t *Target) []Size {
 	var out []Size
 	if f.sizes != nil {
@@ -41,9 +41,9 @@
 	return append(out, f.peerTotal(t).sizes...)
 }
 
-// fits tells whether an engine has memory for one more run until it and those beside it have ended.
+// fits reports whether an engine has memory for one more run until it and the runs beside it have ended.
 func (f *Fleet) fits(t *Target, size Size, memory int) bool {
 	runs := append(f.sizesOn(t), size)
-	// A guess of length may be absurd: an engine with nothing else on it has room, whatever the guess says.
+	// The length estimate may be absurdly high: an otherwise empty engine takes the run whatever the estimate.
 	return len(runs) == 1 || float64(Peak(runs)) <= maxFill*float64(memory)
 }
--- a/lib/fleet/peak_test.go
+++ b/lib/fleet/peak_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// simulatePeak lets runs add a token each a step, and end when nothing is left, and returns the most they held.
+// simulatePeak lets each run add one token per step until nothing remains, and returns the largest total held.
 func simulatePeak(runs []Size) int {
 	runs = slices.Clone(runs)
 	most := 0
@@ -37,8 +37,8 @@
 	})
 }
 
-// Two runs that fill an engine at different times fit beside each other; two that do at the same time don't, and the
-// new one is not sent there, however little they hold now.
+// Two runs that reach their peaks on an engine at different times fit together; two that do so at the same time don't, so the new one
+// is not sent there however little they hold now.
 func TestMemoryFitIsJudgedByPeak(t *testing.T) {
 	now := time.Unix(1, 0)
 	f := New("z")
@@ -58,8 +58,8 @@
 	must.False(t, ok)
 }
 
-// Prompts that wait on an engine are read one after another. One with room in memory but too much to read first is left
-// out; one with nothing to read takes any prompt.
+// Prompts on an engine are prefilled one after another. An engine with enough memory but too many pending prompt tokens is excluded; one
+// with none pending takes any prompt.
 func TestMaxUnreadBoundsAdmission(t *testing.T) {
 	now := time.Unix(1, 0)
 	f := New("z")
@@ -77,8 +77,8 @@
 	must.True(t, ok)
 }
 
-// A caller's guess of its output is absurd: more than any engine holds. An engine with nothing on it takes the stream all
-// the same; beside others the guess counts, up to the part of the memory that is filled.
+// A caller's estimate of its output exceeds the memory of any engine. An empty engine takes the stream anyway; beside other runs the
+// estimate counts, up to the fill limit.
 func TestOversizedEstimateFitsEmptyEngine(t *testing.T) {
 	now := time.Unix(1, 0)
 	f := New("z")
@@ -92,7 +92,7 @@
 	_, ok = f.Acquire(now, absurd)
 	must.False(t, ok)
 	_, ok = f.Acquire(now, Need{Service: "s", RequireMemory: true, Peak: Size{Held: 490}})
-	must.False(t, ok) // 990 of 1000: the next tokens would push a run out
+	must.False(t, ok) // 990 of 1000: the next tokens would preempt a run
 	_, ok = f.Acquire(now, Need{Service: "s", RequireMemory: true, Peak: Size{Held: 460}})
 	must.True(t, ok)
 }
--- a/lib/fleet/told.go
+++ b/lib/fleet/peertotal.go
@@ -1,14 +1,14 @@
 package fleet
 
-// peerTotal is what all peers carry on a target, added up. It is kept between choices: with 72 instances and 60 engines a
-// choice that adds it up anew for each engine takes many times as long (BenchmarkStep in lib/admit).
+// peerTotal is the sum of all peers' load on a target. It is cached between choices: with 72 instances and 60 engines, a choice that sums
+// it anew for each engine takes many times as long (BenchmarkStep in lib/admit).
 type peerTotal struct {
 	load  Load
 	sizes []Size
-	valid bool // false: to be added up anew
+	valid bool // false: must be summed anew
 }
 
-// invalidateTotals makes the sums of the targets that a peer's news names be added up anew. A nil peer has told nothing.
+// invalidateTotals invalidates the cached totals of the targets that a peer's update names. A nil peer has none.
 func (p *peer) invalidateTotals(targets map[string]*Target) {
 	if p == nil {
 		return
@@ -25,7 +25,7 @@
 	}
 }
 
-// peerTotal returns what peers carry on a target.
+// peerTotal returns the total load of the peers on a target.
 func (f *Fleet) peerTotal(t *Target) *peerTotal {
 	if t.peers.valid {
 		return &t.peers
--- a/lib/fleet/places.go
+++ b/lib/fleet/places.go
@@ -9,13 +9,13 @@
 	f.regions = regions
 }
 
-// accepts reports whether a target takes new requests at all.
+// accepts reports whether a target accepts new requests at all.
 func (f *Fleet) accepts(t *Target) bool {
 	return t.state == Ready && !t.unreadable && !f.evacuated[t.Domain]
 }
 
-// AllExcluded reports whether targets of a service are there, and all of them are evacuated or outside the request's regions. Who waits
-// for room there waits in vain.
+// AllExcluded reports whether a service has targets and all of them are evacuated or outside the request's regions, so that waiting for
+// capacity is pointless.
 func (f *Fleet) AllExcluded(n Need) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,15 +35,15 @@
 	return excluded
 }
 
-// DomainAllowed reports whether requests that are bound to some regions may go to a failure domain; nil stands for all regions.
+// DomainAllowed reports whether requests restricted to the given regions may go to a failure domain; nil means all regions.
 func (f *Fleet) DomainAllowed(domain string, regions []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.evacuated[domain] && f.domainInRegions(domain, regions)
 }
 
-// inRegions reports whether a target lies in one of some regions; nil stands for all. A failure domain whose region is not known
-// lies in none: a request that is bound to regions must not leave them on a guess.
+// inRegions reports whether a target is in one of the given regions; nil means all. A failure domain of unknown region is in none: a
+// request restricted to regions must not leave them on a guess.
 func (f *Fleet) inRegions(t *Target, regions []string) bool {
 	return f.domainInRegions(t.Domain, regions)
 }
--- a/lib/fleet/places_test.go
+++ b/lib/fleet/places_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// twoDomains has an engine and a plain target in each of two failure domains.
+// twoDomains has one engine and one plain target in each of two failure domains.
 func twoDomains() *Fleet {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}, "plain": {}})
@@ -20,9 +20,9 @@
 	return f
 }
 
-// A failure domain is emptied. Whatever chooses a target, for new requests, copies or moves, takes none there, however full the
-// others are; an instance that kept one way open would go on sending.
-func TestEvacuatedDomainGetsNoNewWork(t *testing.T) {
+// A failure domain is evacuated. Nothing that chooses a target, for new requests, copies or moves, may choose one there, however full the
+// others are.
+func TestEvacuatedDomainGetsNothing(t *testing.T) {
 	f := twoDomains()
 	f.Evacuate("z1")
 	f.SetPeerLoad(t0, "peer", map[string]Load{"e-z2": {Runs: 30, Tokens: 9000}, "p-z2": {Runs: 30}}, nil)
@@ -54,8 +54,8 @@
 	must.Eq(t, "p-z1", got.ID)
 }
 
-// A request is bound to a region. It goes to no target elsewhere, also when those are idle and its own are full or unknown.
-func TestRequestsStayInAllowedRegions(t *testing.T) {
+// A request restricted to a region goes to no target elsewhere, even if those are idle and its own are full or unknown.
+func TestRequestsStayInTheirRegions(t *testing.T) {
 	f := twoDomains()
 	f.Apply(t0, []Info{{ID: "p-z3", Service: "plain", Domain: "z3", Slots: 8}}, nil, 0) // no region is known for z3
 	f.SetPeerLoad(t0, "peer", map[string]Load{"p-z2": {Runs: 50}}, nil)
@@ -74,9 +74,9 @@
 	must.False(t, ok)
 }
 
-// Targets of an emptied domain were restarted before it is taken back, and their entries say so only later. They count as just
-// started from the moment at which the domain is back.
-func TestReturnedDomainIsCold(t *testing.T) {
+// Targets of an evacuated domain were restarted before the evacuation ends, and their entries show it only later. They count as just
+// started from the moment the evacuation ends.
+func TestReturnedDomainCountsAsJustStarted(t *testing.T) {
 	f := twoDomains()
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000, ColdFor: 5 * time.Second, ColdRate: 2}})
 	f.Evacuate("z1")
--- a/lib/fleet/suspect.go
+++ b/lib/fleet/suspect.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// suspicion is what others' requests say of a target.
+// suspicion is the failure share of a target as seen by other instances.
 type suspicion struct {
 	share float64 // of its requests that fail
 	until time.Time
 }
 
-// Suspect takes in that a part of a target's requests fails, by what all instances saw, and reports whether that is news.
+// Suspect records the failure share of a target over all instances, and reports whether the target was not suspected before.
 func (f *Fleet) Suspect(id string, share float64, until time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -21,7 +21,7 @@
 	return first
 }
 
-// failureEstimate is the part of a target's requests that is taken to fail.
+// failureEstimate returns the larger of the target's own and its suspected failure share.
 func (t *Target) failureEstimate(now time.Time) float64 {
 	if now.Before(t.suspicion.until) {
 		return max(t.failureShare, t.suspicion.share)
