--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -79,18 +79,18 @@
 	return r.copy.at
 }
 
-// Held lists the memory that copies of this instance's runs take.
-func (g *Gateway) Held() []owner.Held {
-	var out []owner.Held
+// HeldMemory lists the memory that copies of this instance's runs take.
+func (g *Gateway) HeldMemory() []owner.Copy {
+	var out []owner.Copy
 	for _, list := range g.runs.all() {
 		for _, r := range list {
 			id := rendezvous.Hash(r.c.id)
 			r.mu.Lock()
 			if r.copy.at.ID != "" {
-				out = append(out, owner.Held{Target: r.copy.at.ID, Tokens: r.copy.tokens, Run: id})
+				out = append(out, owner.Copy{Target: r.copy.at.ID, Tokens: r.copy.tokens, Run: id})
 			}
 			if r.booked.at != "" {
-				out = append(out, owner.Held{Target: r.booked.at, Tokens: r.booked.tokens, Run: id})
+				out = append(out, owner.Copy{Target: r.booked.at, Tokens: r.booked.tokens, Run: id})
 			}
 			r.mu.Unlock()
 		}
--- a/lib/gateway/book.go
+++ b/lib/gateway/book.go
@@ -53,8 +53,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), roomTimeout)
 	defer cancel()
-	ask := owner.Ask{
-		Run: rendezvous.Hash(r.c.id), Mode: owner.Room, Stream: admit.Stream{Need: need, Arrived: time.Now()},
+	ask := owner.PlaceRequest{
+		Run: rendezvous.Hash(r.c.id), Mode: owner.MustFit, Stream: admit.Stream{Need: need, Arrived: time.Now()},
 	}
 	a, err := g.Owners.Place(ctx, ask)
 	if err != nil {
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -15,8 +15,8 @@
 var (
 	// ErrNoRun says that the engine runs no such request now: it has not begun, or has ended.
 	ErrNoRun = errors.New("gateway: no such run")
-	// ErrNoRoom says that the destination has no room or can't be reached by the source.
-	ErrNoRoom = errors.New("gateway: no room for a copy")
+	// ErrNoCapacity says that the destination has no room or can't be reached by the source.
+	ErrNoCapacity = errors.New("gateway: no room for a copy")
 )
 
 const (
@@ -40,9 +40,9 @@
 	domainWeight = 0.5
 )
 
-// MoveOff moves the runs of targets that are leaving to other engines. It returns at once. Targets of one service that
+// MoveRuns moves the runs of targets that are leaving to other engines. It returns at once. Targets of one service that
 // leave together are planned together: their runs share the links of the same destinations.
-func (g *Gateway) MoveOff(targets []fleet.Info) {
+func (g *Gateway) MoveRuns(targets []fleet.Info) {
 	t := g.table.Load()
 	if t == nil {
 		return
@@ -103,7 +103,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
-	planned, err := g.Owners.Plan(ctx, leaving)
+	planned, err := g.Owners.RequestMoves(ctx, leaving)
 	if err != nil {
 		g.Log.Warn("moves_planned_alone", svc.Name, err)
 		return moveplan.Plan(runs, engines, g.destinations(svc.Name, from), linkOf(svc.Engine))
@@ -223,7 +223,7 @@
 	for calm := false; !calm && time.Since(notice) < moveBy; {
 		start := time.Now()
 		if _, err = g.copyRun(from, to, r.c.id, false); err != nil {
-			if errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoRoom) {
+			if errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity) {
 				g.dropCopy(r, from)
 			}
 			return err
@@ -241,7 +241,7 @@
 	if g.Fleet.Evacuated(to.Domain) {
 		// Nothing may be sent there any more: a run that is stopped for it would be lost where its source may get nothing either.
 		g.dropCopy(r, from)
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
 	ch := r.stopFor(from.ID)
 	if ch == nil {
@@ -259,7 +259,7 @@
 	case last.Handle != "":
 		// The run has stopped, and its memory is at the source only.
 		r.handOver(ch, next{target: from, copyFrom: from.Addr + "/" + last.Handle})
-	case errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity):
 		r.goOn(ch)
 	default:
 		// The source ended before the last part. The run's connection has ended with it.
--- a/lib/gateway/news.go
+++ b/lib/gateway/news.go
@@ -12,7 +12,7 @@
 // changed tells that what runs here has changed, so that owners should hear of it.
 func (g *Gateway) changed() {
 	if g.Owners != nil {
-		g.Owners.Changed()
+		g.Owners.ScheduleReport()
 	}
 }
 
@@ -72,8 +72,8 @@
 func (r *run) told(target string) owner.Run {
 	m := r.moving()
 	return owner.Run{
-		ID: m.ID, Target: target, Tokens: m.Tokens, Expected: m.Expected, Unread: r.size().Unread, Left: r.grows().Remaining,
-		Stays: r.stays(), Silent: time.Since(r.lastHeard()),
+		ID: m.ID, Target: target, Tokens: m.Tokens, Expected: m.Expected, Unread: r.size().Unread, Remaining: r.grows().Remaining,
+		Pinned: r.stays(), SinceContact: time.Since(r.lastHeard()),
 	}
 }
 
--- a/lib/gateway/permit.go
+++ b/lib/gateway/permit.go
@@ -39,7 +39,7 @@
 
 func (g *Gateway) permit(ctx context.Context, t fleet.Info) (p fleet.Permit, outcome string) {
 	if g.Owners != nil {
-		p, err := g.Owners.Permit(ctx, t, false)
+		p, err := g.Owners.RequestPermit(ctx, t, false)
 		switch {
 		case err == nil && p.Granted:
 			return p, "given"
@@ -58,7 +58,7 @@
 	countPermit("forced")
 	go func() {
 		// Nobody waits for the answer: without one the owner does not know of this one request.
-		_, _ = g.Owners.Permit(context.Background(), t, true)
+		_, _ = g.Owners.RequestPermit(context.Background(), t, true)
 	}()
 }
 
--- a/lib/gateway/place.go
+++ b/lib/gateway/place.go
@@ -75,7 +75,7 @@
 	for range maxUnknown {
 		need.Exclude, need.Granted = without, false
 		need.PreferredDomain = r.g.Fleet.Domain()
-		a := owner.Ask{Run: rendezvous.Hash(r.c.id), Print: r.c.print, Stream: r.stream(need)}
+		a := owner.PlaceRequest{Run: rendezvous.Hash(r.c.id), Fingerprint: r.c.print, Stream: r.stream(need)}
 		if r.c.sends > 0 {
 			a.Mode = owner.Any
 		}
@@ -91,7 +91,7 @@
 		}
 		need.Granted = true
 		if target, known := r.g.Fleet.AcquireAt(time.Now(), answer.Target, need); known {
-			r.believed = answer.Belief
+			r.believed = answer.Estimate
 			return next{target: target, owned: true, backup: answer.Backup}, 0, true
 		}
 		without[answer.Target] = true
--- a/lib/gateway/plain.go
+++ b/lib/gateway/plain.go
@@ -51,7 +51,7 @@
 		outcome := x.outcome(ctx)
 		g.Fleet.Release(time.Now(), target.ID, fleet.Load{}, outcome)
 		if g.Owners != nil {
-			g.Owners.PlainOutcome(c.service, target.ID, outcome)
+			g.Owners.RecordPlainOutcome(c.service, target.ID, outcome)
 		}
 		g.Log.Sent(c.entry(), target.ID, believed, x.statusCode(), x.verdict.String(), x.err)
 		c.count(metricSent, "outcome", x.verdict.String())
--- a/lib/gateway/run.go
+++ b/lib/gateway/run.go
@@ -72,7 +72,7 @@
 	r.mu.Unlock()
 	r.g.Fleet.Release(time.Now(), x.target.ID, counted, e.outcome())
 	if r.g.Owners != nil {
-		r.g.Owners.Outcome(x.target.ID, e.outcome())
+		r.g.Owners.RecordOutcome(x.target.ID, e.outcome())
 	}
 	r.g.changed()
 }
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -84,7 +84,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), heardTimeout)
 		defer cancel()
 		// Without an answer this instance goes by its own runs.
-		if told, err := g.Owners.LastHeard(ctx, w.target); err == nil && told.After(at) {
+		if told, err := g.Owners.LastContact(ctx, w.target); err == nil && told.After(at) {
 			at = told
 		}
 	}
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -75,7 +75,7 @@
 			{Name: instancesTable, Source: p.site.Instances, Replica: p.feeds.instances, Options: instanceOptions},
 		},
 		MaxAge: maxAge, Node: node, Place: p.place, Fail: p.feedFailed(), From: p.feedFrom,
-		Ranks: p.ranksOf, TakeRanks: p.takeRanks, Write: p.writeRows, News: p.link.TakeSpread,
+		Ranks: p.ranksOf, TakeRanks: p.takeRanks, Write: p.writeRows, News: p.link.ReceiveBroadcast,
 	})
 	feedlink.Serve(node, p.track)
 	listen := p.cfg.Network.Listen
@@ -190,13 +190,13 @@
 	logTargets(log.WarnLevel, "target_restarted", ch.Restarted)
 	logTargets(log.InfoLevel, "target_leaving", ch.Leaving)
 	for _, t := range ch.Restarted {
-		p.gate.Restarted(t)
+		p.gate.TargetRestarted(t)
 	}
-	p.link.TellRestarted(ch.Restarted)
+	p.link.NotifyRestarted(ch.Restarted)
 	p.divide(ch)
 	if len(ch.Leaving) > 0 {
-		p.link.Leaving(ch.Leaving)
-		p.gate.MoveOff(ch.Leaving)
+		p.link.PlanLeaving(ch.Leaving)
+		p.gate.MoveRuns(ch.Leaving)
 	}
 }
 
--- a/lib/gatewayproc/watch.go
+++ b/lib/gatewayproc/watch.go
@@ -54,7 +54,7 @@
 			return
 		case <-t.C:
 		}
-		owned := p.link.Owned()
+		owned := p.link.OwnedEngines()
 		if len(owned) == 0 {
 			t.Reset(watchIdle)
 			continue
--- a/lib/owner/limit_test.go
+++ b/lib/owner/limit_test.go
@@ -34,11 +34,11 @@
 		}
 	}
 	atOnce := refused
-	for at := 10 * time.Millisecond; b.Waits() && at < 2*time.Second; at += 10 * time.Millisecond {
+	for at := 10 * time.Millisecond; b.HasWaiting() && at < 2*time.Second; at += 10 * time.Millisecond {
 		for id := range uint64(asked) {
 			b.Place(t0.Add(at), s, ask("i", id, 100)) // they are still wanted
 		}
-		for _, a := range b.Step(t0.Add(at)) {
+		for _, a := range b.DecideWaiting(t0.Add(at)) {
 			count(a)
 		}
 	}
@@ -58,5 +58,5 @@
 			must.Eq(t, admit.Admit, a.Action)
 		}
 	}
-	must.True(t, b.Waits())
+	must.True(t, b.HasWaiting())
 }
--- a/lib/owner/moves.go
+++ b/lib/owner/moves.go
@@ -18,7 +18,7 @@
 
 // Plan plans the moves of all runs that instances have told of on engines which leave. Room at the
 // destinations counts from when the moves are told. Runs that are planned already keep their moves.
-func (b *Book) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
+func (b *Ledger) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ids := make(map[string]bool, len(leaving))
@@ -44,7 +44,7 @@
 
 // Moves returns the planned moves of an instance's runs, with their starts from now on, and counts room at the
 // destinations for it. A run that is in no plan has none.
-func (b *Book) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
+func (b *Ledger) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.holder(s.Key, instance)
@@ -68,7 +68,7 @@
 }
 
 // reserve counts a run's room at its destination, once.
-func (b *Book) reserve(now time.Time, h *holder, step moveplan.Step) {
+func (b *Ledger) reserve(now time.Time, h *holder, step moveplan.Step) {
 	for _, g := range h.grants {
 		if g.run == step.Run.ID && g.target == step.To {
 			return
--- a/lib/owner/places_test.go
+++ b/lib/owner/places_test.go
@@ -24,7 +24,7 @@
 	f.Apply(t0, list, nil, 0)
 	f.SetPeerLoad(t0, "peer", nil, map[string][]fleet.Size{list[cold].ID: {{Held: kv}}, list[cold+1].ID: {{Held: kv}}})
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	b, s := NewBook("owner", f, new(admit.PrefillRates)), l.Home("s", "z0", "owner")
+	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
 
 	given := make(map[string][]time.Time)
 	take := func(now time.Time, a Answer, ok bool) {
@@ -42,7 +42,7 @@
 			a, ok := b.Place(now, s, q)
 			take(now, a, ok)
 		}
-		for _, a := range b.Step(now) {
+		for _, a := range b.DecideWaiting(now) {
 			take(now, a, true)
 		}
 	}
@@ -72,8 +72,8 @@
 		{ID: "s0", Service: "s", Domain: "z1", Slots: 8}, {ID: "s1", Service: "s", Domain: "z1", Slots: 8},
 	}, nil, 0)
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	b, s := NewBook("owner", f, new(admit.PrefillRates)), l.Home("s", "z0", "owner")
-	bound := func(id uint64) Ask {
+	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
+	bound := func(id uint64) PlaceRequest {
 		a := ask("i", id, 1000)
 		a.Stream.Need.Regions = []string{"south"}
 		a.Backup = 1000
--- a/lib/ownerlink/permits.go
+++ b/lib/ownerlink/permits.go
@@ -34,11 +34,11 @@
 	return l.PerSecond < (1-limitStep)*t.PerSecond || l.PerSecond > (1+limitStep)*t.PerSecond
 }
 
-// Permit asks a target's owner for leave to send it a request. ErrAlone says that none answers, or knows the target.
-func (l *Link) Permit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error) {
-	s := l.layout.Load().Owning(t)
+// RequestPermit asks a target's owner for leave to send it a request. ErrAlone says that none answers, or knows the target.
+func (l *Link) RequestPermit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error) {
+	s := l.layout.Load().PermitShard(t)
 	if s == nil {
-		return fleet.Permit{}, ErrAlone
+		return fleet.Permit{}, ErrNoOwner
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -52,7 +52,7 @@
 	}
 	p := d.GetPermit()
 	if !p.GetKnown() {
-		return fleet.Permit{}, ErrAlone
+		return fleet.Permit{}, ErrNoOwner
 	}
 	l.takeLimit(time.Now(), p.GetWord())
 	return fleet.Permit{Granted: p.GetGiven(), RetryAfter: duration(p.GetAfterMs())}, nil
@@ -66,7 +66,7 @@
 	if !known {
 		t = fleet.Info{ID: id, Service: a.GetService()}
 	}
-	if s := l.layout.Load().Owning(t); s != nil && !a.GetPassedOn() {
+	if s := l.layout.Load().PermitShard(t); s != nil && !a.GetPassedOn() {
 		if to, other := l.otherOwner(now, s); other {
 			l.passPermitAsk(d, a, to)
 			return
@@ -92,10 +92,10 @@
 	})
 }
 
-// Limited tells a target's owner of the limit that an answer named, or no longer named. changed says that it is news to this instance.
-func (l *Link) Limited(t fleet.Info, changed bool) {
+// ReportLimit tells a target's owner of the limit that an answer named, or no longer named. changed says that it is news to this instance.
+func (l *Link) ReportLimit(t fleet.Info, changed bool) {
 	now := time.Now()
-	s := l.layout.Load().Owning(t)
+	s := l.layout.Load().PermitShard(t)
 	if s == nil {
 		return
 	}
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -19,12 +19,12 @@
 
 func tokens(n int) uint32 { return uint32(min(max(0, n), 1<<31)) }
 
-func encodeAsk(a *owner.Ask, shard string, now time.Time) *ownerpb.Ask {
+func encodeAsk(a *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
 	n := &a.Stream.Need
 	out := &ownerpb.Ask{
 		Id: a.ID, Shard: shard, Hops: uint32(a.Hops), Run: a.Run, Mode: uint32(a.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
 		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(a.Stream.Objective),
-		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(a.Backup), Print: a.Print,
+		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(a.Backup), Print: a.Fingerprint,
 		Back: a.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
 	}
 	for id := range n.Exclude {
@@ -34,7 +34,7 @@
 	return out
 }
 
-func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.Ask {
+func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
 	a := d.GetAsk()
 	need := fleet.Need{
 		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), PreferredDomain: a.Near,
@@ -49,9 +49,9 @@
 			need.Exclude[id] = true
 		}
 	}
-	return owner.Ask{
-		Key:  owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
-		Addr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Print: a.Print, Describe: a.Describe,
+	return owner.PlaceRequest{
+		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
+		ReplyAddr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Fingerprint: a.Print, Describe: a.Describe,
 		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Objective: duration(a.AimMs), MaxRetryAfter: duration(a.KeepsMs), IsRetry: a.Back, Need: need},
 	}
 }
@@ -59,8 +59,8 @@
 func encodeAnswer(a *owner.Answer) *ownerpb.Answer {
 	return &ownerpb.Answer{
 		Id: a.ID, Action: uint32(a.Action), Target: a.Target, AfterMs: ms(a.After), Serial: a.Serial, Backup: a.Backup,
-		Ready: uint32(a.Belief.ReadyTargets), Runs: uint32(a.Belief.Load.Runs), Tokens: tokens(a.Belief.Load.Tokens),
-		Unread: tokens(a.Belief.Load.Unread), Peers: uint32(a.Belief.Peers), OldestMs: ms(a.Belief.OldestUpdate),
+		Ready: uint32(a.Estimate.ReadyTargets), Runs: uint32(a.Estimate.Load.Runs), Tokens: tokens(a.Estimate.Load.Tokens),
+		Unread: tokens(a.Estimate.Load.Unread), Peers: uint32(a.Estimate.Peers), OldestMs: ms(a.Estimate.OldestUpdate),
 		TargetInfo: encodeTarget(&a.TargetInfo), BackupInfo: encodeTarget(&a.BackupInfo),
 	}
 }
@@ -85,7 +85,7 @@
 		Key: owner.Key{ID: a.GetId()}, Action: admit.Action(a.GetAction()), Target: a.GetTarget(), After: duration(a.GetAfterMs()),
 		Serial: a.GetSerial(), Backup: a.GetBackup(),
 		TargetInfo: decodeTarget(a.GetTarget(), service, a.GetTargetInfo()), BackupInfo: decodeTarget(a.GetBackup(), service, a.GetBackupInfo()),
-		Belief: fleet.KnownState{
+		Estimate: fleet.KnownState{
 			ReadyTargets: int(a.GetReady()), Load: fleet.Load{Runs: int(a.GetRuns()), Tokens: int(a.GetTokens()), Unread: int(a.GetUnread())},
 			Peers: int(a.GetPeers()), OldestUpdate: duration(a.GetOldestMs()),
 		},
@@ -93,14 +93,14 @@
 }
 
 func encodeReport(r *owner.Report) *ownerpb.Report {
-	out := &ownerpb.Report{Shard: r.Shard, Seq: r.Seq, Seen: r.Seen, Describe: r.Describe}
+	out := &ownerpb.Report{Shard: r.Shard, Seq: r.Seq, Seen: r.LastGrant, Describe: r.Describe}
 	for _, m := range r.Runs {
 		out.Runs = append(out.Runs, &ownerpb.Run{
 			Id: m.ID, Target: m.Target, Tokens: tokens(m.Tokens), Expected: tokens(m.Expected), Unread: tokens(m.Unread),
-			Left: tokens(m.Left), Stays: m.Stays, SilentMs: ms(m.Silent),
+			Left: tokens(m.Remaining), Stays: m.Pinned, SilentMs: ms(m.SinceContact),
 		})
 	}
-	for _, h := range r.Held {
+	for _, h := range r.Copies {
 		out.Held = append(out.Held, &ownerpb.Held{Target: h.Target, Tokens: tokens(h.Tokens), Run: h.Run})
 	}
 	for _, o := range r.Outcomes {
@@ -108,28 +108,28 @@
 			Target: o.Target, Served: o.Served, Failed: o.Failed, Unreachable: o.Unreachable,
 		})
 	}
-	for _, m := range r.Readings {
+	for _, m := range r.PrefillSamples {
 		out.Readings = append(out.Readings, &ownerpb.Reading{Service: m.Service, Unread: tokens(m.Unread), Ms: ms(m.Took)})
 	}
 	return out
 }
 
 func decodeReport(d *ownerpb.Datagram, r *ownerpb.Report) owner.Report {
-	out := owner.Report{Shard: r.Shard, Instance: d.Instance, Addr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, Seen: r.Seen, Describe: r.Describe}
+	out := owner.Report{Shard: r.Shard, Instance: d.Instance, ReplyAddr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, LastGrant: r.Seen, Describe: r.Describe}
 	for _, m := range r.Runs {
 		out.Runs = append(out.Runs, owner.Run{
 			ID: m.Id, Target: m.Target, Tokens: int(m.Tokens), Expected: int(m.Expected), Unread: int(m.Unread),
-			Left: int(m.Left), Stays: m.Stays, Silent: duration(m.SilentMs),
+			Remaining: int(m.Left), Pinned: m.Stays, SinceContact: duration(m.SilentMs),
 		})
 	}
 	for _, h := range r.Held {
-		out.Held = append(out.Held, owner.Held{Target: h.Target, Tokens: int(h.Tokens), Run: h.Run})
+		out.Copies = append(out.Copies, owner.Copy{Target: h.Target, Tokens: int(h.Tokens), Run: h.Run})
 	}
 	for _, o := range r.Outcomes {
 		out.Outcomes = append(out.Outcomes, owner.Outcomes{Target: o.Target, Served: o.Served, Failed: o.Failed, Unreachable: o.Unreachable})
 	}
 	for _, m := range r.Readings {
-		out.Readings = append(out.Readings, owner.Reading{Service: m.Service, Unread: int(m.Unread), Took: duration(m.Ms)})
+		out.PrefillSamples = append(out.PrefillSamples, owner.PrefillSample{Service: m.Service, Unread: int(m.Unread), Took: duration(m.Ms)})
 	}
 	return out
 }
