--- a/lib/sched/api.go
+++ b/lib/sched/api.go
@@ -1,8 +1,8 @@
-// Package sched decides which generation runs on which model engine, which waits, and which is moved.
+// Package sched decides on which model engine each generation runs, which generations wait, and which are moved.
 //
-// An Owner holds the soft state of one shard: up to about 32 targets of one service. It is pure: no I/O, no
-// goroutines, no clock of its own. Callers pass the time; the same code runs in the entry, in randomised tests and
-// in the bench. Losing an Owner loses speed only: promises to callers are kept by the entries.
+// An Owner holds the soft state of one shard: up to about 32 targets of one service. It is deterministic and does no
+// I/O: it starts no goroutines and reads no clock; callers pass the time. The same code therefore runs in the entry, in
+// randomised tests and in the bench. Losing an Owner costs performance only: the entries keep all promises to callers.
 package sched
 
 import (
@@ -21,7 +21,7 @@
 // Sub returns the duration t-u.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Request asks for a place to run one generation, or to run its rest.
+// Request asks for a target to run one generation, or the rest of one that was interrupted.
 type Request struct {
 	Gen          ids.Generation
 	Workspace    string
@@ -30,30 +30,30 @@
 	PromptTokens int
 	MaxTokens    int      // 0: unbounded
 	Emitted      int      // tokens already delivered by earlier attempts
-	Preemptions  int      // how often it was already moved or preempted
-	Prefixes     []uint64 // hashes of growing prompt prefixes, shortest first, as engineapi.PrefixHashes gives them
+	Preemptions  int      // how often it was moved or preempted before
+	Prefixes     []uint64 // hashes of growing prompt prefixes, shortest first, as returned by engineapi.PrefixHashes
 	Deadline     Time     // 0: none
-	Avoid        []string // targets that failed it
+	Avoid        []string // targets on which earlier attempts failed
 	Fingerprint  uint64
-	RunningOn    string // set when a new owner is told of a generation already running
-	KnownTokens  int    // total output length when told in advance (oracle runs only); 0: unknown
+	RunningOn    string // target, when a generation that already runs is reported to a new owner
+	KnownTokens  int    // total output length when known in advance (oracle runs only); 0: unknown
 }
 
-// EndReason tells how an attempt ended.
+// EndReason is the reason why an attempt ended.
 type EndReason uint8
 
 // Values of EndReason; numbers match meshpb.EndReason.
 const (
 	EndCompleted     EndReason = iota + 1
-	EndCancelled               // the caller went away
+	EndCancelled               // the caller disconnected or cancelled
 	EndTargetDied              // the connection broke or the target was replaced
-	EndTargetRefused           // proved not run
-	EndStalled                 // no token within the stall bound
-	EndPreempted               // the engine gave its memory to another sequence
+	EndTargetRefused           // the target provably did not run it
+	EndStalled                 // no token within the stall timeout
+	EndPreempted               // the engine reclaimed its memory for another sequence
 	EndMoved                   // a Preempt action was carried out
 )
 
-// Report is a target's own view, Age old when it was received.
+// Report is the state that a target reports about itself; it was Age old when received.
 type Report struct {
 	Target      string
 	Age         time.Duration
@@ -67,29 +67,29 @@
 	Incarnation uint64
 }
 
-// TargetSpec is a target as settings give it.
+// TargetSpec is the configuration of a target.
 type TargetSpec struct {
 	Name          string
 	FailureDomain string
 	Instance      string // machine that carries the target
-	KVTotal       int    // 0: learn from reports
-	MaxBatch      int    // 0: learn from reports
+	KVTotal       int    // 0: taken from reports
+	MaxBatch      int    // 0: taken from reports
 	IdleWatts     float64
 	SeqWatts      float64 // added for each active sequence
 	Resumes       bool
 }
 
-// ActionKind is what an Action asks of the entry that submitted the generation.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Values of ActionKind.
 const (
 	ActGrant   ActionKind = iota + 1 // start Attempt on Target
-	ActPreempt                       // cancel Attempt; submit the rest again
+	ActPreempt                       // cancel Attempt and submit the rest again
 	ActRefuse                        // answer the caller now with Code and RetryAfter
 )
 
-// Action is one decision.
+// Action is one decision, addressed to the entry that submitted the generation.
 type Action struct {
 	Kind       ActionKind
 	Gen        ids.Generation
@@ -100,27 +100,27 @@
 	RetryAfter time.Duration
 }
 
-// NoPreemptions as ClassPolicy.MaxPreemptions says that a generation is never moved; zero leaves it to Options.
+// NoPreemptions as ClassPolicy.MaxPreemptions forbids preemption; zero takes the default of Options.
 const NoPreemptions = -1
 
-// ClassPolicy is the part of settings that the scheduler reads for one workspace and class.
+// ClassPolicy holds the scheduler's settings for one workspace and class.
 type ClassPolicy struct {
 	Priority       int           // higher is served first
-	Urgent         bool          // short work that has headroom kept for it
+	Urgent         bool          // short work for which headroom is kept free
 	Weight         float64       // share within a class, relative to other workspaces
-	MaxWait        time.Duration // bound on queue wait; over it the request is refused
-	QueueBound     int           // queued requests of this workspace and class
-	MaxPreemptions int           // after so many moves a generation is no victim again; NoPreemptions: it is none at all
-	MemoryRisk     float64       // accepted chance that an engine runs out over the horizon
+	MaxWait        time.Duration // limit on queue wait; a request that exceeds it is refused
+	QueueBound     int           // limit on queued requests of this workspace and class
+	MaxPreemptions int           // limit on moves of one generation; NoPreemptions: it is never moved
+	MemoryRisk     float64       // accepted probability that an engine runs out of memory within the horizon
 }
 
-// PolicyFunc resolves the policy of a workspace and class; it must be pure between calls of SetPolicy.
+// PolicyFunc returns the policy of a workspace and class. It must be pure between calls of SetPolicy.
 type PolicyFunc func(workspace, class string) ClassPolicy
 
-// Policy counts tokens of a generation over all its attempts: the tokens of Progress and End include Request.Emitted.
-//
-// Policy is what the entry, the tests and the bench drive. anvilwick's own implementation is Owner; the bench has
+// Policy is the scheduler's interface to the entry, the tests and the bench. Owner implements it; the bench has
 // baselines behind the same interface.
+//
+// Token counts of a generation cover all its attempts: those of Progress and End include Request.Emitted.
 type Policy interface {
 	SetTargets(now Time, targets []TargetSpec)
 	SetPolicy(f PolicyFunc)
@@ -132,6 +132,6 @@
 	CacheSnapshot(now Time, target string, prefixes []uint64)
 	CacheStored(now Time, target string, prefix uint64, stored bool)
 	TargetGone(now Time, target string)
-	// Tick appends its decisions to acts and returns it. It does not keep acts.
+	// Tick appends its decisions to acts and returns the result. It does not retain acts.
 	Tick(now Time, acts []Action) []Action
 }
--- a/lib/sched/bench_test.go
+++ b/lib/sched/bench_test.go
@@ -15,11 +15,11 @@
 	benchGenerations = 2000
 )
 
-// crowded returns an owner of 28 targets that run 2,000 generations, and its time.
-func crowded(tb testing.TB) (*Owner, Time, *rand.Rand) {
+// newLoadedOwner returns an owner of 28 targets that run 2,000 generations, its current time and the random source.
+func newLoadedOwner(tb testing.TB) (*Owner, Time, *rand.Rand) {
 	tb.Helper()
 	rng := rand.New(rand.NewPCG(1, 2))
-	o := NewOwner("svc", Options{DisablePrefill: true, DisableSilence: true, ForgetAfter: math.MaxInt64})
+	o := NewOwner("svc", Options{DisablePrefill: true, DisableSilence: true, StaleAfter: math.MaxInt64})
 	o.SetPolicy(func(_, class string) ClassPolicy {
 		return ClassPolicy{Urgent: class == "urgent", Weight: 1, MaxWait: time.Hour}
 	})
@@ -35,7 +35,7 @@
 		o.Submit(now, benchRequest(rng, n))
 	}
 	for len(o.byID) > 0 && o.queued > 0 {
-		now = now.Add(maintainEvery)
+		now = now.Add(maintenanceInterval)
 		acts = o.Tick(now, acts[:0])
 		advanceAll(o, now)
 	}
@@ -73,10 +73,10 @@
 	}
 }
 
-// BenchmarkDecision is one end, one submit and the tick that grants it, at 1,000 decisions a second; the periodic
-// systems run in every twentieth tick.
+// BenchmarkDecision measures one End, one Submit and the Tick that grants it, at 1,000 decisions per second; maintenance
+// runs in every twentieth tick.
 func BenchmarkDecision(b *testing.B) {
-	o, now, rng := crowded(b)
+	o, now, rng := newLoadedOwner(b)
 	acts := make([]Action, 0, 64)
 	req := benchRequest(rng, 0)
 	id := ids.From(7, 1)
@@ -94,14 +94,14 @@
 	}
 }
 
-// BenchmarkTick is a tick with all its systems, and the progress of each generation every tenth of them.
+// BenchmarkTick measures a tick with maintenance; every tenth tick is preceded by progress of all generations.
 func BenchmarkTick(b *testing.B) {
-	o, now, _ := crowded(b)
+	o, now, _ := newLoadedOwner(b)
 	acts := make([]Action, 0, 64)
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
-		now = now.Add(maintainEvery)
+		now = now.Add(maintenanceInterval)
 		n++
 		if n%10 == 0 {
 			b.StopTimer()
@@ -113,10 +113,10 @@
 }
 
 func TestTickDoesNotAllocate(t *testing.T) {
-	o, now, _ := crowded(t)
+	o, now, _ := newLoadedOwner(t)
 	acts := make([]Action, 0, 64)
 	n := testing.AllocsPerRun(100, func() {
-		now = now.Add(maintainEvery)
+		now = now.Add(maintenanceInterval)
 		advanceAll(o, now)
 		acts = o.Tick(now, acts[:0])
 	})
@@ -125,13 +125,13 @@
 	}
 }
 
-// BenchmarkTickAllChanged is a tick in which every target's forecast has to be renewed.
+// BenchmarkTickAllChanged measures a tick that recomputes every target's forecast.
 func BenchmarkTickAllChanged(b *testing.B) {
-	o, now, _ := crowded(b)
+	o, now, _ := newLoadedOwner(b)
 	acts := make([]Action, 0, 64)
 	b.ReportAllocs()
 	for b.Loop() {
-		now = now.Add(loadAge)
+		now = now.Add(maxLoadAge)
 		acts = o.Tick(now, acts[:0])
 	}
 }
--- a/lib/sched/health_test.go
+++ b/lib/sched/health_test.go
@@ -11,9 +11,9 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// An engine says that it is leaving. It gets no new work from the next tick on, and what runs there is moved: first
-// where there is room, and within seconds in any case.
-func TestLeavingTargetIsEmptied(t *testing.T) {
+// Guards against work staying on a target that reports it is leaving. The target gets no new work from the next tick on,
+// and its generations are moved: first where capacity is free, and within seconds unconditionally.
+func TestLeavingTargetIsEvacuated(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 40_000, 2), spec("b", 40_000, 1))
 	for n := range 3 {
 		r.submit(n, "batch", nil)
@@ -38,9 +38,9 @@
 	test.MapLen(t, 2, moved)
 }
 
-// A target's connection stalls: tokens stop for all that runs there, while reports still look well. New work goes
-// elsewhere, what runs is moved, and one request tries the target again later.
-func TestSilentTargetGetsNoWorkUntilAProbeGivesATokenAgain(t *testing.T) {
+// Guards against a target whose connection stalls: its generations yield no tokens while its reports look healthy. New work
+// goes elsewhere, running generations are moved, and a later probe with one request brings the target back.
+func TestSilentTargetGetsNoWorkUntilProbeYieldsToken(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 40_000, 2), spec("b", 400_000, 64))
 	r.o.setTarget(r.now, spec("b", 40_000, 1))
 	for n := range 3 {
@@ -48,7 +48,7 @@
 	}
 	r.tick()
 	r.o.setTarget(r.now, spec("b", 400_000, 64))
-	r.mute["a"] = true
+	r.muted["a"] = true
 	var moved []Action
 	for range 200 {
 		for _, a := range r.tick() {
@@ -61,7 +61,7 @@
 	}
 	must.Len(t, 2, moved)
 	test.EqOp(t, "a", moved[0].Target)
-	r.mute["a"] = false
+	r.muted["a"] = false
 	probed := false
 	for n := 10; n < 400; n++ {
 		r.submit(n, "batch", nil)
@@ -74,7 +74,7 @@
 	test.False(t, r.o.targets[r.o.byName["a"]].silent)
 }
 
-// Reports stop changing while the engine fills. The owner's own books keep it from being overfilled.
+// Reports freeze while the engine fills. The owner's own records keep it from being overfilled.
 func TestFrozenReportsDoNotOverfill(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 8), spec("b", 100_000, 8))
 	frozen := Report{Target: "a", Age: time.Hour, Running: 0}
@@ -92,8 +92,8 @@
 	test.LessEq(t, 8, count)
 }
 
-// Another entry, which decides alone because its owner was silent, placed work that only the report shows.
-func TestReportsOfForeignWorkCount(t *testing.T) {
+// Another entry placed work without its silent owner, so this owner sees that work only in the target's report.
+func TestReportedRemoteWorkCounts(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 8), spec("b", 100_000, 8))
 	r.o.Report(r.now, Report{Target: "a", Running: 8, KVUsed: 5000, KVTotal: 100_000, MaxBatch: 8})
 	for n := range 4 {
@@ -106,8 +106,8 @@
 	test.MapLen(t, 4, r.runs)
 }
 
-// An old report still counts a generation that ended since, and misses one sent since; neither is foreign.
-func TestReportsAreCorrectedByWhatWasSentAndEndedSince(t *testing.T) {
+// A delayed report still counts a generation that has ended since, and misses one granted since; neither is remote work.
+func TestReportsAreAdjustedForGrantsAndEndsSince(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 8))
 	r.submit(1, "batch", nil)
 	r.until(ActGrant, 1, time.Second)
@@ -123,21 +123,21 @@
 	r.submit(2, "batch", nil)
 	r.until(ActGrant, 2, time.Second)
 	r.o.Report(r.now, Report{Target: "a", Age: r.now.Sub(then), Running: 1, KVUsed: 14})
-	test.EqOp(t, 0, r.o.targets[0].foreign)
+	test.EqOp(t, 0, r.o.targets[0].remote)
 }
 
-// An entry dies with its generations: nobody tells that they ended, and their places must not be lost for ever.
-func TestForgetsGenerationsNobodySpeaksOf(t *testing.T) {
-	r := newRig(t, Options{ForgetAfter: 2 * time.Second, DisableSilence: true}, spec("a", 4000, 1))
+// An entry dies with its generations, so nobody reports their ends. Their capacity must not be lost for ever.
+func TestRemovesStaleGenerations(t *testing.T) {
+	r := newRig(t, Options{StaleAfter: 2 * time.Second, DisableSilence: true}, spec("a", 4000, 1))
 	r.submit(1, "batch", nil)
 	r.until(ActGrant, 1, time.Second)
-	r.mute["a"] = true
+	r.muted["a"] = true
 	r.submit(2, "batch", nil)
 	r.until(ActGrant, 2, 4*time.Second)
 }
 
-// A new owner takes over while generations run: it books them where they are and grants them nothing.
-func TestAdoptsWhatAlreadyRuns(t *testing.T) {
+// A new owner takes over while generations run: it records them on their targets and does not grant them again.
+func TestAdoptsRunningGenerations(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 4000, 1))
 	r.submit(1, "batch", func(q *Request) { q.RunningOn, q.Emitted, q.Attempt = "a", 30, 2 })
 	r.submit(2, "batch", nil)
@@ -146,20 +146,20 @@
 	r.until(ActGrant, 2, time.Second)
 }
 
-// Entries are set to report progress once a second. A target must not look silent between two reports: its work would
-// be moved about for ever.
-func TestSeldomProgressIsNotSilence(t *testing.T) {
-	const every = 50 // steps, so a second
+// Entries are configured to report progress once a second. A target must not count as silent between two reports, or its
+// generations would be moved back and forth without end.
+func TestInfrequentProgressIsNotSilence(t *testing.T) {
+	const every = 50 // steps, which is one second
 	r := newRig(t, Options{}, spec("a", 100_000, 8), spec("b", 100_000, 8))
 	r.submit(1, "batch", nil)
 	a := r.until(ActGrant, 1, time.Second)
-	r.mute[a.Target] = true
+	r.muted[a.Target] = true
 	moves := 0
 	for n := 1; n <= 3000; n++ {
 		if n%every == 0 {
 			r.o.Progress(r.now, gid(1), 1, n)
 		}
-		// Another target is heard from, so the owner itself is not cut off.
+		// Another target makes progress, so the owner itself is not cut off.
 		r.o.Progress(r.now, gid(99), 1, n)
 		for _, a := range r.tick() {
 			if a.Kind == ActPreempt {
@@ -173,9 +173,9 @@
 	test.EqOp(t, 0, moves)
 }
 
-// A new owner is told of a running generation before its settings name the target, or after a Submit of the same
-// attempt crossed with the grant of the old owner. Granting it again would run it twice.
-func TestWhatRunsIsNeverGrantedAgain(t *testing.T) {
+// A running generation is reported to a new owner before its settings contain the target, or after a Submit of the same
+// attempt crossed with the old owner's grant. A second grant would run the attempt twice.
+func TestRunningGenerationIsNotGrantedAgain(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 4000, 4))
 	r.submit(1, "batch", func(q *Request) { q.RunningOn = "unheard-of" })
 	r.never(ActGrant, 1, time.Second)
@@ -186,9 +186,9 @@
 	r.never(ActGrant, 2, time.Second)
 }
 
-// All targets are lost while a generation that gave tokens waits for a new place. Its caller gets an answer when the
-// bound on waiting is reached, and at once when no target is large enough for what it has grown to.
-func TestResumeWithoutAnyTargetIsAnswered(t *testing.T) {
+// All targets are lost while a generation with output waits for a new one. Its caller gets a refusal at the limit on
+// waiting, and at once when no target is large enough for the generation.
+func TestResumeWithoutTargetIsRefused(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 4000, 4))
 	resumed := func(q *Request) { q.Attempt, q.Emitted = 2, 40 }
 	r.submit(1, "batch", func(q *Request) { resumed(q); q.PromptTokens = 4000 })
--- a/lib/sched/inputs.go
+++ b/lib/sched/inputs.go
@@ -20,16 +20,16 @@
 	g.group = o.groupOf(r.Workspace, r.Class)
 	g.attempt = r.Attempt
 	g.prompt = r.PromptTokens
-	g.maxTok = r.MaxTokens
-	g.known = r.KnownTokens
+	g.maxTokens = r.MaxTokens
+	g.knownLength = r.KnownTokens
 	g.emitted = r.Emitted
 	g.tokens = r.Emitted
 	g.moves = r.Preemptions
 	g.prefixes = r.Prefixes
 	g.deadline = r.Deadline
 	g.queued = now
-	g.heard = now
-	g.advanced = now
+	g.lastUpdate = now
+	g.lastProgress = now
 	for _, name := range r.Avoid {
 		if t, ok := o.byName[name]; ok {
 			g.avoid = append(g.avoid, t)
@@ -42,8 +42,8 @@
 	o.enqueue(now, i)
 }
 
-// supersede makes room for a newer attempt of a generation that is already in the tables, or for the news that the
-// attempt that waits here was granted by another owner. A repeated Submit of the same attempt changes nothing: two
+// supersede removes the existing row of a generation when r is a newer attempt, or when r reports that the queued attempt
+// was granted by another owner. It returns false for a repeated Submit of the same attempt, which must change nothing: two
 // grants of one attempt would let two targets run it.
 func (o *Owner) supersede(now Time, i int32, r *Request) bool {
 	g := &o.gens[i]
@@ -51,26 +51,26 @@
 	if r.Attempt <= g.attempt && !runsElsewhere {
 		return false
 	}
-	o.take(now, i)
+	o.detach(now, i)
 	o.release(i)
 	return true
 }
 
-// adopt books a generation that already runs, as a new owner is told of it. The target may not be in the settings that
-// the owner knows; it then gets a row without new work.
+// adopt records a generation that already runs, as reported to a new owner. A target that is missing from the owner's
+// settings gets a row that accepts no new work.
 func (o *Owner) adopt(now Time, i int32, name string) {
 	t, ok := o.byName[name]
 	if !ok {
 		t = o.newTarget(now, name)
 	}
-	o.hold(now, i, t)
+	o.assign(now, i, t)
 	g := &o.gens[i]
 	if g.emitted > 0 {
 		o.start(g)
 	}
 }
 
-// enqueue puts a generation into its queue, or refuses it at once when waiting would be in vain.
+// enqueue adds a generation to its queue, or refuses it at once if it could not be served within its limits.
 func (o *Owner) enqueue(now Time, i int32) {
 	g := &o.gens[i]
 	gr := &o.groups[g.group]
@@ -80,8 +80,8 @@
 		return
 	}
 	gr.arrivals.add(now)
-	blendMean(&gr.prompt, float64(g.prompt))
-	if code := o.hopeless(now, g, gr); code != 0 && g.attempt <= 1 {
+	updateMean(&gr.prompt, float64(g.prompt))
+	if code := o.refusalCode(now, g, gr); code != 0 && g.attempt <= 1 {
 		o.refuse(i, code)
 		return
 	}
@@ -93,11 +93,11 @@
 	o.queued++
 }
 
-// minDrainSample is the queue length from which the measured drain rate foretells a wait.
+// minDrainSample is the queue length from which the measured drain rate is used to predict the wait.
 const minDrainSample = 8
 
-// hopeless returns the code for a request that can't be served within its bounds, or 0.
-func (o *Owner) hopeless(now Time, g *gen, gr *group) result.Code {
+// refusalCode returns the refusal code for a request that can't be served within its limits, or 0.
+func (o *Owner) refusalCode(now Time, g *gen, gr *group) result.Code {
 	p := &gr.policy
 	if p.QueueBound > 0 && gr.queue.n >= p.QueueBound {
 		return result.QueueFull
@@ -121,7 +121,7 @@
 
 // Progress implements Policy.
 func (o *Owner) Progress(now Time, id ids.Generation, attempt uint32, tokens int) {
-	o.heard = now
+	o.lastProgress = now
 	i, ok := o.byID[id]
 	if !ok {
 		return
@@ -130,43 +130,43 @@
 	if g.attempt != attempt || g.target == none {
 		return
 	}
-	g.heard = now
+	g.lastUpdate = now
 	if tokens <= g.tokens {
 		return
 	}
-	o.measure(now, g, tokens)
+	o.updateStep(now, g, tokens)
 	o.lengths.Passed(o.groups[g.group].length, g.tokens, tokens)
 	g.tokens = tokens
-	g.advanced = now
+	g.lastProgress = now
 	o.start(g)
-	o.targets[g.target].hear(now)
+	o.targets[g.target].recordTokens(now)
 }
 
-// longestGap is the longest time between news of tokens that is taken as usual; a longer one is a fault that passed.
-const longestGap = 2 * time.Second
+// maxTokenGap is the longest gap between token updates that enters the mean; a longer gap is a fault that has passed.
+const maxTokenGap = 2 * time.Second
 
-// hear books news of tokens from a target.
-func (t *target) hear(now Time) {
+// recordTokens records a token update from a target.
+func (t *target) recordTokens(now Time) {
 	gap := now.Sub(max(t.lastToken, t.idleSince))
-	if gap > 0 && gap < longestGap {
-		blendMean(&t.gap, gap.Seconds())
+	if gap > 0 && gap < maxTokenGap {
+		updateMean(&t.tokenGap, gap.Seconds())
 	}
 	t.lastToken = now
 	t.silent = false
 }
 
-// measure learns the target's time for a token.
-func (o *Owner) measure(now Time, g *gen, tokens int) {
+// updateStep updates the target's time per token.
+func (o *Owner) updateStep(now Time, g *gen, tokens int) {
 	if !g.started {
 		return
 	}
 	const weight = 0.02
 	t := &o.targets[g.target]
-	sample := now.Sub(g.advanced).Seconds() / float64(tokens-g.tokens)
-	t.step += weight * (sample - t.step)
+	sample := now.Sub(g.lastProgress).Seconds() / float64(tokens-g.tokens)
+	t.stepSeconds += weight * (sample - t.stepSeconds)
 }
 
-// start books the end of a generation's prefill.
+// start records that a generation's prefill has finished.
 func (o *Owner) start(g *gen) {
 	if g.started {
 		return
@@ -175,14 +175,14 @@
 	t := &o.targets[g.target]
 	t.prefilling--
 	t.prefillLeft -= g.prefillTokens()
-	t.remember(g.prefixes)
+	t.addCached(g.prefixes)
 }
 
-// maxCachePrefixes bounds the prefixes believed to be held by a target; a snapshot puts them right.
+// maxCachePrefixes limits the prefixes assumed to be cached on a target; a snapshot corrects them.
 const maxCachePrefixes = 4096
 
-// remember takes the prefixes of a finished prefill as cached, without waiting for the late events.
-func (t *target) remember(prefixes []uint64) {
+// addCached records the prefixes of a finished prefill as cached, without waiting for the target's delayed cache events.
+func (t *target) addCached(prefixes []uint64) {
 	if len(t.cache) > maxCachePrefixes {
 		clear(t.cache)
 	}
@@ -191,7 +191,7 @@
 	}
 }
 
-// prefillTokens is what its running attempt prefills.
+// prefillTokens returns the number of tokens that the running attempt prefills.
 func (g *gen) prefillTokens() int { return max(g.prompt+g.emitted-g.cached, 1) }
 
 // End implements Policy.
@@ -202,38 +202,38 @@
 	}
 	g := &o.gens[i]
 	if g.target != none {
-		o.learn(now, g, tokens, reason)
+		o.updateEstimates(now, g, tokens, reason)
 	}
-	o.take(now, i)
+	o.detach(now, i)
 	o.release(i)
 }
 
-// learn updates estimates from an ended attempt.
-func (o *Owner) learn(now Time, g *gen, tokens int, reason EndReason) {
+// updateEstimates updates estimates from an ended attempt.
+func (o *Owner) updateEstimates(now Time, g *gen, tokens int, reason EndReason) {
 	gr := &o.groups[g.group]
 	t := &o.targets[g.target]
 	total := max(tokens, g.tokens)
 	if total > g.tokens {
-		t.hear(now)
+		t.recordTokens(now)
 	}
-	if reason != EndCompleted || g.maxTok > 0 && total >= g.maxTok {
-		// Cut short: it would have gone on, so nothing is known but that it came this far.
+	if reason != EndCompleted || g.maxTokens > 0 && total >= g.maxTokens {
+		// Truncated: it would have continued, so only the length reached is known.
 		o.lengths.Passed(gr.length, g.tokens, total)
 	} else {
 		o.lengths.Ended(gr.length, g.tokens, total)
-		blendMean(&gr.output, float64(total))
-		blendMean(&gr.residence, now.Sub(g.granted).Seconds())
+		updateMean(&gr.output, float64(total))
+		updateMean(&gr.residence, now.Sub(g.granted).Seconds())
 	}
 	if reason == EndTargetDied || reason == EndStalled {
-		o.suspect(now, t)
+		o.markSilent(now, t)
 	}
-	// Charge what it really took in place of what was expected.
+	// Replace the expected work charged at the grant by the actual work.
 	gr.vtime += (float64(g.prompt+total) - g.charged) / gr.policy.Weight
 	g.tokens = total
 }
 
-// take removes a generation from the list it is in.
-func (o *Owner) take(now Time, i int32) {
+// detach removes a generation from the list it is in.
+func (o *Owner) detach(now Time, i int32) {
 	g := &o.gens[i]
 	switch g.state {
 	case stateQueued:
@@ -250,12 +250,12 @@
 	case stateRefused:
 		o.remove(&o.refused, i)
 	case stateRunning, stateMoving:
-		o.unhold(now, i)
+		o.unassign(now, i)
 	}
 }
 
-// hold books a generation on a target.
-func (o *Owner) hold(now Time, i, ti int32) {
+// assign assigns a generation to a target.
+func (o *Owner) assign(now Time, i, ti int32) {
 	g := &o.gens[i]
 	t := &o.targets[ti]
 	if t.run.n == 0 {
@@ -265,8 +265,8 @@
 	g.target = ti
 	g.started = false
 	g.granted = now
-	g.advanced = now
-	g.heard = now
+	g.lastProgress = now
+	g.lastUpdate = now
 	g.cached = o.cachedTokens(t, g)
 	o.pushBack(&t.run, i)
 	t.prefilling++
@@ -278,8 +278,8 @@
 	t.dirty = true
 }
 
-// unhold frees a generation's place on its target.
-func (o *Owner) unhold(now Time, i int32) {
+// unassign releases a generation's capacity on its target.
+func (o *Owner) unassign(now Time, i int32) {
 	g := &o.gens[i]
 	t := &o.targets[g.target]
 	o.remove(&t.run, i)
@@ -303,14 +303,14 @@
 	g.target = none
 }
 
-// curve returns the length distribution of a generation.
+// curve returns the output length distribution of a generation.
 func (o *Owner) curve(g *gen, scratch *length.Curve) *length.Curve {
-	if g.known > 0 {
-		*scratch = length.Fixed(g.known)
+	if g.knownLength > 0 {
+		*scratch = length.Fixed(g.knownLength)
 		return scratch
 	}
 	if o.opt.DisableLengths {
-		return o.unlearnt.Curve(o.unlearnt.Group("", ""))
+		return o.priorLengths.Curve(o.priorLengths.Group("", ""))
 	}
 	return o.lengths.Curve(o.groups[g.group].length)
 }
--- a/lib/sched/memory.go
+++ b/lib/sched/memory.go
@@ -6,14 +6,14 @@
 	"anvilwick.example/anvilwick/lib/forecast"
 )
 
-// loadAge is how long a forecast stands without a change on its target.
-const loadAge = 200 * time.Millisecond
+// maxLoadAge is how long a forecast is reused while its target is unchanged.
+const maxLoadAge = 200 * time.Millisecond
 
-// refreshLoads renews the forecasts of targets that changed, or that are old.
+// refreshLoads recomputes the forecasts of targets that changed and those older than maxLoadAge.
 func (o *Owner) refreshLoads(now Time) {
 	for i := range o.targets {
 		t := &o.targets[i]
-		if t.dirty || now.Sub(t.loadAt) >= loadAge {
+		if t.dirty || now.Sub(t.loadAt) >= maxLoadAge {
 			o.refreshLoad(now, t)
 		}
 	}
@@ -29,35 +29,35 @@
 			o.addLoad(t, &o.gens[i])
 		}
 	}
-	t.load.AddConstant(t.foreignKV)
+	t.load.AddConstant(t.remoteKV)
 }
 
 // addLoad adds one running generation to its target's forecast.
 func (o *Owner) addLoad(t *target, g *gen) {
-	t.load.Add(g.foreseen(), o.curve(g, &o.scratch))
-	if g.known > 0 {
-		t.exact.Add(g.foreseen(), g.known)
+	t.load.Add(g.forecastInput(), o.curve(g, &o.scratch))
+	if g.knownLength > 0 {
+		t.exact.Add(g.forecastInput(), g.knownLength)
 	}
 }
 
-func (g *gen) foreseen() forecast.Generation {
-	return forecast.Generation{Held: g.held(), Output: max(g.tokens, g.emitted), Max: g.maxTok}
+func (g *gen) forecastInput() forecast.Generation {
+	return forecast.Generation{Held: g.held(), Output: max(g.tokens, g.emitted), Max: g.maxTokens}
 }
 
-// peakSoon is the memory that target t is foreseen to need within the victims' horizon.
-func (o *Owner) peakSoon(t *target) float64 {
+// peakWithinHorizon returns the peak memory that target t is forecast to need within the preemption horizon.
+func (o *Owner) peakWithinHorizon(t *target) float64 {
 	return max(t.load.Peak(0, o.victimSteps), t.exact.Peak(o.opt.VictimSteps))
 }
 
-// preemptBeforeFull moves generations off engines that would run out of memory within a few steps, where another
-// engine has room. The engine would stop one of them anyway, of its own choice, and keep it waiting.
+// preemptBeforeFull moves a generation off each engine that is forecast to run out of memory within a few steps, if
+// another engine has capacity. Otherwise the engine would preempt one of its own choice and keep it waiting.
 func (o *Owner) preemptBeforeFull(now Time, acts []Action) []Action {
 	if o.opt.DisableVictims {
 		return acts
 	}
 	for ti := range o.targets {
 		t := &o.targets[ti]
-		if t.kvTotal == 0 || t.moving > 0 || o.peakSoon(t) <= float64(t.kvTotal) {
+		if t.kvTotal == 0 || t.moving > 0 || o.peakWithinHorizon(t) <= float64(t.kvTotal) {
 			continue
 		}
 		v := o.victim(t)
@@ -70,8 +70,8 @@
 	return acts
 }
 
-// victim picks the generation with the least lost work for each token of memory it would free. None is moved more
-// often than its policy allows, and urgent work is left alone.
+// victim returns the generation with the lowest move cost per token of memory freed. Urgent generations, and those that
+// reached their limit of preemptions, are excluded.
 func (o *Owner) victim(t *target) int32 {
 	best := none
 	var bestCost float64
@@ -81,7 +81,7 @@
 		if !o.movable(t, g, gr) {
 			continue
 		}
-		cost := o.lostWork(t, g) / o.freed(g)
+		cost := o.moveCost(t, g) / o.freedMemory(g)
 		if best == none || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -96,21 +96,21 @@
 		(t.spec.Resumes || !g.started)
 }
 
-// lostWork is what a move costs, in tokens to prefill again; a shorter rest counts for more, for it would soon have
-// freed its memory by itself.
-func (o *Owner) lostWork(t *target, g *gen) float64 {
+// moveCost returns the cost of a move: the number of tokens that have to be prefilled again.
+func (o *Owner) moveCost(t *target, g *gen) float64 {
 	return float64(max(g.held()-o.cachedTokens(t, g), 1))
 }
 
-// freed is the memory that a move frees over the victim horizon, in tokens.
-func (o *Owner) freed(g *gen) float64 {
-	ahead := o.curve(g, &o.scratch).Mean(g.tokens, g.maxTok)
+// freedMemory returns the memory in tokens that a move frees over the preemption horizon. A generation with a short expected
+// remainder is a poor victim, because it would soon free its memory by itself.
+func (o *Owner) freedMemory(g *gen) float64 {
+	ahead := o.curve(g, &o.scratch).Mean(g.tokens, g.maxTokens)
 	return float64(g.held()) + min(ahead, float64(o.opt.HorizonTokens))
 }
 
-// preempt asks the entry to stop generation i and submit its rest. Its place in the batch and its power count as taken
-// until the entry says that the attempt has ended; its memory counts as free at once, for the engine frees it before
-// it could take in what is granted from now on.
+// preempt asks the entry to stop generation i and submit the rest. Its batch slot and power stay reserved until the entry
+// reports the end of the attempt. Its memory counts as free at once, because the engine frees it before it could admit
+// anything granted from now on.
 func (o *Owner) preempt(i int32, acts []Action) []Action {
 	g := &o.gens[i]
 	t := &o.targets[g.target]
@@ -125,30 +125,30 @@
 	})
 }
 
-// preemptForUrgent makes room for an urgent request that no target has memory or power for: it moves the victim, over
-// all targets, with the least lost work for each token freed. It reports false when no single victim would do.
+// preemptForUrgent frees capacity for an urgent request for which no target has memory or power: it preempts the
+// generation with the lowest move cost per token freed over all targets. It returns false if no single victim suffices.
 func (o *Owner) preemptForUrgent(now Time, i int32, acts []Action) ([]Action, bool) {
 	if o.opt.DisableVictims {
 		return acts, false
 	}
 	starved := o.powerStarved()
 	if starved && o.movingTotal() > 0 {
-		// The power of a victim is free only when its attempt has ended: one at a time.
+		// A victim's power is released only when its attempt has ended, so victims are preempted one at a time.
 		return acts, false
 	}
 	best := none
 	var bestCost float64
 	for ti := range o.targets {
 		t := &o.targets[ti]
-		if !o.open(now, t) || o.gens[i].avoids(int32(ti)) {
+		if !o.eligible(now, t) || o.gens[i].avoids(int32(ti)) {
 			continue
 		}
 		v := o.victim(t)
-		if v == none || !starved && !o.relieves(t, v) {
+		if v == none || !starved && !o.freesEnough(t, v) {
 			continue
 		}
 		g := &o.gens[v]
-		if cost := o.lostWork(t, g) / o.freed(g); best == none || cost < bestCost {
+		if cost := o.moveCost(t, g) / o.freedMemory(g); best == none || cost < bestCost {
 			best, bestCost = v, cost
 		}
 	}
@@ -159,9 +159,9 @@
 	return o.preempt(best, acts), true
 }
 
-// relieves reports whether memory alone keeps the candidate out of target t, and that of victim v is enough.
-func (o *Owner) relieves(t *target, v int32) bool {
-	if o.memoryRoom(t) || !o.batchRoom(t) || !o.prefillRoom(t) {
+// freesEnough reports whether target t lacks only memory for the candidate and victim v frees enough of it.
+func (o *Owner) freesEnough(t *target, v int32) bool {
+	if o.fitsMemory(t) || !o.fitsBatch(t) || !o.fitsPrefill(t) {
 		return false
 	}
 	over := t.load.Mean[0] + float64(o.cand.held) - float64(t.kvTotal)*o.opt.MemoryFill
--- a/lib/sched/owner.go
+++ b/lib/sched/owner.go
@@ -6,13 +6,13 @@
 	"anvilwick.example/anvilwick/lib/length"
 )
 
-// Owner decides for one shard of a service's targets. It is not safe for concurrent use.
+// Owner schedules one shard of a service's targets. It is not safe for concurrent use.
 type Owner struct {
-	service  string
-	opt      Options
-	policy   PolicyFunc
-	lengths  *length.Estimator
-	unlearnt *length.Estimator // for DisableLengths
+	service      string
+	opt          Options
+	policy       PolicyFunc
+	lengths      *length.Estimator
+	priorLengths *length.Estimator // for DisableLengths
 
 	gens    []gen
 	free    int32
@@ -22,67 +22,67 @@
 	groups  []group
 	byGroup map[groupKey]int32
 
-	resumes list // generations that already gave tokens and wait for a new place
-	refused list // answered in the next tick
+	resumes list // generations with output that wait for a new target
+	refused list // refused in the next tick
 	queued  int  // over all groups, without resumes
 
-	now         Time    // of the tick in progress
-	usable      int     // targets that accept work
-	warmOnly    bool    // first pass of a tick: only where the prefix is held
-	largestStep float64 // of any group's vtime, decayed
-	powerBound  bool    // the cap kept a place from being granted since the last maintenance
-	power       power
-	headroom    headroom
-	virtualTime float64 // vtime of the group granted last
-	steps       int     // grid points within the horizon
-	victimSteps int
-	maintained  Time
-	started     bool // maintained is set
-	sweepAt     int32
-	heard       Time // last Progress about any generation
-	cand        candidate
-	stats       Stats
-	scratch     length.Curve // of a known length, outside cand
+	now             Time    // of the tick in progress
+	usable          int     // targets that accept work
+	warmOnly        bool    // first pass of a tick: only targets that hold the prefix
+	largestCharge   float64 // largest vtime charge of any group, decayed
+	powerBound      bool    // the cap prevented a grant since the last maintenance run
+	power           power
+	headroom        headroom
+	virtualTime     float64 // vtime of the group granted last
+	steps           int     // grid points within the horizon
+	victimSteps     int
+	lastMaintenance Time
+	maintainedOnce  bool // lastMaintenance is set
+	sweepCursor     int32
+	lastProgress    Time // last Progress about any generation
+	cand            candidate
+	stats           Stats
+	scratch         length.Curve // of a known length, outside cand
 }
 
-// candidate is scratch for the generation being placed.
+// candidate is scratch space for the generation being placed.
 type candidate struct {
-	gen     int32
-	held    int
-	urgent  bool
-	warmest int  // prompt tokens that a target has to hold; 0: any
-	resumed bool // it gave tokens already
-	z       float64
-	steps   int
-	capped  bool    // a power cap is in force
-	spare   float64 // watts under it
-	load    forecast.Load
-	fixed   length.Curve
+	gen       int32
+	held      int
+	urgent    bool
+	minCached int  // minimum of cached prompt tokens on the target; 0: any
+	resumed   bool // it already produced tokens
+	z         float64
+	steps     int
+	capped    bool    // a power cap is in force
+	spare     float64 // watts under it
+	load      forecast.Load
+	fixed     length.Curve
 }
 
 // NewOwner returns an Owner without targets.
 func NewOwner(service string, opt Options) *Owner {
 	opt.setDefaults()
 	return &Owner{
-		service:     service,
-		opt:         opt,
-		policy:      func(string, string) ClassPolicy { return ClassPolicy{} },
-		lengths:     length.New(length.Options{}),
-		unlearnt:    length.New(length.Options{}),
-		free:        none,
-		byID:        make(map[ids.Generation]int32),
-		byName:      make(map[string]int32),
-		byGroup:     make(map[groupKey]int32),
-		resumes:     newList(),
-		refused:     newList(),
-		steps:       forecast.StepsWithin(opt.HorizonTokens),
-		victimSteps: forecast.StepsWithin(opt.VictimSteps),
+		service:      service,
+		opt:          opt,
+		policy:       func(string, string) ClassPolicy { return ClassPolicy{} },
+		lengths:      length.New(length.Options{}),
+		priorLengths: length.New(length.Options{}),
+		free:         none,
+		byID:         make(map[ids.Generation]int32),
+		byName:       make(map[string]int32),
+		byGroup:      make(map[groupKey]int32),
+		resumes:      newList(),
+		refused:      newList(),
+		steps:        forecast.StepsWithin(opt.HorizonTokens),
+		victimSteps:  forecast.StepsWithin(opt.VictimSteps),
 	}
 }
 
 var _ Policy = (*Owner)(nil)
 
-// SetPolicy implements Policy: settings changed.
+// SetPolicy implements Policy. It resolves the policy of every known group again.
 func (o *Owner) SetPolicy(f PolicyFunc) {
 	o.policy = f
 	for i := range o.groups {
@@ -90,7 +90,7 @@
 	}
 }
 
-// resolve reads the policy of a group and fills what it leaves open.
+// resolve sets the policy of a group, with defaults for unset fields.
 func (o *Owner) resolve(g *group) {
 	p := o.policy(g.workspace, g.class)
 	orDefault(&p.MaxWait, o.opt.MaxWait)
@@ -103,7 +103,7 @@
 	g.deviation = forecast.Deviations(p.MemoryRisk, o.steps)
 }
 
-// groupOf returns the row of a workspace and class, made on first use.
+// groupOf returns the index of the row for a workspace and class and creates the row on first use.
 func (o *Owner) groupOf(workspace, class string) int32 {
 	key := groupKey{workspace, class}
 	if i, ok := o.byGroup[key]; ok {
@@ -121,7 +121,7 @@
 	return i
 }
 
-// SetTargets implements Policy. A target that is no longer named keeps what it runs and gets no new work.
+// SetTargets implements Policy. A target that is not in specs keeps its running generations and gets no new work.
 func (o *Owner) SetTargets(now Time, specs []TargetSpec) {
 	for i := range o.targets {
 		o.targets[i].listed = false
@@ -147,14 +147,14 @@
 	}
 }
 
-// newTarget reuses the row of a target that was replaced, so that the table stays as small as the shard.
+// newTarget adds a target. It reuses the row of a removed one, so that the table stays as small as the shard.
 func (o *Owner) newTarget(now Time, name string) int32 {
 	fresh := target{
-		spec:      TargetSpec{Name: name},
-		run:       newList(),
-		cache:     make(map[uint64]struct{}),
-		step:      o.opt.StepSeconds,
-		idleSince: now,
+		spec:        TargetSpec{Name: name},
+		run:         newList(),
+		cache:       make(map[uint64]struct{}),
+		stepSeconds: o.opt.StepSeconds,
+		idleSince:   now,
 	}
 	for i := range o.targets {
 		t := &o.targets[i]
@@ -170,8 +170,8 @@
 	return int32(len(o.targets) - 1)
 }
 
-// Report implements Policy. What the owner knows itself goes before a report; a report adds what others placed on
-// the target, its sizes, and whether it is leaving. A frozen or missing report therefore costs little.
+// Report implements Policy. The owner's own records take precedence over a report. The report adds work that others placed
+// on the target, its sizes, and whether it is leaving. A frozen or missing report therefore has little effect.
 func (o *Owner) Report(now Time, r Report) {
 	i, ok := o.byName[r.Target]
 	if !ok {
@@ -200,13 +200,13 @@
 		return
 	}
 	t.reportAt = at
-	o.correct(t, at, r)
+	o.reconcile(t, at, r)
 	t.dirty = true
 }
 
-// correct compares a report with what the owner had placed on the target at the time of the report.
-func (o *Owner) correct(t *target, at Time, r Report) {
-	n, held := t.ends.at(at)
+// reconcile compares a report with what the owner had placed on the target when the report was made.
+func (o *Owner) reconcile(t *target, at Time, r Report) {
+	n, held := t.ends.activeAt(at)
 	for i := t.run.head; i != none; i = o.gens[i].next {
 		g := &o.gens[i]
 		if g.granted > at {
@@ -217,17 +217,17 @@
 			held += g.held()
 		}
 	}
-	t.foreign = max(r.Running+r.Waiting-n, 0)
-	t.foreignKV = 0
-	if t.foreign > 0 {
-		t.foreignKV = max(float64(r.KVUsed-held), 0)
+	t.remote = max(r.Running+r.Waiting-n, 0)
+	t.remoteKV = 0
+	if t.remote > 0 {
+		t.remoteKV = max(float64(r.KVUsed-held), 0)
 	}
-	model := t.spec.IdleWatts + t.spec.SeqWatts*float64(n+t.foreign)
+	model := t.spec.IdleWatts + t.spec.SeqWatts*float64(n+t.remote)
 	excess := r.Watts - model
-	t.watts = max(t.watts*wattsDecay, excess, 0)
+	t.wattsExcess = max(t.wattsExcess*wattsDecay, excess, 0)
 }
 
-// wattsDecay lets the correction of the power model fade over some reports.
+// wattsDecay lets the correction of the power model decay over several reports.
 const wattsDecay = 0.8
 
 // CacheSnapshot implements Policy.
@@ -257,7 +257,7 @@
 	t.cache[prefix] = struct{}{}
 }
 
-// TargetGone implements Policy. What ran there is moved in the next tick.
+// TargetGone implements Policy. Generations on the target are moved in the next tick.
 func (o *Owner) TargetGone(now Time, name string) {
 	i, ok := o.byName[name]
 	if !ok {
--- a/lib/sched/owner_rapid_test.go
+++ b/lib/sched/owner_rapid_test.go
@@ -11,19 +11,19 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// model is what a caller of the Owner knows: which attempts wait, run or are being moved, and on which target.
+// model is the state that a caller of the Owner knows: which attempts wait, run or are being moved, and on which target.
 type model struct {
-	t       *rapid.T
-	o       *Owner
-	now     Time
-	serial  uint64
-	waits   map[ids.Generation]modelWait
-	runs    map[ids.Generation]modelRun
-	order   []ids.Generation // keys of runs, so that draws are repeatable
-	closed  map[string]bool  // leaving, gone or not named
-	watts   float64
-	expiry  Time
-	fallbck float64
+	t        *rapid.T
+	o        *Owner
+	now      Time
+	serial   uint64
+	waits    map[ids.Generation]modelWait
+	runs     map[ids.Generation]modelRun
+	order    []ids.Generation // keys of runs, so that random choices are repeatable
+	closed   map[string]bool  // leaving, gone or not in the settings
+	watts    float64
+	expiry   Time
+	fallback float64
 }
 
 type modelWait struct {
@@ -90,12 +90,12 @@
 		PromptTokens: rapid.IntRange(1, 600).Draw(m.t, "prompt"),
 	})
 	if rapid.IntRange(0, 9).Draw(m.t, "again") == 0 {
-		// The same submit again, as after a lost answer.
+		// Repeat the Submit, as after a lost answer.
 		m.o.Submit(m.now, Request{Gen: id, Workspace: "a", Class: class, Attempt: 1, PromptTokens: 1})
 	}
 }
 
-// resubmit sends the rest of a generation, as an entry does after an attempt ended without the answer's end.
+// resubmit submits the rest of a generation, as an entry does after an attempt ended before the output was complete.
 func (m *model) resubmit(id ids.Generation, r modelRun) {
 	m.waits[id] = modelWait{since: m.now, attempt: r.attempt + 1, emitted: r.tokens}
 	m.o.Submit(m.now, Request{
@@ -123,7 +123,7 @@
 	}
 }
 
-// advance gives every running generation a token, ends what is complete and ends moved attempts.
+// advance adds a token to every running generation, ends those that are complete and ends moved attempts.
 func (m *model) advance() {
 	for _, id := range append([]ids.Generation(nil), m.order...) {
 		r := m.runs[id]
@@ -156,7 +156,7 @@
 				m.t.Fatalf("refusal without code or Retry-After: %+v", a)
 			}
 			if w.emitted > 0 && (a.Code != result.NoTarget || m.now.Sub(w.since) < modelMaxWait) {
-				m.t.Fatalf("refused a generation that gave %d tokens with %d after %v", w.emitted, a.Code, m.now.Sub(w.since))
+				m.t.Fatalf("refused a generation with %d tokens of output with %d after %v", w.emitted, a.Code, m.now.Sub(w.since))
 			}
 			delete(m.waits, a.Gen)
 		case ActPreempt:
@@ -194,7 +194,7 @@
 	if m.watts > 0 {
 		limit := m.watts
 		if m.now > m.expiry {
-			limit = min(limit, m.fallbck)
+			limit = min(limit, m.fallback)
 		}
 		if drawn := float64(len(m.runs)) * modelSeqWatts; drawn > limit {
 			m.t.Fatalf("granted up to %v W over the cap of %v W", drawn, limit)
@@ -202,7 +202,7 @@
 	}
 }
 
-// check asserts what holds after every tick.
+// check asserts the invariants that hold after every tick.
 func (m *model) check() {
 	m.checkRows()
 	for id, w := range m.waits {
@@ -212,7 +212,7 @@
 	}
 }
 
-// checkRows asserts that each row is in exactly the list that its state names, and that the counters agree.
+// checkRows asserts that each row is in exactly the list that its state requires, and that the counters match the lists.
 func (m *model) checkRows() {
 	o := m.o
 	seen := make(map[int32]string)
@@ -266,9 +266,9 @@
 	}
 }
 
-// Callers see: each request is answered with a grant or a refusal within its bound, and never runs twice at once,
-// whatever dies, leaves, freezes or is preempted in between. The run draws these events in any order, because an
-// owner's tables are only as good as their worst crossing of events.
+// Each request must be granted or refused within its limit, and never run twice at once, whichever targets die, leave or
+// freeze and whatever is preempted in between. The test draws these events in random order, because faults in the owner's
+// tables come from unusual interleavings.
 func TestOwnerKeepsInvariantsInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -299,7 +299,7 @@
 				if len(m.order) == 0 {
 					return
 				}
-				// An end and a progress of an older attempt arrive late.
+				// End and Progress of an older attempt arrive late.
 				id := rapid.SampledFrom(m.order).Draw(t, "gen")
 				m.o.End(m.now, id, m.runs[id].attempt-1, 3, EndCompleted)
 				m.o.Progress(m.now, id, m.runs[id].attempt-1, 1000)
@@ -335,9 +335,9 @@
 			},
 			"power": func(t *rapid.T) {
 				m.watts = float64(rapid.IntRange(1, 40).Draw(t, "watts")) * modelSeqWatts
-				m.fallbck = m.watts / 2
+				m.fallback = m.watts / 2
 				m.expiry = m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "valid")) * time.Millisecond)
-				m.o.SetPower(m.now, m.watts, m.expiry, m.fallbck)
+				m.o.SetPower(m.now, m.watts, m.expiry, m.fallback)
 			},
 		})
 	})
--- a/lib/sched/place_test.go
+++ b/lib/sched/place_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Two narratives outgrow what was foreseen. Before the engine runs out, one is moved to the engine that has room, and
-// never the one that was moved too often already.
+// Two generations outgrow their forecast. Before the engine runs out of memory, one is moved to an engine with capacity,
+// and never the one that has reached its limit of preemptions.
 func TestMovesAVictimBeforeMemoryRunsOut(t *testing.T) {
 	r := newRig(t, Options{MemoryRisk: 0.9, DisableForecast: true}, spec("a", 1000, 8))
 	r.submit(1, "night", func(q *Request) { q.PromptTokens, q.Preemptions, q.Emitted = 300, 3, 1 })
@@ -46,7 +46,7 @@
 	r.never(ActPreempt, 1, time.Second)
 }
 
-// The same two, and the class of one forbids every move. Its generation would lose the least, and still the other goes.
+// As above, but the class of one generation forbids preemption. It would be the cheaper move, and still the other is moved.
 func TestClassWithoutPreemptionsIsNoVictim(t *testing.T) {
 	r := newRig(t, Options{MemoryRisk: 0.9, DisableForecast: true}, spec("a", 1000, 8))
 	r.policy["still"] = ClassPolicy{MaxWait: time.Hour, MaxPreemptions: NoPreemptions}
--- a/lib/sched/power.go
+++ b/lib/sched/power.go
@@ -1,6 +1,6 @@
 package sched
 
-// power is the budget in force.
+// power is the power budget in force.
 type power struct {
 	set        bool
 	watts      float64
@@ -8,8 +8,8 @@
 	fallback   float64
 }
 
-// SetPower implements Policy. After validUntil without news the fallback holds: the fallback shares of all owners
-// together are under the site's cap, so a lost budget holder can't lead to more than the cap.
+// SetPower implements Policy. After validUntil the fallback applies. The fallback shares of all owners together are below
+// the site's cap, so the loss of the power allocator can't lead to a draw above the cap.
 func (o *Owner) SetPower(_ Time, watts float64, validUntil Time, fallbackWatts float64) {
 	o.power = power{set: true, watts: watts, validUntil: validUntil, fallback: fallbackWatts}
 }
@@ -26,64 +26,64 @@
 	return watts * (1 - o.opt.PowerGuard), true
 }
 
-// draw is the modelled power of all targets, in watts.
+// draw is the modelled power draw of all targets, in watts.
 type draw struct {
 	total  float64
-	own    float64 // of the sequences that this owner placed
-	others float64 // of sequences that others placed
+	local  float64 // by sequences that this owner placed
+	remote float64 // by sequences that others placed
 }
 
-// draw models the power of all targets: readings lag and may be frozen, so they only ever raise the model.
+// draw models the power draw of all targets. Readings lag and may be frozen, so they only ever raise the model.
 func (o *Owner) draw() draw {
 	var d draw
 	for i := range o.targets {
 		t := &o.targets[i]
 		if t.run.n == 0 && (t.gone || !t.listed) {
-			// A target that is told to be gone may still draw power for what is not known to have ended there.
+			// A target reported as gone may still draw power for sequences that are not known to have ended.
 			continue
 		}
-		own, others := t.spec.SeqWatts*float64(t.run.n), t.spec.SeqWatts*float64(t.foreign)
-		d.own += own
-		d.others += others
-		d.total += t.spec.IdleWatts + own + others + t.watts
+		local, remote := t.spec.SeqWatts*float64(t.run.n), t.spec.SeqWatts*float64(t.remote)
+		d.local += local
+		d.remote += remote
+		d.total += t.spec.IdleWatts + local + remote + t.wattsExcess
 	}
 	return d
 }
 
-// roomToGrow is how much beside what others draw is left to them, as a multiple of it. A few sequences that a late report
-// takes for those of others then cost little.
-const roomToGrow = 2
+// remoteGrowth is the capacity left to others beyond their draw, as a multiple of that draw. It keeps the effect small when
+// a delayed report attributes a few of this owner's sequences to others.
+const remoteGrowth = 2
 
-// spare is what a budget leaves for new work. It leaves others room to grow, and to this owner half of what there is for
-// sequences.
+// spare returns the part of a budget that is left for new work. It leaves others capacity to grow, and guarantees this
+// owner half of the power available to sequences.
 //
-// Failure: two owners of one shard, cut off from each other, each fill it between two reports. Both then see twice the
-// budget, move all that they run, see an idle shard and fill it again, for as long as the cut lasts: the cap is passed
-// half of the time. Keeping half each, they pass it before the first report alone and come to rest.
+// Failure: two owners of one shard, partitioned from each other, each fill the budget between two reports. Both then see
+// twice the budget drawn, preempt all they run, see an idle shard and fill it again. As long as the partition lasts, the
+// cap is exceeded half of the time. With half each, they exceed it only before the first report and then settle.
 func (d draw) spare(watts float64) float64 {
 	spare := watts - d.total
-	if d.others > 0 {
-		spare = min(spare, max(d.half(watts)-d.own, spare-roomToGrow*d.others))
+	if d.remote > 0 {
+		spare = min(spare, max(d.localHalf(watts)-d.local, spare-remoteGrowth*d.remote))
 	}
 	return spare
 }
 
-// excess is what must be moved to get under a budget. What runs within the half that is this owner's own stays.
+// excess returns the watts to shed to get below a budget. This owner's sequences within its half are kept.
 func (d draw) excess(watts float64) float64 {
 	excess := d.total - watts
-	if d.others > 0 {
-		excess = min(excess, d.own-d.half(watts))
+	if d.remote > 0 {
+		excess = min(excess, d.local-d.localHalf(watts))
 	}
 	return excess
 }
 
-func (d draw) half(watts float64) float64 {
-	fixed := d.total - d.own - d.others
+func (d draw) localHalf(watts float64) float64 {
+	fixed := d.total - d.local - d.remote
 	return max(0, watts-fixed) / 2
 }
 
-// powerRoom filters by the cap. Work that is not urgent leaves the power of the headroom.
-func (o *Owner) powerRoom(t *target) bool {
+// fitsPower checks the power cap. Non-urgent work leaves the power of the headroom free.
+func (o *Owner) fitsPower(t *target) bool {
 	spare := o.cand.spare
 	if !o.cand.urgent {
 		spare -= o.headroom.free * t.spec.SeqWatts
@@ -95,8 +95,8 @@
 	return false
 }
 
-// shedPower moves generations into the queue while the model is over the budget: after a cut of the budget, holding
-// new work back alone would take as long as the longest output. Long work is held back first.
+// shedPower preempts generations while the modelled draw exceeds the budget. After a cut of the budget, only holding back
+// new work would take as long as the longest output. The order of victims is that of shedsBefore.
 func (o *Owner) shedPower(now Time, acts []Action) []Action {
 	o.powerBound = false
 	watts, ok := o.budget(now)
@@ -108,7 +108,7 @@
 		t := &o.targets[i]
 		moving := float64(t.moving) * t.spec.SeqWatts
 		d.total -= moving
-		d.own -= moving
+		d.local -= moving
 	}
 	excess := d.excess(watts)
 	for excess > 0 {
@@ -123,7 +123,7 @@
 	return acts
 }
 
-// powerVictim picks, over all targets, the lowest priority, and of these the generation that holds least.
+// powerVictim returns the running generation that shedsBefore orders first over all targets, or none.
 func (o *Owner) powerVictim() int32 {
 	best := none
 	var bestGen *gen
@@ -145,7 +145,7 @@
 	return best
 }
 
-// shedsBefore orders victims of the power cap: urgent work last, then by priority, then by lost work.
+// shedsBefore orders victims of the power cap: urgent work last, then lower priority first, then fewer tokens held.
 func (o *Owner) shedsBefore(a, b *gen) bool {
 	pa, pb := &o.groups[a.group].policy, &o.groups[b.group].policy
 	if pa.Urgent != pb.Urgent {
@@ -157,14 +157,14 @@
 	return a.held() < b.held()
 }
 
-// powerStarved reports whether the cap leaves the candidate no power on any target.
+// powerStarved reports whether no target has power for the candidate under the cap.
 func (o *Owner) powerStarved() bool {
 	if !o.cand.capped {
 		return false
 	}
 	for i := range o.targets {
 		t := &o.targets[i]
-		if o.accepts(t) && t.spec.SeqWatts <= o.cand.spare {
+		if o.acceptsWork(t) && t.spec.SeqWatts <= o.cand.spare {
 			return false
 		}
 	}
--- a/lib/sched/power_test.go
+++ b/lib/sched/power_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The budget is cut below what runs. Long work is stopped until the model is under the cap, the urgent runs on, and
-// nothing is refused.
+// The budget is cut below the current draw. Long work is preempted until the modelled draw is under the cap; urgent work
+// continues, and nothing is refused.
 func TestPowerCutHoldsLongWorkBackFirst(t *testing.T) {
 	s := spec("a", 40_000, 8)
 	s.IdleWatts, s.SeqWatts = 100, 10
@@ -30,7 +30,7 @@
 	}
 }
 
-// The holder of the budget falls silent: the share in force runs out, and the fallback holds.
+// The power allocator stops sending shares: the share in force expires, and the fallback applies.
 func TestExpiredBudgetFallsBack(t *testing.T) {
 	s := spec("a", 40_000, 8)
 	s.SeqWatts = 10
@@ -46,8 +46,8 @@
 	test.MapLen(t, 2, r.runs)
 }
 
-// The power cap is taken up by long work when an urgent question comes. One long generation is stopped for it after a
-// short while, and only one: its power is free as soon as its attempt has ended.
+// Long work uses up the power cap when an urgent request arrives. After a short wait one long generation is preempted for
+// it, and only one: its power is free as soon as its attempt has ended.
 func TestUrgentWorkGetsPowerFromOneVictim(t *testing.T) {
 	s := spec("a", 100_000, 32)
 	s.SeqWatts = 10
@@ -77,8 +77,8 @@
 	t.Fatal("the urgent request got no power")
 }
 
-// A target is told to be gone while its generations have not been heard to end: it may be cut off and draw power all
-// the same. Until their ends come, their power is not given to others.
+// A target is reported as gone while its generations are not known to have ended: it may be cut off and still draw power.
+// Until their ends arrive, their power must not be granted to others.
 func TestPowerOfAGoneTargetIsKeptUntilItsWorkEnded(t *testing.T) {
 	a, b := spec("a", 40_000, 8), spec("b", 40_000, 8)
 	a.SeqWatts, b.SeqWatts = 10, 10
--- a/lib/sched/queue.go
+++ b/lib/sched/queue.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Levels order groups before their shares do; the priority of the class is added.
+// Levels order groups before their shares; the priority of the class is added.
 const (
 	levelAged   = 1 << 16
 	levelUrgent = 1 << 20
 )
 
-// maxResumeTries bounds how many resumes are tried for a place in one tick.
+// maxResumeTries limits the resumes tried in one tick.
 const maxResumeTries = 16
 
-// admit grants places: first to urgent work, then to generations that already gave tokens, for each second that they
-// wait is stall time, then to the other groups in their order. Of the groups at the highest level, those whose prefix a
-// target holds come first at that target: when engines are full, one place is free at a time, and the prefill of a
-// prompt that is not cached there would slow its whole batch down.
+// admit grants capacity in this order: urgent work; generations that already produced tokens, whose callers see every
+// second of waiting as a stall; the other groups by level and share. Among the groups at the highest level, a request goes
+// first to a target that holds its prefix: when engines are full, capacity frees up one slot at a time, and prefilling an
+// uncached prompt there would slow down the whole batch.
 func (o *Owner) admit(now Time, acts []Action) []Action {
 	if o.resumes.n == 0 && o.queued == 0 {
 		return acts
@@ -31,7 +31,7 @@
 	return o.admitGroups(now, math.MinInt, acts)
 }
 
-// topLevel returns the highest level at which something waits.
+// topLevel returns the highest level of any group with queued requests.
 func (o *Owner) topLevel(now Time) int {
 	top := math.MinInt
 	for i := range o.groups {
@@ -42,7 +42,7 @@
 	return top
 }
 
-// admitGroups serves the groups of at least a level until none has a request that fits.
+// admitGroups serves the groups at or above a level until none has a request that fits.
 func (o *Owner) admitGroups(now Time, least int, acts []Action) []Action {
 	for range maxGrants {
 		gi := o.nextGroup(now, least)
@@ -77,37 +77,37 @@
 		if t := o.place(now, i); t != none {
 			acts = o.grant(now, i, t, acts)
 		} else {
-			o.reserve(i)
+			o.reserveTarget(i)
 		}
 		i = next
 	}
 	return acts
 }
 
-// admitFrom places the head of a queue, or one of the few behind it.
+// admitFrom grants the head of a queue, or one of the Options.Backfill requests behind it.
 func (o *Owner) admitFrom(now Time, gi int32, acts []Action) ([]Action, bool) {
 	gr := &o.groups[gi]
-	aged := o.raised(now, gr)
+	aged := o.prioritized(now, gr)
 	i := gr.queue.head
 	for tries := 0; i != none && tries <= o.opt.Backfill; tries++ {
 		if t := o.place(now, i); t != none {
 			return o.grant(now, i, t, acts), true
 		}
-		if gr.policy.Urgent && tries == 0 && now.Sub(o.gens[i].queued) >= o.opt.UrgentPatience {
+		if gr.policy.Urgent && tries == 0 && now.Sub(o.gens[i].queued) >= o.opt.UrgentPreemptAfter {
 			var ok bool
 			if acts, ok = o.preemptForUrgent(now, i, acts); ok {
 				continue
 			}
 		}
 		if aged && tries == 0 && !o.warmOnly {
-			o.reserve(i)
+			o.reserveTarget(i)
 		}
 		i = o.gens[i].next
 	}
 	return acts, false
 }
 
-// nextGroup returns the group to serve next: highest level, then least weighted work granted.
+// nextGroup returns the group to serve next: highest level first, then lowest virtual time.
 func (o *Owner) nextGroup(now Time, least int) int32 {
 	best := none
 	bestLevel := least
@@ -131,7 +131,7 @@
 	if gr.policy.Urgent {
 		return level + levelUrgent
 	}
-	if o.raised(now, gr) {
+	if o.prioritized(now, gr) {
 		return level + levelAged
 	}
 	return level
@@ -144,8 +144,8 @@
 	return gr.vtime
 }
 
-// raised reports whether the head of a queue has waited long or has a deadline near.
-func (o *Owner) raised(now Time, gr *group) bool {
+// prioritized reports whether the head of a queue has waited long or is close to its deadline.
+func (o *Owner) prioritized(now Time, gr *group) bool {
 	if o.opt.DisableAgeing || gr.queue.head == none {
 		return false
 	}
@@ -160,20 +160,20 @@
 	return g.deadline.Sub(now).Seconds()-expected < o.opt.DeadlineSlack.Seconds()
 }
 
-// reserve keeps one target from other new work until generation i fits it. Without it a large request starves: small
-// ones fill each gap before it is wide enough.
-func (o *Owner) reserve(i int32) {
+// reserveTarget keeps one target free of other new work until generation i fits. Otherwise a large request starves: small
+// requests fill each gap before it is large enough.
+func (o *Owner) reserveTarget(i int32) {
 	g := &o.gens[i]
 	best := none
-	var bestRoom float64
+	var bestFree float64
 	for ti := range o.targets {
 		t := &o.targets[ti]
-		if t.reserved || !o.accepts(t) || g.avoids(int32(ti)) {
+		if t.reserved || !o.acceptsWork(t) || g.avoids(int32(ti)) {
 			continue
 		}
-		room := float64(t.kvTotal) - t.load.Peak(0, o.steps)
-		if best == none || room > bestRoom {
-			best, bestRoom = int32(ti), room
+		free := float64(t.kvTotal) - t.load.Peak(0, o.steps)
+		if best == none || free > bestFree {
+			best, bestFree = int32(ti), free
 		}
 	}
 	if best != none {
@@ -190,22 +190,22 @@
 	return false
 }
 
-// grant gives generation i a place on a target.
+// grant places generation i on a target.
 func (o *Owner) grant(now Time, i, ti int32, acts []Action) []Action {
 	o.stats.Grants++
 	g := &o.gens[i]
 	gr := &o.groups[g.group]
 	fresh := g.emitted == 0
-	o.take(now, i)
-	o.hold(now, i, ti)
+	o.detach(now, i)
+	o.assign(now, i, ti)
 	t := &o.targets[ti]
 	t.lastGrant = now
 	o.addLoad(t, g)
 	if t.silent {
-		t.probe = now.Add(o.opt.ProbeInterval)
+		t.nextProbe = now.Add(o.opt.ProbeInterval)
 	}
 	if fresh {
-		gr.drain.granted(now, gr.queue.n)
+		gr.drain.recordGrant(now, gr.queue.n)
 	}
 	o.charge(g, gr)
 	return append(acts, Action{
@@ -217,23 +217,23 @@
 	})
 }
 
-// charge adds the work that a grant is expected to take to its group's share.
+// charge adds the expected work of a grant to the virtual time of its group.
 func (o *Owner) charge(g *gen, gr *group) {
 	o.virtualTime = max(o.virtualTime, gr.vtime)
 	g.charged = float64(g.prompt) + max(gr.output, 1)
-	step := g.charged / gr.policy.Weight
-	gr.vtime += step
-	o.largestStep = max(o.largestStep*stepDecay, step)
+	cost := g.charged / gr.policy.Weight
+	gr.vtime += cost
+	o.largestCharge = max(o.largestCharge*chargeDecay, cost)
 }
 
-// behind reports whether a group has had so much less than its share lately that a cold prefix holds it back no more.
-// The slack is counted in the largest step of any group, that of the least weight.
-func (o *Owner) behind(gr *group) bool {
-	return gr.vtime+shareSlack*o.largestStep < o.virtualTime
+// belowShare reports whether a group has recently received so much less than its share that a cold prefix no longer delays it.
+// The slack is measured in the largest charge of any group, that of the lowest weight.
+func (o *Owner) belowShare(gr *group) bool {
+	return gr.vtime+shareSlack*o.largestCharge < o.virtualTime
 }
 
-// stepDecay lets the largest step fade with each grant.
-const stepDecay = 0.995
+// chargeDecay lets the largest charge decay with each grant.
+const chargeDecay = 0.995
 
-// shareSlack is how many of the largest steps a group may fall behind.
+// shareSlack is the number of largest charges by which a group may fall behind its share.
 const shareSlack = 2
--- a/lib/sched/queue_test.go
+++ b/lib/sched/queue_test.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// A caller's request waits in a queue that can't move. It must get its refusal when its bound is reached, with the
-// time after which asking again makes sense, and not a moment of waiting more.
+// A request waits in a queue that makes no progress. It must be refused as soon as its limit is reached, with a Retry-After,
+// and not later.
 func TestRefusesAtMaxWait(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 4000, 1))
 	r.submit(1, "batch", nil)
@@ -25,10 +25,10 @@
 	test.GreaterEq(t, time.Second, a.RetryAfter)
 }
 
-// One place serves a request a second and two arrive each second. Once the drain rate is known, a request that would
-// wait beyond its bound is refused in the next tick, with the time that the queue really takes to drain; none is left
-// to wait to its bound in vain, and the place stays busy.
-func TestRefusesAtOnceWhenTheQueueIsHopelessAndTellsWhenToReturn(t *testing.T) {
+// One slot serves a request per second while two arrive per second. Once the drain rate is known, a request that would
+// exceed its limit is refused in the next tick, with the time that the queue takes to drain; none waits up to its limit in
+// vain, and the slot stays busy.
+func TestRefusesAtOnceWithRetryAfterWhenExpectedWaitExceedsMaxWait(t *testing.T) {
 	const maxWait = 20 * time.Second
 	r := newRig(t, Options{}, spec("a", 40_000, 1))
 	r.policy["batch"] = ClassPolicy{MaxWait: maxWait}
@@ -72,8 +72,8 @@
 	test.EqOp(t, gid(4), acts[0].Gen)
 }
 
-// Long work fills the engines while urgent questions come now and then. An urgent question must find a free place at
-// once, without waiting for long work to end.
+// Long work fills the engines while urgent requests arrive from time to time. An urgent request must start at once, without
+// waiting for long work to end.
 func TestKeepsHeadroomForUrgentWork(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 8), spec("b", 100_000, 8))
 	n := 0
@@ -90,7 +90,7 @@
 	}
 }
 
-// Two workspaces keep their queues full; their places follow their weights.
+// Two workspaces keep their queues full; their grants follow their weights.
 func TestSharesFollowWeights(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 4))
 	r.o.SetPolicy(func(workspace, _ string) ClassPolicy {
@@ -114,7 +114,7 @@
 	test.Between(t, 140, count["large"], 160)
 }
 
-// Long work of low priority has waited for half of its bound while better work keeps coming: it goes first then.
+// Long work of low priority has waited for half of its limit while higher priorities keep arriving: it is then served first.
 func TestAgeingRaisesWhatWaitsLong(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 1))
 	r.policy["night"] = ClassPolicy{MaxWait: 20 * time.Second}
@@ -148,8 +148,8 @@
 	test.Len(t, 1, r.acts)
 }
 
-// A large request needs most of an engine, and small ones fill each gap first. Once it has aged, one engine is kept
-// for it.
+// A large request needs most of an engine, and small ones fill each gap first. Once it has aged, one engine is reserved for
+// it.
 func TestLargeRequestIsNotStarvedBySmallOnes(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 1000, 64))
 	r.policy["night"] = ClassPolicy{MaxWait: 10 * time.Second}
@@ -172,10 +172,10 @@
 	t.Fatal("the large request was starved")
 }
 
-// A workspace's long work had no turn for minutes, for others came first by their shares. That is no sign that its
-// queue stands still: a batch that joins it must wait its turn within the half hour that its class allows, and not be
-// refused as hopeless.
-func TestQueueWithoutATurnForMinutesIsNotHopeless(t *testing.T) {
+// A workspace's long work was not served for minutes, because others came first by their shares. That does not mean its
+// queue is stuck: a batch that joins it must wait its turn within the half hour that its class allows, and must not be
+// refused for its expected wait.
+func TestUnservedQueueIsNotRefusedForExpectedWait(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 1_000_000, 2))
 	r.policy["night"] = ClassPolicy{MaxWait: 30 * time.Minute}
 	r.o.SetPolicy(r.o.policy)
@@ -198,21 +198,21 @@
 	}
 }
 
-// All engines are busy with a prefill when an urgent question comes. Moving long work away would not help it.
-func TestUrgentWorkMovesNobodyWhenMemoryIsNotShort(t *testing.T) {
+// All engines are busy with a prefill when an urgent request arrives. Preempting long work would not help it.
+func TestUrgentWorkPreemptsNothingWhenMemoryIsFree(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 100_000, 32))
 	r.submit(1, "night", nil)
 	r.until(ActGrant, 1, time.Second)
 	r.submit(2, "night", func(q *Request) { q.PromptTokens = 500 })
 	r.until(ActGrant, 2, time.Second)
-	r.mute["a"] = true
+	r.muted["a"] = true
 	r.submit(3, "urgent", func(q *Request) { q.PromptTokens = 300 })
 	r.never(ActPreempt, 1, 500*time.Millisecond)
 	test.MapLen(t, 2, r.runs)
 }
 
-// The first attempt was accepted and its engine died before a token came. The second one is not turned away for a
-// queue that has filled meanwhile.
+// The first attempt was accepted and its engine died before the first token. The second must not be refused because the
+// queue has filled up in the meantime.
 func TestLaterAttemptIsNotRefusedForAFullQueue(t *testing.T) {
 	r := newRig(t, Options{}, spec("a", 4000, 1))
 	r.policy["batch"] = ClassPolicy{MaxWait: time.Minute, QueueBound: 1}
--- a/lib/sched/rate.go
+++ b/lib/sched/rate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// rate measures events a second over about rateWindow.
+// rate measures events per second, averaged over about rateWindow.
 type rate struct {
 	value float64
 	last  Time
@@ -33,49 +33,49 @@
 	r.last = now
 }
 
-// perSecond returns the rate at now.
+// perSecond returns the rate, decayed to now.
 func (r *rate) perSecond(now Time) float64 {
 	dt := max(now.Sub(r.last), 0)
 	return r.value * math.Exp(-dt.Seconds()/rateWindow.Seconds())
 }
 
-// drain measures how fast a queue is served while more waits in it. Grants to a queue that is empty otherwise say
-// nothing about how fast it could be served.
+// drain measures how fast a queue is served while it is backlogged. Grants to a queue that is empty otherwise give no
+// information about how fast it could be served.
 type drain struct {
 	interval   float64 // mean seconds between two grants
-	since      Time    // last grant
+	lastGrant  Time    // last grant
 	backlogged bool    // the queue has not been empty since
-	grants     int     // measured
+	grants     int     // measured grants
 }
 
-// minDrainGrants is how many grants have to be measured before an estimate is made.
+// minDrainGrants is the number of measured grants required for an estimate.
 const minDrainGrants = 8
 
-// granted notes a grant that left so many in the queue.
-func (d *drain) granted(now Time, left int) {
+// recordGrant records a grant after which left requests remain in the queue.
+func (d *drain) recordGrant(now Time, left int) {
 	if d.backlogged {
 		d.grants++
-		blendMean(&d.interval, now.Sub(d.since).Seconds())
+		updateMean(&d.interval, now.Sub(d.lastGrant).Seconds())
 	}
-	d.since = now
+	d.lastGrant = now
 	d.backlogged = left > 0
 }
 
-// seconds returns how long n requests take to be served, or 0 while nobody knows. A queue that has had no turn for a
-// while waits for others' turns; that while counts once, not for each request.
-func (d *drain) seconds(now Time, n int) float64 {
+// waitSeconds returns the expected time to serve n requests, or 0 without an estimate. A queue that was not served for a while
+// waits for the turns of others; that time is added once, not for each request.
+func (d *drain) waitSeconds(now Time, n int) float64 {
 	if d.grants < minDrainGrants {
 		return 0
 	}
 	wait := float64(n) * d.interval
 	if d.backlogged {
-		wait += now.Sub(d.since).Seconds()
+		wait += now.Sub(d.lastGrant).Seconds()
 	}
 	return wait
 }
 
-// blendMean moves mean towards v; the first value is taken as it is.
-func blendMean(mean *float64, v float64) {
+// updateMean updates an exponentially weighted mean with v; the first value initializes it.
+func updateMean(mean *float64, v float64) {
 	const weight = 0.05
 	if *mean == 0 {
 		*mean = v
@@ -84,7 +84,7 @@
 	*mean += weight * (v - *mean)
 }
 
-// endRing remembers generations that left a target lately, so that an old report can be compared with what ran then.
+// endRing keeps the generations that left a target recently, so that a delayed report can be compared with what ran then.
 type endRing struct {
 	items [64]endItem
 	next  int
@@ -100,8 +100,8 @@
 	r.next = (r.next + 1) % len(r.items)
 }
 
-// at returns how many of the remembered generations were on the target at t, and what they held.
-func (r *endRing) at(t Time) (n, held int) {
+// activeAt returns the number of recorded generations that were on the target at t, and the tokens that they held.
+func (r *endRing) activeAt(t Time) (n, held int) {
 	for i := range r.items {
 		e := &r.items[i]
 		if e.granted <= t && t < e.ended {
--- a/lib/sched/rig_test.go
+++ b/lib/sched/rig_test.go
@@ -7,7 +7,7 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// rig drives an Owner with engines that give one token to each sequence every 20 ms.
+// rig drives an Owner with simulated engines that produce one token for each sequence every 20 ms.
 type rig struct {
 	t      *testing.T
 	o      *Owner
@@ -15,7 +15,7 @@
 	runs   map[ids.Generation]*rigRun
 	order  []ids.Generation
 	acts   []Action
-	mute   map[string]bool // targets whose tokens do not come through
+	muted  map[string]bool // targets whose tokens do not arrive
 	policy map[string]ClassPolicy
 }
 
@@ -30,11 +30,11 @@
 
 func newRig(t *testing.T, opt Options, specs ...TargetSpec) *rig {
 	r := &rig{
-		t:    t,
-		o:    NewOwner("svc", opt),
-		now:  Time(time.Second),
-		runs: make(map[ids.Generation]*rigRun),
-		mute: make(map[string]bool),
+		t:     t,
+		o:     NewOwner("svc", opt),
+		now:   Time(time.Second),
+		runs:  make(map[ids.Generation]*rigRun),
+		muted: make(map[string]bool),
 		policy: map[string]ClassPolicy{
 			"urgent": {Priority: 10, Urgent: true, MaxWait: 5 * time.Second},
 			"batch":  {Priority: 1, MaxWait: time.Minute},
@@ -60,7 +60,7 @@
 	r.o.Submit(r.now, q)
 }
 
-// tick runs one step: tokens, then the owner's decisions, which it carries out and returns.
+// tick runs one step: it produces tokens, calls Tick, starts what was granted and returns the actions.
 func (r *rig) tick() []Action {
 	r.now = r.now.Add(rigStep)
 	for _, id := range append([]ids.Generation(nil), r.order...) {
@@ -78,7 +78,7 @@
 
 func (r *rig) token(id ids.Generation) {
 	run, ok := r.runs[id]
-	if !ok || r.mute[run.target] {
+	if !ok || r.muted[run.target] {
 		return
 	}
 	run.tokens++
@@ -90,7 +90,7 @@
 	r.o.End(r.now, id, run.attempt, run.tokens, EndCompleted)
 }
 
-// until ticks until an action of a kind for generation n, at most for d.
+// until ticks until an action of a kind for generation n, for at most d.
 func (r *rig) until(kind ActionKind, n int, d time.Duration) Action {
 	r.t.Helper()
 	for end := r.now.Add(d); r.now < end; {
--- a/lib/sched/tables.go
+++ b/lib/sched/tables.go
@@ -7,49 +7,49 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// none marks the end of a list and an absent index.
+// none is the end of a list or an absent index.
 const none = int32(-1)
 
-// state is where a generation is; it is in exactly one.
+// state is the state of a generation.
 type state uint8
 
 const (
 	stateFree    state = iota // the slot is on the free list
-	stateQueued               // waits in its group's queue, or in the resume queue
-	stateRunning              // granted; its attempt holds a place on a target
-	stateMoving               // preempted by the owner; holds its place until its End comes
-	stateRefused              // will be refused in the next tick
+	stateQueued               // in its group's queue, or in the resume queue
+	stateRunning              // granted; its attempt occupies a target
+	stateMoving               // preempted by the owner; occupies its target until its End arrives
+	stateRefused              // refused in the next tick
 )
 
 // gen is one row of the generations table.
 type gen struct {
-	id       ids.Generation
-	state    state
-	started  bool // the running attempt gave a token
-	refuse   result.Code
-	attempt  uint32
-	group    int32
-	target   int32 // running and moving only
-	prev     int32 // neighbours in its queue or on its target; next also links the free list
-	next     int32
-	prompt   int
-	maxTok   int
-	known    int
-	emitted  int // tokens before the running attempt
-	tokens   int // tokens so far, as last reported
-	cached   int // prompt tokens that the target held when it was granted
-	moves    int
-	charged  float64 // work charged to its group at the grant
-	prefixes []uint64
-	avoid    []int32 // never allocated in steady state: most requests avoid nothing
-	deadline Time
-	queued   Time // when it was submitted
-	granted  Time
-	heard    Time // last message about it
-	advanced Time // when tokens last grew
+	id           ids.Generation
+	state        state
+	started      bool // the running attempt has produced a token
+	refuse       result.Code
+	attempt      uint32
+	group        int32
+	target       int32 // running and moving only
+	prev         int32 // neighbours in its queue or on its target; next also links the free list
+	next         int32
+	prompt       int
+	maxTokens    int
+	knownLength  int
+	emitted      int // tokens before the running attempt
+	tokens       int // tokens so far, as last reported
+	cached       int // prompt tokens cached on the target at the grant
+	moves        int
+	charged      float64 // work charged to its group at the grant
+	prefixes     []uint64
+	avoid        []int32 // not allocated in steady state: most requests avoid no target
+	deadline     Time
+	queued       Time // when it was submitted
+	granted      Time
+	lastUpdate   Time // last update from its entry
+	lastProgress Time // when tokens last increased
 }
 
-// held is the memory, in tokens, that the generation takes once it is prefilled.
+// held returns the memory, in tokens, that the generation takes once it is prefilled.
 func (g *gen) held() int { return g.prompt + max(g.tokens, g.emitted) }
 
 // list is a doubly linked list through gen.prev and gen.next.
@@ -103,7 +103,7 @@
 	return i
 }
 
-// release gives the slot of a generation that is in no list back.
+// release returns the slot of a generation that is in no list to the free list.
 func (o *Owner) release(i int32) {
 	g := &o.gens[i]
 	delete(o.byID, g.id)
@@ -116,8 +116,8 @@
 // target is one row of the targets table.
 type target struct {
 	spec        TargetSpec
-	listed      bool // named by the last SetTargets
-	gone        bool // TargetGone was told, and nothing newer was reported
+	listed      bool // contained in the last SetTargets
+	gone        bool // TargetGone was called, and no newer report was received
 	goneAt      Time
 	leavingAt   Time
 	reportAt    Time // time of the newest report
@@ -125,28 +125,28 @@
 	incarnation uint64
 	kvTotal     int
 	maxBatch    int
-	foreign     int     // sequences that others placed there, by its reports
-	foreignKV   float64 // tokens that those hold
-	watts       float64 // correction of the power model by its reports
+	remote      int     // sequences placed by others, according to its reports
+	remoteKV    float64 // tokens held by those
+	wattsExcess float64 // correction of the power model from its reports
 	run         list
-	moving      int // of run, generations being moved away
-	urgent      int // of run, urgent ones
-	prefilling  int // of run, not started
-	prefillLeft int // prompt tokens not yet prefilled, as granted
+	moving      int // number in run that are being moved away
+	urgent      int // number in run that are urgent
+	prefilling  int // number in run without a token yet
+	prefillLeft int // their prompt tokens to prefill, as of the grant
 	cache       map[uint64]struct{}
 	ends        endRing
-	step        float64 // seconds a token, measured
+	stepSeconds float64 // seconds per token, measured
 	lastGrant   Time
 	lastToken   Time    // last token of any generation on it
-	gap         float64 // mean seconds between news of tokens
-	idleSince   Time    // when it last ran nothing
+	tokenGap    float64 // mean seconds between token updates
+	idleSince   Time    // end of the last idle period
 	silent      bool
-	probe       Time // when a silent target may be tried again
+	nextProbe   Time // when a silent target may be probed next
 	load        forecast.Load
-	exact       forecast.Exact // of generations whose lengths were told
+	exact       forecast.Exact // of generations of known length
 	dirty       bool
 	loadAt      Time
-	reserved    bool // held for an aged request in this tick
+	reserved    bool // kept free for an aged request in this tick
 }
 
 // group is a (workspace, class) pair with its queue.
@@ -163,7 +163,7 @@
 	output    float64 // mean output, decayed
 	prompt    float64 // mean prompt, decayed
 	residence float64 // mean seconds from grant to end, decayed
-	blocked   bool    // nothing of it fits in this tick
+	blocked   bool    // none of its requests fits in this tick
 }
 
 type groupKey struct{ workspace, class string }
