--- a/lib/admit/admit.go
+++ b/lib/admit/admit.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// Poll is the pause between two steps of a stream that waits: about the age of peers' news.
-	Poll = 20 * time.Millisecond
+	// PollInterval is the pause between two steps of a stream that waits: about the age of peers' news.
+	PollInterval = 20 * time.Millisecond
 	// waitShare is the part of a stream's aim that it waits for an engine with room.
 	waitShare = 0.6
 	// backShare is how many aims a stream waits that has come back: refused once more its caller has nothing. Callers give up
@@ -38,24 +38,24 @@
 
 // Stream is what is known of a stream when it comes.
 type Stream struct {
-	Arrived time.Time
-	Aim     time.Duration // to its first event, from its arrival; 0: none, it is never late
-	Keeps   time.Duration // longest time to stay away that its caller keeps to
-	Back    bool          // its caller has come back as told
-	Need    fleet.Need    // of an engine; Peak with the run's whole size
+	Arrived       time.Time
+	Objective     time.Duration // to its first event, from its arrival; 0: none, it is never late
+	MaxRetryAfter time.Duration // longest time to stay away that its caller keeps to
+	IsRetry       bool          // its caller has come back as told
+	Need          fleet.Need    // of an engine; Peak with the run's whole size
 }
 
-// Due is until when the stream waits for room.
+// WaitDeadline is until when the stream waits for room.
 //
 // Load pattern: memory is short for seconds, and streams that were told to come back do so while it still is. One that has come
 // back is past its aim, and refused a second time its caller has nothing. Placed before all others it would be late all the same
 // and make those late, too. So it waits for longer, behind those that can still be in time, and for no more than half of the time
 // that its caller has left, of which Keeps is a third.
-func (s *Stream) Due() time.Time {
-	if s.Back {
-		return s.Arrived.Add(min(time.Duration(backShare*float64(s.Aim)), 3*s.Keeps/2))
+func (s *Stream) WaitDeadline() time.Time {
+	if s.IsRetry {
+		return s.Arrived.Add(min(time.Duration(backShare*float64(s.Objective)), 3*s.MaxRetryAfter/2))
 	}
-	return s.Arrived.Add(time.Duration(waitShare * float64(s.Aim)))
+	return s.Arrived.Add(time.Duration(waitShare * float64(s.Objective)))
 }
 
 // Action is what a stream does now.
@@ -63,26 +63,26 @@
 
 // Values of Action.
 const (
-	Wait Action = iota // ask again after Poll
-	Go                 // to Target, where it is counted
-	Away               // it would be late anywhere: come back after After
-	None               // no engine is known to take requests, or none has room for a stream that can't be late: take any
+	Wait       Action = iota // ask again after Poll
+	Admit                    // to Target, where it is counted
+	RetryLater               // it would be late anywhere: come back after After
+	Fallback                 // no engine is known to take requests, or none has room for a stream that can't be late: take any
 )
 
 // Decision is an Action with its object.
 type Decision struct {
-	Action Action
-	Target fleet.Info
-	After  time.Duration
+	Action     Action
+	Target     fleet.Info
+	RetryAfter time.Duration
 }
 
 // Placer decides for the streams of one instance.
 type Placer struct {
 	Fleet   *fleet.Fleet
-	Reading *Readings
+	Prefill *PrefillRates
 	Random  func(n int64) int64 // up to n, n left out; nil: math/rand
-	// Take chooses a target and counts the stream there; nil: Fleet.Acquire.
-	Take func(now time.Time, need fleet.Need) (fleet.Info, bool)
+	// Acquire chooses a target and counts the stream there; nil: Fleet.Acquire.
+	Acquire func(now time.Time, need fleet.Need) (fleet.Info, bool)
 }
 
 // Step decides what a stream does at now.
@@ -91,40 +91,42 @@
 // An owner has an order in which they don't stand by meanwhile (lib/owner).
 func (p *Placer) Step(now time.Time, s Stream) Decision {
 	need := s.Need
-	need.Must = true
-	if s.Aim > 0 {
-		need.Reading = p.Reading.Within(need.Service, s.readTime(now))
+	need.RequireMemory = true
+	if s.Objective > 0 {
+		need.MaxUnread = p.Prefill.TokensWithin(need.Service, s.readTime(now))
 	}
-	take := p.Take
+	take := p.Acquire
 	if take == nil {
 		take = p.Fleet.Acquire
 	}
 	if target, ok := take(now, need); ok {
-		return Decision{Action: Go, Target: target}
+		return Decision{Action: Admit, Target: target}
 	}
-	if p.Fleet.Barred(need) {
-		return Decision{Action: None}
+	if p.Fleet.AllExcluded(need) {
+		return Decision{Action: Fallback}
 	}
-	if now.Before(s.Due()) {
+	if now.Before(s.WaitDeadline()) {
 		return Decision{Action: Wait}
 	}
-	if p.Fleet.Stand(now, need).Takes == 0 || s.Aim <= 0 {
-		return Decision{Action: None}
+	if p.Fleet.Availability(now, need).Accepting == 0 || s.Objective <= 0 {
+		return Decision{Action: Fallback}
 	}
-	return p.Away(s)
+	return p.Reject(s)
 }
 
-// Away turns a stream away, with a time to come back.
-func (p *Placer) Away(s Stream) Decision { return Decision{Action: Away, After: p.away(s.Keeps)} }
+// Reject turns a stream away, with a time to come back.
+func (p *Placer) Reject(s Stream) Decision {
+	return Decision{Action: RetryLater, RetryAfter: p.away(s.MaxRetryAfter)}
+}
 
 // readTime is how long the prompts on an engine may take that is chosen now: a part of the aim, and no more than is left
 // of it after the wait.
 func (s *Stream) readTime(now time.Time) time.Duration {
-	if s.Back {
-		return time.Duration(readShare * float64(s.Aim))
+	if s.IsRetry {
+		return time.Duration(readShare * float64(s.Objective))
 	}
-	left := time.Duration(leftShare*float64(s.Aim)) - now.Sub(s.Arrived)
-	return max(1, min(time.Duration(readShare*float64(s.Aim)), left))
+	left := time.Duration(leftShare*float64(s.Objective)) - now.Sub(s.Arrived)
+	return max(1, min(time.Duration(readShare*float64(s.Objective)), left))
 }
 
 // away is how long a stream that found no room should stay away. Engines stay full for seconds, and callers must not all
--- a/lib/admit/bench_test.go
+++ b/lib/admit/bench_test.go
@@ -21,16 +21,16 @@
 		for k := range 5 {
 			id := fmt.Sprintf("e%d", (5*i+k)%60)
 			loads[id] = fleet.Load{Runs: 1, Tokens: 3400}
-			sizes[id] = []fleet.Size{{Now: 3000, Left: 400 + 10*i}}
+			sizes[id] = []fleet.Size{{Held: 3000, Remaining: 400 + 10*i}}
 		}
-		f.Tell(now, fmt.Sprintf("i%d", i), loads, sizes)
+		f.SetPeerLoad(now, fmt.Sprintf("i%d", i), loads, sizes)
 	}
-	p := Placer{Fleet: f, Reading: new(Readings)}
-	s := Stream{Arrived: now, Aim: 1800 * time.Millisecond, Keeps: keeps, Need: fleet.Need{
-		Service: service, Tokens: 3200, Unread: 3000, Peak: fleet.Size{Now: 3000, Left: 400},
+	p := Placer{Fleet: f, Prefill: new(PrefillRates)}
+	s := Stream{Arrived: now, Objective: 1800 * time.Millisecond, MaxRetryAfter: keeps, Need: fleet.Need{
+		Service: service, Tokens: 3200, Unread: 3000, Peak: fleet.Size{Held: 3000, Remaining: 400},
 	}}
 	for b.Loop() {
-		if d := p.Step(now, s); d.Action == Go {
+		if d := p.Step(now, s); d.Action == Admit {
 			f.Release(now, d.Target.ID, fleet.Load{Tokens: 3200, Unread: 3000}, fleet.Served)
 		}
 	}
--- a/lib/admit/reading_test.go
+++ b/lib/admit/reading_test.go
@@ -9,18 +9,18 @@
 
 // One first event in four waits seconds for memory. What is learnt is the time of reading: the median is not drawn up.
 func TestReadingsFollowTheMedian(t *testing.T) {
-	var r Readings
-	must.Eq(t, 0, r.Within("s", time.Second)) // nothing is known: nothing is bounded
+	var r PrefillRates
+	must.Eq(t, 0, r.TokensWithin("s", time.Second)) // nothing is known: nothing is bounded
 	for i := range 400 {
 		d := 300 * time.Millisecond
 		if i%4 == 3 {
 			d = 4 * time.Second
 		}
-		r.Saw("s", 2000, d)
+		r.Observe("s", 2000, d)
 	}
-	must.Between(t, 5000, r.Within("s", time.Second), 8000) // 6,667 at 0.15 ms a token
-	must.Eq(t, 0, r.Within("other", time.Second))
-	r.Saw("s", 0, time.Second)
-	r.Saw("s", 10, 0)
-	must.Between(t, 5000, r.Within("s", time.Second), 8000)
+	must.Between(t, 5000, r.TokensWithin("s", time.Second), 8000) // 6,667 at 0.15 ms a token
+	must.Eq(t, 0, r.TokensWithin("other", time.Second))
+	r.Observe("s", 0, time.Second)
+	r.Observe("s", 10, 0)
+	must.Between(t, 5000, r.TokensWithin("s", time.Second), 8000)
 }
--- a/lib/control/placement.go
+++ b/lib/control/placement.go
@@ -29,7 +29,7 @@
 		var polling sync.WaitGroup
 		polling.Go(func() { every(ctx, placement.Tick, pl.poll) })
 		defer polling.Wait()
-		placement.Run(ctx, h, placement.Site{Store: p.store, Services: pl.services, Order: pl.order, Drain: pl.drain})
+		placement.Run(ctx, h, placement.Environment{Store: p.store, Services: pl.services, Order: pl.order, Drain: pl.drain})
 	})
 }
 
@@ -86,9 +86,9 @@
 }
 
 func (pl *placing) target(name string) placement.Target {
-	t := placement.Target{Name: name, Drained: pl.p.tables.drainedSince(name, byPlacement)}
+	t := placement.Target{Name: name, DrainedAt: pl.p.tables.drainedSince(name, byPlacement)}
 	if r, ok := pl.engines.report(name); ok {
-		t.Report = &placement.Report{
+		t.LastReport = &placement.Report{
 			State:   placement.State{Model: r.Model, Version: r.ModelVersion, Adapters: r.Adapters},
 			At:      r.at,
 			Running: r.Running + r.Waiting,
--- a/lib/entry/plainsend.go
+++ b/lib/entry/plainsend.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if t := s.picks.table(service); t != nil {
-		t.Rest(name, s.now().Add(retry.After(resp.Header, s.now())))
+		t.PauseUntil(name, s.now().Add(retry.After(resp.Header, s.now())))
 	}
 }
 
--- a/lib/fleet/choose.go
+++ b/lib/fleet/choose.go
@@ -35,21 +35,21 @@
 
 // Need is what a request asks of a target.
 type Need struct {
-	Service  string
-	Tokens   int             // of engine memory; 0 for a plain service
-	Unread   int             // tokens of its prompt to read
-	Without  map[string]bool // targets not to choose
-	Among    []string        // ids of the targets to choose among, sorted; nil: all
-	Kept     map[string]bool // targets that are kept for other requests
-	Near     string          // failure domain to prefer; empty: the instance's own
-	Must     bool            // engine memory must hold Tokens: for copies, which are refused otherwise
-	Peak     Size            // if set with Must: engine memory must hold this run beside the others to their ends
-	Reading  int             // with Must: prompts that wait to be read there, with this one, hold no more tokens; 0: any
-	AwayCost float64         // score of another failure domain than Near; 0: the constant awayCost
-	Regions  []string        // regions that the request is bound to; nil: any
-	Granted  bool            // the target's owner has chosen it and counted the request there
-	Found    bool            // the target was found by an owner: it may be one that this instance does not list
-	asOwner  bool            // this instance chooses as the target's owner
+	Service         string
+	Tokens          int             // of engine memory; 0 for a plain service
+	Unread          int             // tokens of its prompt to read
+	Exclude         map[string]bool // targets not to choose
+	Among           []string        // ids of the targets to choose among, sorted; nil: all
+	Reserved        map[string]bool // targets that are kept for other requests
+	PreferredDomain string          // failure domain to prefer; empty: the instance's own
+	RequireMemory   bool            // engine memory must hold Tokens: for copies, which are refused otherwise
+	Peak            Size            // if set with Must: engine memory must hold this run beside the others to their ends
+	MaxUnread       int             // with Must: prompts that wait to be read there, with this one, hold no more tokens; 0: any
+	CrossDomainCost float64         // score of another failure domain than Near; 0: the constant awayCost
+	Regions         []string        // regions that the request is bound to; nil: any
+	Granted         bool            // the target's owner has chosen it and counted the request there
+	FoundByOwner    bool            // the target was found by an owner: it may be one that this instance does not list
+	asOwner         bool            // this instance chooses as the target's owner
 }
 
 // Acquire chooses a target and counts the request there until Release.
@@ -95,7 +95,7 @@
 	var best, last *Target
 	bestScore := 0.0
 	for _, t := range f.among(n.Service, n.Among) {
-		if n.Must && n.Kept[t.ID] || !f.allowed(now, t, n) {
+		if n.RequireMemory && n.Reserved[t.ID] || !f.allowed(now, t, n) {
 			continue
 		}
 		if now.Before(t.avoidUntil) {
@@ -109,7 +109,7 @@
 			best, bestScore = t, s
 		}
 	}
-	if best == nil && !n.Must {
+	if best == nil && !n.RequireMemory {
 		// All were unreachable lately; the one whose pause ends first is better than a refusal.
 		return last
 	}
@@ -133,7 +133,7 @@
 
 func (f *Fleet) allowed(now time.Time, t *Target, n Need) bool {
 	switch {
-	case t.Service != n.Service, n.Without[t.ID], !f.takes(t), t.isGranted() && !n.Granted && !n.Found:
+	case t.Service != n.Service, n.Exclude[t.ID], !f.takes(t), t.isGranted() && !n.Granted && !n.FoundByOwner:
 		return false
 	case !n.asOwner && now.Before(t.restUntil):
 		return false
@@ -144,45 +144,45 @@
 	if spec.ConnCap > 0 && float64(t.own.Runs) >= max(minConns, f.share*float64(spec.ConnCap)) {
 		return false
 	}
-	if n.Must && n.Reading > 0 {
-		if unread := f.carried(t).Unread; unread > 0 && unread+n.Unread > n.Reading {
+	if n.RequireMemory && n.MaxUnread > 0 {
+		if unread := f.carried(t).Unread; unread > 0 && unread+n.Unread > n.MaxUnread {
 			return false
 		}
 	}
-	if n.Must && spec.KVTokens > 0 && n.Peak.Now > 0 {
+	if n.RequireMemory && spec.KVTokens > 0 && n.Peak.Held > 0 {
 		return f.fits(t, n.Peak, spec.KVTokens)
 	}
-	if n.Must && spec.KVTokens > 0 {
+	if n.RequireMemory && spec.KVTokens > 0 {
 		return f.carried(t).Tokens+n.Tokens <= spec.KVTokens
 	}
 	return true
 }
 
-// Belief is what a choice of a target rested on.
-type Belief struct {
-	Ready  int           // targets of the service that take requests
-	Load   Load          // of the target, with the request itself
-	Peers  int           // instances whose news are counted in the load
-	Oldest time.Duration // age of the oldest of these
-	Passed []Passed      // targets of the service that were passed over by their own word, some of them if there are many
+// KnownState is what a choice of a target rested on.
+type KnownState struct {
+	ReadyTargets int             // targets of the service that take requests
+	Load         Load            // of the target, with the request itself
+	Peers        int             // instances whose news are counted in the load
+	OldestUpdate time.Duration   // age of the oldest of these
+	Skipped      []SkippedTarget // targets of the service that were passed over by their own word, some of them if there are many
 }
 
-// Word is a kind of thing that a target says of itself in answers.
-type Word string
+// SkipReason is a kind of thing that a target says of itself in answers.
+type SkipReason string
 
 // Values of Word, as they are written in logs.
 const (
-	WordLimit  Word = "limit"
-	WordRests  Word = "rests"
-	WordLeaves Word = "leaves"
+	SkipLimit   SkipReason = "limit"
+	SkipBackoff SkipReason = "rests"
+	SkipLeaving SkipReason = "leaves"
 )
 
-// Passed is a target that gets nothing because of what it said of itself.
-type Passed struct {
-	ID   string
-	Word Word
-	Age  time.Duration // of the word
-	Told bool          // another instance heard it
+// SkippedTarget is a target that gets nothing because of what it said of itself.
+type SkippedTarget struct {
+	ID      string
+	Reason  SkipReason
+	Age     time.Duration // of the word
+	Relayed bool          // another instance heard it
 }
 
 // passedMost bounds the targets that a Belief names.
@@ -192,45 +192,45 @@
 const passedFor = 5 * time.Second
 
 // passed tells whether a target gets nothing now because of what it said.
-func (t *Target) passed(now time.Time) (Passed, bool) {
-	p := Passed{ID: t.ID}
+func (t *Target) passed(now time.Time) (SkippedTarget, bool) {
+	p := SkippedTarget{ID: t.ID}
 	switch {
 	case t.state == Leaving && now.Sub(t.leavingAt) < passedFor:
-		p.Word, p.Age = WordLeaves, now.Sub(t.leavingAt)
+		p.Reason, p.Age = SkipLeaving, now.Sub(t.leavingAt)
 	case t.state != Leaving && now.Before(t.restUntil):
-		p.Word, p.Age = WordRests, now.Sub(t.restFrom)
+		p.Reason, p.Age = SkipBackoff, now.Sub(t.restFrom)
 	case t.state != Leaving && t.limit.On && now.Before(t.pacer.holdOff):
-		p.Word, p.Age, p.Told = WordLimit, now.Sub(t.limit.Heard), t.limit.Told
+		p.Reason, p.Age, p.Relayed = SkipLimit, now.Sub(t.limit.ReceivedAt), t.limit.Relayed
 	}
-	return p, p.Word != ""
+	return p, p.Reason != ""
 }
 
-// Believe tells what is believed of a target, for logs.
-func (f *Fleet) Believe(now time.Time, id string) Belief {
+// KnownState tells what is believed of a target, for logs.
+func (f *Fleet) KnownState(now time.Time, id string) KnownState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
 	if t == nil {
-		return Belief{}
+		return KnownState{}
 	}
-	b := Belief{Load: f.carried(t), Peers: len(f.peers)}
+	b := KnownState{Load: f.carried(t), Peers: len(f.peers)}
 	for _, p := range f.peers {
-		b.Oldest = max(b.Oldest, now.Sub(p.at))
+		b.OldestUpdate = max(b.OldestUpdate, now.Sub(p.at))
 	}
 	for domain, n := range f.index.services[t.Service].ready {
 		if !f.evacuated[domain] {
-			b.Ready += n
+			b.ReadyTargets += n
 		}
 	}
 	pass := func(other *Target) bool {
 		if p, ok := other.passed(now); ok && other.Service == t.Service {
-			b.Passed = append(b.Passed, p)
+			b.Skipped = append(b.Skipped, p)
 		}
-		return len(b.Passed) < passedMost
+		return len(b.Skipped) < passedMost
 	}
 	f.index.leftSince(now.Add(-passedFor), pass)
 	for _, other := range f.index.worded {
-		if len(b.Passed) >= passedMost || !pass(other) {
+		if len(b.Skipped) >= passedMost || !pass(other) {
 			break
 		}
 	}
@@ -257,12 +257,12 @@
 		}
 		s += busy / float64(max(1, t.Slots))
 	}
-	near := n.Near
+	near := n.PreferredDomain
 	if near == "" {
 		near = f.domain
 	}
 	if t.Domain != near {
-		s += max(awayCost, n.AwayCost)
+		s += max(awayCost, n.CrossDomainCost)
 	}
 	return s
 }
--- a/lib/fleet/evacuate.go
+++ b/lib/fleet/evacuate.go
@@ -12,9 +12,9 @@
 	f.evacuated[domain] = true
 }
 
-// Return takes an evacuation back. The targets of the domain count as just started: they may have been restarted meanwhile, and
+// EndEvacuation takes an evacuation back. The targets of the domain count as just started: they may have been restarted meanwhile, and
 // their entries that say so come up to a heartbeat later. For that long their whole share of callers would come at once.
-func (f *Fleet) Return(now time.Time, domain string) {
+func (f *Fleet) EndEvacuation(now time.Time, domain string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.evacuated, domain)
--- a/lib/fleet/fleet.go
+++ b/lib/fleet/fleet.go
@@ -62,7 +62,7 @@
 	coldUntil  time.Time // it is slow after its start until then
 	pacer      pacer
 	suspect    suspicion
-	limit      LimitWord
+	limit      LimitNotice
 	seat       seat
 }
 
@@ -184,8 +184,8 @@
 	f.sizes = own
 }
 
-// Tell takes in what a peer carries on each target, and the sizes of its runs there.
-func (f *Fleet) Tell(now time.Time, name string, loads map[string]Load, sizes map[string][]Size) {
+// SetPeerLoad takes in what a peer carries on each target, and the sizes of its runs there.
+func (f *Fleet) SetPeerLoad(now time.Time, name string, loads map[string]Load, sizes map[string][]Size) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.peers[name].forgetTold(f.targets)
@@ -194,8 +194,8 @@
 	f.peers[name] = p
 }
 
-// Own returns what this instance carries on each target.
-func (f *Fleet) Own() map[string]Load {
+// LocalLoads returns what this instance carries on each target.
+func (f *Fleet) LocalLoads() map[string]Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make(map[string]Load)
@@ -207,35 +207,37 @@
 	return out
 }
 
-// Standing counts the targets that a request might go to, and why others get none.
-type Standing struct {
-	Takes       int // take requests, cold ones among them
+// Availability counts the targets that a request might go to, and why others get none.
+type Availability struct {
+	Accepting   int // take requests, cold ones among them
 	Cold        int // of these, have just started and take few
 	Limited     int // of these, have named a limit that leaves this instance nothing now
-	Resting     int // of these, want nothing from this instance now
+	InBackoff   int // of these, want nothing from this instance now
 	Evacuated   int // in a failure domain whose targets get nothing new
 	OutOfRegion int // outside the regions that the request is bound to
 
-	Soonest time.Duration // until the first of those that are limited or rest may take one
-	Part    bool          // others may be there that this instance does not know
+	RetryAfter time.Duration // until the first of those that are limited or rest may take one
+	Partial    bool          // others may be there that this instance does not know
 }
 
 // Blocked reports whether targets are there, and each of them leaves this instance nothing now.
-func (s *Standing) Blocked() bool { return s.Takes > 0 && s.Limited+s.Resting == s.Takes && !s.Part }
+func (s *Availability) Blocked() bool {
+	return s.Accepting > 0 && s.Limited+s.InBackoff == s.Accepting && !s.Partial
+}
 
 // block counts a target that takes requests, but none from this instance for some time.
-func (s *Standing) block(count *int, wait time.Duration) {
-	if s.Limited+s.Resting == 0 || wait < s.Soonest {
-		s.Soonest = wait
+func (s *Availability) block(count *int, wait time.Duration) {
+	if s.Limited+s.InBackoff == 0 || wait < s.RetryAfter {
+		s.RetryAfter = wait
 	}
 	*count++
 }
 
-// Stand counts the targets for a request.
-func (f *Fleet) Stand(now time.Time, n Need) Standing {
+// Availability counts the targets for a request.
+func (f *Fleet) Availability(now time.Time, n Need) Availability {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := Standing{Part: f.part && f.specs[n.Service].KVTokens > 0}
+	out := Availability{Partial: f.part && f.specs[n.Service].KVTokens > 0}
 	for _, t := range f.index.of(n.Service) {
 		switch {
 		case t.state != Ready || t.unreadable:
@@ -244,14 +246,14 @@
 		case f.evacuated[t.Domain]:
 			out.Evacuated++
 		default:
-			out.Takes++
+			out.Accepting++
 			if f.isCold(now, t) {
 				out.Cold++
 			}
 			rest, holdOff := t.restUntil.Sub(now), t.pacer.holdOff.Sub(now)
 			switch {
 			case rest > 0:
-				out.block(&out.Resting, rest)
+				out.block(&out.InBackoff, rest)
 			case t.limit.On && holdOff > 0:
 				out.block(&out.Limited, holdOff)
 			}
@@ -276,8 +278,8 @@
 	return t != nil && t.presumed
 }
 
-// Grow changes what a request counts for at its target.
-func (f *Fleet) Grow(id string, by Load) {
+// AddLoad changes what a request counts for at its target.
+func (f *Fleet) AddLoad(id string, by Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
@@ -285,8 +287,8 @@
 	}
 }
 
-// Report takes in the load that a target told with an answer.
-func (f *Fleet) Report(now time.Time, id string, running, waiting int) {
+// SetReportedLoad takes in the load that a target told with an answer.
+func (f *Fleet) SetReportedLoad(now time.Time, id string, running, waiting int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
@@ -295,8 +297,8 @@
 	}
 }
 
-// Heard notes that a target was heard at a time.
-func (f *Fleet) Heard(at time.Time, id string) {
+// RecordContact notes that a target was heard at a time.
+func (f *Fleet) RecordContact(at time.Time, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil && at.After(t.heard) {
@@ -304,8 +306,8 @@
 	}
 }
 
-// LastHeard returns when anything last came from a target.
-func (f *Fleet) LastHeard(id string) time.Time {
+// LastContact returns when anything last came from a target.
+func (f *Fleet) LastContact(id string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
--- a/lib/fleet/fleet_test.go
+++ b/lib/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 // they spread.
 func TestPeersLoadCounts(t *testing.T) {
 	f := engines(2)
-	f.Tell(t0, "peer", map[string]Load{"e0": {Runs: 2, Tokens: 6000}}, nil)
+	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Runs: 2, Tokens: 6000}}, nil)
 	for range 3 {
 		got, ok := f.Acquire(t0, Need{Service: "engine", Tokens: 1000})
 		must.True(t, ok)
@@ -37,7 +37,7 @@
 // A prompt that waits to be read delays a new one more than the same tokens at rest.
 func TestUnreadPromptsCount(t *testing.T) {
 	f := engines(2)
-	f.Tell(t0, "peer", map[string]Load{"e0": {Runs: 1, Tokens: 3000, Unread: 3000}, "e1": {Runs: 1, Tokens: 4000}}, nil)
+	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Runs: 1, Tokens: 3000, Unread: 3000}, "e1": {Runs: 1, Tokens: 4000}}, nil)
 	got, _ := f.Acquire(t0, Need{Service: "engine", Tokens: 1000, Unread: 1000})
 	must.Eq(t, "e1", got.ID)
 }
@@ -53,7 +53,7 @@
 	_, ok := f.Acquire(t0, Need{Service: "engine"})
 	must.False(t, ok)
 	must.True(t, f.IsLeaving("e0"))
-	must.Eq(t, []Left{{ID: "e0"}}, f.LeftSince(t0.Add(-time.Second)))
+	must.Eq(t, []LeftTarget{{ID: "e0"}}, f.LeftSince(t0.Add(-time.Second)))
 }
 
 // Entries lapse while the store is away. The targets are believed for a grace, are back unharmed when their entries
@@ -78,7 +78,7 @@
 			f.Apply(t0, nil, []string{"e0"}, 5*time.Second)
 			return f.Tick(t0.Add(OutageGrace + time.Millisecond))
 		},
-		"after a copy": func(f *Fleet) Change { return f.Lapse(t0, []string{"e0"}) },
+		"after a copy": func(f *Fleet) Change { return f.PresumeGone(t0, []string{"e0"}) },
 	} {
 		f := engines(1)
 		ch := gone(f)
@@ -121,10 +121,10 @@
 		must.True(t, ok)
 		must.NotEq(t, got.ID, other.ID)
 	}
-	last, ok := f.Acquire(t0, Need{Service: "engine", Without: map[string]bool{"e0": got.ID != "e0", "e1": got.ID != "e1"}})
+	last, ok := f.Acquire(t0, Need{Service: "engine", Exclude: map[string]bool{"e0": got.ID != "e0", "e1": got.ID != "e1"}})
 	must.True(t, ok)
 	must.Eq(t, got.ID, last.ID)
-	_, ok = f.Acquire(t0, Need{Service: "engine", Must: true, Tokens: 20_000})
+	_, ok = f.Acquire(t0, Need{Service: "engine", RequireMemory: true, Tokens: 20_000})
 	must.False(t, ok)
 }
 
@@ -138,7 +138,7 @@
 		if i%2 == 0 {
 			o = Failed
 		}
-		f.Grow("bad", Load{Runs: 1})
+		f.AddLoad("bad", Load{Runs: 1})
 		f.Release(t0, "bad", Load{}, o)
 	}
 	for range 3 {
@@ -150,11 +150,11 @@
 // Copies of runs take memory that nobody else needs, or none.
 func TestSpareLeavesRoom(t *testing.T) {
 	f := engines(2)
-	f.Tell(t0, "peer", map[string]Load{"e0": {Tokens: 2000}, "e1": {Tokens: 5000}}, nil)
-	got, ok := f.Spare(t0, Need{Service: "engine", Tokens: 1000}, "", 0.5)
+	f.SetPeerLoad(t0, "peer", map[string]Load{"e0": {Tokens: 2000}, "e1": {Tokens: 5000}}, nil)
+	got, ok := f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 1000}, "", 0.5)
 	must.True(t, ok)
 	must.Eq(t, "e0", got.ID)
-	_, ok = f.Spare(t0, Need{Service: "engine", Tokens: 3000}, "", 0.5)
+	_, ok = f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 3000}, "", 0.5)
 	must.False(t, ok)
 }
 
@@ -165,13 +165,13 @@
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}})
 	entry := Info{ID: "e", Service: "engine", Born: 100}
 	f.Apply(t0, []Info{entry}, nil, 0)
-	must.Len(t, 1, f.Leave(t0, "e", 100).Leaving)
+	must.Len(t, 1, f.MarkLeaving(t0, "e", 100).Leaving)
 	entry.Born = 200
 	must.Len(t, 1, f.Apply(t0, []Info{entry}, nil, 0).Restarted)
-	must.Len(t, 0, f.Leave(t0, "e", 100).Leaving)
+	must.Len(t, 0, f.MarkLeaving(t0, "e", 100).Leaving)
 	_, ok := f.Acquire(t0, Need{Service: "engine"})
 	must.True(t, ok)
-	must.Len(t, 1, f.Leave(t0, "e", 200).Leaving)
+	must.Len(t, 1, f.MarkLeaving(t0, "e", 200).Leaving)
 }
 
 // The list is away when an engine starts again. Its own report tells the new life: what ran on the one before is broken,
@@ -179,10 +179,10 @@
 func TestReportOfANewLife(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "e", Service: "engine", Born: 100}}, nil, 0)
-	must.Len(t, 0, f.Restart(t0, "e", 0).Restarted)
-	must.Len(t, 0, f.Restart(t0, "e", 100).Restarted)
-	must.Len(t, 1, f.Restart(t0, "e", 200).Restarted)
-	must.Len(t, 0, f.Restart(t0, "e", 200).Restarted)
+	must.Len(t, 0, f.MarkRestarted(t0, "e", 0).Restarted)
+	must.Len(t, 0, f.MarkRestarted(t0, "e", 100).Restarted)
+	must.Len(t, 1, f.MarkRestarted(t0, "e", 200).Restarted)
+	must.Len(t, 0, f.MarkRestarted(t0, "e", 200).Restarted)
 	must.Len(t, 0, f.Apply(t0, []Info{{ID: "e", Service: "engine", Born: 200}}, nil, 0).Restarted)
 }
 
@@ -191,13 +191,13 @@
 func TestSumsFollowPeersNews(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 10_000}})
-	tokens := func() int { return f.Believe(t0, "e").Load.Tokens }
-	f.Tell(t0, "a", map[string]Load{"e": {Tokens: 100}}, nil)
+	tokens := func() int { return f.KnownState(t0, "e").Load.Tokens }
+	f.SetPeerLoad(t0, "a", map[string]Load{"e": {Tokens: 100}}, nil)
 	f.Apply(t0, []Info{{ID: "e", Service: "engine"}}, nil, 0)
 	must.Eq(t, 100, tokens())
-	f.Tell(t0, "b", map[string]Load{"e": {Tokens: 50}}, nil)
+	f.SetPeerLoad(t0, "b", map[string]Load{"e": {Tokens: 50}}, nil)
 	must.Eq(t, 150, tokens())
-	f.Tell(t0.Add(peerLife), "a", map[string]Load{"other": {Tokens: 7}}, nil)
+	f.SetPeerLoad(t0.Add(peerLife), "a", map[string]Load{"other": {Tokens: 7}}, nil)
 	must.Eq(t, 50, tokens())
 	f.Tick(t0.Add(peerLife + time.Second))
 	must.Eq(t, 0, tokens())
@@ -209,7 +209,7 @@
 	f := New("z1")
 	entry := []Info{{ID: "t", Service: "s", Slots: 6}}
 	f.Apply(t0, entry, nil, 0)
-	must.SliceNotEmpty(t, f.Leave(t0, "t", 0).Leaving)
+	must.SliceNotEmpty(t, f.MarkLeaving(t0, "t", 0).Leaving)
 	f.Tick(t0.Add(2 * goneAfter))
 	f.Apply(t0.Add(2*goneAfter), entry, nil, 0)
 	_, ok := f.Acquire(t0.Add(2*goneAfter), Need{Service: "s"})
--- a/lib/fleet/grant.go
+++ b/lib/fleet/grant.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// SetPart says whether this instance holds only a part of the list. What it holds then says nothing of the other targets.
-func (f *Fleet) SetPart(part bool) {
+// SetPartial says whether this instance holds only a part of the list. What it holds then says nothing of the other targets.
+func (f *Fleet) SetPartial(part bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.part = part
--- a/lib/fleet/grant_test.go
+++ b/lib/fleet/grant_test.go
@@ -25,7 +25,7 @@
 	got, ok := f.AcquireAt(t0, "far", need)
 	must.True(t, ok)
 	must.Eq(t, e, got)
-	must.Eq(t, 1, f.Stand(t0, need).Takes)
+	must.Eq(t, 1, f.Availability(t0, need).Accepting)
 
 	late := t0.Add(2 * grantedFor)
 	f.Tick(late)
@@ -42,14 +42,14 @@
 	f := engines(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	f.Grant(t0, e)
-	must.Len(t, 1, f.Leave(t0, "far", 5).Leaving)
+	must.Len(t, 1, f.MarkLeaving(t0, "far", 5).Leaving)
 	f.Grant(t0, e)
 	must.True(t, f.IsLeaving("far")) // the owner's word was late
 	e.Born = 6
 	must.Len(t, 1, f.Grant(t0, e).Restarted)
 	must.False(t, f.IsLeaving("far"))
 	must.Len(t, 1, f.Apply(t0, []Info{e}, nil, 0).Added)
-	must.Eq(t, 2, f.Stand(t0, Need{Service: "engine"}).Takes)
+	must.Eq(t, 2, f.Availability(t0, Need{Service: "engine"}).Accepting)
 }
 
 // Targets that this instance no longer needs are forgotten, but for those that it has requests on. None of them is said to leave.
--- a/lib/fleet/limit.go
+++ b/lib/fleet/limit.go
@@ -16,31 +16,31 @@
 	return !l.On || l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 1)
 }
 
-// LimitWord is an answer's word of its target's limit.
-type LimitWord struct {
+// LimitNotice is an answer's word of its target's limit.
+type LimitNotice struct {
 	Limit
-	Asked time.Time // when the request was sent, so that the answer was made later
-	Heard time.Time // when the answer came; the zero time: no answer has
-	Told  bool      // another instance got the answer
+	RequestedAt time.Time // when the request was sent, so that the answer was made later
+	ReceivedAt  time.Time // when the answer came; the zero time: no answer has
+	Relayed     bool      // another instance got the answer
 }
 
 // after reports whether a word holds in place of another.
 //
 // Answers on different connections overtake each other: of two that may have been made in any order the stricter one holds, until
 // the answer to a request that was sent after both.
-func (w *LimitWord) after(old *LimitWord) bool {
-	if w.Asked.After(old.Heard) {
+func (w *LimitNotice) after(old *LimitNotice) bool {
+	if w.RequestedAt.After(old.ReceivedAt) {
 		return true
 	}
 	return w.On && (!old.On || w.PerSecond < old.PerSecond)
 }
 
-// TakeLimit takes in the word of an answer that this or another instance got. It reports whether that changes the limit.
-func (f *Fleet) TakeLimit(id string, w LimitWord) bool {
+// ApplyLimit takes in the word of an answer that this or another instance got. It reports whether that changes the limit.
+func (f *Fleet) ApplyLimit(id string, w LimitNotice) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
-	if t == nil || w.Heard.IsZero() || !w.Valid() || !w.after(&t.limit) {
+	if t == nil || w.ReceivedAt.IsZero() || !w.Valid() || !w.after(&t.limit) {
 		return false
 	}
 	changed := w.Limit != t.limit.Limit
@@ -55,17 +55,17 @@
 }
 
 // LimitOf returns the newest word of a target's limit.
-func (f *Fleet) LimitOf(id string) LimitWord {
+func (f *Fleet) LimitOf(id string) LimitNotice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
 		return t.limit
 	}
-	return LimitWord{}
+	return LimitNotice{}
 }
 
-// LimitsOf adds up the limits, in requests a second, of those of some targets that take requests; ok is false unless each has one.
-func (f *Fleet) LimitsOf(ids []string) (perSecond float64, ok bool) {
+// TotalLimit adds up the limits, in requests a second, of those of some targets that take requests; ok is false unless each has one.
+func (f *Fleet) TotalLimit(ids []string) (perSecond float64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
@@ -84,8 +84,8 @@
 
 // Permit is the leave to send one request to a target that has named a limit.
 type Permit struct {
-	Given bool
-	After time.Duration // when to ask again, if it is not given
+	Granted    bool
+	RetryAfter time.Duration // when to ask again, if it is not given
 }
 
 // Permit gives an instance leave to send a request, as the target's owner. What must be sent, because a run would be lost, is given
@@ -102,20 +102,20 @@
 	}
 	pace, paced := f.pace(now, t)
 	if !paced {
-		return Permit{Given: true}, true
+		return Permit{Granted: true}, true
 	}
 	l := f.ownerLimiter(now, t, pace)
 	if must {
 		l.ReserveN(now, 1)
-		return Permit{Given: true}, true
+		return Permit{Granted: true}, true
 	}
 	if l.AllowN(now, 1) {
 		delete(t.pacer.denied, instance)
-		return Permit{Given: true}, true
+		return Permit{Granted: true}, true
 	}
 	next := (1 - l.TokensAt(now)) / pace
 	crowd := crowdPart * float64(t.pacer.deny(now, instance)) / pace
-	return Permit{After: time.Duration((next + f.random()*crowd) * float64(time.Second))}, true
+	return Permit{RetryAfter: time.Duration((next + f.random()*crowd) * float64(time.Second))}, true
 }
 
 // deny notes that an instance wants a permit, and returns how many do.
@@ -132,8 +132,8 @@
 	return len(p.denied)
 }
 
-// PermitAlone gives this instance's own part of what a target with a limit takes, while no owner answers.
-func (f *Fleet) PermitAlone(now time.Time, id string) Permit {
+// PermitWithoutOwner gives this instance's own part of what a target with a limit takes, while no owner answers.
+func (f *Fleet) PermitWithoutOwner(now time.Time, id string) Permit {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
@@ -142,16 +142,16 @@
 	}
 	pace, paced := f.pace(now, t)
 	if !paced {
-		return Permit{Given: true}
+		return Permit{Granted: true}
 	}
 	l := f.aloneLimiter(now, t, alonePart*pace, alonePart*pace)
 	switch {
 	case l == nil:
-		return Permit{After: aloneAgain}
+		return Permit{RetryAfter: aloneAgain}
 	case l.AllowN(now, 1):
-		return Permit{Given: true}
+		return Permit{Granted: true}
 	}
-	return Permit{After: time.Duration((1 - l.TokensAt(now)) / float64(l.Limit()) * float64(time.Second))}
+	return Permit{RetryAfter: time.Duration((1 - l.TokensAt(now)) / float64(l.Limit()) * float64(time.Second))}
 }
 
 // aloneAgain is when an instance without a part of its own asks an owner again.
--- a/lib/fleet/limit_test.go
+++ b/lib/fleet/limit_test.go
@@ -10,38 +10,38 @@
 	"github.com/shoenig/test/must"
 )
 
-func named(perSecond float64, asked, heard time.Duration) LimitWord {
-	return LimitWord{Limit: Limit{On: true, PerSecond: perSecond}, Asked: t0.Add(asked), Heard: t0.Add(heard)}
+func named(perSecond float64, asked, heard time.Duration) LimitNotice {
+	return LimitNotice{Limit: Limit{On: true, PerSecond: perSecond}, RequestedAt: t0.Add(asked), ReceivedAt: t0.Add(heard)}
 }
 
-func unnamed(asked, heard time.Duration) LimitWord {
-	return LimitWord{Asked: t0.Add(asked), Heard: t0.Add(heard)}
+func unnamed(asked, heard time.Duration) LimitNotice {
+	return LimitNotice{RequestedAt: t0.Add(asked), ReceivedAt: t0.Add(heard)}
 }
 
 // Answers overtake each other. An older one must neither end a limit nor raise it.
 func TestOlderAnswersDoNotEaseALimit(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		words []LimitWord
+		words []LimitNotice
 		want  Limit
 	}{
-		"begins":                   {[]LimitWord{named(5, 0, 10*ms)}, Limit{true, 5}},
-		"ends":                     {[]LimitWord{named(5, 0, 10*ms), unnamed(11*ms, 20*ms)}, Limit{}},
-		"ended by an older answer": {[]LimitWord{named(5, 0, 10*ms), unnamed(9*ms, 20*ms)}, Limit{true, 5}},
-		"begins after its end":     {[]LimitWord{unnamed(0, 10*ms), named(5, 5*ms, 20*ms)}, Limit{true, 5}},
-		"lower, older":             {[]LimitWord{named(5, 0, 10*ms), named(3, 5*ms, 20*ms)}, Limit{true, 3}},
-		"higher, older":            {[]LimitWord{named(3, 0, 10*ms), named(5, 5*ms, 20*ms)}, Limit{true, 3}},
-		"higher, newer":            {[]LimitWord{named(3, 0, 10*ms), named(5, 11*ms, 20*ms)}, Limit{true, 5}},
-		"not a number":             {[]LimitWord{named(3, 0, 10*ms), named(math.NaN(), 11*ms, 20*ms)}, Limit{true, 3}},
-		"below zero":               {[]LimitWord{named(3, 0, 10*ms), named(-1, 11*ms, 20*ms)}, Limit{true, 3}},
-		"without end":              {[]LimitWord{named(3, 0, 10*ms), named(math.Inf(1), 11*ms, 20*ms)}, Limit{true, 3}},
-		"of nobody's":              {[]LimitWord{named(3, 0, 10*ms), {}}, Limit{true, 3}},
-		"zero":                     {[]LimitWord{named(0, 0, 10*ms)}, Limit{true, 0}},
+		"begins":                   {[]LimitNotice{named(5, 0, 10*ms)}, Limit{true, 5}},
+		"ends":                     {[]LimitNotice{named(5, 0, 10*ms), unnamed(11*ms, 20*ms)}, Limit{}},
+		"ended by an older answer": {[]LimitNotice{named(5, 0, 10*ms), unnamed(9*ms, 20*ms)}, Limit{true, 5}},
+		"begins after its end":     {[]LimitNotice{unnamed(0, 10*ms), named(5, 5*ms, 20*ms)}, Limit{true, 5}},
+		"lower, older":             {[]LimitNotice{named(5, 0, 10*ms), named(3, 5*ms, 20*ms)}, Limit{true, 3}},
+		"higher, older":            {[]LimitNotice{named(3, 0, 10*ms), named(5, 5*ms, 20*ms)}, Limit{true, 3}},
+		"higher, newer":            {[]LimitNotice{named(3, 0, 10*ms), named(5, 11*ms, 20*ms)}, Limit{true, 5}},
+		"not a number":             {[]LimitNotice{named(3, 0, 10*ms), named(math.NaN(), 11*ms, 20*ms)}, Limit{true, 3}},
+		"below zero":               {[]LimitNotice{named(3, 0, 10*ms), named(-1, 11*ms, 20*ms)}, Limit{true, 3}},
+		"without end":              {[]LimitNotice{named(3, 0, 10*ms), named(math.Inf(1), 11*ms, 20*ms)}, Limit{true, 3}},
+		"of nobody's":              {[]LimitNotice{named(3, 0, 10*ms), {}}, Limit{true, 3}},
+		"zero":                     {[]LimitNotice{named(0, 0, 10*ms)}, Limit{true, 0}},
 	} {
 		f := New("z1")
 		f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6}}, nil, 0)
 		for _, w := range c.words {
-			f.TakeLimit("t", w)
+			f.ApplyLimit("t", w)
 		}
 		must.Eq(t, c.want, f.LimitOf("t").Limit, must.Sprint(name))
 	}
@@ -51,7 +51,7 @@
 func TestLimitEndsWithTheTargetsLife(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6, Born: 1}}, nil, 0)
-	must.True(t, f.TakeLimit("t", named(0, 0, time.Millisecond)))
+	must.True(t, f.ApplyLimit("t", named(0, 0, time.Millisecond)))
 	f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6, Born: 2}}, nil, 0)
 	must.False(t, f.LimitOf("t").On)
 }
@@ -73,7 +73,7 @@
 		fleets[i].SetRandom(rnd.Float64)
 		fleets[i].SetSenders(func(_ string, n int) bool { return i < n })
 		fleets[i].Apply(t0, []Info{{ID: "t", Service: "s", Slots: 1000}}, nil, 0)
-		fleets[i].TakeLimit("t", named(p.limit, 0, time.Millisecond))
+		fleets[i].ApplyLimit("t", named(p.limit, 0, time.Millisecond))
 	}
 	cut := int(p.cutShare * float64(p.instances))
 	var sent []time.Duration
@@ -90,10 +90,10 @@
 			f.Release(now, "t", Load{}, Abandoned)
 			permit, _ := owner.Permit(now, "t", fmt.Sprint(i), false)
 			if i < cut {
-				permit = f.PermitAlone(now, "t")
+				permit = f.PermitWithoutOwner(now, "t")
 			}
-			if !permit.Given {
-				f.HoldOff(now, "t", permit.After)
+			if !permit.Granted {
+				f.HoldOff(now, "t", permit.RetryAfter)
 				continue
 			}
 			sent = append(sent, at)
@@ -147,17 +147,17 @@
 func TestForcedRequestsAreCounted(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6}}, nil, 0)
-	f.TakeLimit("t", named(2, 0, time.Millisecond))
+	f.ApplyLimit("t", named(2, 0, time.Millisecond))
 	now := t0.Add(time.Second)
 	for range 6 {
 		p, ok := f.Permit(now, "t", "a", true)
 		must.True(t, ok)
-		must.True(t, p.Given)
+		must.True(t, p.Granted)
 	}
 	p, _ := f.Permit(now.Add(2*time.Second), "t", "a", false)
-	must.False(t, p.Given)
+	must.False(t, p.Granted)
 	p, _ = f.Permit(now.Add(3*time.Second), "t", "a", false)
-	must.True(t, p.Given)
+	must.True(t, p.Granted)
 }
 
 func BenchmarkAcquireAmongLimited(b *testing.B) {
@@ -168,7 +168,7 @@
 				id := fmt.Sprintf("t%02d", i)
 				f.Apply(t0, []Info{{ID: id, Service: "s", Slots: 6}}, nil, 0)
 				if i < limits {
-					f.TakeLimit(id, named(5, 0, time.Millisecond))
+					f.ApplyLimit(id, named(5, 0, time.Millisecond))
 				}
 			}
 			for b.Loop() {
--- a/lib/fleet/list.go
+++ b/lib/fleet/list.go
@@ -91,9 +91,9 @@
 	f.leave(now, t, ch)
 }
 
-// Lapse takes targets as gone whose entries are missing, although nobody has said that they leave. One whose entry comes back is used
+// PresumeGone takes targets as gone whose entries are missing, although nobody has said that they leave. One whose entry comes back is used
 // again.
-func (f *Fleet) Lapse(now time.Time, ids []string) Change {
+func (f *Fleet) PresumeGone(now time.Time, ids []string) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ch Change
@@ -152,8 +152,8 @@
 	return ch
 }
 
-// Lacks reports whether entries of targets are missing that are believed for a grace: Tick is to be called often.
-func (f *Fleet) Lacks() bool {
+// HasMissing reports whether entries of targets are missing that are believed for a grace: Tick is to be called often.
+func (f *Fleet) HasMissing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.index.missing) > 0
@@ -164,9 +164,9 @@
 	f.index.remove(t)
 }
 
-// Leave marks a life of a target that was seen to leave, although the list has not told. News of an earlier life than
+// MarkLeaving marks a life of a target that was seen to leave, although the list has not told. News of an earlier life than
 // the one known is late and says nothing of it; news of a later one says that the one known has ended, too.
-func (f *Fleet) Leave(now time.Time, id string, born int64) Change {
+func (f *Fleet) MarkLeaving(now time.Time, id string, born int64) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ch Change
@@ -176,8 +176,8 @@
 	return ch
 }
 
-// Restart takes in that a target answers as another life than the one listed. The list tells the rest of it later.
-func (f *Fleet) Restart(now time.Time, id string, born int64) Change {
+// MarkRestarted takes in that a target answers as another life than the one listed. The list tells the rest of it later.
+func (f *Fleet) MarkRestarted(now time.Time, id string, born int64) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ch Change
@@ -189,8 +189,8 @@
 	return ch
 }
 
-// Unreadable notes that the entries of targets name none. They get nothing new until they have written others.
-func (f *Fleet) Unreadable(ids []string) {
+// MarkUnreadable notes that the entries of targets name none. They get nothing new until they have written others.
+func (f *Fleet) MarkUnreadable(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
@@ -201,20 +201,20 @@
 	}
 }
 
-// Left is a life of a target that has left.
-type Left struct {
+// LeftTarget is a life of a target that has left.
+type LeftTarget struct {
 	ID   string
 	Born int64 // as in Info
 }
 
 // LeftSince lists the targets that have left since a time.
-func (f *Fleet) LeftSince(at time.Time) []Left {
+func (f *Fleet) LeftSince(at time.Time) []LeftTarget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []Left
+	var out []LeftTarget
 	f.index.leftSince(at, func(t *Target) bool {
 		if !t.presumed {
-			out = append(out, Left{ID: t.ID, Born: t.Born})
+			out = append(out, LeftTarget{ID: t.ID, Born: t.Born})
 		}
 		return true
 	})
--- a/lib/fleet/outcome.go
+++ b/lib/fleet/outcome.go
@@ -25,8 +25,8 @@
 	t.learn(now, o)
 }
 
-// Learn takes in how a request of another instance ended.
-func (f *Fleet) Learn(now time.Time, id string, o Outcome) {
+// RecordOutcome takes in how a request of another instance ended.
+func (f *Fleet) RecordOutcome(now time.Time, id string, o Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
--- a/lib/fleet/pace_test.go
+++ b/lib/fleet/pace_test.go
@@ -67,7 +67,7 @@
 	}
 	var sent []time.Duration
 	for at := time.Duration(0); at < coldFor; at += 5 * time.Millisecond {
-		if _, ok := owner.Choose(t0.Add(at), Need{Service: "engine", Must: true}); ok {
+		if _, ok := owner.Choose(t0.Add(at), Need{Service: "engine", RequireMemory: true}); ok {
 			sent = append(sent, at)
 		}
 		for _, f := range alone {
@@ -97,13 +97,13 @@
 // An engine goes cold again at any moment, or starts again behind a list that doesn't tell: it counts as cold from then on.
 func TestTargetsGoColdAgain(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
-	stand := func(at time.Duration) Standing { return f.Stand(t0.Add(at), Need{Service: "engine"}) }
-	must.Eq(t, Standing{Takes: 1, Cold: 1}, stand(coldFor-1))
-	must.Eq(t, Standing{Takes: 1}, stand(coldFor))
+	stand := func(at time.Duration) Availability { return f.Availability(t0.Add(at), Need{Service: "engine"}) }
+	must.Eq(t, Availability{Accepting: 1, Cold: 1}, stand(coldFor-1))
+	must.Eq(t, Availability{Accepting: 1}, stand(coldFor))
 	f.Apply(t0.Add(coldFor), []Info{{ID: "t", Born: 7, Service: "engine", Domain: "z1", ColdFor: time.Second}}, nil, 0)
 	must.Eq(t, 1, stand(coldFor).Cold)
 	must.Eq(t, 0, stand(coldFor+time.Second).Cold)
-	f.Restart(t0.Add(2*coldFor), "t", 8)
+	f.MarkRestarted(t0.Add(2*coldFor), "t", 8)
 	must.Eq(t, 1, stand(3*coldFor-1).Cold)
 	must.Eq(t, 0, stand(3*coldFor).Cold)
 }
@@ -133,10 +133,10 @@
 // Engines that have just started are no place for runs that move or for copies: these can't wait for their turn there.
 func TestNoMovesToColdEngines(t *testing.T) {
 	f := coldFleet("engine", 10_000)
-	must.Len(t, 0, f.Rooms(t0, "engine", nil))
-	_, ok := f.Spare(t0, Need{Service: "engine", Tokens: 1}, "", 0)
+	must.Len(t, 0, f.MoveCandidates(t0, "engine", nil))
+	_, ok := f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 1}, "", 0)
 	must.False(t, ok)
-	must.Len(t, 1, f.Rooms(t0.Add(coldFor), "engine", nil))
+	must.Len(t, 1, f.MoveCandidates(t0.Add(coldFor), "engine", nil))
 }
 
 // BenchmarkAcquire is one choice among 64 engines that 300 runs are on, some of them cold, one domain of four evacuated and the
@@ -155,11 +155,11 @@
 	sizes := make(map[string][]Size)
 	for i := range 300 {
 		id := fmt.Sprint("e", i%64)
-		sizes[id] = append(sizes[id], Size{Now: 3000, Left: 10 * i})
+		sizes[id] = append(sizes[id], Size{Held: 3000, Remaining: 10 * i})
 	}
-	f.Tell(t0, "peer", nil, sizes)
+	f.SetPeerLoad(t0, "peer", nil, sizes)
 	f.Evacuate("z3")
-	need := Need{Service: "engine", Tokens: 3000, Must: true, Peak: Size{Now: 3000, Left: 300}, Regions: []string{"r"}}
+	need := Need{Service: "engine", Tokens: 3000, RequireMemory: true, Peak: Size{Held: 3000, Remaining: 300}, Regions: []string{"r"}}
 	for b.Loop() {
 		if to, ok := f.Acquire(t0, need); ok {
 			f.Release(t0, to.ID, Load{Tokens: 3000}, Served)
--- a/lib/fleet/peak.go
+++ b/lib/fleet/peak.go
@@ -7,23 +7,23 @@
 
 // Size is a run's part of an engine's memory, in tokens.
 type Size struct {
-	Now  int // it holds
-	Left int // it is expected to add before it ends
+	Held      int // it holds
+	Remaining int // it is expected to add before it ends
 }
 
 // Peak returns the most memory that runs will take together, if all add tokens at one pace and none joins them: it is
 // reached when one of them is about to end. Counting each at its full size would leave room unused, since runs that are
 // at different places don't reach it together.
 func Peak(runs []Size) int {
-	slices.SortFunc(runs, func(a, b Size) int { return cmp.Compare(a.Left, b.Left) })
+	slices.SortFunc(runs, func(a, b Size) int { return cmp.Compare(a.Remaining, b.Remaining) })
 	held := 0
 	for _, r := range runs {
-		held += r.Now
+		held += r.Held
 	}
 	most := held
 	for i, r := range runs {
-		most = max(most, held+(len(runs)-i)*r.Left)
-		held -= r.Now // it has ended, and what it had added is free, too
+		most = max(most, held+(len(runs)-i)*r.Remaining)
+		held -= r.Held // it has ended, and what it had added is free, too
 	}
 	return most
 }
--- a/lib/fleet/peak_test.go
+++ b/lib/fleet/peak_test.go
@@ -16,13 +16,13 @@
 	for len(runs) > 0 {
 		held := 0
 		for _, r := range runs {
-			held += r.Now
+			held += r.Held
 		}
 		most = max(most, held)
-		runs = slices.DeleteFunc(runs, func(r Size) bool { return r.Left <= 0 })
+		runs = slices.DeleteFunc(runs, func(r Size) bool { return r.Remaining <= 0 })
 		for i := range runs {
-			runs[i].Now++
-			runs[i].Left--
+			runs[i].Held++
+			runs[i].Remaining--
 		}
 	}
 	return most
@@ -31,7 +31,7 @@
 func TestPeakIsWhatPlayingTheRunsGives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Size {
-			return Size{Now: rapid.IntRange(0, 50).Draw(t, "now"), Left: rapid.IntRange(0, 30).Draw(t, "left")}
+			return Size{Held: rapid.IntRange(0, 50).Draw(t, "now"), Remaining: rapid.IntRange(0, 30).Draw(t, "left")}
 		}), 0, 6).Draw(t, "runs")
 		must.Eq(t, played(runs), Peak(slices.Clone(runs)))
 	})
@@ -44,16 +44,16 @@
 	f := New("z")
 	f.SetSpecs(map[string]Spec{"s": {KVTokens: 100}})
 	f.Apply(now, []Info{{ID: "e", Service: "s"}}, nil, 0)
-	need := Need{Service: "s", Must: true, Peak: Size{Now: 10, Left: 60}}
-	f.Tell(now, "peer", nil, map[string][]Size{"e": {{Now: 25, Left: 10}}})
+	need := Need{Service: "s", RequireMemory: true, Peak: Size{Held: 10, Remaining: 60}}
+	f.SetPeerLoad(now, "peer", nil, map[string][]Size{"e": {{Held: 25, Remaining: 10}}})
 	got, ok := f.Acquire(now, need)
 	must.True(t, ok)
 	must.Eq(t, "e", got.ID)
-	f.Tell(now, "peer", nil, map[string][]Size{"e": {{Now: 10, Left: 60}}})
+	f.SetPeerLoad(now, "peer", nil, map[string][]Size{"e": {{Held: 10, Remaining: 60}}})
 	_, ok = f.Acquire(now, need)
 	must.False(t, ok)
-	f.SetSizes(func(string) []Size { return []Size{{Now: 10, Left: 60}} })
-	f.Tell(now, "peer", nil, nil)
+	f.SetSizes(func(string) []Size { return []Size{{Held: 10, Remaining: 60}} })
+	f.SetPeerLoad(now, "peer", nil, nil)
 	_, ok = f.Acquire(now, need)
 	must.False(t, ok)
 }
@@ -65,14 +65,14 @@
 	f := New("z")
 	f.SetSpecs(map[string]Spec{"s": {KVTokens: 10_000}})
 	f.Apply(now, []Info{{ID: "e", Service: "s"}}, nil, 0)
-	need := Need{Service: "s", Must: true, Peak: Size{Now: 900}, Unread: 900, Reading: 800}
+	need := Need{Service: "s", RequireMemory: true, Peak: Size{Held: 900}, Unread: 900, MaxUnread: 800}
 	got, ok := f.Acquire(now, need)
 	must.True(t, ok)
 	f.Release(now, got.ID, Load{Unread: 900}, Served)
-	f.Tell(now, "peer", map[string]Load{"e": {Runs: 1, Unread: 100}}, nil)
+	f.SetPeerLoad(now, "peer", map[string]Load{"e": {Runs: 1, Unread: 100}}, nil)
 	_, ok = f.Acquire(now, need)
 	must.False(t, ok)
-	need.Reading = 1000
+	need.MaxUnread = 1000
 	_, ok = f.Acquire(now, need)
 	must.True(t, ok)
 }
@@ -84,15 +84,15 @@
 	f := New("z")
 	f.SetSpecs(map[string]Spec{"s": {KVTokens: 1000}})
 	f.Apply(now, []Info{{ID: "e", Service: "s"}}, nil, 0)
-	absurd := Need{Service: "s", Must: true, Peak: Size{Now: 10, Left: 1 << 30}}
+	absurd := Need{Service: "s", RequireMemory: true, Peak: Size{Held: 10, Remaining: 1 << 30}}
 	got, ok := f.Acquire(now, absurd)
 	must.True(t, ok)
 	f.Release(now, got.ID, Load{}, Served)
-	f.Tell(now, "peer", nil, map[string][]Size{"e": {{Now: 500}}})
+	f.SetPeerLoad(now, "peer", nil, map[string][]Size{"e": {{Held: 500}}})
 	_, ok = f.Acquire(now, absurd)
 	must.False(t, ok)
-	_, ok = f.Acquire(now, Need{Service: "s", Must: true, Peak: Size{Now: 490}})
+	_, ok = f.Acquire(now, Need{Service: "s", RequireMemory: true, Peak: Size{Held: 490}})
 	must.False(t, ok) // 990 of 1000: the next tokens would push a run out
-	_, ok = f.Acquire(now, Need{Service: "s", Must: true, Peak: Size{Now: 460}})
+	_, ok = f.Acquire(now, Need{Service: "s", RequireMemory: true, Peak: Size{Held: 460}})
 	must.True(t, ok)
 }
--- a/lib/fleet/places.go
+++ b/lib/fleet/places.go
@@ -14,9 +14,9 @@
 	return t.state == Ready && !t.unreadable && !f.evacuated[t.Domain]
 }
 
-// Barred reports whether targets of a service are there, and all of them are evacuated or outside the request's regions. Who waits
+// AllExcluded reports whether targets of a service are there, and all of them are evacuated or outside the request's regions. Who waits
 // for room there waits in vain.
-func (f *Fleet) Barred(n Need) bool {
+func (f *Fleet) AllExcluded(n Need) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.evacuated) == 0 && n.Regions == nil {
@@ -35,8 +35,8 @@
 	return barred
 }
 
-// Open reports whether requests that are bound to some regions may go to a failure domain; nil stands for all regions.
-func (f *Fleet) Open(domain string, regions []string) bool {
+// DomainAllowed reports whether requests that are bound to some regions may go to a failure domain; nil stands for all regions.
+func (f *Fleet) DomainAllowed(domain string, regions []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.evacuated[domain] && f.inRegions(domain, regions)
--- a/lib/fleet/rest.go
+++ b/lib/fleet/rest.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Rest notes that a life of a target wants nothing from this instance until a time, which others may be free of. Of several times the
+// BackOff notes that a life of a target wants nothing from this instance until a time, which others may be free of. Of several times the
 // latest holds. It reports whether the target did not rest before.
-func (f *Fleet) Rest(now time.Time, target Info, until time.Time) bool {
+func (f *Fleet) BackOff(now time.Time, target Info, until time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[target.ID]
@@ -19,8 +19,8 @@
 	return begins
 }
 
-// Resting reports whether a target wants nothing from this instance now.
-func (f *Fleet) Resting(now time.Time, id string) bool {
+// InBackoff reports whether a target wants nothing from this instance now.
+func (f *Fleet) InBackoff(now time.Time, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
--- a/lib/fleet/rooms.go
+++ b/lib/fleet/rooms.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Spare chooses the engine with the most free memory for a copy of a run, which the caller of Spare counts there. It gives
+// ChooseForCopy chooses the engine with the most free memory for a copy of a run, which the caller of Spare counts there. It gives
 // none where less than the share free of an engine's memory would be left: copies must not push out runs. Paced engines get none: a run
 // that goes on from its copy can't wait for its turn there.
-func (f *Fleet) Spare(now time.Time, n Need, without string, free float64) (Info, bool) {
+func (f *Fleet) ChooseForCopy(now time.Time, n Need, without string, free float64) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	kv := f.specs[n.Service].KVTokens
@@ -25,9 +25,9 @@
 	return best.Info, true
 }
 
-// Fill is the part of the memory of some engines that is spoken for, with prompts to read weighed as in a choice, and with
+// Utilization is the part of the memory of some engines that is spoken for, with prompts to read weighed as in a choice, and with
 // tokens that wait for room there. It is 1 and more where none takes requests.
-func (f *Fleet) Fill(among []string, waiting int) float64 {
+func (f *Fleet) Utilization(among []string, waiting int) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	used, room := float64(waiting), 0.0
@@ -46,14 +46,14 @@
 	return used / room
 }
 
-// Room is a target of a service that takes requests, and the engine memory in tokens that nobody is known to use.
-type Room struct {
+// Candidate is a target of a service that takes requests, and the engine memory in tokens that nobody is known to use.
+type Candidate struct {
 	Info
 	Free int
 }
 
-// Room is the largest memory, in tokens, that a run may take on one of some engines beside the runs there.
-func (f *Fleet) Room(among []string) int {
+// MaxFreeTokens is the largest memory, in tokens, that a run may take on one of some engines beside the runs there.
+func (f *Fleet) MaxFreeTokens(among []string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	most := 0
@@ -68,9 +68,9 @@
 	return most
 }
 
-// Roomiest is the engine, of some without others, that has the most room for a run beside those there; empty: none takes
+// EngineWithMostFree is the engine, of some without others, that has the most room for a run beside those there; empty: none takes
 // requests.
-func (f *Fleet) Roomiest(among []string, without map[string]bool) string {
+func (f *Fleet) EngineWithMostFree(among []string, without map[string]bool) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	best, most := "", 0
@@ -86,17 +86,17 @@
 	return best
 }
 
-// Rooms lists the engines of a service that runs can move to, among those named or, with nil, among all. Paced engines are left out: a
+// MoveCandidates lists the engines of a service that runs can move to, among those named or, with nil, among all. Paced engines are left out: a
 // run that was stopped can't wait for its turn. Those that have named a limit are listed where there are no others.
-func (f *Fleet) Rooms(now time.Time, service string, among []string) []Room {
+func (f *Fleet) MoveCandidates(now time.Time, service string, among []string) []Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out, limited []Room
+	var out, limited []Candidate
 	for _, t := range f.among(service, among) {
 		if t.Service != service || !f.takes(t) || f.isCold(now, t) || now.Before(t.restUntil) {
 			continue
 		}
-		room := Room{Info: t.Info, Free: f.specs[service].KVTokens - f.carried(t).Tokens}
+		room := Candidate{Info: t.Info, Free: f.specs[service].KVTokens - f.carried(t).Tokens}
 		if t.limit.On {
 			limited = append(limited, room)
 			continue
@@ -109,8 +109,8 @@
 	return out
 }
 
-// Busy divides targets into those that carry runs of any instance, as far as is known, and others.
-func (f *Fleet) Busy(ids []string) (busy, idle []string) {
+// SplitBusy divides targets into those that carry runs of any instance, as far as is known, and others.
+func (f *Fleet) SplitBusy(ids []string) (busy, idle []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -165,7 +165,7 @@
 func (s *site) site(m *member) gatewayproc.Site {
 	table := func(name string) feed.Source { return source{s: s.store, table: name, instance: m.host, cost: m.cost} }
 	return gatewayproc.Site{
-		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, HearEngines: func(gateway.AnswerReader) {},
+		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, HearEngines: func(gateway.ResponseHook) {},
 		Settings: table(settings), DecodeSettings: decodeSettings, Evacuated: func(feed.Row) (string, bool) { return "", false },
 		CountSettings: func(feed.Row) (feed.Count, bool) { return feed.Count{}, false },
 		CountTarget:   func(feed.Row) (feed.Count, bool) { return feed.Count{}, false },
@@ -209,15 +209,15 @@
 // engineCalls are calls to engines, which none of the modelled ones answers.
 type engineCalls struct{}
 
-func (engineCalls) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (gateway.Moved, error) {
-	return gateway.Moved{}, gateway.ErrNoRun
+func (engineCalls) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (gateway.CopyResult, error) {
+	return gateway.CopyResult{}, gateway.ErrNoRun
 }
 
 func (engineCalls) Report(context.Context, fleet.Info) (gateway.Report, error) {
 	return gateway.Report{}, gateway.ErrNoRun
 }
 
-func (engineCalls) Free(context.Context, fleet.Info, string) error { return nil }
+func (engineCalls) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
 // killAll ends all instances at once, without a word.
 func (s *site) killAll() {
@@ -240,12 +240,12 @@
 		asked++
 		id := s.rng.Uint64()
 		work.Go(func() {
-			need := fleet.Need{Service: engines, Tokens: 3000, Unread: 3000, Peak: fleet.Size{Now: 3000, Left: 200}}
-			a := owner.Ask{Run: id, Stream: admit.Stream{Arrived: time.Now(), Aim: 1800 * time.Millisecond, Keeps: 10 * time.Second, Need: need}}
+			need := fleet.Need{Service: engines, Tokens: 3000, Unread: 3000, Peak: fleet.Size{Held: 3000, Remaining: 200}}
+			a := owner.PlaceRequest{Run: id, Stream: admit.Stream{Arrived: time.Now(), Objective: 1800 * time.Millisecond, MaxRetryAfter: 10 * time.Second, Need: need}}
 			got, err := m.Place(context.Background(), a)
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && got.Action == admit.Go {
+			if err == nil && got.Action == admit.Admit {
 				placed++
 			}
 		})
--- a/lib/gateway/answer.go
+++ b/lib/gateway/answer.go
@@ -43,18 +43,18 @@
 
 // unplaced is the refusal of a call that no target takes and none has run, with the reason why there is none.
 func (g *Gateway) unplaced(c *call) refusal {
-	stand := g.Fleet.Stand(time.Now(), fleet.Need{Service: c.service, Regions: g.regions(c)})
+	stand := g.Fleet.Availability(time.Now(), fleet.Need{Service: c.service, Regions: g.regions(c)})
 	g.Log.Unplaced(c.entry(), stand)
 	switch {
 	case stand.Blocked() && stand.Limited > 0:
 		// Callers that are refused together and told the same time would find one permit between them.
-		after := stand.Soonest + rand.N(againPlain)
+		after := stand.RetryAfter + rand.N(againPlain)
 		return refusal{status: http.StatusServiceUnavailable, after: c.wait(after), reason: "targets_limited"}
 	case stand.Blocked():
-		return refusal{status: http.StatusServiceUnavailable, after: c.wait(stand.Soonest), reason: "targets_resting"}
-	case stand.Takes > 0 && stand.Cold == stand.Takes:
+		return refusal{status: http.StatusServiceUnavailable, after: c.wait(stand.RetryAfter), reason: "targets_resting"}
+	case stand.Accepting > 0 && stand.Cold == stand.Accepting:
 		return c.again("targets_cold")
-	case stand.Takes > 0:
+	case stand.Accepting > 0:
 		return c.again("no_target")
 	case stand.Evacuated > 0:
 		return c.again("evacuated")
@@ -128,5 +128,5 @@
 	if len(parts) < 2 {
 		return
 	}
-	g.Fleet.Report(time.Now(), id, atoi(parts[0]), atoi(parts[1]))
+	g.Fleet.SetReportedLoad(time.Now(), id, atoi(parts[0]), atoi(parts[1]))
 }
--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -34,12 +34,12 @@
 	at, ok := r.g.Fleet.Info(to.backup)
 	if !to.owned {
 		need := fleet.Need{Service: to.target.Service, Tokens: tokens, Regions: r.g.regions(r.c)}
-		at, ok = r.g.Fleet.Spare(time.Now(), need, to.target.ID, backupFree)
+		at, ok = r.g.Fleet.ChooseForCopy(time.Now(), need, to.target.ID, backupFree)
 	}
 	if !ok {
 		return
 	}
-	r.g.Fleet.Grow(at.ID, fleet.Load{Tokens: tokens})
+	r.g.Fleet.AddLoad(at.ID, fleet.Load{Tokens: tokens})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.copy = backup{at: at, tokens: tokens}
@@ -52,7 +52,7 @@
 	r.copy = backup{}
 	r.mu.Unlock()
 	if b.at.ID != "" {
-		r.g.Fleet.Grow(b.at.ID, fleet.Load{Tokens: -b.tokens})
+		r.g.Fleet.AddLoad(b.at.ID, fleet.Load{Tokens: -b.tokens})
 	}
 	return b.at
 }
@@ -64,7 +64,7 @@
 		return next{}, false
 	}
 	size := r.size()
-	need := fleet.Need{Service: at.Service, Tokens: size.Tokens, Regions: r.g.regions(r.c), Found: true}
+	need := fleet.Need{Service: at.Service, Tokens: size.Tokens, Regions: r.g.regions(r.c), FoundByOwner: true}
 	to, ok := r.g.Fleet.AcquireAt(time.Now(), at.ID, need)
 	if !ok {
 		return next{}, false
@@ -79,18 +79,18 @@
 	return r.copy.at
 }
 
-// Held lists the memory that copies of this instance's runs take.
-func (g *Gateway) Held() []owner.Held {
-	var out []owner.Held
+// HeldMemory lists the memory that copies of this instance's runs take.
+func (g *Gateway) HeldMemory() []owner.Copy {
+	var out []owner.Copy
 	for _, list := range g.runs.all() {
 		for _, r := range list {
 			id := rendezvous.Hash(r.c.id)
 			r.mu.Lock()
 			if r.copy.at.ID != "" {
-				out = append(out, owner.Held{Target: r.copy.at.ID, Tokens: r.copy.tokens, Run: id})
+				out = append(out, owner.Copy{Target: r.copy.at.ID, Tokens: r.copy.tokens, Run: id})
 			}
 			if r.booked.at != "" {
-				out = append(out, owner.Held{Target: r.booked.at, Tokens: r.booked.tokens, Run: id})
+				out = append(out, owner.Copy{Target: r.booked.at, Tokens: r.booked.tokens, Run: id})
 			}
 			r.mu.Unlock()
 		}
--- a/lib/gateway/book.go
+++ b/lib/gateway/book.go
@@ -53,17 +53,17 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), roomTimeout)
 	defer cancel()
-	ask := owner.Ask{
-		Run: rendezvous.Hash(r.c.id), Mode: owner.Room, Stream: admit.Stream{Need: need, Arrived: time.Now()},
+	ask := owner.PlaceRequest{
+		Run: rendezvous.Hash(r.c.id), Mode: owner.MustFit, Stream: admit.Stream{Need: need, Arrived: time.Now()},
 	}
 	a, err := g.Owners.Place(ctx, ask)
 	if err != nil {
 		return g.Fleet.Acquire(time.Now(), need)
 	}
-	if a.Action != admit.Go {
+	if a.Action != admit.Admit {
 		return fleet.Info{}, false
 	}
-	need.Must = false // by what this instance alone knows
+	need.RequireMemory = false // by what this instance alone knows
 	need.Granted = true
 	return g.Fleet.AcquireAt(time.Now(), a.Target, need)
 }
--- a/lib/gateway/book_test.go
+++ b/lib/gateway/book_test.go
@@ -19,7 +19,7 @@
 	changes int
 }
 
-func (o *toldOwners) Changed() { o.changes++ }
+func (o *toldOwners) ScheduleReport() { o.changes++ }
 
 // A run is planned to move. Until it is there its room was known to its own instance only, and peers sent new streams
 // into it, which then waited behind the run for seconds. Its room counts from the plan on, here and at peers, and is
@@ -32,17 +32,17 @@
 	g.Fleet.Apply(time.Now(), []fleet.Info{{ID: "from", Service: "s"}, {ID: "to", Service: "s"}}, nil, 0)
 	r := &run{g: g, c: &call{id: "x", service: "s"}}
 	g.runs.add("from", r)
-	_, ok := g.bookAt(r, "to", fleet.Need{Service: "s", Tokens: 600, Must: true})
+	_, ok := g.bookAt(r, "to", fleet.Need{Service: "s", Tokens: 600, RequireMemory: true})
 	must.True(t, ok)
 	must.Eq(t, 1, owners.changes)
-	must.Len(t, 1, g.Held())
-	must.Eq(t, "to", g.Held()[0].Target)
-	must.Eq(t, 600, g.Held()[0].Tokens)
-	other := fleet.Need{Service: "s", Tokens: 500, Must: true, Peak: fleet.Size{Now: 500}, Without: map[string]bool{"from": true}}
+	must.Len(t, 1, g.HeldMemory())
+	must.Eq(t, "to", g.HeldMemory()[0].Target)
+	must.Eq(t, 600, g.HeldMemory()[0].Tokens)
+	other := fleet.Need{Service: "s", Tokens: 500, RequireMemory: true, Peak: fleet.Size{Held: 500}, Exclude: map[string]bool{"from": true}}
 	_, ok = g.Fleet.Acquire(time.Now(), other)
 	must.False(t, ok)
 	g.unbook(r)
-	must.SliceEmpty(t, g.Held())
+	must.SliceEmpty(t, g.HeldMemory())
 	_, ok = g.Fleet.Acquire(time.Now(), other)
 	must.True(t, ok)
 }
@@ -53,14 +53,14 @@
 	copies int
 }
 
-func (f *failingCopies) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (Moved, error) {
+func (f *failingCopies) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (CopyResult, error) {
 	if f.copies++; f.copies == 1 {
-		return Moved{Handle: "h"}, nil
+		return CopyResult{Handle: "h"}, nil
 	}
-	return Moved{}, errors.New("reset")
+	return CopyResult{}, errors.New("reset")
 }
 
-func (f *failingCopies) Free(context.Context, fleet.Info, string) error { return nil }
+func (f *failingCopies) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
 // A copy is being brought up to date when its call fails, and the run goes on at its source. The next try books room at
 // another engine; the room of the first would count for as long as the process lives.
@@ -75,5 +75,5 @@
 	g.move(r, r.target, time.Now().Add(500*time.Millisecond-moveGiveUp), moveplan.Step{})
 	r.finish()
 	g.dropCopy(r, r.copySource())
-	must.MapEmpty(t, g.Fleet.Own())
+	must.MapEmpty(t, g.Fleet.LocalLoads())
 }
--- a/lib/gateway/copy.go
+++ b/lib/gateway/copy.go
@@ -63,7 +63,7 @@
 	return r.early.from
 }
 
-func (g *Gateway) copyRun(from, to fleet.Info, id string, last bool) (Moved, error) {
+func (g *Gateway) copyRun(from, to fleet.Info, id string, last bool) (CopyResult, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
 	defer cancel()
 	return g.Engines.Copy(ctx, from, to, id, last)
@@ -72,7 +72,7 @@
 func (g *Gateway) free(from fleet.Info, handle string) {
 	ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
 	defer cancel()
-	if err := g.Engines.Free(ctx, from, handle); err != nil {
+	if err := g.Engines.ReleaseCopy(ctx, from, handle); err != nil {
 		g.Log.Warn("copy_not_freed", from.ID, err)
 	}
 }
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -46,8 +46,8 @@
 	Reserved []string // headers that only the gateway may set; a caller's are dropped
 }
 
-// Moved is the answer to a copy of a run.
-type Moved struct {
+// CopyResult is the answer to a copy of a run.
+type CopyResult struct {
 	Handle string // names the copy
 }
 
@@ -61,11 +61,11 @@
 type Engines interface {
 	// Copy copies the memory of the run that serves request id from one engine to another, or what is new of it. last
 	// ends the run at its source before the rest is copied.
-	Copy(ctx context.Context, from, to fleet.Info, id string, last bool) (Moved, error)
+	Copy(ctx context.Context, from, to fleet.Info, id string, last bool) (CopyResult, error)
 	// Report asks an engine for its state.
 	Report(ctx context.Context, at fleet.Info) (Report, error)
-	// Free gives up a copy at both ends.
-	Free(ctx context.Context, from fleet.Info, handle string) error
+	// ReleaseCopy gives up a copy at both ends.
+	ReleaseCopy(ctx context.Context, from fleet.Info, handle string) error
 }
 
 // Config is what a Gateway is made of.
@@ -76,8 +76,8 @@
 	Pool    *wirehttp.Pool
 	Budget  *retry.Share
 	Log     Log
-	// Left is told of a target that says in an answer that it leaves; nil: nobody is.
-	Left func(t fleet.Info)
+	// OnLeaving is told of a target that says in an answer that it leaves; nil: nobody is.
+	OnLeaving func(t fleet.Info)
 	// Owners decides with others where streams go; nil: this instance decides alone.
 	Owners Owners
 }
@@ -86,23 +86,23 @@
 // of them answers: then this instance decides alone.
 type Owners interface {
 	// Place finds an engine for a run, or says when its caller should come back.
-	Place(ctx context.Context, a owner.Ask) (owner.Answer, error)
-	// Plan says where this instance's runs go that are on engines which leave.
-	Plan(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
-	// LastHeard returns when any instance last heard an engine.
-	LastHeard(ctx context.Context, engine string) (time.Time, error)
-	// Changed says that what runs here has changed.
-	Changed()
-	// Outcome tells how a run ended at an engine.
-	Outcome(engine string, o fleet.Outcome)
-	// PlainOutcome tells how a request ended at a target of a plain service.
-	PlainOutcome(service, target string, o fleet.Outcome)
-	// Permit asks for leave to send a request to a target that has named a limit. One that must be sent is only counted.
-	Permit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
-	// Limited tells of the limit that an answer of a target named, or no longer named; changed says that it is news here.
-	Limited(t fleet.Info, changed bool)
-	// Reading tells how long a first event took.
-	Reading(r owner.Reading)
+	Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error)
+	// RequestMoves says where this instance's runs go that are on engines which leave.
+	RequestMoves(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
+	// LastContact returns when any instance last heard an engine.
+	LastContact(ctx context.Context, engine string) (time.Time, error)
+	// ScheduleReport says that what runs here has changed.
+	ScheduleReport()
+	// RecordOutcome tells how a run ended at an engine.
+	RecordOutcome(engine string, o fleet.Outcome)
+	// RecordPlainOutcome tells how a request ended at a target of a plain service.
+	RecordPlainOutcome(service, target string, o fleet.Outcome)
+	// RequestPermit asks for leave to send a request to a target that has named a limit. One that must be sent is only counted.
+	RequestPermit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error)
+	// ReportLimit tells of the limit that an answer of a target named, or no longer named; changed says that it is news here.
+	ReportLimit(t fleet.Info, changed bool)
+	// RecordPrefill tells how long a first event took.
+	RecordPrefill(r owner.PrefillSample)
 }
 
 // Gateway serves callers. It is an http.Handler.
@@ -132,7 +132,7 @@
 	open, cut := context.WithCancel(context.Background())
 	g := &Gateway{
 		Config: cfg, open: open, cut: cut, known: make(chan struct{}), runs: newRunTable(), sends: newOpenSends(),
-		placer: admit.Placer{Fleet: cfg.Fleet, Reading: new(admit.Readings)}, poison: poison.New(poisonConfig),
+		placer: admit.Placer{Fleet: cfg.Fleet, Prefill: new(admit.PrefillRates)}, poison: poison.New(poisonConfig),
 	}
 	if cfg.Fleet != nil {
 		cfg.Fleet.SetSizes(g.sizesOn)
@@ -158,7 +158,7 @@
 }
 
 // Readings returns what is learnt of how fast prompts are read.
-func (g *Gateway) Readings() *admit.Readings { return g.placer.Reading }
+func (g *Gateway) Readings() *admit.PrefillRates { return g.placer.Prefill }
 
 // Table returns the table in force, nil before the first.
 func (g *Gateway) Table() *routes.Table { return g.table.Load() }
@@ -168,8 +168,8 @@
 
 func (g *Gateway) stopping() bool { return g.stopBy.Load() != nil }
 
-// Cut breaks off what is still open. Call it after Stop.
-func (g *Gateway) Cut() { g.cut() }
+// AbortOpen breaks off what is still open. Call it after Stop.
+func (g *Gateway) AbortOpen() { g.cut() }
 
 // ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/lib/gateway/log.go
+++ b/lib/gateway/log.go
@@ -51,31 +51,31 @@
 }
 
 // Unplaced tells why no target takes a call.
-func (l Log) Unplaced(e entry, s fleet.Standing) {
-	at := l.line(log.Info(), "no_target", e).Int("takes", s.Takes).Int("cold", s.Cold).Int("limited", s.Limited).Int("resting", s.Resting)
+func (l Log) Unplaced(e entry, s fleet.Availability) {
+	at := l.line(log.Info(), "no_target", e).Int("takes", s.Accepting).Int("cold", s.Cold).Int("limited", s.Limited).Int("resting", s.InBackoff)
 	at.Int("evacuated", s.Evacuated).Int("out_of_region", s.OutOfRegion).Msg("")
 }
 
 // Sent tells how a send to one target ended, and what was believed of that target when it was chosen.
-func (l Log) Sent(e entry, target string, b fleet.Belief, status int, outcome string, err error) {
-	at := l.line(log.Info(), "sent", e).Str("target", target).Int("ready", b.Ready)
+func (l Log) Sent(e entry, target string, b fleet.KnownState, status int, outcome string, err error) {
+	at := l.line(log.Info(), "sent", e).Str("target", target).Int("ready", b.ReadyTargets)
 	at = at.Int("runs", b.Load.Runs).Int("tokens", b.Load.Tokens).Int("unread", b.Load.Unread)
-	at = at.Int("peers", b.Peers).Int64("news_ms", b.Oldest.Milliseconds())
-	if len(b.Passed) > 0 {
-		at = at.Str("passed_over", passedOver(b.Passed))
+	at = at.Int("peers", b.Peers).Int64("news_ms", b.OldestUpdate.Milliseconds())
+	if len(b.Skipped) > 0 {
+		at = at.Str("passed_over", passedOver(b.Skipped))
 	}
 	logline.Cause(at.Int("status", status).Str("outcome", outcome), err)
 }
 
 // passedOver writes targets with what they said, its age in milliseconds and who heard it, as in w1:limit:120:told.
-func passedOver(list []fleet.Passed) string {
+func passedOver(list []fleet.SkippedTarget) string {
 	out := make([]string, len(list))
 	for i, p := range list {
 		source := "own"
-		if p.Told {
+		if p.Relayed {
 			source = "told"
 		}
-		out[i] = fmt.Sprintf("%s:%s:%d:%s", p.ID, p.Word, p.Age.Milliseconds(), source)
+		out[i] = fmt.Sprintf("%s:%s:%d:%s", p.ID, p.Reason, p.Age.Milliseconds(), source)
 	}
 	return strings.Join(out, " ")
 }
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -15,8 +15,8 @@
 var (
 	// ErrNoRun says that the engine runs no such request now: it has not begun, or has ended.
 	ErrNoRun = errors.New("gateway: no such run")
-	// ErrNoRoom says that the destination has no room or can't be reached by the source.
-	ErrNoRoom = errors.New("gateway: no room for a copy")
+	// ErrNoCapacity says that the destination has no room or can't be reached by the source.
+	ErrNoCapacity = errors.New("gateway: no room for a copy")
 )
 
 const (
@@ -40,9 +40,9 @@
 	domainWeight = 0.5
 )
 
-// MoveOff moves the runs of targets that are leaving to other engines. It returns at once. Targets of one service that
+// MoveRuns moves the runs of targets that are leaving to other engines. It returns at once. Targets of one service that
 // leave together are planned together: their runs share the links of the same destinations.
-func (g *Gateway) MoveOff(targets []fleet.Info) {
+func (g *Gateway) MoveRuns(targets []fleet.Info) {
 	t := g.table.Load()
 	if t == nil {
 		return
@@ -103,7 +103,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), planTimeout)
 	defer cancel()
-	planned, err := g.Owners.Plan(ctx, leaving)
+	planned, err := g.Owners.RequestMoves(ctx, leaving)
 	if err != nil {
 		g.Log.Warn("moves_planned_alone", svc.Name, err)
 		return moveplan.Plan(runs, engines, g.destinations(svc.Name, from), linkOf(svc.Engine))
@@ -137,7 +137,7 @@
 // destinations lists the engines that the runs of leaving ones can go to.
 func (g *Gateway) destinations(service string, leaving map[string]fleet.Info) []moveplan.Engine {
 	var out []moveplan.Engine
-	for _, room := range g.Fleet.Rooms(time.Now(), service, nil) {
+	for _, room := range g.Fleet.MoveCandidates(time.Now(), service, nil) {
 		if leaving[room.ID].ID == "" {
 			out = append(out, moveplan.Engine{ID: room.ID, Domain: room.Domain, Free: room.Free})
 		}
@@ -152,7 +152,7 @@
 	if e.KVBytes <= 0 {
 		return moveplan.Link{}
 	}
-	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, FarFactor: farFactor}
+	return moveplan.Link{TokensPerSecond: e.LinkMbps * 1e6 / 8 / e.KVBytes, CrossDomainFactor: farFactor}
 }
 
 // move copies a run to another engine while it goes on, stops it once little is left to copy, and hands the copy over.
@@ -161,7 +161,7 @@
 	// The room is booked before the run's turn on the links, so that neither this instance nor its peers send new streams
 	// there meanwhile: a run that moves in goes before all that wait at an engine, and these would be late.
 	need := g.moveNeed(r, from, without)
-	need.Must, need.Found = g.Owners == nil, true // an owner that has chosen the destination knows better what it holds
+	need.RequireMemory, need.FoundByOwner = g.Owners == nil, true // an owner that has chosen the destination knows better what it holds
 	to, booked := g.bookAt(r, step.To, need)
 	if step.Start > 0 {
 		time.Sleep(min(step.Start, maxStart))
@@ -202,7 +202,7 @@
 // moveNeed is what a run asks of a destination.
 func (g *Gateway) moveNeed(r *run, from fleet.Info, without map[string]bool) fleet.Need {
 	return fleet.Need{
-		Service: from.Service, Tokens: r.size().Tokens, Without: without, Near: from.Domain, AwayCost: domainWeight, Must: true,
+		Service: from.Service, Tokens: r.size().Tokens, Exclude: without, PreferredDomain: from.Domain, CrossDomainCost: domainWeight, RequireMemory: true,
 		Regions: g.regions(r.c),
 	}
 }
@@ -223,7 +223,7 @@
 	for calm := false; !calm && time.Since(notice) < moveBy; {
 		start := time.Now()
 		if _, err = g.copyRun(from, to, r.c.id, false); err != nil {
-			if errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoRoom) {
+			if errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity) {
 				g.dropCopy(r, from)
 			}
 			return err
@@ -241,7 +241,7 @@
 	if g.Fleet.Evacuated(to.Domain) {
 		// Nothing may be sent there any more: a run that is stopped for it would be lost where its source may get nothing either.
 		g.dropCopy(r, from)
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
 	ch := r.stopFor(from.ID)
 	if ch == nil {
@@ -259,7 +259,7 @@
 	case last.Handle != "":
 		// The run has stopped, and its memory is at the source only.
 		r.handOver(ch, next{target: from, copyFrom: from.Addr + "/" + last.Handle})
-	case errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrNoRun) || errors.Is(err, ErrNoCapacity):
 		r.goOn(ch)
 	default:
 		// The source ended before the last part. The run's connection has ended with it.
--- a/lib/gateway/news.go
+++ b/lib/gateway/news.go
@@ -12,7 +12,7 @@
 // changed tells that what runs here has changed, so that owners should hear of it.
 func (g *Gateway) changed() {
 	if g.Owners != nil {
-		g.Owners.Changed()
+		g.Owners.ScheduleReport()
 	}
 }
 
@@ -22,7 +22,7 @@
 	defer r.mu.Unlock()
 	held := r.c.prompt + r.made
 	return moveplan.Run{
-		ID: rendezvous.Hash(r.c.id), From: r.target.ID, Tokens: held, Expected: max(0, r.counted.Tokens-held), Unread: r.made == 0,
+		ID: rendezvous.Hash(r.c.id), From: r.target.ID, Tokens: held, Expected: max(0, r.counted.Tokens-held), Prefilling: r.made == 0,
 	}
 }
 
@@ -38,7 +38,7 @@
 func (r *run) grows() fleet.Size {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fleet.Size{Now: r.c.prompt + r.made, Left: max(0, r.c.output-r.made)}
+	return fleet.Size{Held: r.c.prompt + r.made, Remaining: max(0, r.c.output-r.made)}
 }
 
 // sizesOn lists the sizes of this instance's runs and copies on an engine.
@@ -49,7 +49,7 @@
 			out = append(out, r.grows())
 		}
 		if n := r.holds(target); n > 0 {
-			out = append(out, fleet.Size{Now: n})
+			out = append(out, fleet.Size{Held: n})
 		}
 	})
 	return out
@@ -72,8 +72,8 @@
 func (r *run) told(target string) owner.Run {
 	m := r.moving()
 	return owner.Run{
-		ID: m.ID, Target: target, Tokens: m.Tokens, Expected: m.Expected, Unread: r.size().Unread, Left: r.grows().Left,
-		Stays: r.stays(), Silent: time.Since(r.lastHeard()),
+		ID: m.ID, Target: target, Tokens: m.Tokens, Expected: m.Expected, Unread: r.size().Unread, Remaining: r.grows().Remaining,
+		Pinned: r.stays(), SinceContact: time.Since(r.lastHeard()),
 	}
 }
 
--- a/lib/gateway/notice.go
+++ b/lib/gateway/notice.go
@@ -16,8 +16,8 @@
 // metricNotices counts what targets say of themselves in answers, when it begins, changes or ends.
 const metricNotices = "anvilwick_gateway_notices_total"
 
-// AnswerReader is told of an answer of a target, to a request or call that was sent at asked.
-type AnswerReader func(target fleet.Info, resp *wirehttp.Response, asked time.Time)
+// ResponseHook is told of an answer of a target, to a request or call that was sent at asked.
+type ResponseHook func(target fleet.Info, resp *wirehttp.Response, asked time.Time)
 
 // ReadNotices takes in what an answer says of its target, to a request or call that was sent at asked.
 func (g *Gateway) ReadNotices(target fleet.Info, resp *wirehttp.Response, asked time.Time) {
@@ -37,7 +37,7 @@
 	}
 	now := time.Now()
 	rest := retry.After(resp.Header, now)
-	if rest <= 0 || !g.Fleet.Rest(now, target, now.Add(rest)) {
+	if rest <= 0 || !g.Fleet.BackOff(now, target, now.Add(rest)) {
 		return
 	}
 	g.Log.Rests(target, rest)
@@ -47,7 +47,7 @@
 // readLeaving takes in that a target says that it leaves. The list of targets may tell it much later: while the store is away, only
 // answers do.
 func (g *Gateway) readLeaving(target fleet.Info, h http.Header) {
-	if v := strings.TrimSpace(h.Get(g.Names.Leaving)); v == "" || v == "0" || g.Left == nil {
+	if v := strings.TrimSpace(h.Get(g.Names.Leaving)); v == "" || v == "0" || g.OnLeaving == nil {
 		return
 	}
 	if g.Fleet.IsLeaving(target.ID) {
@@ -55,7 +55,7 @@
 	}
 	g.Log.SaysItLeaves(target)
 	metrics.GetOrCreateCounter(metricNotices + `{notice="leaving"}`).Inc()
-	g.Left(target)
+	g.OnLeaving(target)
 }
 
 func (g *Gateway) readLimit(target fleet.Info, h http.Header, asked time.Time) {
@@ -66,9 +66,9 @@
 	if !ok {
 		return
 	}
-	changed := g.Fleet.TakeLimit(target.ID, fleet.LimitWord{Limit: limit, Asked: asked, Heard: time.Now()})
+	changed := g.Fleet.ApplyLimit(target.ID, fleet.LimitNotice{Limit: limit, RequestedAt: asked, ReceivedAt: time.Now()})
 	if g.Owners != nil && (limit.On || changed) {
-		g.Owners.Limited(target, changed)
+		g.Owners.ReportLimit(target, changed)
 	}
 	if !changed {
 		return
--- a/lib/gateway/notice_test.go
+++ b/lib/gateway/notice_test.go
@@ -63,12 +63,12 @@
 	turnsAway(target, 421, "9")
 	turnsAway(target, 200, "9")
 	turnsAway(fleet.Info{ID: "t", Service: "s", Born: 1}, 503, "9")
-	must.False(t, g.Fleet.Resting(time.Now(), "t"))
+	must.False(t, g.Fleet.InBackoff(time.Now(), "t"))
 	turnsAway(target, 503, "9")
 	turnsAway(target, 503, "0.1")
-	must.True(t, g.Fleet.Resting(time.Now().Add(8*time.Second), "t"))
-	must.False(t, g.Fleet.Resting(time.Now().Add(9*time.Second), "t"))
+	must.True(t, g.Fleet.InBackoff(time.Now().Add(8*time.Second), "t"))
+	must.False(t, g.Fleet.InBackoff(time.Now().Add(9*time.Second), "t"))
 	target.Born = 3
 	g.Fleet.Apply(time.Now(), []fleet.Info{target}, nil, 0)
-	must.False(t, g.Fleet.Resting(time.Now(), "t"))
+	must.False(t, g.Fleet.InBackoff(time.Now(), "t"))
 }
--- a/lib/gateway/permit.go
+++ b/lib/gateway/permit.go
@@ -31,23 +31,23 @@
 	}
 	p, outcome := g.permit(ctx, t)
 	countPermit(outcome)
-	if !p.Given {
-		g.Fleet.HoldOff(time.Now(), t.ID, p.After)
+	if !p.Granted {
+		g.Fleet.HoldOff(time.Now(), t.ID, p.RetryAfter)
 	}
-	return p.Given
+	return p.Granted
 }
 
 func (g *Gateway) permit(ctx context.Context, t fleet.Info) (p fleet.Permit, outcome string) {
 	if g.Owners != nil {
-		p, err := g.Owners.Permit(ctx, t, false)
+		p, err := g.Owners.RequestPermit(ctx, t, false)
 		switch {
-		case err == nil && p.Given:
+		case err == nil && p.Granted:
 			return p, "given"
 		case err == nil:
 			return p, "denied"
 		}
 	}
-	return g.Fleet.PermitAlone(time.Now(), t.ID), "alone"
+	return g.Fleet.PermitWithoutOwner(time.Now(), t.ID), "alone"
 }
 
 // forced counts a request that is sent whatever its target's limit says: without it a run would be lost.
@@ -58,7 +58,7 @@
 	countPermit("forced")
 	go func() {
 		// Nobody waits for the answer: without one the owner does not know of this one request.
-		_, _ = g.Owners.Permit(context.Background(), t, true)
+		_, _ = g.Owners.RequestPermit(context.Background(), t, true)
 	}()
 }
 
--- a/lib/gateway/permit_test.go
+++ b/lib/gateway/permit_test.go
@@ -16,7 +16,7 @@
 	target := fleet.Info{ID: "t", Service: "s", Slots: 6}
 	now := time.Now()
 	g.Fleet.Apply(now, []fleet.Info{target}, nil, 0)
-	g.Fleet.TakeLimit("t", fleet.LimitWord{Limit: fleet.Limit{On: true, PerSecond: perSecond}, Asked: now, Heard: now})
+	g.Fleet.ApplyLimit("t", fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: perSecond}, RequestedAt: now, ReceivedAt: now})
 	return g, target
 }
 
--- a/lib/gateway/place.go
+++ b/lib/gateway/place.go
@@ -41,17 +41,17 @@
 // the stream's wait for room.
 func (r *run) awaitRest(ctx context.Context, need fleet.Need) bool {
 	now := time.Now()
-	stand := r.g.Fleet.Stand(now, need)
+	stand := r.g.Fleet.Availability(now, need)
 	if !stand.Blocked() {
 		return true
 	}
 	s := r.stream(need)
-	if now.Add(stand.Soonest).After(s.Due()) {
+	if now.Add(stand.RetryAfter).After(s.WaitDeadline()) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(stand.Soonest):
+	case <-time.After(stand.RetryAfter):
 	}
 	return true
 }
@@ -59,23 +59,23 @@
 // stream is the run as a stream that waits for an engine.
 func (r *run) stream(need fleet.Need) admit.Stream {
 	need.Peak = r.grows()
-	return admit.Stream{Arrived: r.c.arrived, Aim: r.c.route.Aim, Keeps: r.c.wait(time.Until(r.c.deadline)), Need: need}
+	return admit.Stream{Arrived: r.c.arrived, Objective: r.c.route.Aim, MaxRetryAfter: r.c.wait(time.Until(r.c.deadline)), Need: need}
 }
 
 // placeByOwner lets the owner decide; ok is false when this instance has to. A stream that a target has turned back takes
 // any target.
 func (r *run) placeByOwner(ctx context.Context, need fleet.Need) (to next, away time.Duration, ok bool) {
-	without := make(map[string]bool, len(need.Without))
-	for id := range need.Without {
+	without := make(map[string]bool, len(need.Exclude))
+	for id := range need.Exclude {
 		without[id] = true
 	}
 	for _, id := range r.g.Fleet.Avoided(time.Now(), need.Service) {
 		without[id] = true
 	}
 	for range maxUnknown {
-		need.Without, need.Granted = without, false
-		need.Near = r.g.Fleet.Domain()
-		a := owner.Ask{Run: rendezvous.Hash(r.c.id), Print: r.c.print, Stream: r.stream(need)}
+		need.Exclude, need.Granted = without, false
+		need.PreferredDomain = r.g.Fleet.Domain()
+		a := owner.PlaceRequest{Run: rendezvous.Hash(r.c.id), Fingerprint: r.c.print, Stream: r.stream(need)}
 		if r.c.sends > 0 {
 			a.Mode = owner.Any
 		}
@@ -84,14 +84,14 @@
 		}
 		answer, err := r.g.Owners.Place(ctx, a)
 		switch {
-		case err != nil || answer.Action == admit.None:
+		case err != nil || answer.Action == admit.Fallback:
 			return next{}, 0, false
-		case answer.Action == admit.Away:
+		case answer.Action == admit.RetryLater:
 			return next{}, max(answer.After, time.Millisecond), true
 		}
 		need.Granted = true
 		if target, known := r.g.Fleet.AcquireAt(time.Now(), answer.Target, need); known {
-			r.believed = answer.Belief
+			r.believed = answer.Estimate
 			return next{target: target, owned: true, backup: answer.Backup}, 0, true
 		}
 		without[answer.Target] = true
@@ -104,10 +104,10 @@
 	if r.c.sends == 0 {
 		d := r.await(ctx, need)
 		switch d.Action {
-		case admit.Go:
+		case admit.Admit:
 			return d.Target, 0
-		case admit.Away:
-			return fleet.Info{}, d.After
+		case admit.RetryLater:
+			return fleet.Info{}, d.RetryAfter
 		}
 	}
 	target, _ = r.g.acquire(ctx, r.c, need)
@@ -118,10 +118,10 @@
 func (r *run) await(ctx context.Context, need fleet.Need) admit.Decision {
 	s := r.stream(need)
 	p := r.g.placer
-	p.Take = func(_ time.Time, need fleet.Need) (fleet.Info, bool) { return r.g.take(ctx, need) }
+	p.Acquire = func(_ time.Time, need fleet.Need) (fleet.Info, bool) { return r.g.take(ctx, need) }
 	d := p.Step(time.Now(), s)
 	for d.Action == admit.Wait && ctx.Err() == nil {
-		time.Sleep(admit.Poll)
+		time.Sleep(admit.PollInterval)
 		d = p.Step(time.Now(), s)
 	}
 	return d
--- a/lib/gateway/places_test.go
+++ b/lib/gateway/places_test.go
@@ -28,7 +28,7 @@
 	e, x := r.runOn(context.Background(), next{target: got, copyFrom: "10.0.0.1:1/h"})
 	must.Eq(t, endUnsent, e)
 	must.ErrorIs(t, x.err, errEvacuated)
-	g.Fleet.Return(time.Now(), "z")
+	g.Fleet.EndEvacuation(time.Now(), "z")
 	conn, err := g.connect(context.Background(), got)
 	must.NoError(t, err)
 	conn.Close()
@@ -68,14 +68,14 @@
 	last int
 }
 
-func (c *lastCopies) Copy(_ context.Context, _, _ fleet.Info, _ string, last bool) (Moved, error) {
+func (c *lastCopies) Copy(_ context.Context, _, _ fleet.Info, _ string, last bool) (CopyResult, error) {
 	if last {
 		c.last++
 	}
-	return Moved{Handle: "h"}, nil
+	return CopyResult{Handle: "h"}, nil
 }
 
-func (c *lastCopies) Free(context.Context, fleet.Info, string) error { return nil }
+func (c *lastCopies) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
 // A run has a copy at an engine whose domain is emptied before the last part. Stopped for it, the run could go on at neither end where
 // its source may get nothing, too; it is not stopped, and its room there is given up.
@@ -91,8 +91,8 @@
 	must.True(t, ok)
 	r.keepCopy(from, next{target: to, copyFrom: "addr/h"})
 	g.Fleet.Evacuate("b")
-	must.ErrorIs(t, g.lastPart(r, from, to, fleet.Load{Tokens: 10}), ErrNoRoom)
+	must.ErrorIs(t, g.lastPart(r, from, to, fleet.Load{Tokens: 10}), ErrNoCapacity)
 	must.Eq(t, 0, engines.last)
-	must.MapEmpty(t, g.Fleet.Own())
+	must.MapEmpty(t, g.Fleet.LocalLoads())
 	must.True(t, r.on("from"))
 }
--- a/lib/gateway/plain.go
+++ b/lib/gateway/plain.go
@@ -39,19 +39,19 @@
 	var last *exchange
 	dials := 0
 	for {
-		target, ok := g.acquire(ctx, c, fleet.Need{Service: c.service, Without: c.tried, Regions: g.regions(c)})
+		target, ok := g.acquire(ctx, c, fleet.Need{Service: c.service, Exclude: c.tried, Regions: g.regions(c)})
 		if !ok {
 			break
 		}
 		run := g.poison.Started(target.ID, c.print)
-		believed := g.Fleet.Believe(time.Now(), target.ID)
+		believed := g.Fleet.KnownState(time.Now(), target.ID)
 		x := g.send(ctx, c, target, c.route.MayRepeat() && c.sends+1 < c.route.MaxAttempts)
 		g.ended(run, target, x.verdict == verdictGood, x.sent && x.err != nil && ctx.Err() == nil)
 		c.tried[target.ID] = true
 		outcome := x.outcome(ctx)
 		g.Fleet.Release(time.Now(), target.ID, fleet.Load{}, outcome)
 		if g.Owners != nil {
-			g.Owners.PlainOutcome(c.service, target.ID, outcome)
+			g.Owners.RecordPlainOutcome(c.service, target.ID, outcome)
 		}
 		g.Log.Sent(c.entry(), target.ID, believed, x.statusCode(), x.verdict.String(), x.err)
 		c.count(metricSent, "outcome", x.verdict.String())
@@ -91,7 +91,7 @@
 		if ok || c.sends > 0 || !g.Fleet.Settling(time.Now()) || time.Now().After(until) || ctx.Err() != nil {
 			return target, ok
 		}
-		if stand := g.Fleet.Stand(time.Now(), need); stand.Blocked() {
+		if stand := g.Fleet.Availability(time.Now(), need); stand.Blocked() {
 			return target, false // the list has targets, and no wait for others is worth the caller's time
 		}
 		time.Sleep(listPoll)
--- a/lib/gateway/poison.go
+++ b/lib/gateway/poison.go
@@ -67,8 +67,8 @@
 	g.poison.Lost(time.Now(), run, 1)
 }
 
-// BlameNews has a value when there are blames that peers have not been told.
-func (g *Gateway) BlameNews() <-chan struct{} { return g.poison.News() }
+// BlamesChanged has a value when there are blames that peers have not been told.
+func (g *Gateway) BlamesChanged() <-chan struct{} { return g.poison.News() }
 
 // Blames lists what peers should know of contents that were aboard dying targets.
 func (g *Gateway) Blames() []*ownerpb.Blame {
@@ -85,8 +85,8 @@
 	return out
 }
 
-// TakeBlames takes in what a peer tells.
-func (g *Gateway) TakeBlames(blames []*ownerpb.Blame) {
+// MergeBlames takes in what a peer tells.
+func (g *Gateway) MergeBlames(blames []*ownerpb.Blame) {
 	if len(blames) == 0 {
 		return
 	}
--- a/lib/gateway/relay.go
+++ b/lib/gateway/relay.go
@@ -10,10 +10,10 @@
 )
 
 // learnReading learns how fast prompts are read, here and at the owner.
-func (g *Gateway) learnReading(m owner.Reading) {
-	g.placer.Reading.Saw(m.Service, m.Unread, m.Took)
+func (g *Gateway) learnReading(m owner.PrefillSample) {
+	g.placer.Prefill.Observe(m.Service, m.Unread, m.Took)
 	if g.Owners != nil {
-		g.Owners.Reading(m)
+		g.Owners.RecordPrefill(m)
 	}
 }
 
@@ -94,7 +94,7 @@
 		r.g.copyHead(r.w, resp.Header)
 		r.w.WriteHeader(resp.Status)
 		r.firstAt = time.Now()
-		r.g.learnReading(owner.Reading{Service: r.c.service, Unread: r.believed.Load.Unread, Took: r.firstAt.Sub(r.sentAt)})
+		r.g.learnReading(owner.PrefillSample{Service: r.c.service, Unread: r.believed.Load.Unread, Took: r.firstAt.Sub(r.sentAt)})
 		r.g.Log.Begun(r.c.entry(), r.at().ID, r.waited)
 		r.c.observe(metricFirst)
 	}
--- a/lib/gateway/run.go
+++ b/lib/gateway/run.go
@@ -18,12 +18,12 @@
 	begun    bool   // the caller has the head of the answer
 	lastID   string // of the last event that the caller has
 	events   int
-	firstAt  time.Time     // when the answer began
-	passed   time.Time     // when the last event went to the caller
-	believed fleet.Belief  // what the choice of its target rested on
-	sentAt   time.Time     // when it was last sent
-	waited   time.Duration // for an engine, before the first send
-	pause    time.Duration // longest time between two events
+	firstAt  time.Time        // when the answer began
+	passed   time.Time        // when the last event went to the caller
+	believed fleet.KnownState // what the choice of its target rested on
+	sentAt   time.Time        // when it was last sent
+	waited   time.Duration    // for an engine, before the first send
+	pause    time.Duration    // longest time between two events
 
 	heardTwice bool // a target has sent events that the caller had
 
@@ -42,7 +42,7 @@
 // need is what the run asks of a target now.
 func (r *run) need() fleet.Need {
 	return fleet.Need{
-		Service: r.c.service, Tokens: r.c.prompt + r.c.output/2, Unread: r.c.prompt, Without: r.c.tried, Regions: r.g.regions(r.c),
+		Service: r.c.service, Tokens: r.c.prompt + r.c.output/2, Unread: r.c.prompt, Exclude: r.c.tried, Regions: r.g.regions(r.c),
 	}
 }
 
@@ -72,7 +72,7 @@
 	r.mu.Unlock()
 	r.g.Fleet.Release(time.Now(), x.target.ID, counted, e.outcome())
 	if r.g.Owners != nil {
-		r.g.Owners.Outcome(x.target.ID, e.outcome())
+		r.g.Owners.RecordOutcome(x.target.ID, e.outcome())
 	}
 	r.g.changed()
 }
@@ -126,7 +126,7 @@
 	id := r.target.ID
 	r.mu.Unlock()
 	if by != (fleet.Load{}) {
-		r.g.Fleet.Grow(id, by)
+		r.g.Fleet.AddLoad(id, by)
 	}
 	if by.Unread != 0 {
 		r.g.changed()
--- a/lib/gateway/sends.go
+++ b/lib/gateway/sends.go
@@ -52,8 +52,8 @@
 	return out
 }
 
-// Restarted ends what is open on earlier lives of a target, and forgets the copies that these held.
-func (g *Gateway) Restarted(t fleet.Info) {
+// TargetRestarted ends what is open on earlier lives of a target, and forgets the copies that these held.
+func (g *Gateway) TargetRestarted(t fleet.Info) {
 	for _, runs := range g.runs.all() {
 		for _, r := range runs {
 			r.forgetCopiesAt(t.ID)
--- a/lib/gateway/stream.go
+++ b/lib/gateway/stream.go
@@ -71,7 +71,7 @@
 			c.tried[to.target.ID] = true
 		}
 		if !to.owned {
-			r.believed = g.Fleet.Believe(time.Now(), to.target.ID)
+			r.believed = g.Fleet.KnownState(time.Now(), to.target.ID)
 		}
 		e, x := r.runOn(ctx, to)
 		g.Log.Sent(c.entry(), to.target.ID, r.believed, x.statusCode(), e.String(), x.err)
@@ -231,7 +231,7 @@
 	}
 	x.verdict = r.g.judge(x.resp)
 	r.g.ReadNotices(to.target, x.resp, r.sentAt)
-	r.g.Fleet.Heard(time.Now(), to.target.ID)
+	r.g.Fleet.RecordContact(time.Now(), to.target.ID)
 	switch x.verdict {
 	case verdictGood:
 		return r.relay(x)
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -78,13 +78,13 @@
 // alive reports whether the run's target is heard on some run, of this instance or, by what the owner was told, of another.
 func (w *watch) alive() bool {
 	g := w.r.g
-	at := g.Fleet.LastHeard(w.target)
+	at := g.Fleet.LastContact(w.target)
 	silent := time.Since(w.r.lastHeard()) >= w.r.patience()
 	if silent && time.Since(at) >= aliveFor && g.Owners != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), heardTimeout)
 		defer cancel()
 		// Without an answer this instance goes by its own runs.
-		if told, err := g.Owners.LastHeard(ctx, w.target); err == nil && told.After(at) {
+		if told, err := g.Owners.LastContact(ctx, w.target); err == nil && told.After(at) {
 			at = told
 		}
 	}
@@ -108,7 +108,7 @@
 	r.last = now
 	r.mu.Unlock()
 	if begun {
-		r.g.Fleet.Heard(now, target)
+		r.g.Fleet.RecordContact(now, target)
 	}
 }
 
--- a/lib/gatewayproc/evacuate.go
+++ b/lib/gatewayproc/evacuate.go
@@ -23,7 +23,7 @@
 			at = log.Warn().Bool("unknown_domain", true)
 		}
 		if row.Removed {
-			p.fleet.Return(time.Now(), domain)
+			p.fleet.EndEvacuation(time.Now(), domain)
 		} else {
 			p.fleet.Evacuate(domain)
 		}
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -75,7 +75,7 @@
 			{Name: instancesTable, Source: p.site.Instances, Replica: p.feeds.instances, Options: instanceOptions},
 		},
 		MaxAge: maxAge, Node: node, Place: p.place, Fail: p.feedFailed(), From: p.feedFrom,
-		Ranks: p.ranksOf, TakeRanks: p.takeRanks, Write: p.writeRows, News: p.link.TakeSpread,
+		Ranks: p.ranksOf, TakeRanks: p.takeRanks, Write: p.writeRows, News: p.link.ReceiveBroadcast,
 	})
 	feedlink.Serve(node, p.track)
 	listen := p.cfg.Network.Listen
@@ -174,9 +174,9 @@
 		p.refused.clear(row.Key)
 		entries = append(entries, info)
 	}
-	p.fleet.Unreadable(unreadable)
+	p.fleet.MarkUnreadable(unreadable)
 	now := time.Now()
-	p.changed(p.fleet.Lapse(now, lapsed))
+	p.changed(p.fleet.PresumeGone(now, lapsed))
 	p.changed(p.fleet.Apply(now, entries, removed, u.Silent))
 	p.changed(p.fleet.Drop(now, u.Dropped))
 	p.mu.Lock()
@@ -190,13 +190,13 @@
 	logTargets(log.WarnLevel, "target_restarted", ch.Restarted)
 	logTargets(log.InfoLevel, "target_leaving", ch.Leaving)
 	for _, t := range ch.Restarted {
-		p.gate.Restarted(t)
+		p.gate.TargetRestarted(t)
 	}
-	p.link.TellRestarted(ch.Restarted)
+	p.link.NotifyRestarted(ch.Restarted)
 	p.divide(ch)
 	if len(ch.Leaving) > 0 {
-		p.link.Leaving(ch.Leaving)
-		p.gate.MoveOff(ch.Leaving)
+		p.link.PlanLeaving(ch.Leaving)
+		p.gate.MoveRuns(ch.Leaving)
 	}
 }
 
@@ -211,7 +211,7 @@
 		case now := <-t.C:
 			p.changed(p.fleet.Tick(now))
 			p.site.Pool.Sweep(now)
-			if p.fleet.Lacks() {
+			if p.fleet.HasMissing() {
 				t.Reset(tickEvery)
 			} else {
 				t.Reset(tickIdle)
--- a/lib/gatewayproc/member.go
+++ b/lib/gatewayproc/member.go
@@ -40,7 +40,7 @@
 func (m *Member) Known() Known {
 	return Known{
 		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Part: m.p.feeds.targets.Part(),
-		Role: m.p.place().Role, Owns: len(m.p.link.Owned()),
+		Role: m.p.place().Role, Owns: len(m.p.link.OwnedEngines()),
 	}
 }
 
@@ -48,6 +48,6 @@
 func (m *Member) Takes(target string) bool { return !m.p.fleet.IsLeaving(target) }
 
 // Place asks for an engine, as for a stream.
-func (m *Member) Place(ctx context.Context, a owner.Ask) (owner.Answer, error) {
+func (m *Member) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
 	return m.p.link.Place(ctx, a)
 }
--- a/lib/gatewayproc/parts.go
+++ b/lib/gatewayproc/parts.go
@@ -62,11 +62,11 @@
 // needOf is what an instance needs of the targets of a layout.
 func needOf(f *fleet.Fleet, layout *owner.Layout, instance, domain string) *need {
 	n := &need{fleet: f, layout: layout, shards: make(map[*owner.Shard]bool), plain: make(map[string]map[string]part)}
-	for _, s := range layout.RankedBy(instance) {
+	for _, s := range layout.CandidateShards(instance) {
 		n.shards[s] = true
 	}
 	for _, service := range layout.Services() {
-		n.shards[layout.Home(service, domain, instance)] = true
+		n.shards[layout.HomeShard(service, domain, instance)] = true
 	}
 	for service := range layout.Plain() {
 		if ready := f.Ready(service); sum(ready) > plainMost {
@@ -104,7 +104,7 @@
 func partOf(instance, domain string, ready map[string]int) map[string]part {
 	own := rendezvous.Hash(instance)
 	domains := slices.SortedFunc(maps.Keys(ready), func(a, b string) int {
-		if order := owner.Before(a == domain, b == domain); order != 0 {
+		if order := owner.CompareTrueFirst(a == domain, b == domain); order != 0 {
 			return order
 		}
 		if rendezvous.Rank(own, rendezvous.Hash(a)) > rendezvous.Rank(own, rendezvous.Hash(b)) {
@@ -152,7 +152,7 @@
 	if !known {
 		return true
 	}
-	if s := n.layout.Of(t); s != nil {
+	if s := n.layout.ShardOf(t); s != nil {
 		return n.shards[s]
 	}
 	parts, divided := n.plain[t.Service]
@@ -206,7 +206,7 @@
 
 // holdsPart notes whether this instance holds a part of the targets.
 func (p *Process) holdsPart(part bool) {
-	p.fleet.SetPart(part)
+	p.fleet.SetPartial(part)
 	if !part {
 		p.shards.setDivision(nil)
 	}
--- a/lib/gatewayproc/parts_test.go
+++ b/lib/gatewayproc/parts_test.go
@@ -84,7 +84,7 @@
 	for _, id := range d.held("i0", "z0")["llm"] {
 		held[id] = true
 	}
-	ranked := d.layout.RankedBy("i0")
+	ranked := d.layout.CandidateShards("i0")
 	must.SliceNotEmpty(t, ranked)
 	for _, s := range ranked {
 		for _, id := range s.Engines() {
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -84,22 +84,22 @@
 	}
 	link, err := ownerlink.New(ownerlink.Config{
 		Self: p.self(), Incarnation: p.born, Fleet: p.fleet, Conn: conn,
-		Desk: owner.NewDesk(p.cfg.Instance, p.fleet, p.gate.Readings(), time.Now()),
+		Coordinator: owner.NewCoordinator(p.cfg.Instance, p.fleet, p.gate.Readings(), time.Now()),
 		Gather: func(shardOf func(string) *owner.Shard) map[string]owner.Report {
-			return owner.ByShard(shardOf, p.gate.Runs(), p.gate.Held())
+			return owner.ByShard(shardOf, p.gate.Runs(), p.gate.HeldMemory())
 		},
-		Moves: p.gate.MoveLink,
-		Left:  p.left,
+		MoveLink: p.gate.MoveLink,
+		OnLeft:   p.left,
 
-		Restarted: func(id string, born int64) { p.changed(p.fleet.Restart(time.Now(), id, born)) },
-		Granted:   func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
-		Part:      p.feeds.targets.Part,
-		Spread:    func(b []byte) { p.track.Tell(b) },
-		Blames:    p.gate.TakeBlames,
-		Suspected: func(target string, permille uint32) {
+		OnRestarted:    func(id string, born int64) { p.changed(p.fleet.MarkRestarted(time.Now(), id, born)) },
+		OnGranted:      func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
+		HasPartialList: p.feeds.targets.Part,
+		Broadcast:      func(b []byte) { p.track.Tell(b) },
+		OnBlames:       p.gate.MergeBlames,
+		OnSuspected: func(target string, permille uint32) {
 			log.Warn().Str("event", "target_suspected").Str("target", target).Uint32("failing_permille", permille).Msg("")
 		},
-		Bad: func(cause string, err error) {
+		OnBadDatagram: func(cause string, err error) {
 			logline.Cause(log.Warn().Str("event", "bad_datagram").Str("cause", cause), err)
 		},
 	})
@@ -114,7 +114,7 @@
 
 // left takes in that a life of a target was seen to leave, and reports whether that is news.
 func (p *Process) left(id string, born int64) bool {
-	ch := p.fleet.Leave(time.Now(), id, born)
+	ch := p.fleet.MarkLeaving(time.Now(), id, born)
 	p.changed(ch)
 	return len(ch.Leaving) > 0
 }
@@ -123,7 +123,7 @@
 // away.
 func (p *Process) leftByAnswer(t fleet.Info) {
 	if p.left(t.ID, t.Born) {
-		p.link.TellLeft(t)
+		p.link.NotifyLeaving(t)
 	}
 }
 
@@ -140,7 +140,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.gate.BlameNews():
+		case <-p.gate.BlamesChanged():
 		}
 		for _, pause := range []time.Duration{blamesGap, blamesAgain} {
 			select {
@@ -149,7 +149,7 @@
 			case <-time.After(pause):
 			}
 			if blames := p.gate.Blames(); len(blames) > 0 {
-				p.link.TellBlames(blames)
+				p.link.BroadcastBlames(blames)
 			}
 		}
 	}
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -72,7 +72,7 @@
 	Pool    *wirehttp.Pool
 	Engines gateway.Engines
 	// HearEngines sets who is told of each answer to the calls of Engines.
-	HearEngines func(gateway.AnswerReader)
+	HearEngines func(gateway.ResponseHook)
 
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
@@ -164,7 +164,7 @@
 	p.share = retry.NewShare(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
 	p.gate = gateway.New(gateway.Config{
 		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.share,
-		Log: gateway.Log{Version: p.version, Era: p.era.Load}, Left: p.leftByAnswer,
+		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.leftByAnswer,
 	})
 	site.HearEngines(p.gate.ReadNotices)
 	if err := p.openOwners(); err != nil {
@@ -302,10 +302,10 @@
 	p.mu.Unlock()
 	p.gate.Stop(start.Add(p.cfg.Grace - cutMargin))
 	// Others look for another owner and another reader now, while this one still answers them.
-	p.link.Desk.Leave()
+	p.link.Coordinator.Leave()
 	p.start(func() { p.unregister(context.Background()) })
 	time.Sleep(min(outOfRotation, p.cfg.Grace/2))
-	cut := time.AfterFunc(p.cfg.Grace-time.Since(start)-cutMargin, p.gate.Cut)
+	cut := time.AfterFunc(p.cfg.Grace-time.Since(start)-cutMargin, p.gate.AbortOpen)
 	defer cut.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Grace-time.Since(start)-cutMargin/2)
 	defer cancel()
--- a/lib/gatewayproc/readers.go
+++ b/lib/gatewayproc/readers.go
@@ -95,7 +95,7 @@
 }
 
 func ranksIn(c *owner.Candidates, domain string) ranks {
-	return ranks{Readers: c.First("", rendezvous.Hash(siteKey), readersMax), Relays: relaysIn(c, domain), Serving: serving(c.Count(domain))}
+	return ranks{Readers: c.Top("", rendezvous.Hash(siteKey), readersMax), Relays: relaysIn(c, domain), Serving: serving(c.Count(domain))}
 }
 
 // place is an instance's place by the ranks in its failure domain.
@@ -116,7 +116,7 @@
 
 // relaysIn are the instances that relay in a failure domain, by rank: as many as it takes for its followers, and some that stand by.
 func relaysIn(c *owner.Candidates, domain string) []owner.Instance {
-	return c.First(domain, rendezvous.Hash(domain), max(readersMax, serving(c.Count(domain))))
+	return c.Top(domain, rendezvous.Hash(domain), max(readersMax, serving(c.Count(domain))))
 }
 
 // serving is how many instances relay to so many in a failure domain: one, while those that stand by for it would do for all.
@@ -145,7 +145,7 @@
 	domains := slices.DeleteFunc(c.Domains(), func(d string) bool { return d == domain })
 	var out []mesh.Peer
 	for _, d := range domains[:min(othersMax, len(domains))] {
-		out = append(out, peers("", c.First(d, rendezvous.Hash(d), readersMax))...)
+		out = append(out, peers("", c.Top(d, rendezvous.Hash(d), readersMax))...)
 	}
 	return out
 }
--- a/lib/gatewayproc/watch.go
+++ b/lib/gatewayproc/watch.go
@@ -54,7 +54,7 @@
 			return
 		case <-t.C:
 		}
-		owned := p.link.Owned()
+		owned := p.link.OwnedEngines()
 		if len(owned) == 0 {
 			t.Reset(watchIdle)
 			continue
@@ -65,7 +65,7 @@
 			continue
 		}
 		now := time.Now()
-		for _, id := range round.next(p.fleet.Busy(owned)) {
+		for _, id := range round.next(p.fleet.SplitBusy(owned)) {
 			if e, known := p.fleet.Info(id); known && !p.fleet.IsLeaving(id) && p.mayAsk(now, id, asked) {
 				go p.ask(ctx, e)
 			}
@@ -75,7 +75,7 @@
 
 // mayAsk reports whether an engine may be asked now. One that rests is not, and one that has named a limit is asked less often, and within its limit.
 func (p *Process) mayAsk(now time.Time, engine string, asked map[string]time.Time) bool {
-	if p.fleet.Resting(now, engine) {
+	if p.fleet.InBackoff(now, engine) {
 		return false
 	}
 	if !p.fleet.LimitOf(engine).On {
@@ -85,10 +85,10 @@
 		return false
 	}
 	permit, _ := p.fleet.Permit(now, engine, p.cfg.Instance, false)
-	if permit.Given {
+	if permit.Granted {
 		asked[engine] = now
 	}
-	return permit.Given
+	return permit.Granted
 }
 
 // listLost reports whether a call for the list has failed and none has succeeded since, here or at the reader.
@@ -111,8 +111,8 @@
 		return
 	}
 	now := time.Now()
-	p.changed(p.fleet.Restart(now, e.ID, r.Born))
+	p.changed(p.fleet.MarkRestarted(now, e.ID, r.Born))
 	if r.Leaving {
-		p.changed(p.fleet.Leave(now, e.ID, r.Born))
+		p.changed(p.fleet.MarkLeaving(now, e.ID, r.Born))
 	}
 }
--- a/lib/length/estimator.go
+++ b/lib/length/estimator.go
@@ -105,8 +105,8 @@
 	return g
 }
 
-// Passed records that a running output of g, last known to have from tokens, now has to tokens.
-func (e *Estimator) Passed(g Group, from, to int) {
+// ObserveProgress records that a running output of g, last known to have from tokens, now has to tokens.
+func (e *Estimator) ObserveProgress(g Group, from, to int) {
 	first, last := bucketOf(from), bucketOf(to)
 	if first == last {
 		return
@@ -122,9 +122,9 @@
 	}
 }
 
-// Ended records that an output of g, last known to have from tokens, ended with total tokens.
-func (e *Estimator) Ended(g Group, from, total int) {
-	e.Passed(g, from, total)
+// ObserveEnd records that an output of g, last known to have from tokens, ended with total tokens.
+func (e *Estimator) ObserveEnd(g Group, from, total int) {
+	e.ObserveProgress(g, from, total)
 	b := bucketOf(max(from, total))
 	n := &e.groups[g]
 	c := &e.classes[n.class]
@@ -136,7 +136,7 @@
 }
 
 // Observe records a whole output of total tokens.
-func (e *Estimator) Observe(g Group, total int) { e.Ended(g, 0, total) }
+func (e *Estimator) Observe(g Group, total int) { e.ObserveEnd(g, 0, total) }
 
 // Curve returns the survival function of g. The pointer stays valid until the next call of Group; its content
 // follows what is learnt.
--- a/lib/length/length_test.go
+++ b/lib/length/length_test.go
@@ -68,7 +68,7 @@
 		e.Observe(g, 50)
 	}
 	for range 30 {
-		e.Passed(g, 0, 800)
+		e.ObserveProgress(g, 0, 800)
 	}
 	test.Greater(t, 0.6, e.Curve(g).Reach(700))
 }
@@ -106,7 +106,7 @@
 	for range 300 {
 		e.Observe(g, 200)
 	}
-	e.Passed(g, 0, 5000)
+	e.ObserveProgress(g, 0, 5000)
 	c := e.Curve(g)
 	test.Greater(t, 0, c.Survival(5000, 1000))
 	test.Less(t, 1, c.Survival(5000, 1000))
--- a/lib/moveplan/plan.go
+++ b/lib/moveplan/plan.go
@@ -14,11 +14,11 @@
 
 // Run is a run on an engine that leaves.
 type Run struct {
-	ID       uint64
-	From     string // id of the engine
-	Tokens   int    // of engine memory to copy
-	Expected int    // tokens that it is expected to add, which its destination must hold, too
-	Unread   bool   // its prompt is still being read: there is nothing to copy yet
+	ID         uint64
+	From       string // id of the engine
+	Tokens     int    // of engine memory to copy
+	Expected   int    // tokens that it is expected to add, which its destination must hold, too
+	Prefilling bool   // its prompt is still being read: there is nothing to copy yet
 }
 
 // Engine is one that leaves, or a possible destination.
@@ -30,8 +30,8 @@
 
 // Link is what the engines' links carry.
 type Link struct {
-	TokensPerSecond float64 // within a failure domain
-	FarFactor       float64 // how many times longer a copy takes between failure domains
+	TokensPerSecond   float64 // within a failure domain
+	CrossDomainFactor float64 // how many times longer a copy takes between failure domains
 }
 
 // Step is one run's move.
@@ -74,8 +74,8 @@
 
 // before is the order of runs on one engine: what can be copied now, then small ones.
 func before(a, b Run) int {
-	if a.Unread != b.Unread {
-		if b.Unread {
+	if a.Prefilling != b.Prefilling {
+		if b.Prefilling {
 			return -1
 		}
 		return 1
@@ -131,7 +131,7 @@
 	}
 	s := float64(tokens) / l.TokensPerSecond
 	if !near {
-		s *= l.FarFactor
+		s *= l.CrossDomainFactor
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/lib/moveplan/plan_test.go
+++ b/lib/moveplan/plan_test.go
@@ -9,7 +9,7 @@
 )
 
 var (
-	link    = Link{TokensPerSecond: 10_000, FarFactor: 2}
+	link    = Link{TokensPerSecond: 10_000, CrossDomainFactor: 2}
 	leaving = []Engine{{ID: "x", Domain: "z1"}, {ID: "y", Domain: "z1"}}
 )
 
@@ -24,7 +24,7 @@
 // Small runs go first, one after another, near before far; what can't be copied yet goes last.
 func TestOrderAndDestinations(t *testing.T) {
 	got := Plan(
-		[]Run{{ID: 1, From: "x", Tokens: 3000}, {ID: 2, From: "x", Tokens: 1000}, {ID: 3, From: "x", Tokens: 2000}, {ID: 4, From: "x", Tokens: 10, Unread: true}},
+		[]Run{{ID: 1, From: "x", Tokens: 3000}, {ID: 2, From: "x", Tokens: 1000}, {ID: 3, From: "x", Tokens: 2000}, {ID: 4, From: "x", Tokens: 10, Prefilling: true}},
 		leaving, []Engine{{ID: "near", Free: 3500, Domain: "z1"}, {ID: "far", Free: 9000, Domain: "z2"}}, link,
 	)
 	must.Eq(t, []string{"near", "near", "far"}, []string{got[0].To, got[1].To, got[2].To})
--- a/lib/owner/book.go
+++ b/lib/owner/book.go
@@ -16,9 +16,9 @@
 
 // Values of Mode.
 const (
-	Admit Mode = iota // for a new stream: an engine that has room and reads it in time, or a time to come back
-	Any               // for a run that an engine has turned back or lost: the best engine, however full
-	Room              // for a run that moves: an engine that holds it, or none
+	Admit   Mode = iota // for a new stream: an engine that has room and reads it in time, or a time to come back
+	Any                 // for a run that an engine has turned back or lost: the best engine, however full
+	MustFit             // for a run that moves: an engine that holds it, or none
 )
 
 // Key names an ask. It is the same each time that it is sent.
@@ -28,16 +28,16 @@
 	ID          uint64
 }
 
-// Ask is for an engine for one run.
-type Ask struct {
+// PlaceRequest is for an engine for one run.
+type PlaceRequest struct {
 	Key
-	Addr   string // where the instance is answered
-	Run    uint64 // hash of the request's id
-	Mode   Mode
-	Stream admit.Stream
-	Backup int    // tokens of a copy that is wanted elsewhere; 0: none
-	Hops   int    // how often it was passed on
-	Print  uint64 // names what is asked, the same when its caller comes back; 0: not known
+	ReplyAddr   string // where the instance is answered
+	Run         uint64 // hash of the request's id
+	Mode        Mode
+	Stream      admit.Stream
+	Backup      int    // tokens of a copy that is wanted elsewhere; 0: none
+	Hops        int    // how often it was passed on
+	Fingerprint uint64 // names what is asked, the same when its caller comes back; 0: not known
 
 	Describe bool // the asker holds a part of the list of targets
 }
@@ -45,13 +45,13 @@
 // Answer is to an Ask.
 type Answer struct {
 	Key
-	Addr   string
-	Action admit.Action
-	Target string
-	After  time.Duration
-	Serial uint64 // of the grant
-	Backup string // engine for the copy; empty: none has room
-	Belief fleet.Belief
+	Addr     string
+	Action   admit.Action
+	Target   string
+	After    time.Duration
+	Serial   uint64 // of the grant
+	Backup   string // engine for the copy; empty: none has room
+	Estimate fleet.KnownState
 
 	Describe               bool       // as in the ask
 	TargetInfo, BackupInfo fleet.Info // as the list has them, where the ask wants that
@@ -74,13 +74,13 @@
 	at time.Time
 }
 
-// Book is an instance's account of the shards that it ranks to own. It is safe for concurrent use.
-type Book struct {
+// Ledger is an instance's account of the shards that it ranks to own. It is safe for concurrent use.
+type Ledger struct {
 	random func(n int64) int64 // up to n, n left out; nil: math/rand
 
 	self    string // this instance, whose own runs the fleet counts without being told
 	fleet   *fleet.Fleet
-	reading *admit.Readings
+	reading *admit.PrefillRates
 
 	mu      sync.Mutex
 	holders map[string]map[string]*holder // by shard, instance
@@ -92,9 +92,9 @@
 	steps   map[uint64]planned // of moves, by run
 }
 
-// NewBook returns an empty Book of an instance that decides by what f believes. Reports go into f as its peers' loads.
-func NewBook(self string, f *fleet.Fleet, reading *admit.Readings) *Book {
-	return &Book{
+// NewLedger returns an empty Book of an instance that decides by what f believes. Reports go into f as its peers' loads.
+func NewLedger(self string, f *fleet.Fleet, reading *admit.PrefillRates) *Ledger {
+	return &Ledger{
 		self: self, fleet: f, reading: reading,
 		holders: make(map[string]map[string]*holder),
 		kept:    make(map[string]map[string]bool),
@@ -105,14 +105,14 @@
 }
 
 // setRandom replaces the source of chance.
-func (b *Book) setRandom(random func(n int64) int64) {
+func (b *Ledger) setRandom(random func(n int64) int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.random = random
 }
 
 // Report takes in a report and reports whether it was newer than the last of its instance.
-func (b *Book) Report(now time.Time, r Report) bool {
+func (b *Ledger) Report(now time.Time, r Report) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.holder(r.Shard, r.Instance)
@@ -127,10 +127,10 @@
 }
 
 // learn takes in what a report says of engines beside their load.
-func (b *Book) learn(now time.Time, h *holder, r *Report) {
+func (b *Ledger) learn(now time.Time, h *holder, r *Report) {
 	for _, run := range r.Runs {
 		if run.Unread == 0 {
-			b.fleet.Heard(now.Add(-run.Silent), run.Target)
+			b.fleet.RecordContact(now.Add(-run.SinceContact), run.Target)
 		}
 	}
 	if h.own {
@@ -143,22 +143,22 @@
 		b.learnOutcome(now, o.Target, fleet.Failed, o.Failed-last.Failed)
 		b.learnOutcome(now, o.Target, fleet.Unreachable, o.Unreachable-last.Unreachable)
 	}
-	for _, m := range r.Readings {
-		b.reading.Saw(m.Service, m.Unread, m.Took)
+	for _, m := range r.PrefillSamples {
+		b.reading.Observe(m.Service, m.Unread, m.Took)
 	}
 }
 
 // outcomesMax bounds what one report teaches of one target: more are hardly one instance's since its last report.
 const outcomesMax = 8
 
-func (b *Book) learnOutcome(now time.Time, target string, o fleet.Outcome, n uint32) {
+func (b *Ledger) learnOutcome(now time.Time, target string, o fleet.Outcome, n uint32) {
 	for range min(n, outcomesMax) {
-		b.fleet.Learn(now, target, o)
+		b.fleet.RecordOutcome(now, target, o)
 	}
 }
 
 // holder returns what is known of an instance on a shard; nil when too many are known already.
-func (b *Book) holder(shard, instance string) *holder {
+func (b *Ledger) holder(shard, instance string) *holder {
 	if b.holders[shard] == nil {
 		b.holders[shard] = make(map[string]*holder)
 	}
@@ -170,17 +170,17 @@
 	return h
 }
 
-func (b *Book) tell(now time.Time, h *holder) {
+func (b *Ledger) tell(now time.Time, h *holder) {
 	if h.own {
 		return
 	}
 	loads, sizes := h.loads()
-	b.fleet.Tell(now, h.name, loads, sizes)
+	b.fleet.SetPeerLoad(now, h.name, loads, sizes)
 }
 
 // Place decides an ask, or lets it wait: ok is false then, and Step decides it later. An ask that comes again is answered
 // as before.
-func (b *Book) Place(now time.Time, s *Shard, a Ask) (answer Answer, ok bool) {
+func (b *Ledger) Place(now time.Time, s *Shard, a PlaceRequest) (answer Answer, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if old, known := b.done[a.Key]; known {
@@ -194,16 +194,16 @@
 	b.cameBack(now, &a)
 	answer, ok = b.decide(now, s, &a)
 	if !ok && b.hasNoTurn(now, s, &a) {
-		return b.settle(now, s, &a, b.placer().Away(a.Stream)), true
+		return b.settle(now, s, &a, b.placer().Reject(a.Stream)), true
 	}
 	if !ok && len(b.asks) < waitingMax {
-		b.wait(&waiting{Ask: a, shard: s, heard: now})
+		b.wait(&waiting{PlaceRequest: a, shard: s, heard: now})
 	}
 	return answer, ok
 }
 
 // decide answers an ask, unless it should wait.
-func (b *Book) decide(now time.Time, s *Shard, a *Ask) (Answer, bool) {
+func (b *Ledger) decide(now time.Time, s *Shard, a *PlaceRequest) (Answer, bool) {
 	d := b.choose(now, s, a)
 	if d.Action == admit.Wait {
 		return Answer{}, false
@@ -212,44 +212,44 @@
 }
 
 // settle makes a decision the answer to an ask, and counts what it gives away.
-func (b *Book) settle(now time.Time, s *Shard, a *Ask, d admit.Decision) Answer {
-	out := Answer{Key: a.Key, Addr: a.Addr, Describe: a.Describe, Action: d.Action, Target: d.Target.ID, After: d.After}
+func (b *Ledger) settle(now time.Time, s *Shard, a *PlaceRequest, d admit.Decision) Answer {
+	out := Answer{Key: a.Key, Addr: a.ReplyAddr, Describe: a.Describe, Action: d.Action, Target: d.Target.ID, After: d.RetryAfter}
 	switch d.Action {
-	case admit.Go:
+	case admit.Admit:
 		b.grant(now, s, a, &out)
-	case admit.Away:
-		b.turnAway(now, a, d.After)
+	case admit.RetryLater:
+		b.turnAway(now, a, d.RetryAfter)
 	}
 	b.done[a.Key] = answered{Answer: out, at: now}
 	return out
 }
 
-func (b *Book) placer() *admit.Placer {
-	return &admit.Placer{Fleet: b.fleet, Reading: b.reading, Take: b.fleet.Choose, Random: b.random}
+func (b *Ledger) placer() *admit.Placer {
+	return &admit.Placer{Fleet: b.fleet, Prefill: b.reading, Acquire: b.fleet.Choose, Random: b.random}
 }
 
-func (b *Book) choose(now time.Time, s *Shard, a *Ask) admit.Decision {
+func (b *Ledger) choose(now time.Time, s *Shard, a *PlaceRequest) admit.Decision {
 	need := a.Stream.Need
 	need.Among = s.Engines()
-	need.Kept = b.kept[s.Key]
+	need.Reserved = b.kept[s.Key]
 	if a.Mode == Admit {
 		p := b.placer()
 		stream := a.Stream
 		stream.Need = need
-		if d := p.Step(now, stream); d.Action != admit.None {
+		if d := p.Step(now, stream); d.Action != admit.Fallback {
 			return d
 		}
 	}
-	need.Must = a.Mode == Room
+	need.RequireMemory = a.Mode == MustFit
 	target, ok := b.fleet.Choose(now, need)
 	if !ok {
-		return admit.Decision{Action: admit.None}
+		return admit.Decision{Action: admit.Fallback}
 	}
-	return admit.Decision{Action: admit.Go, Target: target}
+	return admit.Decision{Action: admit.Admit, Target: target}
 }
 
 // Tick forgets what is too old to be believed.
-func (b *Book) Tick(now time.Time) {
+func (b *Ledger) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, a := range b.done {
@@ -270,7 +270,7 @@
 	}
 }
 
-func (b *Book) age(now time.Time, list map[string]*holder, instance string, h *holder) {
+func (b *Ledger) age(now time.Time, list map[string]*holder, instance string, h *holder) {
 	n := len(h.grants)
 	h.settle(now, 0)
 	switch {
@@ -284,12 +284,12 @@
 }
 
 // Runs lists what instances have told of their runs on some engines.
-func (b *Book) runs(engines map[string]bool) []moveplan.Run {
+func (b *Ledger) runs(engines map[string]bool) []moveplan.Run {
 	var out []moveplan.Run
 	for _, list := range b.holders {
 		for _, h := range list {
 			for _, r := range h.runs {
-				if engines[r.Target] && !r.Stays {
+				if engines[r.Target] && !r.Pinned {
 					out = append(out, r.moving())
 				}
 			}
@@ -300,7 +300,7 @@
 }
 
 // Users returns where instances are told that have runs or copies on some engines of a shard, this one left out.
-func (b *Book) Users(shard string, engines map[string]bool) []string {
+func (b *Ledger) Users(shard string, engines map[string]bool) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -315,5 +315,5 @@
 // uses reports whether the instance has runs or copies on some engines.
 func (h *holder) uses(engines map[string]bool) bool {
 	return slices.ContainsFunc(h.runs, func(r Run) bool { return engines[r.Target] }) ||
-		slices.ContainsFunc(h.held, func(m Held) bool { return engines[m.Target] })
+		slices.ContainsFunc(h.held, func(m Copy) bool { return engines[m.Target] })
 }
--- a/lib/owner/book_test.go
+++ b/lib/owner/book_test.go
@@ -17,20 +17,20 @@
 const kv = 10_000
 
 // testBook is an owner's account of n engines of kv tokens.
-func testBook(n int) (*Book, *fleet.Fleet, *Shard) {
+func testBook(n int) (*Ledger, *fleet.Fleet, *Shard) {
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv}})
 	f.SetRandom(func() float64 { return 0 })
 	f.Apply(t0, engines(n, 1), nil, 0)
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	return NewBook("owner", f, new(admit.Readings)), f, l.Home("s", "z0", "owner")
+	return NewLedger("owner", f, new(admit.PrefillRates)), f, l.HomeShard("s", "z0", "owner")
 }
 
-func ask(instance string, id uint64, tokens int) Ask {
-	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Now: tokens}}
-	return Ask{
+func ask(instance string, id uint64, tokens int) PlaceRequest {
+	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
+	return PlaceRequest{
 		Key: Key{Instance: instance, Incarnation: 1, ID: id}, Run: 100 + id,
-		Stream: admit.Stream{Arrived: t0, Aim: time.Second, Keeps: 10 * time.Second, Need: need},
+		Stream: admit.Stream{Arrived: t0, Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need},
 	}
 }
 
@@ -46,7 +46,7 @@
 	for i := range 8 {
 		a, ok := b.Place(t0, s, ask(fmt.Sprint("i", i), 1, 4500))
 		must.True(t, ok)
-		must.Eq(t, admit.Go, a.Action)
+		must.Eq(t, admit.Admit, a.Action)
 		given[a.Target]++
 	}
 	for id, n := range given {
@@ -54,8 +54,8 @@
 	}
 	_, ok := b.Place(t0, s, ask("late", 1, 4500))
 	must.False(t, ok)
-	must.True(t, b.Waits())
-	must.Greater(t, 0.8, f.Fill(s.Engines(), 0))
+	must.True(t, b.HasWaiting())
+	must.Greater(t, 0.8, f.Utilization(s.Engines(), 0))
 }
 
 // An answer is lost, and the housekeeping runs before the ask comes again: it is sent every 0.05 s, and after 0.2 s while it waits. A
@@ -72,7 +72,7 @@
 		must.Eq(t, first.Serial, again.Serial, must.Sprint(later))
 		must.Eq(t, first.Target, again.Target, must.Sprint(later))
 	}
-	must.LessEq(t, 0.61*2+0.61, f.Fill(s.Engines(), 0)) // one run: its memory and its prompt to read
+	must.LessEq(t, 0.61*2+0.61, f.Utilization(s.Engines(), 0)) // one run: its memory and its prompt to read
 }
 
 // An answer is lost and the ask comes again. It is answered as before: a second grant would count the run twice.
@@ -80,12 +80,12 @@
 	b, f, s := testBook(4)
 	first, ok := b.Place(t0, s, ask("i", 1, 4000))
 	must.True(t, ok)
-	fill := f.Fill(s.Engines(), 0)
+	fill := f.Utilization(s.Engines(), 0)
 	again, ok := b.Place(t0.Add(50*time.Millisecond), s, ask("i", 1, 4000))
 	must.True(t, ok)
 	must.Eq(t, first.Target, again.Target)
 	must.Eq(t, first.Serial, again.Serial)
-	must.Eq(t, fill, f.Fill(s.Engines(), 0))
+	must.Eq(t, fill, f.Utilization(s.Engines(), 0))
 	must.True(t, b.Knows(Key{Instance: "i", Incarnation: 1, ID: 1}))
 }
 
@@ -95,24 +95,24 @@
 	b, f, s := testBook(1)
 	e := s.Engines()[0]
 	a, _ := b.Place(t0, s, ask("i", 1, 3000))
-	must.Eq(t, 1, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 	run := Run{ID: 101, Target: e, Tokens: 3000}
 	must.True(t, b.Report(t0, report(s, "i", 1, run)))
-	must.Eq(t, fleet.Load{Runs: 1, Tokens: 3000}, f.Believe(t0, e).Load)
+	must.Eq(t, fleet.Load{Runs: 1, Tokens: 3000}, f.KnownState(t0, e).Load)
 
 	a, _ = b.Place(t0, s, ask("i", 2, 2000))
 	r := report(s, "i", 2, run)
-	r.Seen = a.Serial
+	r.LastGrant = a.Serial
 	must.True(t, b.Report(t0.Add(10*time.Millisecond), r)) // the run is about to be entered
-	must.Eq(t, 2, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 2, f.KnownState(t0, e).Load.Runs)
 	r.Seq = 3
 	must.True(t, b.Report(t0.Add(200*time.Millisecond), r))
-	must.Eq(t, 1, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 
 	_, ok := b.Place(t0.Add(200*time.Millisecond), s, ask("lost", 1, 2000))
 	must.True(t, ok)
 	b.Tick(t0.Add(200*time.Millisecond + grantLife))
-	must.Eq(t, 1, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 1, f.KnownState(t0, e).Load.Runs)
 }
 
 // An engine is full and a stream waits. The runs there end, and the stream goes at the next look, without being asked again.
@@ -124,11 +124,11 @@
 	must.False(t, ok)
 	_, ok = b.Place(t0, s, ask("gone", 1, 3000))
 	must.False(t, ok)
-	must.SliceEmpty(t, b.Step(t0.Add(20*time.Millisecond)))
+	must.SliceEmpty(t, b.DecideWaiting(t0.Add(20*time.Millisecond)))
 	_, ok = b.Place(t0.Add(200*time.Millisecond), s, ask("a", 1, 3000))
 	must.False(t, ok)
 	b.Report(t0.Add(210*time.Millisecond), report(s, "i", 2))
-	got := b.Step(t0.Add(220 * time.Millisecond))
+	got := b.DecideWaiting(t0.Add(220 * time.Millisecond))
 	must.Len(t, 2, got) // both are still within the time in which they are heard again
 	must.Eq(t, "a", got[0].Instance)
 
@@ -138,8 +138,8 @@
 	_, ok = b.Place(t0.Add(240*time.Millisecond), s, late)
 	must.False(t, ok)
 	b.Report(t0.Add(800*time.Millisecond), report(s, "i", 4))
-	must.SliceEmpty(t, b.Step(t0.Add(800*time.Millisecond)))
-	must.False(t, b.Waits())
+	must.SliceEmpty(t, b.DecideWaiting(t0.Add(800*time.Millisecond)))
+	must.False(t, b.HasWaiting())
 }
 
 // What finds no room in its part of the aim is told to come back, with a time from one second to all that its caller keeps
@@ -151,7 +151,7 @@
 	late.Stream.Arrived = t0.Add(-time.Second)
 	a, ok := b.Place(t0, s, late)
 	must.True(t, ok)
-	must.Eq(t, admit.Away, a.Action)
+	must.Eq(t, admit.RetryLater, a.Action)
 	must.GreaterEq(t, time.Second, a.After)
 	must.LessEq(t, 10*time.Second, a.After)
 	// A run that an engine has turned back takes the best one, however full; one that moves only one that holds it.
@@ -159,12 +159,12 @@
 	again.Mode = Any
 	a, ok = b.Place(t0, s, again)
 	must.True(t, ok)
-	must.Eq(t, admit.Go, a.Action)
+	must.Eq(t, admit.Admit, a.Action)
 	room := ask("a", 3, 3000)
-	room.Mode = Room
+	room.Mode = MustFit
 	a, ok = b.Place(t0, s, room)
 	must.True(t, ok)
-	must.Eq(t, admit.None, a.Action)
+	must.Eq(t, admit.Fallback, a.Action)
 }
 
 // Reports overtake each other, come twice, or come late from a process that was replaced. Only a newer one counts; once an
@@ -179,7 +179,7 @@
 	newer.Incarnation = 2
 	must.True(t, b.Report(t0, newer))
 	must.False(t, b.Report(t0, report(s, "i", 9)))
-	must.Eq(t, 0, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 0, f.KnownState(t0, e).Load.Runs)
 	must.True(t, b.Report(t0.Add(reportLife+time.Millisecond), report(s, "i", 1)))
 }
 
@@ -188,9 +188,9 @@
 func TestAbsurdReportsAreBounded(t *testing.T) {
 	b, f, s := testBook(2)
 	e := s.Engines()[0]
-	huge := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Left: 1 << 62}
+	huge := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Remaining: 1 << 62}
 	must.True(t, b.Report(t0, report(s, "liar", 1, huge, Run{ID: 2, Target: "nobody", Tokens: 5})))
-	load := f.Believe(t0, e).Load
+	load := f.KnownState(t0, e).Load
 	must.Eq(t, 2*tokensMax, load.Tokens)
 	must.Eq(t, 0, load.Unread)
 	a, ok := b.Place(t0, s, ask("i", 1, 3000))
@@ -202,7 +202,7 @@
 	must.MapLen(t, holdersMax, b.holders[s.Key])
 	b.Tick(t0.Add(2 * reportLife))
 	must.MapEmpty(t, b.holders[s.Key])
-	must.Eq(t, 0, f.Believe(t0, e).Load.Runs)
+	must.Eq(t, 0, f.KnownState(t0, e).Load.Runs)
 }
 
 // Hundreds of instances send a stream to one engine every minute each: none could learn alone that it fails what it is sent.
@@ -228,10 +228,10 @@
 func TestMovesArePlannedForAllInstances(t *testing.T) {
 	b, f, s := testBook(3)
 	e := s.Engines()[0]
-	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, Tokens: 2000, Expected: 1000}, Run{ID: 3, Target: e, Tokens: 10, Stays: true}))
+	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, Tokens: 2000, Expected: 1000}, Run{ID: 3, Target: e, Tokens: 10, Pinned: true}))
 	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, Tokens: 3000, Expected: 1000}))
-	leaving := f.Leave(t0, e, 0).Leaving
-	link := moveplan.Link{TokensPerSecond: 10_000, FarFactor: 2}
+	leaving := f.MarkLeaving(t0, e, 0).Leaving
+	link := moveplan.Link{TokensPerSecond: 10_000, CrossDomainFactor: 2}
 	b.Plan(t0, s, leaving, link)
 	now := t0.Add(10 * time.Millisecond)
 	first := b.Moves(now, s, "a", []uint64{1, 3})
@@ -240,15 +240,15 @@
 	must.Len(t, 1, second)
 	must.Eq(t, 0, first[0].Start)
 	must.Greater(t, 200*time.Millisecond, second[0].Start)
-	must.Eq(t, 3000, f.Believe(now, first[0].To).Load.Tokens)
+	must.Eq(t, 3000, f.KnownState(now, first[0].To).Load.Tokens)
 	must.Eq(t, first, b.Moves(now, s, "a", []uint64{1})) // asked again, it counts no second time
-	must.Eq(t, 3000, f.Believe(now, first[0].To).Load.Tokens)
+	must.Eq(t, 3000, f.KnownState(now, first[0].To).Load.Tokens)
 	must.Eq(t, []string{"addr"}, users(b, s, e))
 }
 
-func users(b *Book, s *Shard, engine string) []string {
+func users(b *Ledger, s *Shard, engine string) []string {
 	r := report(s, "c", 1, Run{ID: 9, Target: engine})
-	r.Addr = "addr"
+	r.ReplyAddr = "addr"
 	b.Report(t0, r)
 	var out []string
 	for _, addr := range b.Users(s.Key, map[string]bool{engine: true}) {
@@ -263,9 +263,9 @@
 func TestEngineIsHeardByAnyInstance(t *testing.T) {
 	b, f, s := testBook(1)
 	e := s.Engines()[0]
-	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, Silent: 900 * time.Millisecond}))
-	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, Silent: 20 * time.Millisecond}, Run{ID: 3, Target: e, Unread: 10}))
-	must.Eq(t, t0.Add(-20*time.Millisecond), f.LastHeard(e))
+	b.Report(t0, report(s, "a", 1, Run{ID: 1, Target: e, SinceContact: 900 * time.Millisecond}))
+	b.Report(t0, report(s, "b", 1, Run{ID: 2, Target: e, SinceContact: 20 * time.Millisecond}, Run{ID: 3, Target: e, Unread: 10}))
+	must.Eq(t, t0.Add(-20*time.Millisecond), f.LastContact(e))
 }
 
 // BenchmarkPlace is one placement by the owner of 32 engines that 60 instances have five runs each on.
@@ -275,7 +275,7 @@
 	for i := range 60 {
 		var runs []Run
 		for j := range 5 {
-			runs = append(runs, Run{ID: uint64(10*i + j), Target: s.Engines()[(i+j)%32], Tokens: 3000, Left: 300})
+			runs = append(runs, Run{ID: uint64(10*i + j), Target: s.Engines()[(i+j)%32], Tokens: 3000, Remaining: 300})
 		}
 		book.Report(t0, report(s, fmt.Sprint("i", i), 1, runs...))
 	}
@@ -301,14 +301,14 @@
 	b.Report(t0, report(s, "i", 1, runs...))
 	_, ok := b.Place(t0, s, ask("large", 1, 6000))
 	must.False(t, ok)
-	must.SliceEmpty(t, b.Step(t0))
+	must.SliceEmpty(t, b.DecideWaiting(t0))
 	a, ok := b.Place(t0, s, ask("small", 1, 2000))
 	must.True(t, ok)
 	must.Eq(t, other, a.Target)
 	_, ok = b.Place(t0, s, ask("small", 2, 2000))
 	must.False(t, ok)
 	b.Report(t0.Add(50*time.Millisecond), report(s, "i", 2, runs[1:]...))
-	got := b.Step(t0.Add(60 * time.Millisecond))
+	got := b.DecideWaiting(t0.Add(60 * time.Millisecond))
 	must.Len(t, 1, got)
 	must.Eq(t, "large", got[0].Instance)
 	must.Eq(t, roomy, got[0].Target)
@@ -328,7 +328,7 @@
 			_, ok := b.Place(t0, s, ask("large", 1+i, 5000))
 			must.False(t, ok)
 		}
-		must.SliceEmpty(t, b.Step(t0))
+		must.SliceEmpty(t, b.DecideWaiting(t0))
 		small := 0
 		for i := range uint64(2 * engines) {
 			if _, ok := b.Place(t0, s, ask("small", 1+i, 3000)); ok {
@@ -353,13 +353,13 @@
 	}
 	now := t0.Add(300 * time.Millisecond)
 	b.Report(now, report(s, "i", 2))
-	got := b.Step(now)
+	got := b.DecideWaiting(now)
 	must.Len(t, 1, got)
 	must.Eq(t, "s2", got[0].Instance)
 	b.Report(now, report(s, "s2", 1, Run{ID: 101, Target: s.Engines()[0], Tokens: 8000}))
 	b.Tick(now)
 	b.Report(now.Add(time.Millisecond), report(s, "s2", 2))
-	got = b.Step(now.Add(2 * time.Second / 10))
+	got = b.DecideWaiting(now.Add(2 * time.Second / 10))
 	must.Eq(t, "s0", got[0].Instance)
 }
 
@@ -372,15 +372,15 @@
 		full := Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}
 		b.Report(t0, report(s, "i", 1, full))
 		first := ask("turned away", 1, 5000)
-		first.Print = 77
+		first.Fingerprint = 77
 		first.Stream.Arrived = t0.Add(-time.Second)
 		a, _ := b.Place(t0, s, first)
-		must.Eq(t, admit.Away, a.Action)
+		must.Eq(t, admit.RetryLater, a.Action)
 
 		now := t0.Add(a.After + wait)
 		b.Report(now, report(s, "i", 2, full))
 		back := ask("back", 1, 5000)
-		back.Print = 77
+		back.Fingerprint = 77
 		back.Stream.Arrived = now
 		_, ok := b.Place(now, s, back)
 		must.False(t, ok)
@@ -390,7 +390,7 @@
 		must.False(t, ok)
 
 		b.Report(now, report(s, "i", 3))
-		got := b.Step(now.Add(20 * time.Millisecond))
+		got := b.DecideWaiting(now.Add(20 * time.Millisecond))
 		if !asTold {
 			must.Eq(t, "back", got[0].Instance) // it came first, and stands as one that came now
 			continue
@@ -401,16 +401,16 @@
 			b.Report(at, report(s, "i", 4+uint64(at.Sub(now)), full))
 			must.SliceEmpty(t, last)
 			_, ok = b.Place(at, s, back) // it is still wanted
-			last = b.Step(at)
+			last = b.DecideWaiting(at)
 			must.False(t, ok)
 		}
 		end := now.Add(2 * time.Second)
 		b.Tick(end)
 		b.Report(end, report(s, "i", 1<<40))
-		got = b.Step(end)
+		got = b.DecideWaiting(end)
 		must.Len(t, 1, got)
 		must.Eq(t, "back", got[0].Instance)
-		must.Eq(t, admit.Go, got[0].Action)
+		must.Eq(t, admit.Admit, got[0].Action)
 	}
 }
 
@@ -423,12 +423,12 @@
 	_, ok := b.Place(t0, s, fresh)
 	must.False(t, ok)
 	back := ask("back", 1, 6000)
-	back.Stream.Back = true
+	back.Stream.IsRetry = true
 	back.Stream.Arrived = t0.Add(-2500 * time.Millisecond)
 	_, ok = b.Place(t0, s, back)
 	must.False(t, ok)
 	b.Report(t0, report(s, "i", 2))
-	got := b.Step(t0.Add(10 * time.Millisecond))
+	got := b.DecideWaiting(t0.Add(10 * time.Millisecond))
 	must.Len(t, 1, got)
 	must.Eq(t, "back", got[0].Instance)
 }
--- a/lib/owner/candidates.go
+++ b/lib/owner/candidates.go
@@ -60,7 +60,7 @@
 	if near == nil {
 		near = new(tiers)
 	}
-	out := c.First(domain, key, candidates)
+	out := c.Top(domain, key, candidates)
 	if domain != "" && len(out) < candidates {
 		far := c.beyond(domain, near.most)
 		out = c.best(out, candidates, far.strong, key)
@@ -69,9 +69,9 @@
 	return out
 }
 
-// First returns the first n instances of a failure domain for a key, of all by the empty name: those with half of the largest capacity
+// Top returns the first n instances of a failure domain for a key, of all by the empty name: those with half of the largest capacity
 // there or more, then by rendezvous.
-func (c *Candidates) First(domain string, key uint64, n int) []Instance {
+func (c *Candidates) Top(domain string, key uint64, n int) []Instance {
 	near := c.domains[domain]
 	if near == nil {
 		return nil
@@ -131,8 +131,8 @@
 	return out
 }
 
-// Before orders true before false.
-func Before(a, b bool) int {
+// CompareTrueFirst orders true before false.
+func CompareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/lib/owner/grant.go
+++ b/lib/owner/grant.go
@@ -7,7 +7,7 @@
 )
 
 // grant counts the run at its engine until its instance tells of it.
-func (b *Book) grant(now time.Time, s *Shard, a *Ask, out *Answer) {
+func (b *Ledger) grant(now time.Time, s *Shard, a *PlaceRequest, out *Answer) {
 	h := b.holder(s.Key, a.Instance)
 	if h == nil {
 		return
@@ -17,8 +17,8 @@
 	b.serial++
 	out.Serial = b.serial
 	size := need.Peak
-	if size.Now == 0 {
-		size = fleet.Size{Now: need.Tokens}
+	if size.Held == 0 {
+		size = fleet.Size{Held: need.Tokens}
 	}
 	h.give(now, grant{
 		serial: b.serial, run: a.Run, target: out.Target, size: size, at: now,
@@ -28,19 +28,19 @@
 		b.backup(now, s, a, out, h)
 	}
 	b.tell(now, h)
-	out.Belief = b.fleet.Believe(now, out.Target)
+	out.Estimate = b.fleet.KnownState(now, out.Target)
 }
 
 // backup finds an engine for a copy of the run.
-func (b *Book) backup(now time.Time, s *Shard, a *Ask, out *Answer, h *holder) {
+func (b *Ledger) backup(now time.Time, s *Shard, a *PlaceRequest, out *Answer, h *holder) {
 	need := fleet.Need{Service: s.Service, Tokens: a.Backup, Among: s.Engines(), Regions: a.Stream.Need.Regions}
-	at, ok := b.fleet.Spare(now, need, out.Target, backupFree)
+	at, ok := b.fleet.ChooseForCopy(now, need, out.Target, backupFree)
 	if !ok {
 		return
 	}
 	out.Backup = at.ID
 	h.give(now, grant{
-		serial: b.serial, run: a.Run, target: at.ID, at: now, load: fleet.Load{Tokens: a.Backup}, size: fleet.Size{Now: a.Backup},
+		serial: b.serial, run: a.Run, target: at.ID, at: now, load: fleet.Load{Tokens: a.Backup}, size: fleet.Size{Held: a.Backup},
 	})
 }
 
--- a/lib/owner/layout.go
+++ b/lib/owner/layout.go
@@ -89,8 +89,8 @@
 // Plain returns who ranks to own the targets of plain services, by service.
 func (l *Layout) Plain() map[string]*Shard { return l.plain }
 
-// Of returns the shard that an engine is in, also once it leaves; nil when its service has no engines that take requests.
-func (l *Layout) Of(t fleet.Info) *Shard {
+// ShardOf returns the shard that an engine is in, also once it leaves; nil when its service has no engines that take requests.
+func (l *Layout) ShardOf(t fleet.Info) *Shard {
 	d := l.services[t.Service]
 	if d == nil {
 		return nil
@@ -100,20 +100,20 @@
 			return list[rendezvous.Hash(t.ID)%uint64(len(list))]
 		}
 	}
-	return l.Home(t.Service, t.Domain, t.ID)
+	return l.HomeShard(t.Service, t.Domain, t.ID)
 }
 
-// Owning returns the shard whose owner gives permits for a target; nil when there is none.
-func (l *Layout) Owning(t fleet.Info) *Shard {
+// PermitShard returns the shard whose owner gives permits for a target; nil when there is none.
+func (l *Layout) PermitShard(t fleet.Info) *Shard {
 	if s := l.plain[t.Service]; s != nil {
 		return s
 	}
-	return l.Of(t)
+	return l.ShardOf(t)
 }
 
-// Home returns the shard that is the nearest to a name in a failure domain: what an instance asks first for a service. nil
+// HomeShard returns the shard that is the nearest to a name in a failure domain: what an instance asks first for a service. nil
 // when the service has no engines.
-func (l *Layout) Home(service, domain, name string) *Shard {
+func (l *Layout) HomeShard(service, domain, name string) *Shard {
 	d := l.services[service]
 	if d == nil {
 		return nil
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// RankedBy returns the shards that an instance ranks to own, in the order of their keys.
-func (l *Layout) RankedBy(instance string) []*Shard {
+// CandidateShards returns the shards that an instance ranks to own, in the order of their keys.
+func (l *Layout) CandidateShards(instance string) []*Shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if out, ok := l.ranked[instance]; ok {
--- a/lib/owner/layout_test.go
+++ b/lib/owner/layout_test.go
@@ -52,7 +52,7 @@
 func TestShardsFollowDomainsAndCapacity(t *testing.T) {
 	few := NewLayout(engines(12, 3), instances(8, 3))
 	must.SliceLen(t, 1, few.All())
-	must.Len(t, 12, few.Home("s", "z1", "i001").Engines())
+	must.Len(t, 12, few.HomeShard("s", "z1", "i001").Engines())
 	must.SliceLen(t, 1, NewLayout(engines(60, 3), instances(72, 3)).All())
 
 	l := NewLayout(engines(128, 5), instances(295, 5))
@@ -66,20 +66,20 @@
 			must.Eq(t, 16000, in.Capacity)
 			must.True(t, s.IsCandidate(in.Name))
 		}
-		must.True(t, s == l.Home("s", s.Domain, "anyone"))
-		must.True(t, s == l.Of(fleet.Info{ID: s.Engines()[0], Service: "s", Domain: s.Domain}))
+		must.True(t, s == l.HomeShard("s", s.Domain, "anyone"))
+		must.True(t, s == l.ShardOf(fleet.Info{ID: s.Engines()[0], Service: "s", Domain: s.Domain}))
 	}
-	must.Nil(t, l.Home("other", "z1", "i001"))
-	must.Nil(t, l.Of(fleet.Info{ID: "nobody", Service: "other"}))
+	must.Nil(t, l.HomeShard("other", "z1", "i001"))
+	must.Nil(t, l.ShardOf(fleet.Info{ID: "nobody", Service: "other"}))
 	// A domain without engines asks some shard all the same.
-	must.NotNil(t, l.Home("s", "z9", "i001"))
+	must.NotNil(t, l.HomeShard("s", "z9", "i001"))
 }
 
 // An engine that leaves is in a shard for its runs' sake, and is not chosen from it.
 func TestLeavingEnginesStayInAShard(t *testing.T) {
 	es := engines(128, 5)
 	l := NewLayout(es[1:], instances(295, 5))
-	s := l.Of(es[0])
+	s := l.ShardOf(es[0])
 	must.NotNil(t, s)
 	must.Eq(t, es[0].Domain, s.Domain)
 	must.SliceNotContains(t, s.Engines(), es[0].ID)
@@ -121,7 +121,7 @@
 				must.Eq(t, s.Ranked, got.All()[i].Ranked)
 			}
 			for _, e := range all {
-				must.Eq(t, want.Of(e).Key, got.Of(e).Key)
+				must.Eq(t, want.ShardOf(e).Key, got.ShardOf(e).Key)
 			}
 		}
 	}
--- a/lib/owner/limit_test.go
+++ b/lib/owner/limit_test.go
@@ -16,15 +16,15 @@
 	const n, perSecond, asked = 3, 2.0, 30
 	b, f, s := testBook(n)
 	for _, id := range s.Engines() {
-		f.TakeLimit(id, fleet.LimitWord{Limit: fleet.Limit{On: true, PerSecond: perSecond}, Asked: t0, Heard: t0})
+		f.ApplyLimit(id, fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: perSecond}, RequestedAt: t0, ReceivedAt: t0})
 	}
 	began, refused := 0, 0
 	count := func(a Answer) {
-		if a.Action == admit.Go {
+		if a.Action == admit.Admit {
 			began++
 			return
 		}
-		must.Eq(t, admit.Away, a.Action)
+		must.Eq(t, admit.RetryLater, a.Action)
 		must.Positive(t, a.After)
 		refused++
 	}
@@ -34,11 +34,11 @@
 		}
 	}
 	atOnce := refused
-	for at := 10 * time.Millisecond; b.Waits() && at < 2*time.Second; at += 10 * time.Millisecond {
+	for at := 10 * time.Millisecond; b.HasWaiting() && at < 2*time.Second; at += 10 * time.Millisecond {
 		for id := range uint64(asked) {
 			b.Place(t0.Add(at), s, ask("i", id, 100)) // they are still wanted
 		}
-		for _, a := range b.Step(t0.Add(at)) {
+		for _, a := range b.DecideWaiting(t0.Add(at)) {
 			count(a)
 		}
 	}
@@ -51,12 +51,12 @@
 // One engine of a shard has no limit: streams wait for room as always.
 func TestStreamsWaitWhereAnEngineHasNoLimit(t *testing.T) {
 	b, f, s := testBook(2)
-	f.TakeLimit(s.Engines()[0], fleet.LimitWord{Limit: fleet.Limit{On: true}, Asked: t0, Heard: t0})
+	f.ApplyLimit(s.Engines()[0], fleet.LimitNotice{Limit: fleet.Limit{On: true}, RequestedAt: t0, ReceivedAt: t0})
 	for id := range uint64(6) {
 		a, ok := b.Place(t0, s, ask("i", id, 9000))
 		if ok {
-			must.Eq(t, admit.Go, a.Action)
+			must.Eq(t, admit.Admit, a.Action)
 		}
 	}
-	must.True(t, b.Waits())
+	must.True(t, b.HasWaiting())
 }
--- a/lib/owner/moves.go
+++ b/lib/owner/moves.go
@@ -18,7 +18,7 @@
 
 // Plan plans the moves of all runs that instances have told of on engines which leave. Room at the
 // destinations counts from when the moves are told. Runs that are planned already keep their moves.
-func (b *Book) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
+func (b *Ledger) Plan(now time.Time, s *Shard, leaving []fleet.Info, link moveplan.Link) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ids := make(map[string]bool, len(leaving))
@@ -28,7 +28,7 @@
 		engines[i] = moveplan.Engine{ID: e.ID, Domain: e.Domain}
 	}
 	var rooms []moveplan.Engine
-	for _, r := range b.fleet.Rooms(now, s.Service, s.Engines()) {
+	for _, r := range b.fleet.MoveCandidates(now, s.Service, s.Engines()) {
 		if !ids[r.ID] {
 			rooms = append(rooms, moveplan.Engine{ID: r.ID, Domain: r.Domain, Free: r.Free})
 		}
@@ -44,7 +44,7 @@
 
 // Moves returns the planned moves of an instance's runs, with their starts from now on, and counts room at the
 // destinations for it. A run that is in no plan has none.
-func (b *Book) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
+func (b *Ledger) Moves(now time.Time, s *Shard, instance string, runs []uint64) []moveplan.Step {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.holder(s.Key, instance)
@@ -68,7 +68,7 @@
 }
 
 // reserve counts a run's room at its destination, once.
-func (b *Book) reserve(now time.Time, h *holder, step moveplan.Step) {
+func (b *Ledger) reserve(now time.Time, h *holder, step moveplan.Step) {
 	for _, g := range h.grants {
 		if g.run == step.Run.ID && g.target == step.To {
 			return
@@ -78,6 +78,6 @@
 	size := step.Run.Tokens + step.Run.Expected
 	h.give(now, grant{
 		serial: b.serial, run: step.Run.ID, target: step.To, at: now,
-		load: fleet.Load{Tokens: size}, size: fleet.Size{Now: step.Run.Tokens, Left: step.Run.Expected},
+		load: fleet.Load{Tokens: size}, size: fleet.Size{Held: step.Run.Tokens, Remaining: step.Run.Expected},
 	})
 }
--- a/lib/owner/partition_test.go
+++ b/lib/owner/partition_test.go
@@ -73,7 +73,7 @@
 			must.Eq(t, s.Ranked, o.Ranked)
 		}
 		for _, e := range left {
-			must.SliceContains(t, got.Of(e).Engines(), e.ID)
+			must.SliceContains(t, got.ShardOf(e).Engines(), e.ID)
 		}
 	}
 }
@@ -81,9 +81,9 @@
 // A service loses its last engine, and has one again later.
 func TestServiceWithoutEngines(t *testing.T) {
 	p, all := partition(1, 3)
-	must.NotNil(t, p.Layout().Home("s", "z0", "i000"))
-	must.Nil(t, p.Update(nil, all).Home("s", "z0", "i000"))
-	must.Eq(t, []string{all[0].ID}, p.Update(all, nil).Home("s", "z0", "i000").Engines())
+	must.NotNil(t, p.Layout().HomeShard("s", "z0", "i000"))
+	must.Nil(t, p.Update(nil, all).HomeShard("s", "z0", "i000"))
+	must.Eq(t, []string{all[0].ID}, p.Update(all, nil).HomeShard("s", "z0", "i000").Engines())
 }
 
 // An engine starts again in another failure domain under its id. It is in one shard only.
@@ -91,10 +91,10 @@
 	p, all := partition(1_000, 200)
 	moved := all[0]
 	moved.Domain = "z3"
-	before := p.Layout().Of(all[0])
+	before := p.Layout().ShardOf(all[0])
 	l := p.Update([]fleet.Info{moved}, nil)
 	must.SliceNotContains(t, before.Engines(), moved.ID)
-	must.SliceContains(t, l.Of(moved).Engines(), moved.ID)
+	must.SliceContains(t, l.ShardOf(moved).Engines(), moved.ID)
 }
 
 func BenchmarkUpdate(b *testing.B) {
--- a/lib/owner/peers.go
+++ b/lib/owner/peers.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// BeatEvery is the period at which owners tell each other that they live and how full their shards are.
-	BeatEvery = 100 * time.Millisecond
+	// HeartbeatInterval is the period at which owners tell each other that they live and how full their shards are.
+	HeartbeatInterval = 100 * time.Millisecond
 	// beatLife is how long an owner without a beat is believed to live: three may be lost or late.
 	beatLife = 350 * time.Millisecond
 	// fillLife is how long a shard is believed to be as full as was told.
 	fillLife = 600 * time.Millisecond
-	// FarFactor is how many times more seldom a fill is told to other failure domains, and how many times longer it is believed there:
+	// RemoteDomainFactor is how many times more seldom a fill is told to other failure domains, and how many times longer it is believed there:
 	// bytes between domains cost, and few streams go there.
-	FarFactor = 5
+	RemoteDomainFactor = 5
 	// suspectFor and suspectMax bound how long an owner that did not answer is asked after all others: each time twice as
 	// long. One that is gone for good stays listed, and costs whoever asks it first 0.15 s.
 	suspectFor = 2 * time.Second
 	suspectMax = time.Minute
 	// coldFor is how long an owner that has just started, woken or been cut off has been told too little to decide: what
 	// the others have on its engines comes with their next reports.
-	coldFor = ReportEvery + 200*time.Millisecond
+	coldFor = ReportInterval + 200*time.Millisecond
 	// alone is the silence of all other candidates after which an owner takes itself to have been cut off.
 	aloneFor = time.Second
 	// passMargin is how much fuller than another shard, as a part of its memory, one must be for a stream to be passed on.
@@ -31,8 +31,8 @@
 	passMargin = 0.08
 )
 
-// Beat is what an instance that ranks to own shards tells the others that do.
-type Beat struct {
+// Heartbeat is what an instance that ranks to own shards tells the others that do.
+type Heartbeat struct {
 	Instance    string
 	Incarnation uint64
 	Cold        bool
@@ -42,12 +42,12 @@
 
 // Fill is how full a shard is.
 type Fill struct {
-	Part float64 // of its memory that is spoken for, prompts to read weighed in
-	Room int     // tokens that a run may take on the roomiest of its engines
+	Used        float64 // of its memory that is spoken for, prompts to read weighed in
+	LargestFree int     // tokens that a run may take on the roomiest of its engines
 }
 
 type beat struct {
-	Beat
+	Heartbeat
 	at time.Time
 }
 
@@ -91,8 +91,8 @@
 	p.random = random
 }
 
-// TakeBeat takes in a beat.
-func (p *Peers) TakeBeat(now time.Time, b Beat) {
+// ReceiveHeartbeat takes in a beat.
+func (p *Peers) ReceiveHeartbeat(now time.Time, b Heartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old, known := p.beats[b.Instance]
@@ -103,15 +103,15 @@
 		p.cold = now.Add(coldFor)
 	}
 	p.heard = now
-	p.beats[b.Instance] = beat{Beat: b, at: now}
+	p.beats[b.Instance] = beat{Heartbeat: b, at: now}
 	delete(p.suspects, b.Instance)
 	for key, f := range b.Fills {
 		p.fills[key] = fill{Fill: f, owner: b.Instance, at: now}
 	}
 }
 
-// Woke says that this instance has stood still: what it was told is old.
-func (p *Peers) Woke(now time.Time) {
+// MarkStalled says that this instance has stood still: what it was told is old.
+func (p *Peers) MarkStalled(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cold = now.Add(coldFor)
@@ -141,15 +141,15 @@
 	p.suspects[name] = s
 }
 
-// Heard notes that an instance has answered.
-func (p *Peers) Heard(name string) {
+// ClearSuspect notes that an instance has answered.
+func (p *Peers) ClearSuspect(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.suspects, name)
 }
 
-// Order returns the candidates of a shard in the order in which to ask them: those that did not answer lately come last.
-func (p *Peers) Order(now time.Time, s *Shard) []Instance {
+// QueryOrder returns the candidates of a shard in the order in which to ask them: those that did not answer lately come last.
+func (p *Peers) QueryOrder(now time.Time, s *Shard) []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]Instance, 0, len(s.Ranked))
@@ -164,9 +164,9 @@
 	return append(out, last...)
 }
 
-// Acting returns the candidate that decides for a shard: the first in rank that lives, stays and is not cold; where all
+// ActingOwner returns the candidate that decides for a shard: the first in rank that lives, stays and is not cold; where all
 // are cold, the first that lives. An instance that is no candidate takes the first for it.
-func (p *Peers) Acting(now time.Time, s *Shard) (Instance, bool) {
+func (p *Peers) ActingOwner(now time.Time, s *Shard) (Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	member := s.IsCandidate(p.self)
@@ -200,12 +200,12 @@
 	return ok && now.Sub(b.at) < beatLife && !b.Leaving, b.Cold
 }
 
-// OwnerOf returns the candidate of a shard that last told how full it is; ok is false if none has lately.
-func (p *Peers) OwnerOf(now time.Time, s *Shard) (by Instance, ok bool) {
+// LastKnownOwner returns the candidate of a shard that last told how full it is; ok is false if none has lately.
+func (p *Peers) LastKnownOwner(now time.Time, s *Shard) (by Instance, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f, known := p.fills[s.Key]
-	if !known || now.Sub(f.at) > FarFactor*fillLife {
+	if !known || now.Sub(f.at) > RemoteDomainFactor*fillLife {
 		return Instance{}, false
 	}
 	for _, in := range s.Ranked {
@@ -216,36 +216,36 @@
 	return Instance{}, false
 }
 
-// Silent reports whether an instance has been heard, and is not any more or stops.
-func (p *Peers) Silent(now time.Time, name string) bool {
+// IsSilent reports whether an instance has been heard, and is not any more or stops.
+func (p *Peers) IsSilent(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b, heard := p.beats[name]
 	return heard && (now.Sub(b.at) >= beatLife || b.Leaving)
 }
 
-// PassOn returns the shard to which a stream is passed on from one that is full to part own, and its owner; ok is false when it
+// PickLessLoaded returns the shard to which a stream is passed on from one that is full to part own, and its owner; ok is false when it
 // stays. It is drawn from the emptier ones, by how much emptier each is: they are told some tens of milliseconds late, and
 // all owners would else pass theirs to the same.
-func (p *Peers) PassOn(now time.Time, s *Shard, own float64) (to *Shard, owner string, ok bool) {
-	return p.draw(now, s, func(f *fill) float64 { return own - passMargin - f.Part })
+func (p *Peers) PickLessLoaded(now time.Time, s *Shard, own float64) (to *Shard, owner string, ok bool) {
+	return p.draw(now, s, func(f *fill) float64 { return own - passMargin - f.Used })
 }
 
-// PassToRoom returns a shard with an engine that has room for a stream of some tokens, and its owner. Of several it is drawn by
+// PickWithCapacity returns a shard with an engine that has room for a stream of some tokens, and its owner. Of several it is drawn by
 // how much room there is. The room is taken off what is believed, so that streams that wait here together are not all
 // passed on to the same.
-func (p *Peers) PassToRoom(now time.Time, s *Shard, tokens int) (to *Shard, owner string, ok bool) {
+func (p *Peers) PickWithCapacity(now time.Time, s *Shard, tokens int) (to *Shard, owner string, ok bool) {
 	to, owner, ok = p.draw(now, s, func(f *fill) float64 {
-		if f.Room < tokens {
+		if f.LargestFree < tokens {
 			return 0
 		}
-		return float64(f.Room)
+		return float64(f.LargestFree)
 	})
 	if ok {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		f := p.fills[to.Key]
-		f.Room -= tokens
+		f.LargestFree -= tokens
 		p.fills[to.Key] = f
 	}
 	return to, owner, ok
@@ -276,13 +276,13 @@
 // fillLifeAt is how long a shard's owner believes what it was told of another.
 func fillLifeAt(s, other *Shard) time.Duration {
 	if other.Domain != s.Domain {
-		return FarFactor * fillLife
+		return RemoteDomainFactor * fillLife
 	}
 	return fillLife
 }
 
-// Filled notes how full a shard is that this instance owns.
-func (p *Peers) Filled(now time.Time, shard string, f Fill) {
+// SetFill notes how full a shard is that this instance owns.
+func (p *Peers) SetFill(now time.Time, shard string, f Fill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fills[shard] = fill{Fill: f, owner: p.self, at: now}
--- a/lib/owner/peers_test.go
+++ b/lib/owner/peers_test.go
@@ -17,7 +17,7 @@
 
 func acting(t *testing.T, p *Peers, now time.Time, s *Shard) string {
 	t.Helper()
-	in, ok := p.Acting(now, s)
+	in, ok := p.ActingOwner(now, s)
 	must.True(t, ok)
 	return in.Name
 }
@@ -28,19 +28,19 @@
 	s := shardOf("a", "b", "c")
 	b := NewPeers("b", t0)
 	now := t0.Add(coldFor)
-	b.TakeBeat(now, Beat{Instance: "a"})
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a"})
 	must.Eq(t, "a", acting(t, b, now, s))
 	// It had heard nobody for as long as it lives, and is cold until it was told by all.
 	now = now.Add(coldFor)
 	must.Eq(t, "b", acting(t, b, now, s))
-	b.TakeBeat(now, Beat{Instance: "a", Incarnation: 1, Cold: true})
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1, Cold: true})
 	must.Eq(t, "b", acting(t, b, now, s))
-	b.TakeBeat(now, Beat{Instance: "a", Incarnation: 1})
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1})
 	must.Eq(t, "a", acting(t, b, now, s))
-	b.TakeBeat(now, Beat{Instance: "a", Incarnation: 1, Leaving: true})
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1, Leaving: true})
 	must.Eq(t, "b", acting(t, b, now, s))
 	b.Leave()
-	_, ok := b.Acting(now, s)
+	_, ok := b.ActingOwner(now, s)
 	must.False(t, ok)
 }
 
@@ -48,7 +48,7 @@
 func TestFirstOfColdOwnersDecides(t *testing.T) {
 	s := shardOf("a", "b")
 	a := NewPeers("a", t0)
-	a.TakeBeat(t0, Beat{Instance: "b", Cold: true})
+	a.ReceiveHeartbeat(t0, Heartbeat{Instance: "b", Cold: true})
 	must.Eq(t, "a", acting(t, a, t0, s))
 	// One that is no candidate takes the first for the owner.
 	must.Eq(t, "a", acting(t, NewPeers("x", t0), t0, s))
@@ -60,17 +60,17 @@
 	s := shardOf("a", "b")
 	a := NewPeers("a", t0)
 	now := t0.Add(time.Second)
-	a.TakeBeat(now, Beat{Instance: "b"})
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
 	now = now.Add(coldFor)
-	a.TakeBeat(now, Beat{Instance: "b"})
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
 	must.Eq(t, "a", acting(t, a, now, s))
-	a.Woke(now)
+	a.MarkStalled(now)
 	must.Eq(t, "b", acting(t, a, now, s))
 	now = now.Add(coldFor)
-	a.TakeBeat(now, Beat{Instance: "b"})
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
 	must.Eq(t, "a", acting(t, a, now, s))
 	now = now.Add(aloneFor + time.Millisecond)
-	a.TakeBeat(now, Beat{Instance: "b"})
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
 	must.Eq(t, "b", acting(t, a, now, s))
 }
 
@@ -79,7 +79,7 @@
 	s := shardOf("a", "b", "c")
 	p := NewPeers("x", t0)
 	names := func(now time.Time) (out string) {
-		for _, in := range p.Order(now, s) {
+		for _, in := range p.QueryOrder(now, s) {
 			out += in.Name
 		}
 		return out
@@ -93,7 +93,7 @@
 	must.Eq(t, "bca", names(again.Add(2*suspectFor-1)))
 	must.Eq(t, "abc", names(again.Add(2*suspectFor)))
 	p.Suspect(again, "a")
-	p.Heard("a")
+	p.ClearSuspect("a")
 	must.Eq(t, "abc", names(again))
 	p.Suspect(again, "a")
 	must.Eq(t, "abc", names(again.Add(suspectFor)))
@@ -106,18 +106,18 @@
 	near, far, full, silent := &Shard{Key: "near"}, &Shard{Key: "far"}, &Shard{Key: "full"}, &Shard{Key: "silent"}
 	s.nearest = []*Shard{near, far, full, silent}
 	p := NewPeers("a", t0)
-	p.TakeBeat(t0, Beat{Instance: "b", Fills: map[string]Fill{"near": {Part: 0.5}, "far": {Part: 0.2}, "full": {Part: 0.78}}})
+	p.ReceiveHeartbeat(t0, Heartbeat{Instance: "b", Fills: map[string]Fill{"near": {Used: 0.5}, "far": {Used: 0.2}, "full": {Used: 0.78}}})
 	got := make(map[string]int)
 	for range 3000 {
-		to, by, ok := p.PassOn(t0, s, 0.8)
+		to, by, ok := p.PickLessLoaded(t0, s, 0.8)
 		must.True(t, ok)
 		must.Eq(t, "b", by)
 		got[to.Key]++
 	}
 	must.MapLen(t, 2, got)
 	must.Between(t, 1.8, float64(got["far"])/float64(got["near"]), 3.2) // 0.52 to 0.22
-	_, _, ok := p.PassOn(t0, s, 0.25)
+	_, _, ok := p.PickLessLoaded(t0, s, 0.25)
 	must.False(t, ok)
-	_, _, ok = p.PassOn(t0.Add(fillLife+time.Millisecond), s, 0.8)
+	_, _, ok = p.PickLessLoaded(t0.Add(fillLife+time.Millisecond), s, 0.8)
 	must.False(t, ok)
 }
--- a/lib/owner/places_test.go
+++ b/lib/owner/places_test.go
@@ -22,13 +22,13 @@
 		list[i].ColdFor = 5 * time.Second
 	}
 	f.Apply(t0, list, nil, 0)
-	f.Tell(t0, "peer", nil, map[string][]fleet.Size{list[cold].ID: {{Now: kv}}, list[cold+1].ID: {{Now: kv}}})
+	f.SetPeerLoad(t0, "peer", nil, map[string][]fleet.Size{list[cold].ID: {{Held: kv}}, list[cold+1].ID: {{Held: kv}}})
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	b, s := NewBook("owner", f, new(admit.Readings)), l.Home("s", "z0", "owner")
+	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
 
 	given := make(map[string][]time.Time)
 	take := func(now time.Time, a Answer, ok bool) {
-		if ok && a.Action == admit.Go {
+		if ok && a.Action == admit.Admit {
 			given[a.Target] = append(given[a.Target], now)
 		}
 	}
@@ -42,7 +42,7 @@
 			a, ok := b.Place(now, s, q)
 			take(now, a, ok)
 		}
-		for _, a := range b.Step(now) {
+		for _, a := range b.DecideWaiting(now) {
 			take(now, a, true)
 		}
 	}
@@ -72,8 +72,8 @@
 		{ID: "s0", Service: "s", Domain: "z1", Slots: 8}, {ID: "s1", Service: "s", Domain: "z1", Slots: 8},
 	}, nil, 0)
 	l := NewLayout(f.Engines(fleet.Ready), instances(3, 1))
-	b, s := NewBook("owner", f, new(admit.Readings)), l.Home("s", "z0", "owner")
-	bound := func(id uint64) Ask {
+	b, s := NewLedger("owner", f, new(admit.PrefillRates)), l.HomeShard("s", "z0", "owner")
+	bound := func(id uint64) PlaceRequest {
 		a := ask("i", id, 1000)
 		a.Stream.Need.Regions = []string{"south"}
 		a.Backup = 1000
@@ -83,11 +83,11 @@
 	must.True(t, ok)
 	must.StrHasPrefix(t, "s", a.Target)
 	must.StrHasPrefix(t, "s", a.Backup)
-	f.Tell(t0, "peer", nil, map[string][]fleet.Size{"s0": {{Now: kv}}, "s1": {{Now: kv}}})
+	f.SetPeerLoad(t0, "peer", nil, map[string][]fleet.Size{"s0": {{Held: kv}}, "s1": {{Held: kv}}})
 	_, ok = b.Place(t0, s, bound(2))
 	must.False(t, ok)
 	f.Evacuate("z1")
 	a, ok = b.Place(t0, s, bound(3))
 	must.True(t, ok) // in vain: it is not kept waiting
-	must.Eq(t, admit.None, a.Action)
+	must.Eq(t, admit.Fallback, a.Action)
 }
--- a/lib/owner/report.go
+++ b/lib/owner/report.go
@@ -9,18 +9,18 @@
 
 // Run is a run of some instance on an engine.
 type Run struct {
-	ID       uint64 // hash of its request's id
-	Target   string
-	Tokens   int // of engine memory that it holds
-	Expected int // tokens that it is expected to add, as counted in loads
-	Unread   int // tokens of its prompt that are not known to be read yet
-	Left     int // tokens that it adds if it gets as long as its caller guesses
-	Stays    bool
-	Silent   time.Duration // since its engine was last heard on it
+	ID           uint64 // hash of its request's id
+	Target       string
+	Tokens       int // of engine memory that it holds
+	Expected     int // tokens that it is expected to add, as counted in loads
+	Unread       int // tokens of its prompt that are not known to be read yet
+	Remaining    int // tokens that it adds if it gets as long as its caller guesses
+	Pinned       bool
+	SinceContact time.Duration // since its engine was last heard on it
 }
 
-// Held is engine memory that a copy of a run takes.
-type Held struct {
+// Copy is engine memory that a copy of a run takes.
+type Copy struct {
 	Target string
 	Tokens int
 	Run    uint64
@@ -32,8 +32,8 @@
 	Served, Failed, Unreachable uint32
 }
 
-// Reading is how long a first event took after tokens of prompts were believed to be read before it.
-type Reading struct {
+// PrefillSample is how long a first event took after tokens of prompts were believed to be read before it.
+type PrefillSample struct {
 	Service string
 	Unread  int
 	Took    time.Duration
@@ -41,23 +41,23 @@
 
 // Report is what an instance has on the engines of a shard.
 type Report struct {
-	Shard       string
-	Instance    string
-	Addr        string // where the instance is answered
-	Incarnation uint64
-	Seq         uint64 // grows with each report of one incarnation
-	Seen        uint64 // newest grant of the receiver that the instance has
-	Runs        []Run
-	Held        []Held
-	Outcomes    []Outcomes
-	Readings    []Reading
-	Describe    bool // as in Ask
+	Shard          string
+	Instance       string
+	ReplyAddr      string // where the instance is answered
+	Incarnation    uint64
+	Seq            uint64 // grows with each report of one incarnation
+	LastGrant      uint64 // newest grant of the receiver that the instance has
+	Runs           []Run
+	Copies         []Copy
+	Outcomes       []Outcomes
+	PrefillSamples []PrefillSample
+	Describe       bool // as in Ask
 }
 
 const (
-	// ReportEvery is the period of an instance's reports while it has something on a shard's engines; a change is told
+	// ReportInterval is the period of an instance's reports while it has something on a shard's engines; a change is told
 	// sooner. It bounds how old the news is by which a dark engine is told from a busy one.
-	ReportEvery = 500 * time.Millisecond
+	ReportInterval = 500 * time.Millisecond
 	// reportLife is how long a report is believed: two may be lost.
 	reportLife = 1500 * time.Millisecond
 	// grantLife is how long a grant counts that its instance has not told of.
@@ -90,7 +90,7 @@
 	at          time.Time
 	addr        string
 	runs        []Run
-	held        []Held
+	held        []Copy
 	grants      []grant
 	outcomes    map[string]Outcomes
 }
@@ -110,8 +110,8 @@
 		h.outcomes = make(map[string]Outcomes)
 	}
 	h.incarnation, h.seq, h.at = r.Incarnation, r.Seq, now
-	h.addr, h.runs, h.held = r.Addr, r.Runs, r.Held
-	h.settle(now, r.Seen)
+	h.addr, h.runs, h.held = r.ReplyAddr, r.Runs, r.Copies
+	h.settle(now, r.LastGrant)
 }
 
 // settle drops the grants that the report contains, or that the instance has and no longer uses.
@@ -145,10 +145,10 @@
 		sizes[target] = append(sizes[target], s)
 	}
 	for _, r := range h.runs {
-		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Now: r.Tokens, Left: r.Left})
+		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Held: r.Tokens, Remaining: r.Remaining})
 	}
 	for _, m := range h.held {
-		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Now: m.Tokens})
+		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Held: m.Tokens})
 	}
 	for _, g := range h.grants {
 		add(g.target, g.load, g.size)
@@ -161,10 +161,10 @@
 	for i := range r.Runs {
 		m := &r.Runs[i]
 		m.Tokens, m.Expected = bound(m.Tokens), bound(m.Expected)
-		m.Unread, m.Left = bound(m.Unread), bound(m.Left)
+		m.Unread, m.Remaining = bound(m.Unread), bound(m.Remaining)
 	}
-	for i := range r.Held {
-		r.Held[i].Tokens = bound(r.Held[i].Tokens)
+	for i := range r.Copies {
+		r.Copies[i].Tokens = bound(r.Copies[i].Tokens)
 	}
 }
 
@@ -172,11 +172,11 @@
 
 // moving is the run as plans of moves see it.
 func (r Run) moving() moveplan.Run {
-	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Unread: r.Unread > 0}
+	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Prefilling: r.Unread > 0}
 }
 
 // ByShard sorts what an instance has by shards, as of tells them. What is on no shard's engines is left out.
-func ByShard(of func(engine string) *Shard, runs []Run, held []Held) map[string]Report {
+func ByShard(of func(engine string) *Shard, runs []Run, held []Copy) map[string]Report {
 	out := make(map[string]Report)
 	for _, r := range runs {
 		if s := of(r.Target); s != nil {
@@ -188,7 +188,7 @@
 	for _, h := range held {
 		if s := of(h.Target); s != nil {
 			rep := out[s.Key]
-			rep.Held = append(rep.Held, h)
+			rep.Copies = append(rep.Copies, h)
 			out[s.Key] = rep
 		}
 	}
--- a/lib/owner/turned.go
+++ b/lib/owner/turned.go
@@ -12,24 +12,24 @@
 )
 
 // turnAway remembers when a stream may come back.
-func (b *Book) turnAway(now time.Time, a *Ask, after time.Duration) {
-	if a.Print == 0 || len(b.turned) >= turnedMax {
+func (b *Ledger) turnAway(now time.Time, a *PlaceRequest, after time.Duration) {
+	if a.Fingerprint == 0 || len(b.turned) >= turnedMax {
 		return
 	}
-	b.turned[a.Print] = now.Add(after)
+	b.turned[a.Fingerprint] = now.Add(after)
 }
 
 // cameBack marks a stream whose caller was told to come back and does so as told.
-func (b *Book) cameBack(now time.Time, a *Ask) {
-	due, ok := b.turned[a.Print]
+func (b *Ledger) cameBack(now time.Time, a *PlaceRequest) {
+	due, ok := b.turned[a.Fingerprint]
 	if !ok || now.Before(due.Add(-turnedEarly)) {
 		return
 	}
-	delete(b.turned, a.Print)
-	a.Stream.Back = true
+	delete(b.turned, a.Fingerprint)
+	a.Stream.IsRetry = true
 }
 
-func (b *Book) forgetTurned(now time.Time) {
+func (b *Ledger) forgetTurned(now time.Time) {
 	for print, due := range b.turned {
 		if now.Sub(due) > turnedLife {
 			delete(b.turned, print)
--- a/lib/owner/wait.go
+++ b/lib/owner/wait.go
@@ -8,7 +8,7 @@
 )
 
 type waiting struct {
-	Ask
+	PlaceRequest
 	shard *Shard
 	heard time.Time
 	turn  time.Time // the order in which those that wait are looked at
@@ -23,22 +23,22 @@
 //
 // Load pattern: memory is short, and small streams fit into what frees up at once while a large one needs what two runs leave.
 // Looked at in the order of their ends alone, it finds its room taken at each look until its wait is over.
-func (b *Book) turnOf(s *admit.Stream) time.Time {
-	due := s.Due()
+func (b *Ledger) turnOf(s *admit.Stream) time.Time {
+	due := s.WaitDeadline()
 	memory := b.fleet.Memory(s.Need.Service)
 	if memory <= 0 {
 		return due
 	}
-	part := min(1, float64(s.Need.Peak.Now)/float64(memory))
-	return due.Add(-time.Duration(largeShare * part * float64(s.Aim)))
+	part := min(1, float64(s.Need.Peak.Held)/float64(memory))
+	return due.Add(-time.Duration(largeShare * part * float64(s.Objective)))
 }
 
 // hasNoTurn reports whether a stream that would wait can't begin before its wait is over: all engines of its shard have limits, and those that
 // wait before it use up what they take.
 //
 // Load pattern: a whole service is in need and more streams come than it takes. Each that waits in vain could have come back sooner.
-func (b *Book) hasNoTurn(now time.Time, s *Shard, a *Ask) bool {
-	perSecond, limited := b.fleet.LimitsOf(s.Engines())
+func (b *Ledger) hasNoTurn(now time.Time, s *Shard, a *PlaceRequest) bool {
+	perSecond, limited := b.fleet.TotalLimit(s.Engines())
 	if !limited || a.Mode != Admit {
 		return false
 	}
@@ -48,11 +48,11 @@
 			before++
 		}
 	}
-	return float64(before+1) > perSecond*a.Stream.Due().Sub(now).Seconds()
+	return float64(before+1) > perSecond*a.Stream.WaitDeadline().Sub(now).Seconds()
 }
 
 // wait puts an ask among those that wait, in their order.
-func (b *Book) wait(w *waiting) {
+func (b *Ledger) wait(w *waiting) {
 	w.turn = b.turnOf(&w.Stream)
 	at, _ := slices.BinarySearchFunc(b.asks, w.turn, func(x *waiting, turn time.Time) int { return x.turn.Compare(turn) })
 	for at < len(b.asks) && b.asks[at].turn.Equal(w.turn) {
@@ -61,18 +61,18 @@
 	b.asks = slices.Insert(b.asks, at, w)
 }
 
-// Waits reports whether asks wait.
-func (b *Book) Waits() bool {
+// HasWaiting reports whether asks wait.
+func (b *Ledger) HasWaiting() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.asks) > 0
 }
 
-// Step decides what it can of the asks that wait, in their order, and returns the answers.
+// DecideWaiting decides what it can of the asks that wait, in their order, and returns the answers.
 //
 // For the first of each shard that still wait the roomiest engines are kept. Without that, small streams take what frees up
 // as it frees up, and a large prompt, which needs the room of two at one engine, is turned away.
-func (b *Book) Step(now time.Time) []Answer {
+func (b *Ledger) DecideWaiting(now time.Time) []Answer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	clear(b.kept)
@@ -81,7 +81,7 @@
 		if now.Sub(w.heard) > askLife {
 			return true
 		}
-		answer, ok := b.decide(now, w.shard, &w.Ask)
+		answer, ok := b.decide(now, w.shard, &w.PlaceRequest)
 		switch {
 		case ok:
 			out = append(out, answer)
@@ -94,14 +94,14 @@
 }
 
 // drop forgets an ask that waits.
-func (b *Book) drop(k Key) {
+func (b *Ledger) drop(k Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asks = slices.DeleteFunc(b.asks, func(w *waiting) bool { return w.Key == k })
 }
 
 // waitingFor is how many tokens of engine memory the asks want that wait for a shard.
-func (b *Book) waitingFor(shard string) int {
+func (b *Ledger) waitingFor(shard string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum := 0
@@ -114,7 +114,7 @@
 }
 
 // waitingNow lists the asks that wait, with their shards.
-func (b *Book) waitingNow() []waiting {
+func (b *Ledger) waitingNow() []waiting {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]waiting, len(b.asks))
@@ -125,7 +125,7 @@
 }
 
 // Knows reports whether an ask has been decided here or waits here.
-func (b *Book) Knows(k Key) bool {
+func (b *Ledger) Knows(k Key) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, done := b.done[k]
@@ -136,12 +136,12 @@
 const keepPer = 16
 
 // keep keeps the roomiest engine that is left for a stream that waits, if its shard may have one more kept.
-func (b *Book) keep(s *Shard) {
+func (b *Ledger) keep(s *Shard) {
 	kept := b.kept[s.Key]
 	if len(kept) >= max(1, len(s.Engines())/keepPer) {
 		return
 	}
-	id := b.fleet.Roomiest(s.Engines(), kept)
+	id := b.fleet.EngineWithMostFree(s.Engines(), kept)
 	if id == "" {
 		return
 	}
--- a/lib/ownerlink/beat.go
+++ b/lib/ownerlink/beat.go
@@ -17,9 +17,9 @@
 
 // beat tells other owners that this instance lives, while it ranks to own a shard or the targets of a plain service.
 func (l *Link) beat(ctx context.Context) {
-	t := time.NewTicker(owner.BeatEvery)
+	t := time.NewTicker(owner.HeartbeatInterval)
 	defer t.Stop()
-	last, period := time.Now(), owner.BeatEvery
+	last, period := time.Now(), owner.HeartbeatInterval
 	for {
 		select {
 		case <-ctx.Done():
@@ -30,12 +30,12 @@
 		now := time.Now()
 		// A clock that does not count the time of a suspended machine shows it by the time of day.
 		if now.Sub(last) > period+stallTime || now.Round(0).Sub(last.Round(0)) > period+stallTime {
-			l.Desk.Woke(now)
+			l.Coordinator.MarkStalled(now)
 		}
 		last = now
 		period = idleEvery
 		if l.sendBeats(now) {
-			period = owner.BeatEvery
+			period = owner.HeartbeatInterval
 		}
 		t.Reset(period)
 	}
@@ -55,9 +55,9 @@
 func (l *Link) sendBeats(now time.Time) bool {
 	out := beats{addrs: make(map[string]string), fills: make(map[string][]*ownerpb.Fill)}
 	layout := l.layout.Load()
-	for _, s := range layout.RankedBy(l.Self.Name) {
+	for _, s := range layout.CandidateShards(l.Self.Name) {
 		out.addAll(s.Ranked)
-		if at, ok := l.Desk.Acting(now, s); ok && at.Name == l.Self.Name {
+		if at, ok := l.Coordinator.ActingOwner(now, s); ok && at.Name == l.Self.Name {
 			l.addFill(now, &out, s)
 		}
 	}
@@ -71,7 +71,7 @@
 		return false
 	}
 	own := new(ownerpb.Beat)
-	own.Cold, own.Leaving = l.Desk.State(now)
+	own.Cold, own.Leaving = l.Coordinator.State(now)
 	own.Left = l.leftNow(now)
 	for name, addr := range out.addrs {
 		b := &ownerpb.Beat{Cold: own.Cold, Leaving: own.Leaving, Left: own.Left, Fills: out.fills[name]}
@@ -98,16 +98,16 @@
 
 // addFill adds how full a shard is that this instance owns, for the owners of its neighbours: when it changes, and now and then.
 func (l *Link) addFill(now time.Time, out *beats, s *owner.Shard) {
-	f := l.Desk.Fills(now, s)
+	f := l.Coordinator.UpdateFill(now, s)
 	near := l.tellsFill(now, s.Key, f, 1)
-	far := l.tellsFill(now, s.Key+" far", f, owner.FarFactor)
-	told := &ownerpb.Fill{Shard: s.Key, Permille: uint32(permille * f.Part), Room: tokens(f.Room)}
+	far := l.tellsFill(now, s.Key+" far", f, owner.RemoteDomainFactor)
+	told := &ownerpb.Fill{Shard: s.Key, Permille: uint32(permille * f.Used), Room: tokens(f.LargestFree)}
 	for _, n := range s.Neighbours() {
 		if isFar := n.Domain != s.Domain; isFar && !far || !isFar && !near {
 			continue
 		}
 		to := n.Ranked
-		if by, known := l.Desk.OwnerOf(now, n); known {
+		if by, known := l.Coordinator.LastKnownOwner(now, n); known {
 			to = []owner.Instance{by}
 		}
 		out.addAll(to)
@@ -144,10 +144,10 @@
 // due reports whether a fill is to be told now.
 func (t toldFill) due(now time.Time, f owner.Fill, seldom int) bool {
 	times := float64(seldom)
-	if now.Sub(t.at) >= time.Duration(seldom)*fillEvery || math.Abs(f.Part-t.Part) >= times*fillStep {
+	if now.Sub(t.at) >= time.Duration(seldom)*fillEvery || math.Abs(f.Used-t.Used) >= times*fillStep {
 		return true
 	}
-	return math.Abs(float64(f.Room-t.Room)) >= min(0.5, times*roomStep)*float64(t.Room)
+	return math.Abs(float64(f.LargestFree-t.LargestFree)) >= min(0.5, times*roomStep)*float64(t.LargestFree)
 }
 
 func (b *beats) addAll(list []owner.Instance) {
@@ -162,12 +162,12 @@
 func (l *Link) handleBeat(d *ownerpb.Datagram, b *ownerpb.Beat) {
 	fills := make(map[string]owner.Fill, len(b.Fills))
 	for _, f := range b.Fills {
-		fills[f.Shard] = owner.Fill{Part: float64(f.Permille) / permille, Room: int(f.Room)}
+		fills[f.Shard] = owner.Fill{Used: float64(f.Permille) / permille, LargestFree: int(f.Room)}
 	}
-	l.Desk.TakeBeat(time.Now(), owner.Beat{
+	l.Coordinator.ReceiveHeartbeat(time.Now(), owner.Heartbeat{
 		Instance: d.Instance, Incarnation: d.Incarnation, Cold: b.Cold, Leaving: b.Leaving, Fills: fills,
 	})
 	for _, e := range b.Left {
-		l.Left(e.Target, e.Born)
+		l.OnLeft(e.Target, e.Born)
 	}
 }
--- a/lib/ownerlink/call.go
+++ b/lib/ownerlink/call.go
@@ -46,7 +46,7 @@
 
 // do asks one candidate after another until one answers.
 func (c *call) do(ctx context.Context) (*ownerpb.Datagram, error) {
-	for _, to := range c.l.Desk.Order(time.Now(), c.shard) {
+	for _, to := range c.l.Coordinator.QueryOrder(time.Now(), c.shard) {
 		d := c.try(ctx, to)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -54,10 +54,10 @@
 		if d != nil {
 			return d, nil
 		}
-		c.l.Desk.Suspect(time.Now(), to.Name)
+		c.l.Coordinator.Suspect(time.Now(), to.Name)
 	}
 	alone.Inc()
-	return nil, ErrAlone
+	return nil, ErrNoOwner
 }
 
 // try asks one candidate; nil: it does not answer. One that says that the ask waits is asked again now and then.
@@ -124,14 +124,14 @@
 }
 
 // Place asks for an engine for a run of a service. ErrAlone says that this instance decides by itself.
-func (l *Link) Place(ctx context.Context, a owner.Ask) (owner.Answer, error) {
+func (l *Link) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
 	s := l.home(&a.Stream.Need)
 	if s == nil {
-		return owner.Answer{}, ErrAlone
+		return owner.Answer{}, ErrNoOwner
 	}
 	c := l.newCall(s)
 	defer c.close()
-	a.ID, a.Describe = c.id, l.Part()
+	a.ID, a.Describe = c.id, l.HasPartialList()
 	c.body.Body = &ownerpb.Datagram_Ask{Ask: encodeAsk(&a, s.Key, time.Now())}
 	d, err := c.do(ctx)
 	if err != nil {
@@ -146,8 +146,8 @@
 // granted hands on what owners say of targets that this instance may not know.
 func (l *Link) granted(targets ...fleet.Info) {
 	for _, t := range targets {
-		if t.Addr != "" && l.Part() {
-			l.Granted(t)
+		if t.Addr != "" && l.HasPartialList() {
+			l.OnGranted(t)
 		}
 	}
 }
@@ -156,23 +156,23 @@
 func (l *Link) home(need *fleet.Need) *owner.Shard {
 	layout := l.layout.Load()
 	domain, own, most := l.Self.Domain, rendezvous.Hash(l.Self.Name), uint64(0)
-	if !l.Fleet.Open(domain, need.Regions) {
+	if !l.Fleet.DomainAllowed(domain, need.Regions) {
 		for _, other := range layout.Domains(need.Service) {
-			if rank := rendezvous.Rank(own, rendezvous.Hash(other)); rank > most && l.Fleet.Open(other, need.Regions) {
+			if rank := rendezvous.Rank(own, rendezvous.Hash(other)); rank > most && l.Fleet.DomainAllowed(other, need.Regions) {
 				domain, most = other, rank
 			}
 		}
 	}
-	return layout.Home(need.Service, domain, l.Self.Name)
+	return layout.HomeShard(need.Service, domain, l.Self.Name)
 }
 
-// Plan asks where this instance's runs go that are on engines which leave. Runs of which nothing is planned are left out;
+// RequestMoves asks where this instance's runs go that are on engines which leave. Runs of which nothing is planned are left out;
 // an error says that some owner does not answer.
-func (l *Link) Plan(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error) {
+func (l *Link) RequestMoves(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error) {
 	layout := l.layout.Load()
 	left := make(map[*owner.Shard][]*ownerpb.Left)
 	for _, e := range engines {
-		if s := layout.Of(e); s != nil {
+		if s := layout.ShardOf(e); s != nil {
 			left[s] = append(left[s], &ownerpb.Left{Target: e.ID, Born: e.Born})
 		}
 	}
@@ -207,11 +207,11 @@
 	return decodeMoves(d.GetMoves()), nil
 }
 
-// LastHeard asks when any instance last heard an engine; the zero time: nobody has.
-func (l *Link) LastHeard(ctx context.Context, engine string) (time.Time, error) {
+// LastContact asks when any instance last heard an engine; the zero time: nobody has.
+func (l *Link) LastContact(ctx context.Context, engine string) (time.Time, error) {
 	s := l.shardOf(engine)
 	if s == nil {
-		return time.Time{}, ErrAlone
+		return time.Time{}, ErrNoOwner
 	}
 	c := l.newCall(s)
 	defer c.close()
--- a/lib/ownerlink/handle.go
+++ b/lib/ownerlink/handle.go
@@ -27,7 +27,7 @@
 	case *ownerpb.Datagram_Beat:
 		l.handleBeat(d, body.Beat)
 	case *ownerpb.Datagram_Blames:
-		l.Blames(body.Blames.Blames)
+		l.OnBlames(body.Blames.Blames)
 	case *ownerpb.Datagram_LeftTold:
 		l.handleLeft(body.LeftTold)
 	case *ownerpb.Datagram_MovesAsk:
@@ -59,19 +59,19 @@
 	s := layout.Shard(a.Shard)
 	if s == nil {
 		// The asker's list of targets is a little older or newer.
-		s = layout.Home(a.Service, l.Self.Domain, d.Instance)
+		s = layout.HomeShard(a.Service, l.Self.Domain, d.Instance)
 	}
 	now := time.Now()
 	if s == nil {
-		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: a.Id}, Addr: d.Addr, Action: admit.None})
+		l.answer(&owner.Answer{Key: owner.Key{Instance: d.Instance, ID: a.Id}, Addr: d.Addr, Action: admit.Fallback})
 		return
 	}
-	l.settle(l.Desk.Take(now, s, decodeAsk(d, now)))
+	l.settle(l.Coordinator.Handle(now, s, decodeAsk(d, now)))
 }
 
 // settle answers an ask or passes it on.
-func (l *Link) settle(r owner.Reply) {
-	if r.PassOn {
+func (l *Link) settle(r owner.Disposition) {
+	if r.Forward {
 		l.passOn(r)
 		return
 	}
@@ -83,15 +83,15 @@
 
 // otherOwner returns the instance that decides for a shard, if it is another.
 func (l *Link) otherOwner(now time.Time, s *owner.Shard) (owner.Instance, bool) {
-	to, ok := l.Desk.Acting(now, s)
+	to, ok := l.Coordinator.ActingOwner(now, s)
 	return to, ok && to.Name != l.Self.Name
 }
 
 // passOn sends an ask to the owner that should decide it, which answers the asker.
-func (l *Link) passOn(r owner.Reply) {
+func (l *Link) passOn(r owner.Disposition) {
 	l.send(r.To.Addr, &ownerpb.Datagram{
-		Instance: r.Ask.Instance, Incarnation: r.Ask.Incarnation, Addr: r.Ask.Addr,
-		Body: &ownerpb.Datagram_Ask{Ask: encodeAsk(&r.Ask, r.Shard.Key, time.Now())},
+		Instance: r.Request.Instance, Incarnation: r.Request.Incarnation, Addr: r.Request.ReplyAddr,
+		Body: &ownerpb.Datagram_Ask{Ask: encodeAsk(&r.Request, r.Shard.Key, time.Now())},
 	})
 }
 
@@ -115,23 +115,23 @@
 }
 
 func (l *Link) handleAnswer(d *ownerpb.Datagram, a *ownerpb.Answer) {
-	l.Desk.Heard(d.Instance)
+	l.Coordinator.ClearSuspect(d.Instance)
 	l.mu.Lock()
 	l.seen[d.Instance] = max(l.seen[d.Instance], a.Serial)
 	l.mu.Unlock()
 	if !l.deliver(a.Id, d) && a.Serial > 0 {
-		l.Changed() // nobody uses what was granted: the next report says so
+		l.ScheduleReport() // nobody uses what was granted: the next report says so
 	}
 }
 
 func (l *Link) handleOther(d *ownerpb.Datagram, id uint64) {
-	l.Desk.Heard(d.Instance)
+	l.Coordinator.ClearSuspect(d.Instance)
 	l.deliver(id, d)
 }
 
 func (l *Link) handleHeardAsk(d *ownerpb.Datagram, a *ownerpb.HeardAsk) {
 	heard := &ownerpb.Heard{Id: a.Id}
-	if at := l.Fleet.LastHeard(a.Target); !at.IsZero() {
+	if at := l.Fleet.LastContact(a.Target); !at.IsZero() {
 		heard.Known, heard.AgoMs = true, ms(time.Since(at))
 	}
 	out := l.own()
@@ -153,15 +153,15 @@
 		case <-l.waits:
 		}
 		t.Reset(stepEvery)
-		for l.Desk.Waits() {
+		for l.Coordinator.HasWaiting() {
 			select {
 			case <-ctx.Done():
 				return
 			case now := <-t.C:
-				for _, a := range l.Desk.Step(now) {
+				for _, a := range l.Coordinator.DecideWaiting(now) {
 					l.answer(&a)
 				}
-				if now.Sub(passed) >= owner.PassEvery {
+				if now.Sub(passed) >= owner.ForwardInterval {
 					passed = now
 					l.passWaiting(now)
 				}
@@ -172,7 +172,7 @@
 }
 
 func (l *Link) passWaiting(now time.Time) {
-	for _, r := range l.Desk.PassWaiting(now) {
+	for _, r := range l.Coordinator.ForwardWaiting(now) {
 		l.passOn(r)
 	}
 }
--- a/lib/ownerlink/left.go
+++ b/lib/ownerlink/left.go
@@ -7,11 +7,11 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// TellLeft tells others of a target that has said in an answer that it leaves: its owner, which tells all. They would each send it a
+// NotifyLeaving tells others of a target that has said in an answer that it leaves: its owner, which tells all. They would each send it a
 // request before they hear it from the target.
-func (l *Link) TellLeft(t fleet.Info) {
+func (l *Link) NotifyLeaving(t fleet.Info) {
 	left := &ownerpb.Left{Target: t.ID, Born: t.Born}
-	s := l.layout.Load().Owning(t)
+	s := l.layout.Load().PermitShard(t)
 	if s == nil {
 		return
 	}
@@ -33,7 +33,7 @@
 // handleReport takes in what an instance has on engines, and tells it of those that have left if it may not hear that from the list. What
 // it was told before may have been lost.
 func (l *Link) handleReport(d *ownerpb.Datagram, r *ownerpb.Report) {
-	l.Desk.Report(time.Now(), decodeReport(d, r))
+	l.Coordinator.Report(time.Now(), decodeReport(d, r))
 	if !r.Describe {
 		return
 	}
@@ -57,16 +57,16 @@
 	}
 }
 
-// TellRestarted tells the instances that have runs on engines that these have started again, which ends the runs.
-func (l *Link) TellRestarted(engines []fleet.Info) {
+// NotifyRestarted tells the instances that have runs on engines that these have started again, which ends the runs.
+func (l *Link) NotifyRestarted(engines []fleet.Info) {
 	layout := l.layout.Load()
 	for _, e := range engines {
-		s := layout.Of(e)
+		s := layout.ShardOf(e)
 		if s == nil || !s.IsCandidate(l.Self.Name) {
 			continue
 		}
 		d := l.leftTold(&ownerpb.Left{Target: e.ID, Born: e.Born, Lives: true})
-		for _, addr := range l.Desk.Users(s.Key, map[string]bool{e.ID: true}) {
+		for _, addr := range l.Coordinator.Users(s.Key, map[string]bool{e.ID: true}) {
 			l.send(addr, d)
 		}
 	}
@@ -76,10 +76,10 @@
 func (l *Link) handleLeft(body *ownerpb.LeftTold) {
 	for _, e := range body.GetLeft() {
 		if e.Lives {
-			l.Restarted(e.Target, e.Born)
+			l.OnRestarted(e.Target, e.Born)
 			continue
 		}
-		if l.Left(e.Target, e.Born) && body.PassOn {
+		if l.OnLeft(e.Target, e.Born) && body.PassOn {
 			l.tellAll(l.leftTold(e))
 		}
 	}
--- a/lib/ownerlink/link.go
+++ b/lib/ownerlink/link.go
@@ -53,38 +53,38 @@
 	leftTold = 64
 )
 
-// ErrAlone says that no owner answers.
-var ErrAlone = errors.New("ownerlink: no owner answers")
+// ErrNoOwner says that no owner answers.
+var ErrNoOwner = errors.New("ownerlink: no owner answers")
 
 // Config is what a Link works with.
 type Config struct {
 	Self        owner.Instance
 	Incarnation uint64
 	Fleet       *fleet.Fleet
-	Desk        *owner.Desk
+	Coordinator *owner.Coordinator
 	// Conn carries the datagrams; nil: a socket on Self.Addr.
 	Conn PacketConn
 
 	// Gather returns what this instance has on the engines of each shard, as shardOf tells them; the link adds what is its own.
 	Gather func(shardOf func(engine string) *owner.Shard) map[string]owner.Report
-	// Moves tells how a service's engines copy runs; ok is false when they don't.
-	Moves func(service string) (link moveplan.Link, ok bool)
-	// Left is told of targets that another instance saw to leave, and reports whether that is news.
-	Left func(id string, born int64) bool
-	// Restarted is told of targets that another instance saw to have started again.
-	Restarted func(id string, born int64)
-	// Granted is told of targets that owners have found for this instance, where it holds a part of the list.
-	Granted func(fleet.Info)
-	// Part reports whether this instance holds no more than a part of the list of targets.
-	Part func() bool
-	// Spread tells all other instances, which hand what it is given to TakeSpread.
-	Spread func(datagram []byte)
-	// Blames is told what peers say of contents that killed targets.
-	Blames func([]*ownerpb.Blame)
-	// Suspected is told when this instance begins to avoid a target by what all instances saw there; permille of its requests fail.
-	Suspected func(target string, permille uint32)
-	// Bad is told once of each kind of datagram that could not be used.
-	Bad func(cause string, err error)
+	// MoveLink tells how a service's engines copy runs; ok is false when they don't.
+	MoveLink func(service string) (link moveplan.Link, ok bool)
+	// OnLeft is told of targets that another instance saw to leave, and reports whether that is news.
+	OnLeft func(id string, born int64) bool
+	// OnRestarted is told of targets that another instance saw to have started again.
+	OnRestarted func(id string, born int64)
+	// OnGranted is told of targets that owners have found for this instance, where it holds a part of the list.
+	OnGranted func(fleet.Info)
+	// HasPartialList reports whether this instance holds no more than a part of the list of targets.
+	HasPartialList func() bool
+	// Broadcast tells all other instances, which hand what it is given to TakeSpread.
+	Broadcast func(datagram []byte)
+	// OnBlames is told what peers say of contents that killed targets.
+	OnBlames func([]*ownerpb.Blame)
+	// OnSuspected is told when this instance begins to avoid a target by what all instances saw there; permille of its requests fail.
+	OnSuspected func(target string, permille uint32)
+	// OnBadDatagram is told once of each kind of datagram that could not be used.
+	OnBadDatagram func(cause string, err error)
 }
 
 // Link sends and receives. Make it with New.
@@ -106,7 +106,7 @@
 	bad      map[string]bool
 	plans    map[string]*plan // under way, by shard
 	outcomes map[string]*outcomes
-	readings []owner.Reading
+	readings []owner.PrefillSample
 	named    map[string]string // addresses of all instances, this one too, by name
 	strong   []string          // those with half of the largest capacity or more
 	plain    plainOutcomes
@@ -158,7 +158,7 @@
 // SetLayout puts a layout of shards in force.
 func (l *Link) SetLayout(layout *owner.Layout) {
 	if l.layout.Swap(layout) != layout {
-		l.Changed()
+		l.ScheduleReport()
 		notify(l.laid)
 	}
 }
@@ -199,8 +199,8 @@
 	return bad
 }
 
-// Changed asks for a report to be sent soon.
-func (l *Link) Changed() {
+// ScheduleReport asks for a report to be sent soon.
+func (l *Link) ScheduleReport() {
 	now := time.Now()
 	l.changedAt.CompareAndSwap(nil, &now)
 	notify(l.wake)
@@ -241,8 +241,8 @@
 	told := l.bad[cause]
 	l.bad[cause] = true
 	l.mu.Unlock()
-	if !told && l.Bad != nil {
-		l.Bad(cause, err)
+	if !told && l.OnBadDatagram != nil {
+		l.OnBadDatagram(cause, err)
 	}
 }
 
@@ -302,11 +302,11 @@
 		return
 	}
 	spread[kindOf(d)].add(len(b))
-	l.Spread(b)
+	l.Broadcast(b)
 }
 
-// TakeSpread takes in what another instance tells all.
-func (l *Link) TakeSpread(b []byte) { l.take(b) }
+// ReceiveBroadcast takes in what another instance tells all.
+func (l *Link) ReceiveBroadcast(b []byte) { l.take(b) }
 
 // take takes in a datagram.
 func (l *Link) take(b []byte) {
