--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -48,31 +48,33 @@
 	f.SetSizes(func(target string) (out []fleet.Size) {
 		for _, r := range *m.runs.Load() {
 			if r.Target == target {
-				out = append(out, fleet.Size{Now: r.Tokens, Left: r.Left})
+				out = append(out, fleet.Size{Held: r.Tokens, Remaining: r.Remaining})
 			}
 		}
 		return out
 	})
 	link, err := New(Config{
 		Self: owner.Instance{Name: name, Domain: "z0", Addr: "127.0.0.1:0", Capacity: 1}, Incarnation: 1, Fleet: f,
-		Desk: owner.NewDesk(name, f, new(admit.Readings), time.Now()),
+		Coordinator: owner.NewCoordinator(name, f, new(admit.PrefillRates), time.Now()),
 		Gather: func(of func(string) *owner.Shard) map[string]owner.Report {
 			return owner.ByShard(of, *m.runs.Load(), nil)
 		},
-		Moves: func(string) (moveplan.Link, bool) { return moveplan.Link{TokensPerSecond: 10_000, FarFactor: 2}, true },
-		Left: func(id string, _ int64) bool {
+		MoveLink: func(string) (moveplan.Link, bool) {
+			return moveplan.Link{TokensPerSecond: 10_000, CrossDomainFactor: 2}, true
+		},
+		OnLeft: func(id string, _ int64) bool {
 			if _, known := m.known.LoadOrStore(id, true); known {
 				return false
 			}
 			m.left <- id
 			return true
 		},
-		Blames: func([]*ownerpb.Blame) { m.blamed.Add(1) },
+		OnBlames: func([]*ownerpb.Blame) { m.blamed.Add(1) },
 
-		Restarted: func(id string, born int64) { m.restarted <- id },
-		Granted:   func(fleet.Info) {},
-		Part:      func() bool { return false },
-		Spread:    func([]byte) {},
+		OnRestarted:    func(id string, born int64) { m.restarted <- id },
+		OnGranted:      func(fleet.Info) {},
+		HasPartialList: func() bool { return false },
+		Broadcast:      func([]byte) {},
 	})
 	must.NoError(t, err)
 	m.Link = link
@@ -115,26 +117,26 @@
 		m.SetLayout(layout)
 	}
 	for _, m := range members {
-		m.Spread = func(b []byte) { spreadAmong(members, m, b) }
+		m.Broadcast = func(b []byte) { spreadAmong(members, m, b) }
 	}
 	for _, name := range running {
 		members[name].start(t)
 	}
-	return members, layout.Home("s", "z0", "a")
+	return members, layout.HomeShard("s", "z0", "a")
 }
 
 // spreadAmong hands what one member tells all to the others that run.
 func spreadAmong(members map[string]*member, from *member, b []byte) {
 	for _, m := range members {
 		if m != from && m.running.Load() {
-			m.TakeSpread(b)
+			m.ReceiveBroadcast(b)
 		}
 	}
 }
 
-func ask(tokens int) owner.Ask {
-	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Now: tokens}}
-	return owner.Ask{Run: 7, Stream: admit.Stream{Arrived: time.Now(), Aim: time.Second, Keeps: 10 * time.Second, Need: need}}
+func ask(tokens int) owner.PlaceRequest {
+	need := fleet.Need{Service: "s", Tokens: tokens, Unread: tokens, Peak: fleet.Size{Held: tokens}}
+	return owner.PlaceRequest{Run: 7, Stream: admit.Stream{Arrived: time.Now(), Objective: time.Second, MaxRetryAfter: 10 * time.Second, Need: need}}
 }
 
 func eventually(t *testing.T, cond func() bool) {
@@ -155,22 +157,22 @@
 	for _, name := range []string{"a", "b"} {
 		got, err := members[name].Place(t.Context(), ask(8000))
 		must.NoError(t, err)
-		must.Eq(t, admit.Go, got.Action)
+		must.Eq(t, admit.Admit, got.Action)
 		used[got.Target] = true
 		members[name].runs.Store(&[]owner.Run{{ID: 7, Target: got.Target, Tokens: 8000}})
-		members[name].Changed()
+		members[name].ScheduleReport()
 	}
 	must.MapLen(t, 2, used)
 	first := members[s.Ranked[0].Name]
-	eventually(t, func() bool { return first.Fleet.Room(s.Engines()) < 2000 })
+	eventually(t, func() bool { return first.Fleet.MaxFreeTokens(s.Engines()) < 2000 })
 	time.AfterFunc(100*time.Millisecond, func() {
 		members["a"].runs.Store(new([]owner.Run))
-		members["a"].Changed()
+		members["a"].ScheduleReport()
 	})
 	start := time.Now()
 	got, err := members["c"].Place(t.Context(), ask(8000))
 	must.NoError(t, err)
-	must.Eq(t, admit.Go, got.Action)
+	must.Eq(t, admit.Admit, got.Action)
 	must.Greater(t, 90*time.Millisecond, time.Since(start))
 }
 
@@ -180,9 +182,9 @@
 	members, s := site(t, 2, "a", "b", "c")
 	first, third := members[s.Ranked[0].Name], members[s.Ranked[2].Name]
 	third.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 8000}})
-	third.Changed()
+	third.ScheduleReport()
 	second := members[s.Ranked[1].Name]
-	eventually(t, func() bool { return second.Fleet.Believe(time.Now(), "e0").Load.Tokens == 8000 })
+	eventually(t, func() bool { return second.Fleet.KnownState(time.Now(), "e0").Load.Tokens == 8000 })
 	first.stop()
 	<-first.done
 	start := time.Now()
@@ -203,13 +205,13 @@
 	// Its own link does not run either, but it can ask itself: it is a candidate.
 	got, err := last.Place(t.Context(), ask(100))
 	must.NoError(t, err)
-	must.Eq(t, admit.Go, got.Action)
+	must.Eq(t, admit.Admit, got.Action)
 	stranger := newMember(t, "x")
 	stranger.SetLayout(members["a"].layout.Load())
 	stranger.start(t)
 	start := time.Now()
 	_, err = stranger.Place(t.Context(), ask(100))
-	must.ErrorIs(t, err, ErrAlone)
+	must.ErrorIs(t, err, ErrNoOwner)
 	must.Less(t, 3*time.Second, time.Since(start))
 }
 
@@ -223,11 +225,11 @@
 		to, other := second.otherOwner(time.Now(), s)
 		return other && to.Name == first
 	})
-	third.Desk.Suspect(time.Now(), first)
+	third.Coordinator.Suspect(time.Now(), first)
 	_, err := third.Place(t.Context(), ask(500))
 	must.NoError(t, err)
-	must.Eq(t, first, third.Desk.Order(time.Now(), s)[0].Name) // it has answered
-	must.Positive(t, members[first].Fleet.Fill(s.Engines(), 0))
+	must.Eq(t, first, third.Coordinator.QueryOrder(time.Now(), s)[0].Name) // it has answered
+	must.Positive(t, members[first].Fleet.Utilization(s.Engines(), 0))
 }
 
 // Two instances have runs on an engine that leaves, and only one of them has seen it. Both are told where their runs go.
@@ -237,19 +239,19 @@
 	asks.runs.Store(&[]owner.Run{{ID: 1, Target: "e0", Tokens: 2000}})
 	other.runs.Store(&[]owner.Run{{ID: 2, Target: "e0", Tokens: 2000}})
 	for _, m := range []*member{asks, other} {
-		m.Changed()
+		m.ScheduleReport()
 	}
 	first := members[s.Ranked[0].Name]
-	eventually(t, func() bool { return first.Fleet.Believe(time.Now(), "e0").Load.Runs == 2 })
+	eventually(t, func() bool { return first.Fleet.KnownState(time.Now(), "e0").Load.Runs == 2 })
 	e0, _ := first.Fleet.Info("e0")
-	first.Leaving([]fleet.Info{e0})
-	steps, err := asks.Plan(t.Context(), []fleet.Info{e0})
+	first.PlanLeaving([]fleet.Info{e0})
+	steps, err := asks.RequestMoves(t.Context(), []fleet.Info{e0})
 	must.NoError(t, err)
 	must.Len(t, 1, steps)
 	must.Eq(t, 1, steps[0].Run.ID)
 	must.NotEq(t, "", steps[0].To)
 	must.Eq(t, "e0", <-other.left)
-	more, err := other.Plan(t.Context(), []fleet.Info{e0})
+	more, err := other.RequestMoves(t.Context(), []fleet.Info{e0})
 	must.NoError(t, err)
 	must.Len(t, 1, more)
 	must.Positive(t, steps[0].Start+more[0].Start) // one after the other
@@ -258,7 +260,7 @@
 // Blames reach everybody, also those who own nothing and ask nothing.
 func TestBlamesReachAll(t *testing.T) {
 	members, _ := site(t, 1, "a", "b", "c")
-	members["a"].TellBlames([]*ownerpb.Blame{{Fingerprint: 5}})
+	members["a"].BroadcastBlames([]*ownerpb.Blame{{Fingerprint: 5}})
 	eventually(t, func() bool { return members["b"].blamed.Load()+members["c"].blamed.Load() == 2 })
 }
 
--- a/lib/ownerlink/moves.go
+++ b/lib/ownerlink/moves.go
@@ -15,14 +15,14 @@
 	asks    []*ownerpb.Datagram
 }
 
-// Leaving plans the moves of the runs on engines that leave, where this instance may be asked for them. Engines that leave
+// PlanLeaving plans the moves of the runs on engines that leave, where this instance may be asked for them. Engines that leave
 // with the first, some milliseconds later, come into the same plan: their runs share the links of the same destinations.
-func (l *Link) Leaving(engines []fleet.Info) {
+func (l *Link) PlanLeaving(engines []fleet.Info) {
 	layout := l.layout.Load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range engines {
-		s := layout.Of(e)
+		s := layout.ShardOf(e)
 		if s == nil || !s.IsCandidate(l.Self.Name) {
 			continue
 		}
@@ -37,14 +37,14 @@
 }
 
 func (l *Link) makePlan(p *plan) {
-	if link, ok := l.Moves(p.shard.Service); ok {
+	if link, ok := l.MoveLink(p.shard.Service); ok {
 		for _, r := range l.reports() {
-			l.Desk.Report(time.Now(), r)
+			l.Coordinator.Report(time.Now(), r)
 		}
 		l.mu.Lock()
 		engines := p.engines
 		l.mu.Unlock()
-		l.Desk.Plan(time.Now(), p.shard, engines, link)
+		l.Coordinator.Plan(time.Now(), p.shard, engines, link)
 		l.tellLeaving(p.shard, engines)
 	}
 	l.mu.Lock()
@@ -74,7 +74,7 @@
 		return
 	}
 	d := l.leftTold(left...)
-	for _, addr := range l.Desk.Users(s.Key, ids) {
+	for _, addr := range l.Coordinator.Users(s.Key, ids) {
 		l.send(addr, d)
 	}
 }
@@ -97,9 +97,9 @@
 		})
 		return
 	}
-	l.Desk.Report(now, decodeReport(d, a.Report))
+	l.Coordinator.Report(now, decodeReport(d, a.Report))
 	for _, e := range a.Left {
-		l.Left(e.Target, e.Born)
+		l.OnLeft(e.Target, e.Born)
 	}
 	l.mu.Lock()
 	p := l.plans[s.Key]
@@ -119,7 +119,7 @@
 		runs[i] = r.Id
 	}
 	out := l.own()
-	moves := encodeMoves(l.Desk.Moves(time.Now(), s, d.Instance, runs))
+	moves := encodeMoves(l.Coordinator.Moves(time.Now(), s, d.Instance, runs))
 	if a.Report.Describe {
 		for _, m := range moves {
 			to, _ := l.Fleet.Info(m.To)
--- a/lib/ownerlink/permits.go
+++ b/lib/ownerlink/permits.go
@@ -34,11 +34,11 @@
 	return l.PerSecond < (1-limitStep)*t.PerSecond || l.PerSecond > (1+limitStep)*t.PerSecond
 }
 
-// Permit asks a target's owner for leave to send it a request. ErrAlone says that none answers, or knows the target.
-func (l *Link) Permit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error) {
-	s := l.layout.Load().Owning(t)
+// RequestPermit asks a target's owner for leave to send it a request. ErrAlone says that none answers, or knows the target.
+func (l *Link) RequestPermit(ctx context.Context, t fleet.Info, must bool) (fleet.Permit, error) {
+	s := l.layout.Load().PermitShard(t)
 	if s == nil {
-		return fleet.Permit{}, ErrAlone
+		return fleet.Permit{}, ErrNoOwner
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -52,10 +52,10 @@
 	}
 	p := d.GetPermit()
 	if !p.GetKnown() {
-		return fleet.Permit{}, ErrAlone
+		return fleet.Permit{}, ErrNoOwner
 	}
 	l.takeLimit(time.Now(), p.GetWord())
-	return fleet.Permit{Given: p.GetGiven(), After: duration(p.GetAfterMs())}, nil
+	return fleet.Permit{Granted: p.GetGiven(), RetryAfter: duration(p.GetAfterMs())}, nil
 }
 
 // handlePermitAsk answers for the targets that this instance owns, and passes on what is for another.
@@ -66,7 +66,7 @@
 	if !known {
 		t = fleet.Info{ID: id, Service: a.GetService()}
 	}
-	if s := l.layout.Load().Owning(t); s != nil && !a.GetPassedOn() {
+	if s := l.layout.Load().PermitShard(t); s != nil && !a.GetPassedOn() {
 		if to, other := l.otherOwner(now, s); other {
 			l.passPermitAsk(d, a, to)
 			return
@@ -78,7 +78,7 @@
 	p, known := l.Fleet.Permit(now, id, d.Instance, a.GetMust())
 	out := l.own()
 	out.Body = &ownerpb.Datagram_Permit{Permit: &ownerpb.Permit{
-		Id: a.GetId(), Known: known, Given: p.Given, AfterMs: ms(p.After), Word: encodeLimit(id, l.Fleet.LimitOf(id), now),
+		Id: a.GetId(), Known: known, Given: p.Granted, AfterMs: ms(p.RetryAfter), Word: encodeLimit(id, l.Fleet.LimitOf(id), now),
 	}}
 	l.reply(d.Instance, d.Addr, a.GetId(), out)
 }
@@ -92,10 +92,10 @@
 	})
 }
 
-// Limited tells a target's owner of the limit that an answer named, or no longer named. changed says that it is news to this instance.
-func (l *Link) Limited(t fleet.Info, changed bool) {
+// ReportLimit tells a target's owner of the limit that an answer named, or no longer named. changed says that it is news to this instance.
+func (l *Link) ReportLimit(t fleet.Info, changed bool) {
 	now := time.Now()
-	s := l.layout.Load().Owning(t)
+	s := l.layout.Load().PermitShard(t)
 	if s == nil {
 		return
 	}
@@ -154,8 +154,8 @@
 	if w.GetTarget() == "" {
 		return false
 	}
-	return l.Fleet.TakeLimit(w.Target, fleet.LimitWord{
-		Limit: fleet.Limit{On: w.On, PerSecond: w.PerSecond}, Asked: before(now, w.AskedAgoUs), Heard: before(now, w.HeardAgoUs), Told: true,
+	return l.Fleet.ApplyLimit(w.Target, fleet.LimitNotice{
+		Limit: fleet.Limit{On: w.On, PerSecond: w.PerSecond}, RequestedAt: before(now, w.AskedAgoUs), ReceivedAt: before(now, w.HeardAgoUs), Relayed: true,
 	})
 }
 
@@ -169,8 +169,8 @@
 func ago(now, at time.Time) uint64 { return uint64(min(max(0, now.Sub(at)), agoMax).Microseconds()) }
 
 // encodeLimit tells of a target's limit as it is known here.
-func encodeLimit(target string, w fleet.LimitWord, now time.Time) *ownerpb.LimitWord {
+func encodeLimit(target string, w fleet.LimitNotice, now time.Time) *ownerpb.LimitWord {
 	return &ownerpb.LimitWord{
-		Target: target, On: w.On, PerSecond: w.PerSecond, AskedAgoUs: ago(now, w.Asked), HeardAgoUs: ago(now, w.Heard),
+		Target: target, On: w.On, PerSecond: w.PerSecond, AskedAgoUs: ago(now, w.RequestedAt), HeardAgoUs: ago(now, w.ReceivedAt),
 	}
 }
--- a/lib/ownerlink/permits_test.go
+++ b/lib/ownerlink/permits_test.go
@@ -39,14 +39,14 @@
 		m.Fleet.Apply(time.Now(), plain, nil, 0)
 		m.SetLayout(layout)
 	}
-	return members, plain[0], layout.Owning(plain[0])
+	return members, plain[0], layout.PermitShard(plain[0])
 }
 
 func hear(m *member, t fleet.Info, perSecond float64) bool {
 	now := time.Now()
-	w := fleet.LimitWord{Limit: fleet.Limit{On: true, PerSecond: perSecond}, Asked: now, Heard: now}
-	changed := m.Fleet.TakeLimit(t.ID, w)
-	m.Limited(t, changed)
+	w := fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: perSecond}, RequestedAt: now, ReceivedAt: now}
+	changed := m.Fleet.ApplyLimit(t.ID, w)
+	m.ReportLimit(t, changed)
 	return changed
 }
 
@@ -61,8 +61,8 @@
 	}
 	time.Sleep(time.Millisecond)
 	now := time.Now()
-	must.True(t, last.Fleet.TakeLimit("p1", fleet.LimitWord{Asked: now, Heard: time.Now()}))
-	last.Limited(p1, true)
+	must.True(t, last.Fleet.ApplyLimit("p1", fleet.LimitNotice{RequestedAt: now, ReceivedAt: time.Now()}))
+	last.ReportLimit(p1, true)
 	for _, m := range members {
 		eventually(t, func() bool { return !m.Fleet.LimitOf("p1").On })
 	}
@@ -84,8 +84,8 @@
 			given := 0
 			for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 				for _, i := range running {
-					p, err := members[s.Ranked[i].Name].Permit(t.Context(), p1, false)
-					if err == nil && p.Given {
+					p, err := members[s.Ranked[i].Name].RequestPermit(t.Context(), p1, false)
+					if err == nil && p.Granted {
 						given++
 					}
 				}
@@ -100,12 +100,12 @@
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	now := time.Now()
 	asker := members[s.Ranked[1].Name]
-	asker.Fleet.TakeLimit("p1", fleet.LimitWord{Limit: fleet.Limit{On: true, PerSecond: 1}, Asked: now, Heard: now})
+	asker.Fleet.ApplyLimit("p1", fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: 1}, RequestedAt: now, ReceivedAt: now})
 	given := 0
 	for range 10 {
-		p, err := asker.Permit(t.Context(), p1, false)
+		p, err := asker.RequestPermit(t.Context(), p1, false)
 		must.NoError(t, err)
-		if p.Given {
+		if p.Granted {
 			given++
 		}
 	}
@@ -148,7 +148,7 @@
 	for rank := range 3 {
 		members, p1, s := limitedSite(t, "a", "b", "c")
 		agreed(t, members, s)
-		members[s.Ranked[rank].Name].TellLeft(p1)
+		members[s.Ranked[rank].Name].NotifyLeaving(p1)
 		for i := range 3 {
 			if i == rank {
 				continue // it knows
--- a/lib/ownerlink/report.go
+++ b/lib/ownerlink/report.go
@@ -10,7 +10,7 @@
 )
 
 // outcomesTold is how long a target's outcomes are reported after the last: until a lost report has been made up for.
-const outcomesTold = 4 * owner.ReportEvery
+const outcomesTold = 4 * owner.ReportInterval
 
 // reportedTo is how many of a shard's candidates are told what instances have there: the owner, and the one that takes over.
 const reportedTo = 2
@@ -20,8 +20,8 @@
 	changed time.Time
 }
 
-// Outcome counts how a request of this instance ended at a target.
-func (l *Link) Outcome(target string, o fleet.Outcome) {
+// RecordOutcome counts how a request of this instance ended at a target.
+func (l *Link) RecordOutcome(target string, o fleet.Outcome) {
 	if l.shardOf(target) == nil {
 		return
 	}
@@ -45,8 +45,8 @@
 	c.changed = time.Now()
 }
 
-// Reading notes how long a first event took after tokens of prompts were believed to be read before it.
-func (l *Link) Reading(r owner.Reading) {
+// RecordPrefill notes how long a first event took after tokens of prompts were believed to be read before it.
+func (l *Link) RecordPrefill(r owner.PrefillSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.readings) < readingsMax {
@@ -63,14 +63,14 @@
 	if !known {
 		return nil
 	}
-	return l.layout.Load().Of(t)
+	return l.layout.Load().ShardOf(t)
 }
 
-// Owned lists the engines that this instance decides for.
-func (l *Link) Owned() []string {
+// OwnedEngines lists the engines that this instance decides for.
+func (l *Link) OwnedEngines() []string {
 	var out []string
 	now := time.Now()
-	for _, s := range l.layout.Load().RankedBy(l.Self.Name) {
+	for _, s := range l.layout.Load().CandidateShards(l.Self.Name) {
 		if _, other := l.otherOwner(now, s); !other {
 			out = append(out, s.Engines()...)
 		}
@@ -82,7 +82,7 @@
 func (l *Link) reports() map[string]owner.Report {
 	out := l.Gather(l.shardOf)
 	now := time.Now()
-	part := l.Part()
+	part := l.HasPartialList()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastID++
@@ -104,7 +104,7 @@
 }
 
 // takeReadings returns the readings of services since the last call.
-func (l *Link) takeReadings() []owner.Reading {
+func (l *Link) takeReadings() []owner.PrefillSample {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.readings
@@ -115,7 +115,7 @@
 // report tells owners what this instance has, when it changes and every owner.ReportEvery. What has nothing on a shard says
 // so once and is silent.
 func (l *Link) report(ctx context.Context) {
-	t := time.NewTicker(owner.ReportEvery)
+	t := time.NewTicker(owner.ReportInterval)
 	defer t.Stop()
 	told := make(map[string]bool)
 	for {
@@ -123,7 +123,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			l.Desk.Tick(time.Now())
+			l.Coordinator.Tick(time.Now())
 		case <-l.wake:
 			time.Sleep(reportGap)
 		}
@@ -146,7 +146,7 @@
 	layout := l.layout.Load()
 	readings := l.takeReadings()
 	for key, r := range reports {
-		if len(r.Runs)+len(r.Held)+len(r.Outcomes) > 0 {
+		if len(r.Runs)+len(r.Copies)+len(r.Outcomes) > 0 {
 			told[key] = true
 		}
 		s := layout.Shard(key)
@@ -155,7 +155,7 @@
 		}
 		for _, m := range readings {
 			if m.Service == s.Service {
-				r.Readings = append(r.Readings, m)
+				r.PrefillSamples = append(r.PrefillSamples, m)
 			}
 		}
 		l.sendReport(s, r)
@@ -172,7 +172,7 @@
 func (l *Link) sendReport(s *owner.Shard, r owner.Report) {
 	for _, to := range s.Ranked[:min(reportedTo, len(s.Ranked))] {
 		if to.Name == l.Self.Name {
-			l.Desk.Report(time.Now(), r)
+			l.Coordinator.Report(time.Now(), r)
 			continue
 		}
 		d := l.own()
@@ -186,14 +186,14 @@
 // encodeReport adds what the receiver has granted.
 func (l *Link) encodeReport(r *owner.Report, to string) *ownerpb.Report {
 	l.mu.Lock()
-	r.Seen = l.seen[to]
+	r.LastGrant = l.seen[to]
 	l.mu.Unlock()
 	return encodeReport(r)
 }
 
-// TellBlames tells all instances of contents that killed targets. Deaths are rare, and until all know, each may send
+// BroadcastBlames tells all instances of contents that killed targets. Deaths are rare, and until all know, each may send
 // such a content to another target.
-func (l *Link) TellBlames(blames []*ownerpb.Blame) {
+func (l *Link) BroadcastBlames(blames []*ownerpb.Blame) {
 	d := l.own()
 	d.Body = &ownerpb.Datagram_Blames{Blames: &ownerpb.Blames{Blames: blames}}
 	l.tellAll(d)
--- a/lib/ownerlink/suspects.go
+++ b/lib/ownerlink/suspects.go
@@ -22,7 +22,7 @@
 	reportsMost  = 200
 	reportsBurst = 3
 	// repeatEvery is how often a verdict that holds on is told again. It outlives one that is lost.
-	repeatEvery = suspect.Life * 2 / 3
+	repeatEvery = suspect.VerdictTTL * 2 / 3
 )
 
 var suspectsTold = metrics.NewCounter(`anvilwick_owner_suspects_told_total`)
@@ -32,7 +32,7 @@
 	mu    sync.Mutex
 	of    map[string]map[string]*suspect.Count // by service, target
 	fresh map[string]bool                      // services with outcomes that are not told yet
-	judge *suspect.Judge
+	judge *suspect.Detector
 	told  map[string]time.Time // suspects, when they were last told
 	tells *rate.Limiter        // of this instance's counts
 	wake  chan struct{}        // there is something to tell or to judge
@@ -40,7 +40,7 @@
 
 func newPlainOutcomes() plainOutcomes {
 	return plainOutcomes{
-		of: make(map[string]map[string]*suspect.Count), fresh: make(map[string]bool), judge: suspect.NewJudge(),
+		of: make(map[string]map[string]*suspect.Count), fresh: make(map[string]bool), judge: suspect.NewDetector(),
 		told: make(map[string]time.Time), tells: rate.NewLimiter(rate.Every(judgeEvery), reportsBurst), wake: make(chan struct{}, 1),
 	}
 }
@@ -72,7 +72,7 @@
 func (p *plainOutcomes) busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.fresh)+len(p.told) > 0 || p.judge.Busy()
+	return len(p.fresh)+len(p.told) > 0 || p.judge.Active()
 }
 
 // take returns the counts that are to be told, and forgets targets that are gone.
@@ -104,15 +104,17 @@
 		}
 	}
 	for target, at := range p.told {
-		if now.Sub(at) > 2*suspect.Life {
+		if now.Sub(at) > 2*suspect.VerdictTTL {
 			delete(p.told, target)
 		}
 	}
 	return out
 }
 
-// PlainOutcome counts how a request of this instance ended at a target that nobody owns.
-func (l *Link) PlainOutcome(service, target string, o fleet.Outcome) { l.plain.saw(service, target, o) }
+// RecordPlainOutcome counts how a request of this instance ended at a target that nobody owns.
+func (l *Link) RecordPlainOutcome(service, target string, o fleet.Outcome) {
+	l.plain.saw(service, target, o)
+}
 
 // judge tells outcomes to those that judge, and verdicts to all. It rests while there is nothing to tell or to judge.
 func (l *Link) judge(ctx context.Context) {
@@ -178,7 +180,7 @@
 	}
 	l.plain.mu.Lock()
 	defer l.plain.mu.Unlock()
-	l.plain.judge.Take(time.Now(), body.Service, d.Instance, d.Incarnation, counts)
+	l.plain.judge.Observe(time.Now(), body.Service, d.Instance, d.Incarnation, counts)
 	notify(l.plain.wake)
 }
 
@@ -204,8 +206,8 @@
 func (l *Link) handleSuspects(body *ownerpb.Suspects) {
 	now := time.Now()
 	for _, s := range body.Suspects {
-		if l.Fleet.Suspect(s.Target, float64(min(s.Permille, permille))/permille, now.Add(suspect.Life)) && l.Suspected != nil {
-			l.Suspected(s.Target, s.Permille)
+		if l.Fleet.Suspect(s.Target, float64(min(s.Permille, permille))/permille, now.Add(suspect.VerdictTTL)) && l.OnSuspected != nil {
+			l.OnSuspected(s.Target, s.Permille)
 		}
 	}
 }
--- a/lib/ownerlink/suspects_test.go
+++ b/lib/ownerlink/suspects_test.go
@@ -25,8 +25,8 @@
 			need := fleet.Need{Service: "p"}
 			for _, name := range running[:2] {
 				for range 3 {
-					members[name].PlainOutcome("p", "bad", fleet.Failed)
-					members[name].PlainOutcome("p", "good", fleet.Served)
+					members[name].RecordPlainOutcome("p", "bad", fleet.Failed)
+					members[name].RecordPlainOutcome("p", "good", fleet.Served)
 				}
 			}
 			for _, name := range running {
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -19,48 +19,48 @@
 
 func tokens(n int) uint32 { return uint32(min(max(0, n), 1<<31)) }
 
-func encodeAsk(a *owner.Ask, shard string, now time.Time) *ownerpb.Ask {
+func encodeAsk(a *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
 	n := &a.Stream.Need
 	out := &ownerpb.Ask{
 		Id: a.ID, Shard: shard, Hops: uint32(a.Hops), Run: a.Run, Mode: uint32(a.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
-		Unread: tokens(n.Unread), Now: tokens(n.Peak.Now), Left: tokens(n.Peak.Left), AimMs: ms(a.Stream.Aim),
-		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.Keeps), Near: n.Near, BackupTokens: tokens(a.Backup), Print: a.Print,
-		Back: a.Stream.Back, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
+		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(a.Stream.Objective),
+		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(a.Backup), Print: a.Fingerprint,
+		Back: a.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
 	}
-	for id := range n.Without {
+	for id := range n.Exclude {
 		out.Without = append(out.Without, id)
 	}
 	slices.Sort(out.Without)
 	return out
 }
 
-func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.Ask {
+func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
 	a := d.GetAsk()
 	need := fleet.Need{
-		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), Near: a.Near,
-		Peak: fleet.Size{Now: int(a.Now), Left: int(a.Left)},
+		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), PreferredDomain: a.Near,
+		Peak: fleet.Size{Held: int(a.Now), Remaining: int(a.Left)},
 	}
 	if a.Bound {
 		need.Regions = append([]string{}, a.Regions...)
 	}
 	if len(a.Without) > 0 {
-		need.Without = make(map[string]bool, len(a.Without))
+		need.Exclude = make(map[string]bool, len(a.Without))
 		for _, id := range a.Without {
-			need.Without[id] = true
+			need.Exclude[id] = true
 		}
 	}
-	return owner.Ask{
-		Key:  owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
-		Addr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Print: a.Print, Describe: a.Describe,
-		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Aim: duration(a.AimMs), Keeps: duration(a.KeepsMs), Back: a.Back, Need: need},
+	return owner.PlaceRequest{
+		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
+		ReplyAddr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Fingerprint: a.Print, Describe: a.Describe,
+		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Objective: duration(a.AimMs), MaxRetryAfter: duration(a.KeepsMs), IsRetry: a.Back, Need: need},
 	}
 }
 
 func encodeAnswer(a *owner.Answer) *ownerpb.Answer {
 	return &ownerpb.Answer{
 		Id: a.ID, Action: uint32(a.Action), Target: a.Target, AfterMs: ms(a.After), Serial: a.Serial, Backup: a.Backup,
-		Ready: uint32(a.Belief.Ready), Runs: uint32(a.Belief.Load.Runs), Tokens: tokens(a.Belief.Load.Tokens),
-		Unread: tokens(a.Belief.Load.Unread), Peers: uint32(a.Belief.Peers), OldestMs: ms(a.Belief.Oldest),
+		Ready: uint32(a.Estimate.ReadyTargets), Runs: uint32(a.Estimate.Load.Runs), Tokens: tokens(a.Estimate.Load.Tokens),
+		Unread: tokens(a.Estimate.Load.Unread), Peers: uint32(a.Estimate.Peers), OldestMs: ms(a.Estimate.OldestUpdate),
 		TargetInfo: encodeTarget(&a.TargetInfo), BackupInfo: encodeTarget(&a.BackupInfo),
 	}
 }
@@ -85,22 +85,22 @@
 		Key: owner.Key{ID: a.GetId()}, Action: admit.Action(a.GetAction()), Target: a.GetTarget(), After: duration(a.GetAfterMs()),
 		Serial: a.GetSerial(), Backup: a.GetBackup(),
 		TargetInfo: decodeTarget(a.GetTarget(), service, a.GetTargetInfo()), BackupInfo: decodeTarget(a.GetBackup(), service, a.GetBackupInfo()),
-		Belief: fleet.Belief{
-			Ready: int(a.GetReady()), Load: fleet.Load{Runs: int(a.GetRuns()), Tokens: int(a.GetTokens()), Unread: int(a.GetUnread())},
-			Peers: int(a.GetPeers()), Oldest: duration(a.GetOldestMs()),
+		Estimate: fleet.KnownState{
+			ReadyTargets: int(a.GetReady()), Load: fleet.Load{Runs: int(a.GetRuns()), Tokens: int(a.GetTokens()), Unread: int(a.GetUnread())},
+			Peers: int(a.GetPeers()), OldestUpdate: duration(a.GetOldestMs()),
 		},
 	}
 }
 
 func encodeReport(r *owner.Report) *ownerpb.Report {
-	out := &ownerpb.Report{Shard: r.Shard, Seq: r.Seq, Seen: r.Seen, Describe: r.Describe}
+	out := &ownerpb.Report{Shard: r.Shard, Seq: r.Seq, Seen: r.LastGrant, Describe: r.Describe}
 	for _, m := range r.Runs {
 		out.Runs = append(out.Runs, &ownerpb.Run{
 			Id: m.ID, Target: m.Target, Tokens: tokens(m.Tokens), Expected: tokens(m.Expected), Unread: tokens(m.Unread),
-			Left: tokens(m.Left), Stays: m.Stays, SilentMs: ms(m.Silent),
+			Left: tokens(m.Remaining), Stays: m.Pinned, SilentMs: ms(m.SinceContact),
 		})
 	}
-	for _, h := range r.Held {
+	for _, h := range r.Copies {
 		out.Held = append(out.Held, &ownerpb.Held{Target: h.Target, Tokens: tokens(h.Tokens), Run: h.Run})
 	}
 	for _, o := range r.Outcomes {
@@ -108,28 +108,28 @@
 			Target: o.Target, Served: o.Served, Failed: o.Failed, Unreachable: o.Unreachable,
 		})
 	}
-	for _, m := range r.Readings {
+	for _, m := range r.PrefillSamples {
 		out.Readings = append(out.Readings, &ownerpb.Reading{Service: m.Service, Unread: tokens(m.Unread), Ms: ms(m.Took)})
 	}
 	return out
 }
 
 func decodeReport(d *ownerpb.Datagram, r *ownerpb.Report) owner.Report {
-	out := owner.Report{Shard: r.Shard, Instance: d.Instance, Addr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, Seen: r.Seen, Describe: r.Describe}
+	out := owner.Report{Shard: r.Shard, Instance: d.Instance, ReplyAddr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, LastGrant: r.Seen, Describe: r.Describe}
 	for _, m := range r.Runs {
 		out.Runs = append(out.Runs, owner.Run{
 			ID: m.Id, Target: m.Target, Tokens: int(m.Tokens), Expected: int(m.Expected), Unread: int(m.Unread),
-			Left: int(m.Left), Stays: m.Stays, Silent: duration(m.SilentMs),
+			Remaining: int(m.Left), Pinned: m.Stays, SinceContact: duration(m.SilentMs),
 		})
 	}
 	for _, h := range r.Held {
-		out.Held = append(out.Held, owner.Held{Target: h.Target, Tokens: int(h.Tokens), Run: h.Run})
+		out.Copies = append(out.Copies, owner.Copy{Target: h.Target, Tokens: int(h.Tokens), Run: h.Run})
 	}
 	for _, o := range r.Outcomes {
 		out.Outcomes = append(out.Outcomes, owner.Outcomes{Target: o.Target, Served: o.Served, Failed: o.Failed, Unreachable: o.Unreachable})
 	}
 	for _, m := range r.Readings {
-		out.Readings = append(out.Readings, owner.Reading{Service: m.Service, Unread: int(m.Unread), Took: duration(m.Ms)})
+		out.PrefillSamples = append(out.PrefillSamples, owner.PrefillSample{Service: m.Service, Unread: int(m.Unread), Took: duration(m.Ms)})
 	}
 	return out
 }
--- a/lib/ownerlink/wire_test.go
+++ b/lib/ownerlink/wire_test.go
@@ -17,18 +17,18 @@
 // as that the caller came back, would have the stream refused a second time.
 func TestAskArrivesWhole(t *testing.T) {
 	now := time.Now()
-	sent := owner.Ask{
-		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, Addr: "127.0.0.1:1", Run: 11, Mode: owner.Room, Backup: 13, Hops: 2, Print: 17,
+	sent := owner.PlaceRequest{
+		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, ReplyAddr: "127.0.0.1:1", Run: 11, Mode: owner.MustFit, Backup: 13, Hops: 2, Fingerprint: 17,
 		Stream: admit.Stream{
-			Arrived: now.Add(-40 * time.Millisecond), Aim: time.Second, Keeps: 2 * time.Second, Back: true,
+			Arrived: now.Add(-40 * time.Millisecond), Objective: time.Second, MaxRetryAfter: 2 * time.Second, IsRetry: true,
 			Need: fleet.Need{
-				Service: "s", Tokens: 19, Unread: 23, Near: "z", Peak: fleet.Size{Now: 29, Left: 31},
-				Without: map[string]bool{"e": true},
+				Service: "s", Tokens: 19, Unread: 23, PreferredDomain: "z", Peak: fleet.Size{Held: 29, Remaining: 31},
+				Exclude: map[string]bool{"e": true},
 			},
 		},
 	}
 	b, err := proto.Marshal(&ownerpb.Datagram{
-		Instance: sent.Instance, Incarnation: sent.Incarnation, Addr: sent.Addr,
+		Instance: sent.Instance, Incarnation: sent.Incarnation, Addr: sent.ReplyAddr,
 		Body: &ownerpb.Datagram_Ask{Ask: encodeAsk(&sent, "shard", now)},
 	})
 	must.NoError(t, err)
--- a/lib/pick/pick.go
+++ b/lib/pick/pick.go
@@ -92,8 +92,8 @@
 	s.ends = after(s.ends, taken)
 }
 
-// Sent notes a call of ours to target; Done its end.
-func (t *Table) Sent(now time.Time, target string) {
+// CallStarted notes a call of ours to target; Done its end.
+func (t *Table) CallStarted(now time.Time, target string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.targets[target]; s != nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Done notes the end of a call that Sent noted.
-func (t *Table) Done(now time.Time, target string) {
+// CallDone notes the end of a call that Sent noted.
+func (t *Table) CallDone(now time.Time, target string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.targets[target]; s != nil {
@@ -128,8 +128,8 @@
 	Usable        func(string) bool // further refusals, such as an open breaker; nil: none
 }
 
-// Rest notes that a target wants nothing from this instance until a time; of several the latest holds.
-func (t *Table) Rest(target string, until time.Time) {
+// PauseUntil notes that a target wants nothing from this instance until a time; of several the latest holds.
+func (t *Table) PauseUntil(target string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.targets[target]; s != nil && until.After(s.rests) {
--- a/lib/pick/pick_test.go
+++ b/lib/pick/pick_test.go
@@ -47,7 +47,7 @@
 		now := t0.Add(time.Duration(i) * 100 * time.Millisecond)
 		name, ok := tab.Pick(now, rng, pick.Query{})
 		must.True(t, ok)
-		tab.Sent(now, name)
+		tab.CallStarted(now, name)
 		sent[name]++
 	}
 	must.Between(t, 10, sent["t0"], 16)
@@ -58,13 +58,13 @@
 func TestReportAgeDecidesWhatItHasSeen(t *testing.T) {
 	tab := table(t0, 0, 3)
 	for range 4 {
-		tab.Sent(t0.Add(time.Second), "t0")
+		tab.CallStarted(t0.Add(time.Second), "t0")
 	}
 	now := t0.Add(2 * time.Second)
 	tab.Report(now, "t0", pick.Report{Running: 0, Capacity: 10, Age: 1500 * time.Millisecond})
 	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t1"]) // 0 reported + 4 sent since, against 3
 	for range 4 {
-		tab.Done(now, "t0")
+		tab.CallDone(now, "t0")
 	}
 	now = now.Add(time.Second)
 	tab.Report(now, "t0", pick.Report{Running: 1, Capacity: 10})
@@ -97,7 +97,7 @@
 	tab := table(t0, 0, 9)
 	now := t0.Add(pick.DefaultConfig.StaleAfter + time.Second)
 	for range 2 {
-		tab.Sent(now, "t0")
+		tab.CallStarted(now, "t0")
 	}
 	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t1"])
 }
@@ -110,7 +110,7 @@
 	targets.Report(now, "dispatch-1", pick.Report{Running: 7, Capacity: 8})
 	targets.Report(now, "dispatch-2", pick.Report{Running: 2, Capacity: 8})
 	name, _ := targets.Pick(now, rand.New(rand.NewPCG(1, 1)), pick.Query{FailureDomain: "leith-hall"})
-	targets.Sent(now, name)
+	targets.CallStarted(now, name)
 	fmt.Println(name)
 	// Output: dispatch-2
 }
@@ -126,13 +126,13 @@
 			idle = name
 		}
 	}
-	tab.Rest(idle, now.Add(2*time.Second))
-	tab.Rest(idle, now.Add(time.Second))
+	tab.PauseUntil(idle, now.Add(2*time.Second))
+	tab.PauseUntil(idle, now.Add(time.Second))
 	must.MapNotContainsKey(t, picks(tab, now.Add(1900*time.Millisecond), pick.Query{}, 50), idle)
 	must.MapContainsKey(t, picks(tab, now.Add(2*time.Second), pick.Query{}, 50), idle)
 	one := table(now, 0)
 	for name := range picks(one, now, pick.Query{}, 1) {
-		one.Rest(name, now.Add(time.Second))
+		one.PauseUntil(name, now.Add(time.Second))
 	}
 	must.MapEmpty(t, picks(one, now, pick.Query{}, 5))
 }
--- a/lib/placement/placement.go
+++ b/lib/placement/placement.go
@@ -29,16 +29,16 @@
 const (
 	// OrderTimeout ends an order that gets no answer.
 	OrderTimeout = 4 * time.Second
-	// WaitOut is how long an order can be on its way: the longest that its sender waits, and as much again in queues
+	// MaxOrderDelay is how long an order can be on its way: the longest that its sender waits, and as much again in queues
 	// of the network. So long a new holder gives no orders to engines that ignore fencing numbers, and takes no
 	// engine's state for final.
-	WaitOut = 2 * OrderTimeout
+	MaxOrderDelay = 2 * OrderTimeout
 	// ReorderAfter is when an order whose effect no report shows is given again.
 	ReorderAfter = 30 * time.Second
-	// FreshReport is the age up to which a report shows that its engine serves.
-	FreshReport = 10 * time.Second
-	// DrainInForce is when no entry sends new work to a drained target any more.
-	DrainInForce = 3 * time.Second
+	// ReportTTL is the age up to which a report shows that its engine serves.
+	ReportTTL = 10 * time.Second
+	// DrainPropagation is when no entry sends new work to a drained target any more.
+	DrainPropagation = 3 * time.Second
 	// LostAfter is when a silent target in the middle of a change stops holding up the others.
 	LostAfter = 10 * time.Minute
 	// MinServing is the part of a service's other targets that must serve before one is taken out.
@@ -92,12 +92,12 @@
 
 // Target is what is known of one target.
 type Target struct {
-	Name    string
-	Report  *Report   // nil: none yet
-	Intent  *Intent   // nil: none
-	Drained time.Time // when it was drained for its change; zero: it was not
-	Ordered time.Time // when this term gave its last order; zero: none
-	Asked   State     // what that order was for
+	Name         string
+	LastReport   *Report   // nil: none yet
+	Intent       *Intent   // nil: none
+	DrainedAt    time.Time // when it was drained for its change; zero: it was not
+	OrderedAt    time.Time // when this term gave its last order; zero: none
+	OrderedState State     // what that order was for
 }
 
 // Service is one service whose targets are placed.
@@ -121,7 +121,7 @@
 const (
 	WriteIntent Kind = iota + 1
 	Drain
-	GiveOrders
+	SendOrders
 	Undrain
 	CloseIntent
 )
@@ -158,28 +158,28 @@
 
 func (t *Target) lost(now time.Time, term Term) bool {
 	heard := term.Since
-	if t.Report != nil && t.Report.At.After(heard) {
-		heard = t.Report.At
+	if t.LastReport != nil && t.LastReport.At.After(heard) {
+		heard = t.LastReport.At
 	}
 	return now.Sub(heard) > LostAfter
 }
 
 func (t *Target) fresh(now time.Time) bool {
-	return t.Report != nil && now.Sub(t.Report.At) <= FreshReport
+	return t.LastReport != nil && now.Sub(t.LastReport.At) <= ReportTTL
 }
 
 func (t *Target) serves(now time.Time) bool {
-	return t.fresh(now) && !t.Report.Leaving && t.Drained.IsZero()
+	return t.fresh(now) && !t.LastReport.Leaving && t.DrainedAt.IsZero()
 }
 
 // candidate picks the first target that must change and may.
 func candidate(now time.Time, s Service) *Target {
 	for i := range s.Targets {
 		t := &s.Targets[i]
-		if !t.fresh(now) || t.Report.Leaving {
+		if !t.fresh(now) || t.LastReport.Leaving {
 			continue
 		}
-		if t.leftDrained() || !t.Report.meets(s.Want) && enoughServe(now, s, t) {
+		if t.leftDrained() || !t.LastReport.meets(s.Want) && enoughServe(now, s, t) {
 			return t
 		}
 	}
@@ -188,7 +188,7 @@
 
 // leftDrained reports a target that is out though no change is open. A new holder's first read of the intents can be
 // stale and show a change as closed; the target would stay out for the whole term.
-func (t *Target) leftDrained() bool { return !t.Drained.IsZero() }
+func (t *Target) leftDrained() bool { return !t.DrainedAt.IsZero() }
 
 // enoughServe reports whether t can be spared. A service of one target has nobody to wait for.
 func enoughServe(now time.Time, s Service, t *Target) bool {
@@ -211,15 +211,15 @@
 		return step, false
 	case t.agrees(term):
 		step.Kind = CloseIntent
-		if !t.Drained.IsZero() {
+		if !t.DrainedAt.IsZero() {
 			step.Kind = Undrain
 		}
-	case t.Report.differsInModel(s.Want) && t.Drained.IsZero():
+	case t.LastReport.differsInModel(s.Want) && t.DrainedAt.IsZero():
 		step.Kind = Drain
 	case mustWait(now, term, s, t):
 		return step, false
 	default:
-		step.Kind, step.Orders = GiveOrders, orders(term, t, s.Want)
+		step.Kind, step.Orders = SendOrders, orders(term, t, s.Want)
 	}
 	return step, true
 }
@@ -229,38 +229,38 @@
 // have the wanted state only until it arrives, and would then cut what runs. An engine that enforces fencing is no
 // better off: it refuses the old order only once it has seen a newer number.
 func (t *Target) agrees(term Term) bool {
-	at := t.Report.At
-	settled := at.Sub(term.Since) >= WaitOut
-	if !t.Asked.equal(t.Intent.Want) {
-		settled = settled && at.Sub(t.Ordered) >= WaitOut
+	at := t.LastReport.At
+	settled := at.Sub(term.Since) >= MaxOrderDelay
+	if !t.OrderedState.equal(t.Intent.Want) {
+		settled = settled && at.Sub(t.OrderedAt) >= MaxOrderDelay
 	}
-	return settled && at.After(t.Ordered) && t.Report.meets(t.Intent.Want)
+	return settled && at.After(t.OrderedAt) && t.LastReport.meets(t.Intent.Want)
 }
 
 // mustWait holds an order back.
 func mustWait(now time.Time, term Term, s Service, t *Target) bool {
 	switch {
-	case t.Report.meets(s.Want):
+	case t.LastReport.meets(s.Want):
 		return true // loaded, by a report too old to close the change
-	case t.Report.differsInModel(s.Want) && !t.idle():
+	case t.LastReport.differsInModel(s.Want) && !t.idle():
 		return true
-	case s.IgnoresFences && now.Sub(term.Since) < WaitOut:
+	case s.IgnoresFences && now.Sub(term.Since) < MaxOrderDelay:
 		return true
 	}
-	return t.Asked.equal(s.Want) && now.Sub(t.Ordered) < ReorderAfter
+	return t.OrderedState.equal(s.Want) && now.Sub(t.OrderedAt) < ReorderAfter
 }
 
 // idle reports whether nothing runs that a load would cut. A report from before the drain was in force can show an
 // engine idle that has been given work since.
 func (t *Target) idle() bool {
-	return t.Report.Running == 0 && t.Report.At.Sub(t.Drained) >= DrainInForce
+	return t.LastReport.Running == 0 && t.LastReport.At.Sub(t.DrainedAt) >= DrainPropagation
 }
 
 // orders lists what leads from the report to want. Each carries a desired state, so giving it again changes nothing.
 func orders(term Term, t *Target, want State) []engineapi.Order {
 	var out []engineapi.Order
-	missing := t.Report.missing(want)
-	if t.Report.differsInModel(want) {
+	missing := t.LastReport.missing(want)
+	if t.LastReport.differsInModel(want) {
 		out = append(out, engineapi.Order{Kind: engineapi.OrderLoadModel, Model: want.Model, Version: want.Version})
 		missing = want.Adapters // a new model starts without any
 	}
--- a/lib/placement/placement_test.go
+++ b/lib/placement/placement_test.go
@@ -18,7 +18,7 @@
 
 // serving is a target that reports a state.
 func serving(name string, s State) Target {
-	return Target{Name: name, Report: &Report{State: s, At: now}}
+	return Target{Name: name, LastReport: &Report{State: s, At: now}}
 }
 
 // inChange is a target with an open intent of the current term.
@@ -32,28 +32,28 @@
 
 func TestPlanStepByStep(t *testing.T) {
 	busy, drained, done := inChange("a", v1), inChange("a", v1), inChange("a", v2)
-	busy.Drained, busy.Report.Running = now.Add(-DrainInForce), 1
-	drained.Drained, done.Drained = busy.Drained, busy.Drained
+	busy.DrainedAt, busy.LastReport.Running = now.Add(-DrainPropagation), 1
+	drained.DrainedAt, done.DrainedAt = busy.DrainedAt, busy.DrainedAt
 	justDrained := drained
-	justDrained.Drained = now.Add(1 - DrainInForce)
+	justDrained.DrainedAt = now.Add(1 - DrainPropagation)
 	old := inChange("a", v1)
 	old.Intent.Fence = 6
 	other := inChange("a", v1)
 	other.Intent.Want = v1
 	ordered := drained
-	ordered.Ordered, ordered.Asked = now.Add(-time.Second), v2
+	ordered.OrderedAt, ordered.OrderedState = now.Add(-time.Second), v2
 	again := drained
-	again.Ordered, again.Asked = now.Add(-ReorderAfter), v2
+	again.OrderedAt, again.OrderedState = now.Add(-ReorderAfter), v2
 	early := done
-	early.Ordered = now // the report does not follow the order
+	early.OrderedAt = now // the report does not follow the order
 	superseded := done
-	superseded.Ordered, superseded.Asked = now.Add(1-WaitOut), v1
+	superseded.OrderedAt, superseded.OrderedState = now.Add(1-MaxOrderDelay), v1
 	arrived := superseded
-	arrived.Ordered = now.Add(-WaitOut)
+	arrived.OrderedAt = now.Add(-MaxOrderDelay)
 	adapter := inChange("a", State{Model: "planner", Version: "2"})
-	adapter.Report.Running = 3
+	adapter.LastReport.Running = 3
 	silent := drained
-	silent.Report = &Report{State: v1, At: now.Add(-FreshReport - 1)}
+	silent.LastReport = &Report{State: v1, At: now.Add(-ReportTTL - 1)}
 	left := done
 	left.Intent = &Intent{Want: v2, Fence: 6, Done: true}
 	rest := serving("b", v1)
@@ -70,13 +70,13 @@
 		{"a version needs a drain", service(inChange("a", v1), rest), Drain, "a"},
 		{"what runs is waited for", service(busy, rest), 0, ""},
 		{"idle, by a report from before the drain was in force", service(justDrained, rest), 0, ""},
-		{"idle", service(drained, rest), GiveOrders, "a"},
+		{"idle", service(drained, rest), SendOrders, "a"},
 		{"order at work", service(ordered, rest), 0, ""},
-		{"order without effect", service(again, rest), GiveOrders, "a"},
+		{"order without effect", service(again, rest), SendOrders, "a"},
 		{"report from before the order", service(early, rest), 0, ""},
 		{"an order for something else may be on its way", service(superseded, rest), 0, ""},
 		{"it has arrived", service(arrived, rest), Undrain, "a"},
-		{"an adapter needs no drain", service(adapter, rest), GiveOrders, "a"},
+		{"an adapter needs no drain", service(adapter, rest), SendOrders, "a"},
 		{"loaded", service(done, rest), Undrain, "a"},
 		{"serving again", service(inChange("a", v2), rest), CloseIntent, "a"},
 		{"silent in the middle", service(silent, rest), 0, ""},
@@ -98,7 +98,7 @@
 
 func TestOrdersCarryTheFence(t *testing.T) {
 	drained := inChange("a", v1)
-	drained.Drained = now.Add(-time.Minute)
+	drained.DrainedAt = now.Add(-time.Minute)
 	step, _ := Plan(now, term, service(drained))
 	must.Eq(t, []engineapi.Order{
 		{Fence: 7, Kind: engineapi.OrderLoadModel, Model: "planner", Version: "2"},
@@ -110,9 +110,9 @@
 // at once could arrive first and be undone; it waits until the old one must have arrived, or enforces.
 func TestNewTermWaitsOutOldOrders(t *testing.T) {
 	drained := inChange("a", v1)
-	drained.Drained = now.Add(-time.Minute)
+	drained.DrainedAt = now.Add(-time.Minute)
 	s := service(drained)
-	young := Term{Fence: 7, Since: now.Add(-WaitOut + 1)}
+	young := Term{Fence: 7, Since: now.Add(-MaxOrderDelay + 1)}
 	_, ok := Plan(now, young, s)
 	must.True(t, ok)
 	s.IgnoresFences = true
@@ -126,12 +126,12 @@
 // forgotten while it may only be loading.
 func TestLostTargetStopsHoldingUp(t *testing.T) {
 	dead := inChange("a", v1)
-	dead.Report.At = now.Add(-LostAfter)
+	dead.LastReport.At = now.Add(-LostAfter)
 	s := service(dead, serving("b", v1), serving("c", v1))
 	_, ok := Plan(now, Term{Fence: 7}, s)
 	must.False(t, ok)
 	for i := range s.Targets[1:] {
-		s.Targets[i+1].Report.At = now.Add(time.Second)
+		s.Targets[i+1].LastReport.At = now.Add(time.Second)
 	}
 	step, ok := Plan(now.Add(time.Second), Term{Fence: 7}, s)
 	must.True(t, ok)
--- a/lib/placement/rapid_test.go
+++ b/lib/placement/rapid_test.go
@@ -91,7 +91,7 @@
 // report lets an engine tell its state, now and then, and lets work come and go.
 func (w *world) report(t *rapid.T, i int) {
 	e, tg := &w.engines[i], &w.s.Targets[i]
-	drained := !tg.Drained.IsZero() && w.now.Sub(tg.Drained) >= DrainInForce
+	drained := !tg.DrainedAt.IsZero() && w.now.Sub(tg.DrainedAt) >= DrainPropagation
 	if drained && e.running > 0 && rapid.Bool().Draw(t, "ends") {
 		e.running--
 	}
@@ -99,7 +99,7 @@
 		e.running = rapid.IntRange(0, 2).Draw(t, "running")
 	}
 	if !w.faults || rapid.IntRange(0, 4).Draw(t, "heard") > 0 {
-		tg.Report = &Report{State: e.state, At: w.now, Running: e.running}
+		tg.LastReport = &Report{State: e.state, At: w.now, Running: e.running}
 	}
 }
 
@@ -111,11 +111,11 @@
 	case CloseIntent:
 		tg.Intent = &Intent{Want: step.Want, Fence: w.term.Fence, Done: true}
 	case Drain, Undrain:
-		tg.Drained = time.Time{}
+		tg.DrainedAt = time.Time{}
 		if step.Kind == Drain {
-			tg.Drained = w.now
+			tg.DrainedAt = w.now
 		}
-	case GiveOrders:
+	case SendOrders:
 		w.give(t, i, step)
 	}
 }
@@ -125,12 +125,12 @@
 	if tg.Intent == nil || tg.Intent.Fence != w.term.Fence || !tg.Intent.Want.equal(step.Want) {
 		t.Fatalf("order to %s without its intent", tg.Name)
 	}
-	if w.s.IgnoresFences && w.now.Sub(w.term.Since) < WaitOut {
+	if w.s.IgnoresFences && w.now.Sub(w.term.Since) < MaxOrderDelay {
 		t.Fatalf("order to %s before old ones are waited out", tg.Name)
 	}
-	tg.Ordered, tg.Asked = w.now, step.Want
+	tg.OrderedAt, tg.OrderedState = w.now, step.Want
 	for _, o := range step.Orders {
-		if o.Kind == engineapi.OrderLoadModel && tg.Drained.IsZero() {
+		if o.Kind == engineapi.OrderLoadModel && tg.DrainedAt.IsZero() {
 			t.Fatalf("model loaded on %s, which may have work", tg.Name)
 		}
 		delay := time.Duration(rapid.IntRange(0, int(OrderTimeout/time.Millisecond)).Draw(t, "delay")) * time.Millisecond
@@ -144,7 +144,7 @@
 	w.now = w.now.Add(6 * time.Second) // the least between an old term's stop and a new one, at the default TTL
 	w.term = Term{Fence: w.term.Fence + 1, Since: w.now}
 	for i := range w.s.Targets {
-		w.s.Targets[i].Ordered, w.s.Targets[i].Asked = time.Time{}, State{}
+		w.s.Targets[i].OrderedAt, w.s.Targets[i].OrderedState = time.Time{}, State{}
 	}
 }
 
@@ -167,7 +167,7 @@
 func (w *world) check(t *rapid.T) {
 	out := 0
 	for i := range w.s.Targets {
-		if !w.s.Targets[i].Drained.IsZero() {
+		if !w.s.Targets[i].DrainedAt.IsZero() {
 			out++
 		}
 		if w.engines[i].cut > 0 {
@@ -204,8 +204,8 @@
 		}
 		for i, e := range w.engines {
 			tg := w.s.Targets[i]
-			if !e.state.meets(w.s.Want) || !tg.Drained.IsZero() || tg.Intent != nil && !tg.Intent.Done {
-				t.Fatalf("target %d is left with %v, drained %v, intent %v", i, e.state, tg.Drained, tg.Intent)
+			if !e.state.meets(w.s.Want) || !tg.DrainedAt.IsZero() || tg.Intent != nil && !tg.Intent.Done {
+				t.Fatalf("target %d is left with %v, drained %v, intent %v", i, e.state, tg.DrainedAt, tg.Intent)
 			}
 		}
 	})
--- a/lib/placement/run.go
+++ b/lib/placement/run.go
@@ -25,8 +25,8 @@
 	StartTransfer(ctx context.Context, model, version string) (bool, time.Duration, error)
 }
 
-// Site is how Run sees and reaches what is outside.
-type Site struct {
+// Environment is how Run sees and reaches what is outside.
+type Environment struct {
 	Store Store
 	// Services returns what the settings in force want, with each target's newest Report and Drained. Run fills in
 	// Intent and Ordered.
@@ -42,7 +42,7 @@
 
 // runner is one term.
 type runner struct {
-	site    Site
+	site    Environment
 	held    *lease.Held
 	term    Term
 	intents map[string]*intent // by target
@@ -61,7 +61,7 @@
 }
 
 // Run places models until ctx ends. It is the work of a lease: see lease.Run.
-func Run(ctx context.Context, h *lease.Held, site Site) {
+func Run(ctx context.Context, h *lease.Held, site Environment) {
 	r := &runner{
 		site:    site,
 		held:    h,
@@ -116,7 +116,7 @@
 		if in.rev != 0 {
 			t.Intent = &in.Intent
 		}
-		t.Ordered, t.Asked = r.ordered[t.Name].at, r.ordered[t.Name].want
+		t.OrderedAt, t.OrderedState = r.ordered[t.Name].at, r.ordered[t.Name].want
 	}
 	return nil
 }
@@ -145,7 +145,7 @@
 		return r.write(ctx, s.Target, Intent{Want: s.Want, Fence: r.term.Fence})
 	case CloseIntent:
 		return r.write(ctx, s.Target, Intent{Want: s.Want, Fence: r.term.Fence, Done: true})
-	case GiveOrders:
+	case SendOrders:
 		return r.order(ctx, s)
 	}
 	if !r.held.Valid() {
--- a/lib/placement/run_test.go
+++ b/lib/placement/run_test.go
@@ -46,7 +46,7 @@
 	sv := placement.Service{Name: "treaty", IgnoresFences: s.ignores, Want: s.want}
 	for i, e := range s.engines {
 		r := &placement.Report{State: e, At: time.Now()}
-		sv.Targets = append(sv.Targets, placement.Target{Name: fmt.Sprint(i), Report: r, Drained: s.drained[i]})
+		sv.Targets = append(sv.Targets, placement.Target{Name: fmt.Sprint(i), LastReport: r, DrainedAt: s.drained[i]})
 	}
 	return []placement.Service{sv}
 }
@@ -104,7 +104,7 @@
 // holder campaigns for the lease and places models by way of order.
 func (s *site) holder(ctx context.Context, c *platform.Client, name string, order func(context.Context, string, engineapi.Order) error) {
 	lease.Run(ctx, c, lease.Config{Name: "placement", Holder: name, TTL: ttl}, func(ctx context.Context, h *lease.Held) {
-		placement.Run(ctx, h, placement.Site{Store: c, Services: s.services, Order: order, Drain: s.drain})
+		placement.Run(ctx, h, placement.Environment{Store: c, Services: s.services, Order: order, Drain: s.drain})
 	})
 }
 
@@ -166,7 +166,7 @@
 		link := &cutLink{Client: client(store), dead: dead}
 		wg.Go(func() {
 			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(ctx context.Context, h *lease.Held) {
-				placement.Run(dead, h, placement.Site{Store: link, Services: s.services, Order: paused, Drain: s.drain})
+				placement.Run(dead, h, placement.Environment{Store: link, Services: s.services, Order: paused, Drain: s.drain})
 			})
 		})
 		time.Sleep(5 * time.Second)
@@ -249,7 +249,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Held) {
-				placement.Run(dead, h, placement.Site{Store: link, Services: s.services, Order: s.order, Drain: s.drain})
+				placement.Run(dead, h, placement.Environment{Store: link, Services: s.services, Order: s.order, Drain: s.drain})
 			})
 		})
 		time.Sleep(5 * time.Second)
--- a/lib/replay/apart.go
+++ b/lib/replay/apart.go
@@ -20,7 +20,7 @@
 
 func (a *apart) decide(r *stream) bool {
 	in := r.inst
-	p := admit.Placer{Fleet: in.fleet, Reading: in.reading, Random: a.s.chance.Int64N, Take: in.fleet.Choose}
+	p := admit.Placer{Fleet: in.fleet, Prefill: in.reading, Random: a.s.chance.Int64N, Acquire: in.fleet.Choose}
 	st := r.admitted()
 	if a.s.pol.Way == Slices {
 		st.Need.Among = a.slice(in)
@@ -70,7 +70,7 @@
 func (a *apart) tell(in *instance) {
 	loads, sizes := in.told()
 	for _, other := range a.listeners(in) {
-		a.s.tell(a.delay(), func() { other.fleet.Tell(a.s.clock(), in.name, loads, sizes) })
+		a.s.tell(a.delay(), func() { other.fleet.SetPeerLoad(a.s.clock(), in.name, loads, sizes) })
 	}
 }
 
@@ -118,10 +118,10 @@
 			l.Tokens += r.prompt + r.made
 			l.Unread += r.load.Unread
 			loads[e.ID] = l
-			sizes[e.ID] = append(sizes[e.ID], fleet.Size{Now: r.prompt + r.made})
+			sizes[e.ID] = append(sizes[e.ID], fleet.Size{Held: r.prompt + r.made})
 		}
 		for _, in := range s.instances {
-			s.tell(reportsLate, func() { in.fleet.Tell(s.clock(), e.ID, loads, sizes) })
+			s.tell(reportsLate, func() { in.fleet.SetPeerLoad(s.clock(), e.ID, loads, sizes) })
 		}
 	}
 }
--- a/lib/replay/owned.go
+++ b/lib/replay/owned.go
@@ -17,18 +17,18 @@
 	waitAgain  = 200 * time.Millisecond
 	stepEvery  = 10 * time.Millisecond
 
-	outcomesTold = 4 * owner.ReportEvery
+	outcomesTold = 4 * owner.ReportInterval
 )
 
 // desk is what an instance has for the shards that it may own.
 type desk struct {
-	*owner.Desk
+	*owner.Coordinator
 	seq  uint64
 	seen map[string]uint64
 	told bool // its last reports were not empty
 
 	outcomes map[string]*outcomes
-	readings []owner.Reading
+	readings []owner.PrefillSample
 }
 
 type outcomes struct {
@@ -63,8 +63,8 @@
 	if o.all == nil {
 		for i, in := range s.instances {
 			in.desk = &desk{
-				Desk: owner.NewDesk(in.name, in.fleet, in.reading, s.clock()),
-				seen: make(map[string]uint64), outcomes: make(map[string]*outcomes),
+				Coordinator: owner.NewCoordinator(in.name, in.fleet, in.reading, s.clock()),
+				seen:        make(map[string]uint64), outcomes: make(map[string]*outcomes),
 			}
 			in.desk.SetRandom(s.chance)
 			capacity := uint32(1)
@@ -114,14 +114,14 @@
 	o.lastID++
 	a := &asking{
 		key:   owner.Key{Instance: r.inst.name, Incarnation: 1, ID: o.lastID},
-		shard: o.layout.Home(service, r.inst.domain, r.inst.name),
+		shard: o.layout.HomeShard(service, r.inst.domain, r.inst.name),
 	}
 	r.asked = a
 	o.turnTo(r, a, o.order(r, a)[0].Name)
 }
 
 func (o *owned) order(r *stream, a *asking) []owner.Instance {
-	return r.inst.desk.Order(o.s.clock(), a.shard)
+	return r.inst.desk.QueryOrder(o.s.clock(), a.shard)
 }
 
 func (o *owned) turnTo(r *stream, a *asking, to string) {
@@ -150,18 +150,18 @@
 	if a.waits {
 		r.next = o.s.now + waitAgain
 	}
-	ask := owner.Ask{Key: a.key, Run: r.id, Print: r.id, Stream: r.admitted()}
+	ask := owner.PlaceRequest{Key: a.key, Run: r.id, Fingerprint: r.id, Stream: r.admitted()}
 	o.s.tell(hop, func() { o.handle(a.to, a.shard, r, a, ask) })
 }
 
 // handle is an ask reaching an instance.
-func (o *owned) handle(at string, sh *owner.Shard, r *stream, a *asking, ask owner.Ask) {
+func (o *owned) handle(at string, sh *owner.Shard, r *stream, a *asking, ask owner.PlaceRequest) {
 	in := o.byName[at]
 	if in.gone || r.asked != a {
 		return
 	}
 	if !o.s.pol.Stay {
-		o.dispose(in, r, a, in.desk.Take(o.s.clock(), sh, ask))
+		o.dispose(in, r, a, in.desk.Handle(o.s.clock(), sh, ask))
 		return
 	}
 	answer, ok := in.desk.Place(o.s.clock(), sh, ask)
@@ -172,9 +172,9 @@
 }
 
 // dispose answers an ask or passes it on.
-func (o *owned) dispose(in *instance, r *stream, a *asking, rep owner.Reply) {
-	if rep.PassOn {
-		o.s.tell(hop, func() { o.handle(rep.To.Name, rep.Shard, r, a, rep.Ask) })
+func (o *owned) dispose(in *instance, r *stream, a *asking, rep owner.Disposition) {
+	if rep.Forward {
+		o.s.tell(hop, func() { o.handle(rep.To.Name, rep.Shard, r, a, rep.Request) })
 		return
 	}
 	o.answer(in, r, a, rep.Answer)
@@ -190,7 +190,7 @@
 		return
 	}
 	d := r.inst.desk
-	d.Heard(from)
+	d.ClearSuspect(from)
 	d.seen[from] = max(d.seen[from], answer.Serial)
 	if answer.Action == admit.Wait {
 		a.waits, a.left = true, tries
@@ -200,8 +200,8 @@
 	a.answered = true
 	target, _ := r.inst.fleet.Info(answer.Target)
 	target.ID = answer.Target
-	o.s.settle(r, admit.Decision{Action: answer.Action, Target: target, After: answer.After})
-	r.unread = answer.Belief.Load.Unread
+	o.s.settle(r, admit.Decision{Action: answer.Action, Target: target, RetryAfter: answer.After})
+	r.unread = answer.Estimate.Load.Unread
 }
 
 func (o *owned) sent(r *stream) { o.s.changed(r.inst) }
@@ -224,23 +224,23 @@
 
 func (o *owned) read(r *stream) {
 	d := r.inst.desk
-	d.readings = append(d.readings, owner.Reading{Service: service, Unread: r.unread, Took: o.s.now - r.sent})
+	d.readings = append(d.readings, owner.PrefillSample{Service: service, Unread: r.unread, Took: o.s.now - r.sent})
 }
 
 func (o *owned) step() {
 	s := o.s
 	for _, in := range s.instances {
-		if s.now%stepEvery == 0 && in.desk.Waits() {
+		if s.now%stepEvery == 0 && in.desk.HasWaiting() {
 			o.decideWaiting(in)
 		}
-		if s.now%owner.PassEvery == 0 && in.desk.Waits() && !s.pol.Stay {
+		if s.now%owner.ForwardInterval == 0 && in.desk.HasWaiting() && !s.pol.Stay {
 			o.passWaiting(in)
 		}
-		if s.now%owner.BeatEvery == 0 {
+		if s.now%owner.HeartbeatInterval == 0 {
 			o.beat(in)
 		}
 		if s.now >= in.changed {
-			in.changed = s.now + owner.ReportEvery
+			in.changed = s.now + owner.ReportInterval
 			in.desk.Tick(s.clock())
 			o.report(in)
 		}
@@ -248,7 +248,7 @@
 }
 
 func (o *owned) decideWaiting(in *instance) {
-	for _, answer := range in.desk.Step(o.s.clock()) {
+	for _, answer := range in.desk.DecideWaiting(o.s.clock()) {
 		if r := o.asker(answer.Key); r != nil {
 			o.answer(in, r, r.asked, answer)
 		}
@@ -256,8 +256,8 @@
 }
 
 func (o *owned) passWaiting(in *instance) {
-	for _, rep := range in.desk.PassWaiting(o.s.clock()) {
-		if r := o.asker(rep.Ask.Key); r != nil {
+	for _, rep := range in.desk.ForwardWaiting(o.s.clock()) {
+		if r := o.asker(rep.Request.Key); r != nil {
 			o.dispose(in, r, r.asked, rep)
 		}
 	}
@@ -276,16 +276,16 @@
 func (o *owned) beat(in *instance) {
 	now := o.s.clock()
 	to := make(map[string]bool)
-	b := owner.Beat{Instance: in.name, Incarnation: 1, Fills: make(map[string]owner.Fill)}
+	b := owner.Heartbeat{Instance: in.name, Incarnation: 1, Fills: make(map[string]owner.Fill)}
 	for _, sh := range o.layout.All() {
 		if !sh.IsCandidate(in.name) {
 			continue
 		}
 		addNames(to, sh)
-		if at, ok := in.desk.Acting(now, sh); !ok || at.Name != in.name {
+		if at, ok := in.desk.ActingOwner(now, sh); !ok || at.Name != in.name {
 			continue
 		}
-		b.Fills[sh.Key] = in.desk.Fills(now, sh)
+		b.Fills[sh.Key] = in.desk.UpdateFill(now, sh)
 		for _, n := range sh.Neighbours() {
 			addNames(to, n)
 		}
@@ -293,7 +293,7 @@
 	delete(to, in.name)
 	b.Cold, _ = in.desk.State(now)
 	for _, name := range slices.Sorted(maps.Keys(to)) {
-		o.s.tell(hop, func() { o.byName[name].desk.TakeBeat(o.s.clock(), b) })
+		o.s.tell(hop, func() { o.byName[name].desk.ReceiveHeartbeat(o.s.clock(), b) })
 	}
 }
 
@@ -310,7 +310,7 @@
 	for _, r := range sorted(in.runs) {
 		runs = append(runs, owner.Run{
 			ID: r.id, Target: r.engine.ID, Tokens: r.prompt + r.made, Expected: max(0, r.load.Tokens-r.prompt-r.made),
-			Unread: r.load.Unread, Left: r.size().Left,
+			Unread: r.load.Unread, Remaining: r.size().Remaining,
 		})
 	}
 	shardOf := o.shardOf(in)
@@ -328,7 +328,7 @@
 		if !has && !d.told {
 			continue
 		}
-		rep.Readings = d.readings
+		rep.PrefillSamples = d.readings
 		rep.Shard, rep.Instance, rep.Incarnation, rep.Seq = sh.Key, in.name, 1, d.seq
 		o.sendReport(in, sh, rep)
 	}
@@ -343,7 +343,7 @@
 		if !known {
 			return nil
 		}
-		return o.layout.Of(t)
+		return o.layout.ShardOf(t)
 	}
 }
 
@@ -351,14 +351,14 @@
 	to := sh.Ranked[:min(2, len(sh.Ranked))]
 	if o.s.pol.Forget {
 		to = to[:1]
-		if at, ok := o.byName[sh.Ranked[1].Name].desk.Acting(o.s.clock(), sh); ok {
+		if at, ok := o.byName[sh.Ranked[1].Name].desk.ActingOwner(o.s.clock(), sh); ok {
 			to = []owner.Instance{at}
 		}
 	}
 	for _, c := range to {
 		other := o.byName[c.Name]
 		rep := rep
-		rep.Seen = in.desk.seen[c.Name]
+		rep.LastGrant = in.desk.seen[c.Name]
 		if other == in {
 			in.desk.Report(o.s.clock(), rep)
 			continue
--- a/lib/replay/site.go
+++ b/lib/replay/site.go
@@ -34,7 +34,7 @@
 type instance struct {
 	name, domain string
 	fleet        *fleet.Fleet
-	reading      *admit.Readings
+	reading      *admit.PrefillRates
 	runs         map[uint64]*stream
 	waiting      []*stream
 	changed      time.Duration // when it next tells what it has
@@ -102,7 +102,7 @@
 func (s *site) domain(i int) string { return fmt.Sprint("z", i%s.load.Domains) }
 
 func (s *site) addInstance(i int) {
-	in := &instance{name: fmt.Sprint("i", i), domain: s.domain(i), runs: make(map[uint64]*stream), reading: new(admit.Readings)}
+	in := &instance{name: fmt.Sprint("i", i), domain: s.domain(i), runs: make(map[uint64]*stream), reading: new(admit.PrefillRates)}
 	f := fleet.New(in.domain)
 	f.SetSpecs(map[string]fleet.Spec{service: {KVTokens: kv}})
 	f.SetSizes(in.sizesOn)
@@ -218,7 +218,7 @@
 		e := s.engines[i]
 		s.engines = slices.Delete(s.engines, i, i+1)
 		for _, in := range s.instances {
-			in.fleet.Leave(s.clock(), e.ID, 0)
+			in.fleet.MarkLeaving(s.clock(), e.ID, 0)
 		}
 		for _, r := range sorted(e.runs) {
 			s.end(r, fleet.Abandoned)
--- a/lib/replay/stream.go
+++ b/lib/replay/stream.go
@@ -93,7 +93,7 @@
 }
 
 func (r *stream) size() fleet.Size {
-	return fleet.Size{Now: r.prompt + r.made, Left: max(0, r.guess-r.made)}
+	return fleet.Size{Held: r.prompt + r.made, Remaining: max(0, r.guess-r.made)}
 }
 
 func (r *stream) need() fleet.Need {
@@ -102,7 +102,7 @@
 
 // asked is the stream as lib/admit sees it.
 func (r *stream) admitted() admit.Stream {
-	return admit.Stream{Arrived: start.Add(r.arrived), Aim: r.aim(), Keeps: r.keeps(), Need: r.need()}
+	return admit.Stream{Arrived: start.Add(r.arrived), Objective: r.aim(), MaxRetryAfter: r.keeps(), Need: r.need()}
 }
 
 func (s *site) arrive(r *stream) {
@@ -118,19 +118,19 @@
 // settle carries a decision out and reports whether the stream waits no longer.
 func (s *site) settle(r *stream, d admit.Decision) bool {
 	need := r.need()
-	if d.Action == admit.Away && s.pol.Force {
+	if d.Action == admit.RetryLater && s.pol.Force {
 		if target, ok := r.inst.fleet.Choose(s.clock(), need); ok {
-			d = admit.Decision{Action: admit.Go, Target: target}
+			d = admit.Decision{Action: admit.Admit, Target: target}
 		}
 	}
 	switch d.Action {
 	case admit.Wait:
-		r.next = s.now + admit.Poll
+		r.next = s.now + admit.PollInterval
 		return false
-	case admit.Go:
+	case admit.Admit:
 		s.send(r, d.Target.ID, fleet.Load{Tokens: need.Tokens, Unread: need.Unread})
 	default:
-		s.turnAway(r, d.After)
+		s.turnAway(r, d.RetryAfter)
 	}
 	return true
 }
@@ -158,7 +158,7 @@
 			continue
 		}
 		r.engine, r.sent, r.load = e, s.now, l
-		r.unread = f.Believe(s.clock(), id).Load.Unread
+		r.unread = f.KnownState(s.clock(), id).Load.Unread
 		e.runs[r.id] = r
 		e.byGen[gen(r.id)] = r
 		r.inst.runs[r.id] = r
@@ -191,10 +191,10 @@
 	default:
 		s.tally.Late++
 	}
-	r.inst.fleet.Grow(r.engine.ID, fleet.Load{Unread: -r.load.Unread})
+	r.inst.fleet.AddLoad(r.engine.ID, fleet.Load{Unread: -r.load.Unread})
 	r.load.Unread = 0
 	if !s.pol.NoReading {
-		r.inst.reading.Saw(service, r.unread, s.now-r.sent)
+		r.inst.reading.Observe(service, r.unread, s.now-r.sent)
 		s.way.read(r)
 	}
 	s.changed(r.inst)
--- a/lib/sched/inputs.go
+++ b/lib/sched/inputs.go
@@ -135,7 +135,7 @@
 		return
 	}
 	o.updateStep(now, g, tokens)
-	o.lengths.Passed(o.groups[g.group].length, g.tokens, tokens)
+	o.lengths.ObserveProgress(o.groups[g.group].length, g.tokens, tokens)
 	g.tokens = tokens
 	g.lastProgress = now
 	o.start(g)
@@ -218,9 +218,9 @@
 	}
 	if reason != EndCompleted || g.maxTokens > 0 && total >= g.maxTokens {
 		// Truncated: it would have continued, so only the length reached is known.
-		o.lengths.Passed(gr.length, g.tokens, total)
+		o.lengths.ObserveProgress(gr.length, g.tokens, total)
 	} else {
-		o.lengths.Ended(gr.length, g.tokens, total)
+		o.lengths.ObserveEnd(gr.length, g.tokens, total)
 		updateMean(&gr.output, float64(total))
 		updateMean(&gr.residence, now.Sub(g.granted).Seconds())
 	}
--- a/lib/schedlink/choose.go
+++ b/lib/schedlink/choose.go
@@ -101,7 +101,7 @@
 		}
 		return
 	}
-	if id, ok := shard.Of(sp.shards, it.target); ok {
+	if id, ok := shard.Find(sp.shards, it.target); ok {
 		it.id = id
 	}
 }
--- a/lib/shard/owner.go
+++ b/lib/shard/owner.go
@@ -75,8 +75,8 @@
 	return out
 }
 
-// Of finds the shard that holds a target.
-func Of(shards []Shard, target string) (ID, bool) {
+// Find finds the shard that holds a target.
+func Find(shards []Shard, target string) (ID, bool) {
 	for _, s := range shards {
 		if _, ok := slices.BinarySearch(s.Targets, target); ok {
 			return s.ID, true
--- a/lib/shard/shard_test.go
+++ b/lib/shard/shard_test.go
@@ -60,7 +60,7 @@
 	n := 0
 	for _, s := range a {
 		for _, target := range s.Targets {
-			if id, ok := Of(b, target); ok && id != s.ID {
+			if id, ok := Find(b, target); ok && id != s.ID {
 				n++
 			}
 		}
--- a/lib/suspect/suspect.go
+++ b/lib/suspect/suspect.go
@@ -30,10 +30,10 @@
 	// has grown for long unseen, says nothing of now.
 	mostNew   = 64
 	mostFirst = 16
-	// Judges is how many instances are told, in rank: the one that judges and the one that takes over.
-	Judges = 2
-	// Life is how long a verdict holds that is not told again.
-	Life = 1500 * time.Millisecond
+	// DetectorReplicas is how many instances are told, in rank: the one that judges and the one that takes over.
+	DetectorReplicas = 2
+	// VerdictTTL is how long a verdict holds that is not told again.
+	VerdictTTL = 1500 * time.Millisecond
 	// holdFirst and holdMax bound how long a target stays suspected that gets no more requests: each time that it fails again when it
 	// is tried, twice as long.
 	holdFirst = 3 * time.Second
@@ -56,8 +56,8 @@
 	Share  float64 // of its requests that fail
 }
 
-// Judge adds up what instances report. It is not safe for concurrent use.
-type Judge struct {
+// Detector adds up what instances report. It is not safe for concurrent use.
+type Detector struct {
 	last    map[reporter]counted
 	pruned  time.Time         // when counts were last forgotten
 	targets map[string]*tally // by target
@@ -84,13 +84,13 @@
 	seen           float64       // share that failed when it was last found to fail
 }
 
-// NewJudge returns a Judge that knows nothing.
-func NewJudge() *Judge {
-	return &Judge{last: make(map[reporter]counted), targets: make(map[string]*tally)}
+// NewDetector returns a Judge that knows nothing.
+func NewDetector() *Detector {
+	return &Detector{last: make(map[reporter]counted), targets: make(map[string]*tally)}
 }
 
-// Take takes in an instance's counts for targets of a service.
-func (j *Judge) Take(now time.Time, service, instance string, incarnation uint64, counts []Count) {
+// Observe takes in an instance's counts for targets of a service.
+func (j *Detector) Observe(now time.Time, service, instance string, incarnation uint64, counts []Count) {
 	for _, c := range counts {
 		key := reporter{instance, incarnation, c.Target}
 		last, known := j.last[key]
@@ -120,8 +120,8 @@
 	}
 }
 
-// Busy reports whether there is something to judge.
-func (j *Judge) Busy() bool { return len(j.targets) > 0 }
+// Active reports whether there is something to judge.
+func (j *Detector) Active() bool { return len(j.targets) > 0 }
 
 func (t *tally) decay(now time.Time) {
 	keep := math.Exp(-now.Sub(t.at).Seconds() / memory.Seconds())
@@ -136,7 +136,7 @@
 }
 
 // Verdicts returns the targets that fail now, and forgets those that nobody has reported for long.
-func (j *Judge) Verdicts(now time.Time) []Verdict {
+func (j *Detector) Verdicts(now time.Time) []Verdict {
 	var out []Verdict
 	for id, t := range j.targets {
 		t.decay(now)
@@ -157,7 +157,7 @@
 	return out
 }
 
-func (j *Judge) fails(id string, t *tally) bool {
+func (j *Detector) fails(id string, t *tally) bool {
 	return t.failed >= leastFailed && t.share() >= leastShare && t.share() >= worse*j.others(id, t.service)
 }
 
@@ -173,7 +173,7 @@
 }
 
 // others is the share of requests that fail at a service's other targets.
-func (j *Judge) others(not, service string) float64 {
+func (j *Detector) others(not, service string) float64 {
 	var sum tally
 	for id, t := range j.targets {
 		if id != not && t.service == service {
@@ -188,7 +188,7 @@
 //
 // Failure: each start of an instance has counts of its own. Kept for as long as their target lives they fill all the room there is within
 // days, and those of new instances are left out: nobody would be suspected any more.
-func (j *Judge) prune(now time.Time) {
+func (j *Detector) prune(now time.Time) {
 	if now.Sub(j.pruned) < countsLife/4 {
 		return
 	}
@@ -207,5 +207,5 @@
 	slices.SortFunc(out, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvous.Rank(key, rendezvous.Hash(b)), rendezvous.Rank(key, rendezvous.Hash(a))), cmp.Compare(a, b))
 	})
-	return out[:min(Judges, len(out))]
+	return out[:min(DetectorReplicas, len(out))]
 }
--- a/lib/suspect/suspect_test.go
+++ b/lib/suspect/suspect_test.go
@@ -15,9 +15,9 @@
 
 // One of three targets fails half of its requests, and each instance has seen one or two of them. Together they are enough.
 func TestFewFailuresOfManyInstancesAreEnough(t *testing.T) {
-	j := NewJudge()
+	j := NewDetector()
 	for i := range 6 {
-		j.Take(t0, "s", fmt.Sprint("i", i), 1, []Count{{Target: "bad", Served: 1, Failed: 1}, {Target: "good", Served: 5}})
+		j.Observe(t0, "s", fmt.Sprint("i", i), 1, []Count{{Target: "bad", Served: 1, Failed: 1}, {Target: "good", Served: 5}})
 	}
 	v := j.Verdicts(t0)
 	must.Len(t, 1, v)
@@ -28,56 +28,56 @@
 
 // Callers' requests fail wherever they run, or all targets fail alike. Nobody is suspected: there is nowhere better to go.
 func TestWhatFailsEverywhereIsNoTargetsFault(t *testing.T) {
-	j := NewJudge()
+	j := NewDetector()
 	for i := range 30 {
-		j.Take(t0, "s", fmt.Sprint("i", i), 1, []Count{{Target: "a", Served: 3, Failed: 3}, {Target: "b", Served: 3, Failed: 2}})
-		j.Take(t0, "calm", fmt.Sprint("i", i), 1, []Count{{Target: "c", Served: 9, Failed: 1}, {Target: "d", Served: 9}})
+		j.Observe(t0, "s", fmt.Sprint("i", i), 1, []Count{{Target: "a", Served: 3, Failed: 3}, {Target: "b", Served: 3, Failed: 2}})
+		j.Observe(t0, "calm", fmt.Sprint("i", i), 1, []Count{{Target: "c", Served: 9, Failed: 1}, {Target: "d", Served: 9}})
 	}
 	must.Len(t, 0, j.Verdicts(t0))
 }
 
 // Datagrams come twice, late and from instances that were started anew, and counters jump. Each outcome counts once.
 func TestCountsAreTakenOnce(t *testing.T) {
-	j := NewJudge()
+	j := NewDetector()
 	for _, c := range []Count{{"t", 0, 1}, {"t", 0, 2}, {"t", 0, 2}, {"t", 0, 1}, {"t", 0, 2}, {"t", 1 << 30, 2}} {
-		j.Take(t0, "s", "i", 1, []Count{c})
+		j.Observe(t0, "s", "i", 1, []Count{c})
 	}
 	must.Len(t, 0, j.Verdicts(t0)) // two failures
-	j.Take(t0, "s", "i", 2, []Count{{"t", 0, 1}})
+	j.Observe(t0, "s", "i", 2, []Count{{"t", 0, 1}})
 	must.Len(t, 1, j.Verdicts(t0))
 }
 
 // Instances are started anew again and again, for days, while a target serves on. What is kept of them stays bounded, and those that
 // came last are heard: a target that fails is suspected then as on the first day.
 func TestRestartsDoNotFillTheJudge(t *testing.T) {
-	j := NewJudge()
+	j := NewDetector()
 	now := t0
 	for incarnation := range uint64(2 * countsMax) {
 		now = now.Add(100 * time.Millisecond)
-		j.Take(now, "s", "i", incarnation, []Count{{Target: "a", Served: 1}})
+		j.Observe(now, "s", "i", incarnation, []Count{{Target: "a", Served: 1}})
 		if incarnation%50 == 0 {
 			j.Verdicts(now)
 		}
 	}
 	must.Less(t, 2*int(countsLife/(100*time.Millisecond)), len(j.last))
 	for i := range 4 {
-		j.Take(now, "s", fmt.Sprint("new", i), 1, []Count{{Target: "b", Failed: 1}})
+		j.Observe(now, "s", fmt.Sprint("new", i), 1, []Count{{Target: "b", Failed: 1}})
 	}
 	must.Len(t, 1, j.Verdicts(now))
 }
 
 // An instance is heard of for the first time, or after long, with counts that have grown for hours. They say nothing of now.
 func TestOldCountsSayNothingOfNow(t *testing.T) {
-	j := NewJudge()
-	j.Take(t0, "s", "i", 1, []Count{{Target: "a", Served: 10, Failed: 40}})
+	j := NewDetector()
+	j.Observe(t0, "s", "i", 1, []Count{{Target: "a", Served: 10, Failed: 40}})
 	must.Len(t, 0, j.Verdicts(t0))
-	j.Take(t0, "s", "i", 1, []Count{{Target: "a", Served: 10, Failed: 44}})
+	j.Observe(t0, "s", "i", 1, []Count{{Target: "a", Served: 10, Failed: 44}})
 	must.Len(t, 1, j.Verdicts(t0))
 }
 
 func TestRankIsTheSameForAll(t *testing.T) {
 	must.Eq(t, Ranked("s", []string{"a", "b", "c"}), Ranked("s", []string{"c", "a", "b"}))
-	must.Len(t, Judges, Ranked("s", []string{"a", "b", "c"}))
+	must.Len(t, DetectorReplicas, Ranked("s", []string{"a", "b", "c"}))
 	must.Len(t, 1, Ranked("s", []string{"a"}))
 }
 
@@ -97,7 +97,7 @@
 		}
 		fleets[i], counts[i] = f, make(map[string]*Count)
 	}
-	j := NewJudge()
+	j := NewDetector()
 	failed := 0
 	told := time.Duration(0)
 	for at := time.Duration(0); at < span; at += time.Second / perSecond {
@@ -125,12 +125,12 @@
 			told = at
 			for i := range counts {
 				for _, c := range counts[i] {
-					j.Take(now, "s", fmt.Sprint("i", i), 1, []Count{*c})
+					j.Observe(now, "s", fmt.Sprint("i", i), 1, []Count{*c})
 				}
 			}
 			for _, v := range j.Verdicts(now) {
 				for _, f := range fleets {
-					f.Suspect(v.Target, v.Share, now.Add(Life))
+					f.Suspect(v.Target, v.Share, now.Add(VerdictTTL))
 				}
 			}
 		}
