--- a/lib/admit/bench_test.go
+++ b/lib/admit/bench_test.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// BenchmarkStep is one decision with 72 instances' news of 60 engines, six runs each.
+// BenchmarkStep measures one decision with load updates of 72 instances for 60 engines, six runs each.
 func BenchmarkStep(b *testing.B) {
 	f := fleet.New("z")
 	f.SetSpecs(map[string]fleet.Spec{service: {KVTokens: kv}})
@@ -26,11 +26,11 @@
 		f.SetPeerLoad(now, fmt.Sprintf("i%d", i), loads, sizes)
 	}
 	p := Placer{Fleet: f, Prefill: new(PrefillRates)}
-	s := Stream{Arrived: now, Objective: 1800 * time.Millisecond, MaxRetryAfter: keeps, Need: fleet.Need{
+	stream := Stream{Arrived: now, Objective: 1800 * time.Millisecond, MaxRetryAfter: maxRetryAfter, Need: fleet.Need{
 		Service: service, Tokens: 3200, Unread: 3000, Peak: fleet.Size{Held: 3000, Remaining: 400},
 	}}
 	for b.Loop() {
-		if d := p.Step(now, s); d.Action == Admit {
+		if d := p.Step(now, stream); d.Action == Admit {
 			f.Release(now, d.Target.ID, fleet.Load{Tokens: 3200, Unread: 3000}, fleet.Served)
 		}
 	}
--- a/lib/fleet/grant_test.go
+++ b/lib/fleet/grant_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// An owner has chosen an engine that this instance does not hold. The run goes there, and nothing else by this instance's own choice;
-// once nothing is there any more it is forgotten.
+// An owner has chosen an engine that is not on this instance's list. The granted run goes there and no other of this instance does; once
+// unused, the engine is forgotten.
 func TestGrantedTargetTakesWhatItWasGrantedFor(t *testing.T) {
-	f := engines(1)
+	f := newEngineFleet(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	must.SliceEmpty(t, f.Grant(t0, e).Added)
 	need := Need{Service: "engine", Tokens: 100}
@@ -27,7 +27,7 @@
 	must.Eq(t, e, got)
 	must.Eq(t, 1, f.Availability(t0, need).Accepting)
 
-	late := t0.Add(2 * grantedFor)
+	late := t0.Add(2 * grantTTL)
 	f.Tick(late)
 	_, held := f.Info("far")
 	must.True(t, held)
@@ -37,14 +37,14 @@
 	must.False(t, held)
 }
 
-// A granted engine leaves, starts anew, or comes into the list that this instance holds.
+// A granted engine leaves, restarts, and is added to this instance's list.
 func TestLifeOfAGrantedTarget(t *testing.T) {
-	f := engines(1)
+	f := newEngineFleet(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	f.Grant(t0, e)
 	must.Len(t, 1, f.MarkLeaving(t0, "far", 5).Leaving)
 	f.Grant(t0, e)
-	must.True(t, f.IsLeaving("far")) // the owner's word was late
+	must.True(t, f.IsLeaving("far")) // the owner's grant was stale
 	e.Born = 6
 	must.Len(t, 1, f.Grant(t0, e).Restarted)
 	must.False(t, f.IsLeaving("far"))
@@ -52,9 +52,9 @@
 	must.Eq(t, 2, f.Availability(t0, Need{Service: "engine"}).Accepting)
 }
 
-// Targets that this instance no longer needs are forgotten, but for those that it has requests on. None of them is said to leave.
+// Dropped targets are forgotten, except those with requests of this instance. None of them is reported as leaving.
 func TestDroppedTargetsAreForgotten(t *testing.T) {
-	f := engines(3)
+	f := newEngineFleet(3)
 	need := Need{Service: "engine", Tokens: 10}
 	_, ok := f.AcquireAt(t0, "e1", need)
 	must.True(t, ok)
@@ -69,24 +69,24 @@
 	must.Eq(t, "e2", got.ID)
 	must.Eq(t, map[string]int{"z1": 1}, f.Ready("engine"))
 	f.Release(t0, "e1", Load{Tokens: 10}, Served)
-	f.Tick(t0.Add(2 * grantedFor))
+	f.Tick(t0.Add(2 * grantTTL))
 	_, held = f.Info("e1")
 	must.False(t, held)
 	must.Len(t, 1, f.Apply(t0, []Info{{ID: "e0", Service: "engine", Domain: "z1"}}, nil, 0).Added)
 }
 
-// The index names each target once, in the order of ids, however they come, move and go.
-func TestRosterIsInOrder(t *testing.T) {
+// The index lists each target once, ordered by id, however targets are added, moved and removed.
+func TestIndexIsSortedByID(t *testing.T) {
 	f := New("z1")
 	f.SetSpecs(map[string]Spec{"a": {}, "b": {}})
 	for i, id := range []string{"t5", "t1", "t9", "t3", "t7", "t2"} {
 		f.Apply(t0, []Info{{ID: id, Service: "a", Domain: "z1"}}, nil, 0)
 		if i == 3 {
-			f.index.of("a")
+			f.index.targetsOf("a")
 		}
 	}
 	ids := func(service string) (out []string) {
-		for _, t := range f.index.of(service) {
+		for _, t := range f.index.targetsOf(service) {
 			out = append(out, t.ID)
 		}
 		return out
@@ -97,6 +97,6 @@
 	must.Eq(t, map[string]int{"z1": 5}, f.Ready("a"))
 	f.Apply(t0, nil, []string{"t1"}, 0)
 	must.Eq(t, map[string]int{"z1": 4}, f.Ready("a"))
-	must.Len(t, 1, f.Tick(t0.Add(goneAfter+time.Second)).Gone)
+	must.Len(t, 1, f.Tick(t0.Add(forgetAfter+time.Second)).Gone)
 	must.Eq(t, []string{"t2", "t5", "t7", "t9"}, ids("a"))
 }
--- a/lib/fleet/list.go
+++ b/lib/fleet/list.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Change is what an update of the list did.
+// Change is the result of an update of the list.
 type Change struct {
 	Added, Leaving, Gone []Info
-	Restarted            []Info // a new life under an id that was known: what ran on the one before is broken
-	Dropped              []Info // targets that this instance no longer needs to know, whatever becomes of them
+	Restarted            []Info // a new incarnation under a known id: runs on the previous one are broken
+	Dropped              []Info // targets that this instance no longer needs to know, whatever happens to them
 }
 
-// Apply takes in entries of the list and the ids whose entries were removed. silent is how long the list could not be
-// read before. It returns what changed.
-func (f *Fleet) Apply(now time.Time, entries []Info, removed []string, silent time.Duration) Change {
+// Apply applies entries of the list and the ids of removed entries. outage is how long the list could not be read before. It returns what
+// changed.
+func (f *Fleet) Apply(now time.Time, entries []Info, removed []string, outage time.Duration) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.born.IsZero() {
-		f.born = now
+	if f.firstApplied.IsZero() {
+		f.firstApplied = now
 	}
 	var ch Change
 	for _, e := range entries {
 		f.upsert(now, e, &ch)
 	}
 	for _, id := range removed {
-		f.remove(now, id, silent, &ch)
+		f.remove(now, id, outage, &ch)
 	}
 	return ch
 }
@@ -35,12 +35,12 @@
 		f.targets[e.ID] = t
 		ch.Added = append(ch.Added, e)
 	case e.Born != 0 && e.Born < t.Born:
-		return // a stale entry of an earlier life
+		return // a stale entry of an earlier incarnation
 	case t.Born != 0 && e.Born > t.Born:
 		t.restart()
 		ch.Restarted = append(ch.Restarted, e)
-	case t.presumed && !e.Leaving:
-		t.state, t.presumed = Ready, false // it lives, and was late to write
+	case t.presumedGone && !e.Leaving:
+		t.state, t.presumedGone = Ready, false // it is alive and only wrote its entry late
 		ch.Added = append(ch.Added, e)
 	}
 	if t.isGranted() {
@@ -50,49 +50,49 @@
 	t.Info = e
 	t.listed = true
 	f.startCold(now, t, e.ColdFor)
-	t.missing = time.Time{}
+	t.missingSince = time.Time{}
 	t.unreadable = false
 	if e.Leaving {
-		f.leave(now, t, ch)
+		f.markLeaving(now, t, ch)
 	}
-	f.index.place(t)
+	f.index.update(t)
 }
 
-// restart forgets what was learnt of the life before. What this instance had sent there is released as it breaks.
+// restart discards the state of the previous incarnation. This instance's load there is released as its requests fail.
 func (t *Target) restart() {
-	*t = Target{Info: t.Info, state: Ready, own: t.own, grantedAt: t.grantedAt, seat: t.seat}
+	*t = Target{Info: t.Info, state: Ready, local: t.local, grantedAt: t.grantedAt, listing: t.listing}
 }
 
-// leave is final for one life of a target: a stale entry that says ready doesn't bring it back.
-func (f *Fleet) leave(now time.Time, t *Target, ch *Change) {
-	t.presumed = false
+// markLeaving is final for an incarnation: a stale entry that says ready does not bring it back.
+func (f *Fleet) markLeaving(now time.Time, t *Target, ch *Change) {
+	t.presumedGone = false
 	if t.state == Leaving {
 		return
 	}
 	t.state = Leaving
-	t.leavingAt = now
+	t.leftAt = now
 	ch.Leaving = append(ch.Leaving, t.Info)
-	f.index.place(t)
+	f.index.update(t)
 }
 
-func (f *Fleet) remove(now time.Time, id string, silent time.Duration, ch *Change) {
+func (f *Fleet) remove(now time.Time, id string, outage time.Duration, ch *Change) {
 	t := f.targets[id]
 	if t == nil {
 		return
 	}
 	t.listed = false
-	if silent > 0 && t.state == Ready {
-		if t.missing.IsZero() {
-			t.missing = now
-			f.index.place(t)
+	if outage > 0 && t.state == Ready {
+		if t.missingSince.IsZero() {
+			t.missingSince = now
+			f.index.update(t)
 		}
 		return
 	}
-	f.leave(now, t, ch)
+	f.markLeaving(now, t, ch)
 }
 
-// PresumeGone takes targets as gone whose entries are missing, although nobody has said that they leave. One whose entry comes back is used
-// again.
+// PresumeGone treats targets as leaving because their entries are missing, without a notice that they leave. A target whose entry
+// returns is used again.
 func (f *Fleet) PresumeGone(now time.Time, ids []string) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,59 +100,59 @@
 	for _, id := range ids {
 		if t := f.targets[id]; t != nil {
 			t.listed = false
-			f.lapse(now, t, &ch)
+			f.presumeGone(now, t, &ch)
 		}
 	}
 	return ch
 }
 
-func (f *Fleet) lapse(now time.Time, t *Target, ch *Change) {
-	t.missing = time.Time{}
+func (f *Fleet) presumeGone(now time.Time, t *Target, ch *Change) {
+	t.missingSince = time.Time{}
 	if t.state == Ready {
-		f.leave(now, t, ch)
-		t.presumed = true
+		f.markLeaving(now, t, ch)
+		t.presumedGone = true
 	}
-	f.index.place(t)
+	f.index.update(t)
 }
 
-// goneAfter is how long a target that left is remembered, for runs that still end there. One that the list still has is remembered for
-// as long: forgotten, it would be taken for a new one as soon as the list is read again.
-const goneAfter = 30 * time.Second
+// forgetAfter is how long a target that left is remembered, for runs that still end there. A target that is still listed is kept longer:
+// once forgotten, it would be taken for a new one the next time the list is read.
+const forgetAfter = 30 * time.Second
 
-// Tick ends the grace of entries that have not come back and forgets targets that left long ago.
+// Tick ends the grace period of entries that have not returned and forgets targets that left long ago.
 func (f *Fleet) Tick(now time.Time) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ch Change
 	for _, t := range f.index.missing {
-		if now.Sub(t.missing) > OutageGrace {
-			f.lapse(now, t, &ch)
+		if now.Sub(t.missingSince) > OutageGrace {
+			f.presumeGone(now, t, &ch)
 		}
 	}
 	f.forgetGranted(now)
-	f.index.leftBefore(now.Add(-goneAfter), func(t *Target) bool {
-		if t.listed || t.own.Runs > 0 {
+	f.index.leftBefore(now.Add(-forgetAfter), func(t *Target) bool {
+		if t.listed || t.local.Runs > 0 {
 			return false
 		}
 		f.forget(t)
 		ch.Gone = append(ch.Gone, t.Info)
 		return true
 	})
-	for id, t := range f.index.worded {
-		if !t.limit.On && !now.Before(t.restUntil) {
-			delete(f.index.worded, id)
+	for id, t := range f.index.signalled {
+		if !t.limit.On && !now.Before(t.backoffUntil) {
+			delete(f.index.signalled, id)
 		}
 	}
 	for name, p := range f.peers {
-		if now.Sub(p.at) > peerLife {
-			p.forgetTold(f.targets)
+		if now.Sub(p.receivedAt) > peerTTL {
+			p.invalidateTotals(f.targets)
 			delete(f.peers, name)
 		}
 	}
 	return ch
 }
 
-// HasMissing reports whether entries of targets are missing that are believed for a grace: Tick is to be called often.
+// HasMissing reports whether targets are in the grace period of missing entries, so that Tick must be called often.
 func (f *Fleet) HasMissing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,19 +164,19 @@
 	f.index.remove(t)
 }
 
-// MarkLeaving marks a life of a target that was seen to leave, although the list has not told. News of an earlier life than
-// the one known is late and says nothing of it; news of a later one says that the one known has ended, too.
+// MarkLeaving marks an incarnation of a target as leaving before the list says so. A notice about an earlier incarnation than the known
+// one is stale and ignored; one about a later incarnation implies that the known one has ended.
 func (f *Fleet) MarkLeaving(now time.Time, id string, born int64) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var ch Change
 	if t := f.targets[id]; t != nil && (born == 0 || born >= t.Born) {
-		f.leave(now, t, &ch)
+		f.markLeaving(now, t, &ch)
 	}
 	return ch
 }
 
-// MarkRestarted takes in that a target answers as another life than the one listed. The list tells the rest of it later.
+// MarkRestarted records that a target responds as a later incarnation than the listed one. The list supplies the rest later.
 func (f *Fleet) MarkRestarted(now time.Time, id string, born int64) Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,31 +189,31 @@
 	return ch
 }
 
-// MarkUnreadable notes that the entries of targets name none. They get nothing new until they have written others.
+// MarkUnreadable records that the entries of targets could not be decoded. The targets get no new requests until their next valid entry.
 func (f *Fleet) MarkUnreadable(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
 		if t := f.targets[id]; t != nil {
 			t.unreadable = true
-			f.index.place(t)
+			f.index.update(t)
 		}
 	}
 }
 
-// LeftTarget is a life of a target that has left.
+// LeftTarget is an incarnation of a target that has left.
 type LeftTarget struct {
 	ID   string
 	Born int64 // as in Info
 }
 
-// LeftSince lists the targets that have left since a time.
+// LeftSince lists the targets that announced leaving, or were removed from the list, after a time; presumed departures are left out.
 func (f *Fleet) LeftSince(at time.Time) []LeftTarget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []LeftTarget
 	f.index.leftSince(at, func(t *Target) bool {
-		if !t.presumed {
+		if !t.presumedGone {
 			out = append(out, LeftTarget{ID: t.ID, Born: t.Born})
 		}
 		return true
@@ -221,13 +221,13 @@
 	return out
 }
 
-// settleTime is how long a list that was just read for the first time may lack targets that live: entries that lapsed
-// while the store was away come back within OutageGrace, by the targets' own writing.
+// settleTime is how long a list read for the first time may lack live targets: targets whose entries expired during a store outage write
+// them again within OutageGrace.
 const settleTime = OutageGrace + 500*time.Millisecond
 
-// Settling reports whether targets that live may still be missing from the list.
+// Settling reports whether live targets may still be missing from the list.
 func (f *Fleet) Settling(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.born.IsZero() || now.Sub(f.born) < settleTime
+	return f.firstApplied.IsZero() || now.Sub(f.firstApplied) < settleTime
 }
