--- a/lib/power/power.go
+++ b/lib/power/power.go
@@ -1,10 +1,10 @@
-// Package power keeps a site under its cap on electric power by budgets for each service (or any other part that
-// draws power), so that work is slowed and not dropped.
+// Package power keeps a site below its cap on electric power. It gives each service, or any other part that draws power, a
+// budget, so that work slows down instead of failing.
 //
-// An Allotter, run by whoever holds the lease, sends Shares. A Follower applies the newest one and falls back to a
-// fixed part of the cap when it ends. At any time, the sum of what followers may draw is under the cap: an allotter
-// counts each follower with the most that it may draw under any share that has not ended, and with its fallback.
-// Both are pure: the time is passed in, messages are returned.
+// An Allocator, run by the lease holder, issues Shares. A Follower applies the newest one and reverts to a fixed fallback
+// when it ends. At any time the sum of the followers' limits is below the cap: the allocator counts for each follower the
+// largest share that has not ended, and at least its fallback. Both types are pure: the time is passed in, and messages
+// are returned.
 package power
 
 import (
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// Config holds the timing and the guard band, the same at all processes of a site.
+// Config holds the timing and the guard band. It must be the same in all processes of a site.
 type Config struct {
 	CapWatts      float64
-	GuardWatts    float64       // kept free always
-	SlewWatts     float64       // a second: how fast the draw may rise unseen; the guard grows by it with a reading's age
+	GuardWatts    float64       // always kept free
+	SlewWatts     float64       // per second: how fast the draw may rise unseen; the guard grows by it with a reading's age
 	MaxGuardWatts float64       // guard with missing or frozen readings
-	MaxAge        time.Duration // an older reading is missing
-	FrozenAfter   time.Duration // the same reading for so long, while the modelled draw moves, is frozen
-	FrozenWatts   float64       // how much the modelled draw must have moved
-	TTL           time.Duration // life of a share
-	ClockSkew     float64       // bound on the difference in rate of two monotonic clocks
-	Drain         time.Duration // how long before a share's end a follower is back at its fallback
-	FallbackShare float64       // part of the cap, less MaxGuardWatts, that fallbacks sum up to
+	MaxAge        time.Duration // an older reading counts as missing
+	FrozenAfter   time.Duration // a reading unchanged for this long, while the modelled draw changes, counts as frozen
+	FrozenWatts   float64       // change of the modelled draw required for that
+	TTL           time.Duration // lifetime of a share
+	ClockSkew     float64       // bound on the relative rate difference of two monotonic clocks
+	Drain         time.Duration // time before a share's end at which a follower is back at its fallback
+	FallbackShare float64       // fraction of the cap, less MaxGuardWatts, that the fallbacks add up to
 }
 
 // DefaultConfig returns a Config for a cap and a fixed guard in watts.
@@ -36,24 +36,28 @@
 	}
 }
 
-// lent is how long an allotter counts a share, which is longer than its follower does by the clock skew.
-func (c Config) lent() time.Duration { return time.Duration(float64(c.TTL) * (1 + c.ClockSkew)) }
+// accountedTTL returns how long an allocator counts a share: the follower's lifetime extended by the clock skew.
+func (c Config) accountedTTL() time.Duration {
+	return time.Duration(float64(c.TTL) * (1 + c.ClockSkew))
+}
 
-// WaitOut is how long a new allotter gives fallbacks only: the last shares of the one before it may run so long.
-func (c Config) WaitOut() time.Duration { return time.Duration(float64(c.lent()) * (1 + c.ClockSkew)) }
+// TakeoverDelay is how long a new allocator issues fallbacks only, because the previous one's last shares may still be in force.
+func (c Config) TakeoverDelay() time.Duration {
+	return time.Duration(float64(c.accountedTTL()) * (1 + c.ClockSkew))
+}
 
-// Part is something that draws power, with the least and the most that it can draw.
+// Part is a consumer of power, with the minimum and maximum that it can draw.
 type Part struct {
 	Name      string
 	IdleWatts float64 // with nothing running
 	MaxWatts  float64
 }
 
-// Fallbacks gives each part what it draws idle, and splits the fallback part of the rest of the cap in proportion to what
-// parts can draw beyond that. It depends on settings alone, so all processes work out the same.
+// Fallbacks returns a fallback for each part: its idle draw, and a part of FallbackShare of the remaining usable power in
+// proportion to what it can draw beyond idle. It depends on settings alone, so all processes compute the same values.
 //
-// A fallback under the idle draw would stop all work for as long as nobody divides the cap. The idle draw is there once,
-// however many follow for one part: with FallbackShare at a half, the cap holds even with every part followed twice.
+// With a fallback below the idle draw, all work would stop for as long as no allocator is active. The idle draw occurs
+// once, however many followers a part has: with FallbackShare at a half, the cap holds even with two followers per part.
 func (c Config) Fallbacks(parts []Part) map[string]float64 {
 	idle, above := 0.0, 0.0
 	for _, p := range parts {
@@ -61,7 +65,7 @@
 		above += p.MaxWatts - p.IdleWatts
 	}
 	usable := max(0, c.CapWatts-c.MaxGuardWatts)
-	scale := 1.0 // of idle draws that alone pass what is usable
+	scale := 1.0 // applied to the idle draws if their sum alone exceeds the usable power
 	if idle > usable {
 		scale = usable / idle
 	}
@@ -76,37 +80,37 @@
 	return out
 }
 
-// Stamp is a time on a follower's own clock; it only returns to it.
+// Stamp is a time on a follower's own clock. Only that follower interprets it.
 type Stamp struct {
 	Epoch uint64 // incarnation of the follower's process
-	Nanos int64  // since it started, over 0
+	Nanos int64  // since it started; greater than 0
 }
 
-// Report goes from a follower to the allotter.
+// Report is sent by a follower to the allocator.
 type Report struct {
 	Part        string
 	Stamp       Stamp
-	WantedWatts float64 // that its queued and running work could use
-	DrawnWatts  float64 // modelled
-	AckFence    uint64  // of the share in force, or the last one
+	WantedWatts float64 // power that its queued and running work could use
+	DrawnWatts  float64 // modelled draw
+	AckFence    uint64  // fence of the share acknowledged last
 	AckSeq      uint64
 }
 
-// Share answers a Report.
+// Share is the allocator's answer to a Report.
 type Share struct {
 	Part  string
-	Fence uint64 // of the allotter's lease
-	Seq   uint64 // grows under one fence
-	Echo  Stamp  // the share ends TTL after this
+	Fence uint64 // of the allocator's lease
+	Seq   uint64 // increases under one fence
+	Echo  Stamp  // stamp of the report; the share ends TTL after it
 	Watts float64
 }
 
-// newer orders shares by fence, then by number.
+// newer reports whether s supersedes a share with the given fence and sequence number.
 func (s Share) newer(fence, seq uint64) bool {
 	return s.Fence > fence || s.Fence == fence && s.Seq > seq
 }
 
-// waterLevel returns the level at which the sum of min(want, level) is total; scarce is false when all wants fit.
+// waterLevel returns the level at which the sum of min(want, level) is total; scarce is false if all wants are met.
 func waterLevel(wants []float64, total float64) (level float64, scarce bool) {
 	slices.Sort(wants)
 	for i, w := range wants {
--- a/lib/power/power_test.go
+++ b/lib/power/power_test.go
@@ -14,7 +14,7 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-// site runs parts and two processes that may hold the lease, in virtual time, each on a clock of its own rate.
+// site simulates parts and two processes that compete for the lease, in virtual time, each on a clock of its own rate.
 type site struct {
 	cfg     power.Config
 	rng     *rand.Rand
@@ -23,10 +23,10 @@
 	holders []*siteHolder
 	mail    []mail
 	fence   uint64
-	lapses  time.Duration // true time at which the lease in the table ends
-	owner   int           // of the lease
+	lapses  time.Duration // true time at which the lease in the table expires
+	owner   int           // index of the lease holder
 	loss    float64
-	cut     map[[2]int]bool // part and holder whose link drops all
+	cut     map[[2]int]bool // part and holder whose link drops all messages
 }
 
 type sitePart struct {
@@ -41,7 +41,7 @@
 	rate   float64
 	a      *power.Allocator
 	paused time.Duration
-	held   []mail // answers that a pause caught between decision and sending
+	held   []mail // answers delayed by a pause between decision and sending
 }
 
 type mail struct {
@@ -53,7 +53,7 @@
 
 const (
 	leaseTTL    = 6 * time.Second
-	leaseMargin = 2 * time.Second // a holder stops believing in its lease so long before it ends
+	leaseMargin = 2 * time.Second // a holder stops using its lease this long before it expires
 	step        = 50 * time.Millisecond
 )
 
@@ -82,7 +82,7 @@
 func (s *site) at(rate float64) time.Time     { return t0.Add(time.Duration(float64(s.now) * rate)) }
 func (s *site) chance(perSecond float64) bool { return s.rng.Float64() < perSecond*step.Seconds() }
 
-// tick moves the site on by one step.
+// tick advances the site by one step.
 func (s *site) tick(reading func(*power.Allocator, time.Time)) {
 	s.now += step
 	s.renewLease()
@@ -113,7 +113,7 @@
 	s.deliver()
 }
 
-// renewLease gives the lease to a holder that is awake once it has lapsed, and lets its owner renew it.
+// renewLease lets the lease holder renew it, and gives an expired lease to a holder that is not paused.
 func (s *site) renewLease() {
 	if s.owner >= 0 && s.now < s.lapses {
 		h := s.holders[s.owner]
@@ -168,7 +168,7 @@
 func (s *site) answer(m mail) {
 	h := s.holders[m.to]
 	if s.now < h.paused {
-		s.mail = append(s.mail, m) // waits in its socket
+		s.mail = append(s.mail, m) // stays in the socket buffer
 		return
 	}
 	share, ok := h.a.HandleReport(s.at(h.rate), *m.report)
@@ -189,7 +189,7 @@
 	}
 }
 
-// drawn is what the parts draw: what they want, within what they may.
+// drawn returns the draw of all parts: their demand, up to their limits.
 func (s *site) drawn() float64 {
 	sum := 0.0
 	for _, p := range s.parts {
@@ -206,9 +206,9 @@
 	return sum
 }
 
-// What the site's breaker sees: whatever happens, the parts together are never allowed more than the cap. The holder of
-// the budget is paused in the middle of an answer and wakes up without its lease, another takes over with a higher
-// fence, messages are lost or come half a minute late, parts restart, and readings lag, stop or freeze.
+// The site's breaker trips if the parts together are allowed more than the cap. This must not happen when the lease holder
+// is paused in the middle of an answer and wakes up without its lease, another takes over with a higher fence, messages are
+// lost or half a minute late, parts restart, and readings lag, stop or freeze.
 func TestSumNeverOverCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := power.DefaultConfig(10_000, 500)
@@ -221,7 +221,10 @@
 		for range 1200 {
 			s.tick(func(a *power.Allocator, now time.Time) {
 				if s.rng.IntN(3) > 0 {
-					a.AddReading(now, power.Reading{Watts: s.drawn() * (0.9 + 0.2*s.rng.Float64()), Age: time.Duration(s.rng.Int64N(int64(5 * time.Second)))})
+					a.AddReading(now, power.Reading{
+						Watts: s.drawn() * (0.9 + 0.2*s.rng.Float64()),
+						Age:   time.Duration(s.rng.Int64N(int64(5 * time.Second))),
+					})
 				}
 			})
 			for _, p := range s.parts {
@@ -241,9 +244,9 @@
 	})
 }
 
-// What a service sees when its work grows: power follows within three reports of each service, in whatever order they
-// come, and is its alone only as long as the others don't need it. The planner's share must shrink, and its next report
-// must say so, before the dispatch service is told of it; one told earlier would take the site over its cap.
+// When a service's work grows, its share follows within three of its reports, in whatever order they arrive, and it keeps
+// the extra power only while others don't need it. The planner's share must shrink, and its next report must acknowledge
+// that, before the dispatch service gets the power; otherwise the site would exceed its cap.
 func TestSharesFollowDemand(t *testing.T) {
 	const rounds, grown = 7, 4 // the last of them with grown demand
 	for order := range 1 << rounds {
@@ -259,20 +262,20 @@
 	}
 }
 
-// shares is an allotter with two services that report to it once a round.
+// shares is an allocator with two services that report to it once a round.
 type shares struct {
 	t         *testing.T
 	now       time.Time
-	allotter  *power.Allocator
+	allocator *power.Allocator
 	followers map[string]*power.Follower
 }
 
 func newShares(t *testing.T) *shares {
 	cfg := power.DefaultConfig(10_000, 500)
-	s := &shares{t: t, now: t0.Add(cfg.WaitOut()), allotter: power.NewAllocator(cfg), followers: map[string]*power.Follower{}}
+	s := &shares{t: t, now: t0.Add(cfg.TakeoverDelay()), allocator: power.NewAllocator(cfg), followers: map[string]*power.Follower{}}
 	fallbacks := map[string]float64{"planner": 2000, "dispatch": 2000}
-	s.allotter.SetFallbacks(fallbacks)
-	s.allotter.SetLease(power.Lease{Fence: 1, Since: t0, Until: t0.Add(time.Hour)})
+	s.allocator.SetFallbacks(fallbacks)
+	s.allocator.SetLease(power.Lease{Fence: 1, Since: t0, Until: t0.Add(time.Hour)})
 	for name, w := range fallbacks {
 		s.followers[name] = power.NewFollower(t0, cfg, name, 1, w)
 	}
@@ -283,7 +286,7 @@
 
 func (s *shares) round(swapped bool, planner, dispatch float64) {
 	s.now = s.now.Add(time.Second)
-	s.allotter.AddReading(s.now, power.Reading{Watts: 2900 + s.now.Sub(t0).Seconds()})
+	s.allocator.AddReading(s.now, power.Reading{Watts: 2900 + s.now.Sub(t0).Seconds()})
 	if swapped {
 		s.report("dispatch", dispatch)
 		s.report("planner", planner)
@@ -295,12 +298,12 @@
 
 func (s *shares) report(name string, wanted float64) {
 	f := s.followers[name]
-	share, ok := s.allotter.HandleReport(s.now, f.Report(s.now, wanted, 1500))
+	share, ok := s.allocator.HandleReport(s.now, f.Report(s.now, wanted, 1500))
 	must.True(s.t, ok)
 	f.Apply(s.now, share)
 }
 
-// What operators see without the holder: work is slowed to the fallback, before the share ends, and goes on there.
+// Without an allocator, a part must slow down to its fallback before its share ends, and continue there.
 func TestFollowerFallsBackInTime(t *testing.T) {
 	cfg := power.DefaultConfig(10_000, 500)
 	f := power.NewFollower(t0, cfg, "planner", 1, 2000)
@@ -311,8 +314,8 @@
 	must.Eq(t, 2000, f.Limit(t0.Add(cfg.TTL-cfg.Drain+time.Microsecond)))
 }
 
-// What the allotter does with what it can't see: the older the reading the wider the guard, widest when it is missing
-// or stands still while the work moves; a draw beyond the model comes off what may be used.
+// The guard widens with the age of the reading and is widest when the reading is missing or constant while the work changes.
+// A draw beyond the model is subtracted from the usable power.
 func TestGuardBand(t *testing.T) {
 	cfg := power.DefaultConfig(10_000, 500)
 	a := power.NewAllocator(cfg)
@@ -327,7 +330,7 @@
 
 	now := t0.Add(cfg.FrozenAfter)
 	a.AddReading(now, power.Reading{Watts: 4000})
-	must.Eq(t, 500, a.GuardWatts(now)) // the work stands still as well
+	must.Eq(t, 500, a.GuardWatts(now)) // the work has not changed either
 	a.HandleReport(now, f.Report(now, 5000, 5000))
 	must.Eq(t, cfg.MaxGuardWatts, a.GuardWatts(now))
 
@@ -336,19 +339,19 @@
 	must.Eq(t, 10_000-500-1000, a.UsableWatts(now))
 }
 
-// A service takes a share, and is at its fallback when no new one comes.
+// A service applies a share and reverts to its fallback when no new share arrives.
 func Example() {
 	cfg := power.DefaultConfig(10_000, 500)
 	fallbacks := cfg.Fallbacks([]power.Part{{Name: "planner", MaxWatts: 6000}, {Name: "dispatch", MaxWatts: 2000}})
 	now := time.Unix(0, 0)
-	allotter := power.NewAllocator(cfg)
-	allotter.SetFallbacks(fallbacks)
-	allotter.SetLease(power.Lease{Fence: 1, Since: now, Until: now.Add(time.Minute)})
+	allocator := power.NewAllocator(cfg)
+	allocator.SetFallbacks(fallbacks)
+	allocator.SetLease(power.Lease{Fence: 1, Since: now, Until: now.Add(time.Minute)})
 	follower := power.NewFollower(now, cfg, "planner", 1, fallbacks["planner"])
 
-	now = now.Add(cfg.WaitOut()) // the holder before may still have shares out
-	allotter.AddReading(now, power.Reading{Watts: 2000})
-	if share, ok := allotter.HandleReport(now, follower.Report(now, 5000, 1500)); ok {
+	now = now.Add(cfg.TakeoverDelay()) // shares of the previous holder may still be in force
+	allocator.AddReading(now, power.Reading{Watts: 2000})
+	if share, ok := allocator.HandleReport(now, follower.Report(now, 5000, 1500)); ok {
 		follower.Apply(now, share)
 	}
 	fmt.Printf("%.0f W, later %.0f W\n", follower.Limit(now), follower.Limit(now.Add(cfg.TTL)))
--- a/lib/powerplan/powerplan.go
+++ b/lib/powerplan/powerplan.go
@@ -1,5 +1,5 @@
-// Package powerplan works out what one revision of settings says about power: the parts that draw it, one a shard, and
-// the fallback of each. Entries and control processes work it out alike, with no message.
+// Package powerplan derives the power plan from one revision of settings: the parts that draw power, one per shard, and the
+// fallback of each. Entries and control processes compute the same plan without exchanging messages.
 package powerplan
 
 import (
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// Part is a shard of a service as something that draws power.
+// Part is a shard of a service as a consumer of power.
 type Part struct {
 	ID        shard.ID
 	Targets   []settings.Target
@@ -16,14 +16,14 @@
 	MaxWatts  float64 // with every batch full
 }
 
-// Plan is what a revision says about power.
+// Plan is the power plan of one revision of settings.
 type Plan struct {
 	Config    power.Config
-	Parts     map[string]*Part   // by the name of the shard
-	Fallbacks map[string]float64 // watts, by the name of the shard
+	Parts     map[string]*Part   // by shard name
+	Fallbacks map[string]float64 // watts, by shard name
 }
 
-// FromSnapshot returns nil when the site has no cap or no target's power is known.
+// FromSnapshot returns the plan of a revision. It returns nil when the site has no cap or no target's power is known.
 func FromSnapshot(snap *settings.Snapshot) *Plan {
 	if snap == nil || snap.Site.PowerCapWatts <= 0 {
 		return nil
@@ -46,8 +46,8 @@
 	return plan
 }
 
-// partsOf splits all targets of a service, also drained ones and those of unknown power, so that a shard's number, and
-// with it its fallback, stays the same while targets are drained and given back.
+// partsOf splits all targets of a service, including drained ones and those of unknown power, so that a shard's index, and
+// with it its fallback, stays the same while targets are drained and returned to service.
 func partsOf(svc *settings.Service, shardTargets int) []*Part {
 	byName := map[string]settings.Target{}
 	var names []string
@@ -71,8 +71,8 @@
 	return parts
 }
 
-// DrainedWatts is what a part's drained targets draw with nothing running. Owners are not given these targets, and so
-// must leave it out of what they hand out.
+// DrainedWatts returns the idle draw of a part's drained targets. Owners are not given these targets, so this power has to
+// be subtracted from what they may use.
 func (p *Part) DrainedWatts() float64 {
 	sum := 0.0
 	for _, t := range p.Targets {
--- a/lib/powerplan/powerplan_test.go
+++ b/lib/powerplan/powerplan_test.go
@@ -11,7 +11,7 @@
 	_ "anvilwick.example/anvilwick/lib/testseed" // fixed seeds
 )
 
-// anySite draws a site with a cap: services of targets with any power, some drained, some of unknown power.
+// anySite draws a random site with a cap: services with targets of any power, some drained, some of unknown power.
 func anySite(t *rapid.T) *settings.Snapshot {
 	snap := &settings.Snapshot{Services: map[string]*settings.Service{}}
 	snap.Site.PowerCapWatts = rapid.Float64Range(100, 1e6).Draw(t, "cap")
@@ -31,8 +31,8 @@
 	return snap
 }
 
-// Entries hold to fallbacks with nobody to ask. Whoever owns the shards, and owned twice as they may be for a while, all
-// fallbacks together must be under the cap; and a drain, which reaches entries one after another, must change none.
+// Entries apply fallbacks without coordination. Even while every shard has two owners, all fallbacks together must stay
+// below the cap; and a drain, which reaches entries one after another, must not change any of them.
 func TestFallbacksTwiceAreUnderTheCapAndDrainsMoveNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snap := anySite(t)
@@ -45,7 +45,7 @@
 			idle += min(w, before.Parts[name].IdleWatts)
 			sum += w
 		}
-		must.LessEq(t, snap.Site.PowerCapWatts*(1+1e-9), 2*sum-idle) // what is drawn idle is drawn once
+		must.LessEq(t, snap.Site.PowerCapWatts*(1+1e-9), 2*sum-idle) // the idle draw occurs only once
 
 		svc := snap.Services["s0"]
 		drained := rapid.IntRange(0, len(svc.Targets)-1).Draw(t, "drained")
@@ -65,8 +65,8 @@
 	must.Nil(t, FromSnapshot(&settings.Snapshot{}))
 }
 
-// A site's cap leaves a sixth of what runs at most beyond the idle draw. Split in proportion to the most that parts draw,
-// as once, fallbacks were under the idle draw, and nothing at all ran while nobody divided the cap.
+// A site's cap leaves beyond the idle draw a sixth of what runs at most. When fallbacks were split in proportion to the
+// maximum draw, they were below the idle draw, and no work ran while no allocator was active.
 func TestFallbackLeavesRoomForWork(t *testing.T) {
 	snap := &settings.Snapshot{Services: map[string]*settings.Service{}}
 	snap.Site.PowerCapWatts, snap.Site.ShardTargets = 4000, 32
--- a/lib/schedlink/choose.go
+++ b/lib/schedlink/choose.go
@@ -10,10 +10,11 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// digests are the last that were heard, by shard. The newest epoch wins when two owners spoke of one shard.
+// digests holds the last digest received for each shard. If two owners published one, that with the newer epoch wins.
 type digests map[shard.ID]*meshpb.ShardDigest
 
-// newDigests keeps the last digest of a shard whose owner is gone: what it said of leaving targets still holds.
+// newDigests builds the table from list. It keeps the last digest of a shard whose owner is gone, because its list of
+// leaving targets still applies.
 func newDigests(old digests, list []member.Digest, p plan) digests {
 	out := make(digests, len(list))
 	for _, d := range list {
@@ -30,43 +31,43 @@
 	return out
 }
 
-// maxChoices bounds the shards of a service that one entry uses. Using all would mean a stream to every owner of the
-// site, at every entry. Each entry has its own by rendezvous hashing, so that all shards are used alike.
-const maxChoices = 16
+// maxCandidates limits the shards of a service that one entry uses. Using all would require a stream from every entry to every
+// owner of the site. Each entry picks its own shards by rendezvous hashing, so that all shards are used evenly.
+const maxCandidates = 16
 
-// choices returns the shards of a service that this entry chooses between.
-func (l *Link) choices(sp *servicePlan) []shard.ID {
+// candidateShards returns the shards of a service among which this entry chooses.
+func (l *Link) candidateShards(sp *servicePlan) []shard.ID {
 	ids := make([]shard.ID, 0, len(sp.shards))
 	for _, s := range sp.shards {
 		ids = append(ids, s.ID)
 	}
-	if len(ids) <= maxChoices {
+	if len(ids) <= maxCandidates {
 		return ids
 	}
 	self := rendezvous.Hash(l.opts.Self)
 	rank := func(id shard.ID) uint64 { return rendezvous.Rank(self, rendezvous.Hash(id.String())) }
 	slices.SortFunc(ids, func(a, b shard.ID) int { return cmp.Compare(rank(b), rank(a)) })
-	return ids[:maxChoices]
+	return ids[:maxCandidates]
 }
 
-// choose gives an item a shard of its service: the better of two random ones. ok is false when there is none.
-func (l *Link) choose(it *item) (ok bool) {
-	ids := l.chosen[it.id.Service]
+// chooseShard assigns an item to the less loaded of two random shards of its service. It returns false if there is none.
+func (l *Link) chooseShard(it *item) (ok bool) {
+	ids := l.candidates[it.id.Service]
 	if len(ids) == 0 {
 		return false
 	}
 	it.id = ids[l.rng.IntN(len(ids))]
 	other := ids[l.rng.IntN(len(ids))]
-	if l.better(other, it.id) {
+	if l.preferred(other, it.id) {
 		it.id = other
 	}
 	return true
 }
 
-// better compares two shards by silence of the owner, expected wait, queue and running generations. One without a
-// digest counts as empty: some entry must be the first to use it.
-func (l *Link) better(a, b shard.ID) bool {
-	if sa, sb := l.silent(a), l.silent(b); sa != sb {
+// preferred reports whether shard a is preferred over b, by silence of the owner, expected wait, queue length and running
+// generations. A shard without a digest counts as empty, as some entry must be the first to use it.
+func (l *Link) preferred(a, b shard.ID) bool {
+	if sa, sb := l.ownerSilent(a), l.ownerSilent(b); sa != sb {
 		return sb
 	}
 	da, db := l.digests[a], l.digests[b]
@@ -80,8 +81,8 @@
 	}
 }
 
-func (l *Link) silent(id shard.ID) bool {
-	m, ok := l.own.of(id)
+func (l *Link) ownerSilent(id shard.ID) bool {
+	m, ok := l.owners.ownerOf(id)
 	if !ok {
 		return true
 	}
@@ -89,7 +90,7 @@
 	return c != nil && c.silent
 }
 
-// reshard puts an item whose shard is no longer in the plan, or no longer holds its target, into one that fits.
+// reshard moves an item to another shard if its own was removed from the plan or no longer contains its target.
 func (l *Link) reshard(it *item) {
 	sp := l.plan[it.id.Service]
 	if sp == nil {
@@ -97,7 +98,7 @@
 	}
 	if it.queued() {
 		if l.plan.shard(it.id) == nil {
-			l.choose(it)
+			l.chooseShard(it)
 		}
 		return
 	}
--- a/lib/schedlink/conn.go
+++ b/lib/schedlink/conn.go
@@ -10,71 +10,72 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// upBound is how many messages wait for a slow owner. Over it the stream is cut and all is told again on a new one.
-const upBound = 8192
+// maxQueuedUp limits the messages queued for a slow owner. Above it the stream is closed and all items are sent on a new one.
+const maxQueuedUp = 8192
 
-// ownerConn is the way to one owner. A goroutine keeps a stream open while items are bound to it; whenever a stream
-// opens, the owner is told of all of them. Link.mu guards the fields below mu.
+// ownerConn is the connection to one owner. A goroutine keeps a stream open while items are bound to it. Each new stream
+// starts with all of these items. Link.mu guards the fields from bound on.
 type ownerConn struct {
-	link *Link
-	to   member.Member
-	kick chan struct{}
-
-	bound  int // items
-	up     bool
-	out    []*meshpb.SchedUp
-	heard  time.Time // last message of the owner
-	silent bool      // it was not heard for Silence though an item waits for it
-	opens  int
-	done   bool // no item will be bound again
+	link   *Link
+	to     member.Member
+	wakeup chan struct{}
+
+	bound        int // items
+	up           bool
+	pending      []*meshpb.SchedUp
+	lastReceived time.Time // when the owner's last message was received
+	silent       bool      // it sent nothing for LinkOptions.OwnerTimeout though an item waits for it
+	streams      int
+	retired      bool // no further item will be bound
 }
 
 func newOwnerConn(l *Link, to member.Member) *ownerConn {
-	c := &ownerConn{link: l, to: to, kick: make(chan struct{}, 1)}
+	c := &ownerConn{link: l, to: to, wakeup: make(chan struct{}, 1)}
 	go c.run()
 	return c
 }
 
 func (c *ownerConn) local() bool { return c.to.Instance == c.link.opts.Self }
 
-// retire ends the goroutine once nothing is bound any more. The caller holds Link.mu.
+// retire ends the goroutine once no item is bound. The caller holds Link.mu.
 func (c *ownerConn) retire() {
-	c.done = true
+	c.retired = true
 	c.wake()
 }
 
-// wake tells the goroutine that there is something to do.
+// wake signals the goroutine that there is work.
 func (c *ownerConn) wake() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// send queues a message unless there is no stream: then the table is told when one opens. The caller holds Link.mu.
+// send queues a message. Without a stream it drops the message, as a new stream starts with all items. The caller holds
+// Link.mu.
 func (c *ownerConn) send(m *meshpb.SchedUp) {
 	if !c.up {
 		c.wake()
 		return
 	}
-	c.out = append(c.out, m)
-	if len(c.out) > upBound {
+	c.pending = append(c.pending, m)
+	if len(c.pending) > maxQueuedUp {
 		c.up = false
 	}
 	c.wake()
 }
 
-// isSilent reports whether the owner has not been heard for bound though an item asked at asked waits for it. The caller
-// holds Link.mu.
-func (c *ownerConn) isSilent(asked, now time.Time, bound time.Duration) bool {
+// isSilent reports whether the owner has sent nothing for longer than timeout while a request sent at requested waits for it.
+// The caller holds Link.mu.
+func (c *ownerConn) isSilent(requested, now time.Time, timeout time.Duration) bool {
 	if c.local() {
 		return false
 	}
-	last := asked
-	if c.heard.After(last) {
-		last = c.heard
+	last := requested
+	if c.lastReceived.After(last) {
+		last = c.lastReceived
 	}
-	return now.Sub(last) > bound
+	return now.Sub(last) > timeout
 }
 
 func (c *ownerConn) run() {
@@ -83,29 +84,29 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.kick:
+		case <-c.wakeup:
 		}
-		for ctx.Err() == nil && c.link.needs(c) {
+		for ctx.Err() == nil && c.link.hasWork(c) {
 			if c.local() {
-				c.converse(ctx, c.openLocal())
+				c.runStream(ctx, c.openLocal())
 				continue
 			}
 			s, err := c.link.opts.Node.Open(ctx, mesh.Peer{Instance: c.to.Instance, Addr: c.to.MeshAddr}, meshpb.StreamKind_STREAM_SCHED)
 			if err == nil {
-				c.converse(ctx, c.openRemote(s))
+				c.runStream(ctx, c.openRemote(s))
 			}
-			if !pause(ctx, reopenPause) {
+			if !sleepJittered(ctx, reconnectDelay) {
 				return
 			}
 		}
 	}
 }
 
-// reopenPause spaces tries; the mesh node adds its own backoff for each address. Half of it is random, so that entries
-// that lost one owner at one moment don't come back in step.
-const reopenPause = 50 * time.Millisecond
+// reconnectDelay is the delay between connection attempts; the mesh node adds a backoff for each address. Half of it is
+// random, so that entries that lost the same owner at the same moment don't reconnect in step.
+const reconnectDelay = 50 * time.Millisecond
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleepJittered(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d/2 + rand.N(d/2))
 	defer t.Stop()
 	select {
@@ -116,75 +117,75 @@
 	}
 }
 
-// way is an open conversation.
-type way struct {
-	write func(*meshpb.SchedUp) error
-	gone  chan struct{} // closed when the other end is
-	close func()
+// transport is an open stream to an owner, over the mesh or inside the process.
+type transport struct {
+	write  func(*meshpb.SchedUp) error
+	closed chan struct{} // closed when the other end has closed the stream
+	close  func()
 }
 
-// openLocal talks to this process's own Host.
-func (c *ownerConn) openLocal() way {
+// openLocal connects to this process's own Host.
+func (c *ownerConn) openLocal() transport {
 	sess := newSession(c.link.opts.Host)
-	sess.local = func(d *meshpb.SchedDown) { c.link.down(c, d) }
+	sess.local = func(d *meshpb.SchedDown) { c.link.receive(c, d) }
 	write := func(m *meshpb.SchedUp) error {
 		sess.handle(m)
 		return nil
 	}
-	return way{write: write, gone: make(chan struct{}), close: sess.close}
+	return transport{write: write, closed: make(chan struct{}), close: sess.close}
 }
 
-// openRemote reads decisions on its own goroutine.
-func (c *ownerConn) openRemote(s *mesh.Stream) way {
-	gone := make(chan struct{})
+// openRemote starts a goroutine that receives decisions from s.
+func (c *ownerConn) openRemote(s *mesh.Stream) transport {
+	closed := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(closed)
 		for {
 			var d meshpb.SchedDown
 			if err := s.Read(&d); err != nil {
 				return
 			}
-			c.link.down(c, &d)
+			c.link.receive(c, &d)
 		}
 	}()
 	write := func(m *meshpb.SchedUp) error { return s.Write(m) }
-	return way{write: write, gone: gone, close: func() { s.Close() }}
+	return transport{write: write, closed: closed, close: func() { s.Close() }}
 }
 
-// converse tells the owner of all items and then what follows, until the stream breaks or nothing is bound to it.
-func (c *ownerConn) converse(ctx context.Context, w way) {
-	defer w.close()
-	defer c.link.disconnected(c)
-	out := c.link.connected(c)
-	idle := time.NewTimer(idleClose)
+// runStream sends all items and then queued messages, until the stream breaks or has been idle without items.
+func (c *ownerConn) runStream(ctx context.Context, tr transport) {
+	defer tr.close()
+	defer c.link.streamClosed(c)
+	out := c.link.streamOpened(c)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		for _, m := range out {
-			if err := w.write(m); err != nil {
+			if err := tr.write(m); err != nil {
 				return
 			}
 		}
 		if len(out) > 0 {
-			idle.Reset(idleClose)
+			idle.Reset(idleTimeout)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.gone:
+		case <-tr.closed:
 			return
-		case <-c.kick:
+		case <-c.wakeup:
 		case <-idle.C:
-			if !c.link.needs(c) {
+			if !c.link.hasWork(c) {
 				return
 			}
-			idle.Reset(idleClose)
+			idle.Reset(idleTimeout)
 		}
 		var ok bool
-		if out, ok = c.link.takeOut(c); !ok {
+		if out, ok = c.link.takePending(c); !ok {
 			return
 		}
 	}
 }
 
-// idleClose ends a conversation that has had nothing to say for so long and no item.
-const idleClose = 5 * time.Second
+// idleTimeout is the time without messages after which a stream without items is closed.
+const idleTimeout = 5 * time.Second
--- a/lib/schedlink/down.go
+++ b/lib/schedlink/down.go
@@ -7,28 +7,28 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// needs reports whether a conversation has items or something to say.
-func (l *Link) needs(c *ownerConn) bool {
+// hasWork reports whether a connection has bound items or queued messages.
+func (l *Link) hasWork(c *ownerConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return c.bound > 0 || len(c.out) > 0
+	return c.bound > 0 || len(c.pending) > 0
 }
 
-// finished reports whether a conversation is over for good.
+// finished reports whether a connection is retired and has nothing left to send.
 func (l *Link) finished(c *ownerConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return c.done && c.bound == 0 && len(c.out) == 0
+	return c.retired && c.bound == 0 && len(c.pending) == 0
 }
 
-// connected returns what a new stream starts with: all items of the owner, whatever it heard of them before. Messages
-// queued from here on follow it.
-func (l *Link) connected(c *ownerConn) []*meshpb.SchedUp {
+// streamOpened marks the stream as open and returns its first messages: all items of the owner, whether or not it received
+// them before. Messages queued from here on follow these.
+func (l *Link) streamOpened(c *ownerConn) []*meshpb.SchedUp {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.up = true
-	c.opens++
-	c.out = nil
+	c.streams++
+	c.pending = nil
 	now := l.Now()
 	var out []*meshpb.SchedUp
 	var progress []*meshpb.ProgressItem
@@ -42,45 +42,45 @@
 		}
 	}
 	if progress != nil {
-		out = append(out, progressOf(progress))
+		out = append(out, encodeProgress(progress))
 	}
 	return out
 }
 
-func (l *Link) disconnected(c *ownerConn) {
+func (l *Link) streamClosed(c *ownerConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.up = false
-	c.out = nil
+	c.pending = nil
 }
 
-// takeOut returns the queued messages; ok is false when the stream must be given up.
-func (l *Link) takeOut(c *ownerConn) (out []*meshpb.SchedUp, ok bool) {
+// takePending returns the queued messages; ok is false when the stream must be closed.
+func (l *Link) takePending(c *ownerConn) (out []*meshpb.SchedUp, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out, c.out = c.out, nil
+	out, c.pending = c.pending, nil
 	return out, c.up
 }
 
-// down takes a message of an owner.
-func (l *Link) down(c *ownerConn, d *meshpb.SchedDown) {
+// receive handles a message from an owner.
+func (l *Link) receive(c *ownerConn, d *meshpb.SchedDown) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.heard = time.Now()
+	c.lastReceived = time.Now()
 	c.silent = false
-	a, ok := actionOf(d)
+	a, ok := decodeAction(d)
 	if !ok {
 		return
 	}
 	it := l.items[a.Gen]
 	if it == nil || it.conn != c || it.req.Attempt != a.Attempt {
-		return // of a former owner, or of a former attempt
+		return // from a former owner, or for a former attempt
 	}
-	l.act(it, a)
+	l.apply(it, a)
 }
 
-// act carries out a decision on an item. The caller holds mu.
-func (l *Link) act(it *item, a sched.Action) {
+// apply applies a decision to an item. The caller holds mu.
+func (l *Link) apply(it *item, a sched.Action) {
 	switch a.Kind {
 	case sched.ActGrant:
 		l.grant(it, a)
@@ -96,8 +96,8 @@
 	}
 }
 
-// grant starts the attempt, once. An owner that was silent may grant what the entry placed itself meanwhile; a second
-// start of one attempt is what must never be, so the owner is told where it runs.
+// grant starts the attempt, once. An owner that was silent may grant an attempt that the entry has placed itself meanwhile.
+// An attempt must never start twice, so the entry reports to the owner where it runs.
 func (l *Link) grant(it *item, a sched.Action) {
 	if !it.queued() {
 		if it.target != a.Target {
@@ -106,6 +106,6 @@
 		return
 	}
 	it.target = a.Target
-	l.alone.placed(a.Target)
+	l.selfPlacer.recordPlacement(a.Target)
 	it.notify(a)
 }
--- a/lib/schedlink/host.go
+++ b/lib/schedlink/host.go
@@ -14,19 +14,19 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// HostOptions of a Host. Zero times take the defaults.
+// HostOptions configures a Host. Zero durations take the defaults.
 type HostOptions struct {
-	Self       string // instance
-	NewPolicy  func(service string) sched.Policy
-	Poll       PollFunc
-	Tick       time.Duration // of a policy; 0: placer.DefaultTick
-	AliveEvery time.Duration
-	Settle     time.Duration // how long a new owner listens before it grants anything queued
-	Grace      time.Duration // how long state is kept for entries whose link broke, or that see another owner
+	Self              string // instance
+	NewPolicy         func(service string) sched.Policy
+	Poll              PollFunc
+	Tick              time.Duration // interval of policy ticks; 0: placer.DefaultTick
+	KeepaliveInterval time.Duration
+	SettleDelay       time.Duration // how long a new owner collects reports before it grants queued requests
+	GracePeriod       time.Duration // how long state is kept for entries that disconnected or that see another owner
 }
 
-// Host decides for the shards that this process owns, and for those that an entry takes it to own: entries whose view
-// is a moment ahead or behind are served, not refused.
+// Host schedules the shards that this process owns, and those that an entry assumes it owns: entries whose membership view
+// is slightly ahead or behind are served, not refused.
 type Host struct {
 	opts  HostOptions
 	ctx   context.Context
@@ -35,23 +35,23 @@
 	mu     sync.Mutex
 	plan   plan
 	view   *member.View
-	shards map[shard.ID]*hosted
+	shards map[shard.ID]*hostedShard
 	owned  map[shard.ID]bool
 	power  map[shard.ID]powerShare
-	tick   time.Duration // of settings; 0: opts.Tick
+	tick   time.Duration // from settings; 0: opts.Tick
 }
 
-// NewHost returns a Host without shards, that lives until ctx is done.
+// NewHost returns a Host without shards. It runs until ctx is done.
 func NewHost(ctx context.Context, o HostOptions) *Host {
-	orDefault(&o.AliveEvery, DefaultAliveEvery)
-	orDefault(&o.Grace, DefaultGrace)
-	orDefault(&o.Settle, DefaultSettle)
+	orDefault(&o.KeepaliveInterval, DefaultKeepaliveInterval)
+	orDefault(&o.GracePeriod, DefaultGracePeriod)
+	orDefault(&o.SettleDelay, DefaultSettleDelay)
 	return &Host{
 		opts:   o,
 		ctx:    ctx,
 		start:  time.Now(),
 		plan:   make(plan),
-		shards: make(map[shard.ID]*hosted),
+		shards: make(map[shard.ID]*hostedShard),
 		power:  make(map[shard.ID]powerShare),
 	}
 }
@@ -62,30 +62,30 @@
 	}
 }
 
-// now is the clock of all runners of the host.
+// now returns the time on the clock shared by all runners of the host.
 func (h *Host) now() sched.Time { return sched.Time(time.Since(h.start)) }
 
-// update takes up a plan and a view: owned shards are hosted, others dropped once nobody asks about them.
+// update applies a plan and a view: owned shards are hosted, others are dropped once they are idle.
 func (h *Host) update(p plan, v *member.View) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	changed := !samePlan(h.plan, p)
 	if changed || v != h.view {
 		h.plan, h.view = p, v
-		h.hostOwned()
+		h.hostOwnedShards()
 	}
 	for id, s := range h.shards {
 		if changed {
 			h.configure(s)
 		}
-		if !h.owned[id] && s.idle(h.opts.Grace) {
+		if !h.owned[id] && s.idleFor(h.opts.GracePeriod) {
 			s.cancel()
 			delete(h.shards, id)
 		}
 	}
 }
 
-// setTick changes the time between ticks of every shard's policy.
+// setTick changes the tick interval of every shard's policy.
 func (h *Host) setTick(every time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,15 +95,15 @@
 	}
 }
 
-// hostOwned works out which shards are this process's own. The caller holds mu.
-func (h *Host) hostOwned() {
-	own := newOwners(h.plan, h.view)
+// hostOwnedShards determines the shards that this process owns and hosts them. The caller holds mu.
+func (h *Host) hostOwnedShards() {
+	owners := newOwners(h.plan, h.view)
 	h.owned = make(map[shard.ID]bool)
 	for _, sp := range h.plan {
 		for _, s := range sp.shards {
-			if o, ok := own.of(s.ID); ok && o.Instance == h.opts.Self {
+			if o, ok := owners.ownerOf(s.ID); ok && o.Instance == h.opts.Self {
 				h.owned[s.ID] = true
-				h.host(s.ID)
+				h.ensureHosted(s.ID)
 			}
 		}
 	}
@@ -121,13 +121,13 @@
 	return true
 }
 
-// host returns the shard, hosted from now on if it was not. The caller holds mu.
-func (h *Host) host(id shard.ID) *hosted {
+// ensureHosted returns the hosted shard and starts hosting it if necessary. The caller holds mu.
+func (h *Host) ensureHosted(id shard.ID) *hostedShard {
 	if s := h.shards[id]; s != nil {
 		return s
 	}
 	ctx, cancel := context.WithCancel(h.ctx)
-	s := &hosted{
+	s := &hostedShard{
 		id:       id,
 		epoch:    uint64(time.Now().UnixMilli()),
 		runner:   placer.NewRunner(h.opts.NewPolicy(id.Service)),
@@ -135,22 +135,22 @@
 		gens:     make(map[ids.Generation]*hostedGen),
 		free:     make(map[string]int),
 		leaving:  make(map[string]bool),
-		heard:    make(map[string]bool),
-		since:    time.Now(),
+		reported: make(map[string]bool),
+		hostedAt: time.Now(),
 		lastUsed: time.Now(),
 		settling: true,
 	}
-	s.targets = h.opts.Poll(ctx, id.Service, feed{Runner: s.runner, h: s})
+	s.setPolled = h.opts.Poll(ctx, id.Service, feed{Runner: s.runner, shard: s})
 	h.shards[id] = s
 	s.runner.SetTick(h.tick)
 	h.configure(s)
 	go s.runner.Run(ctx, h.opts.Tick)
-	time.AfterFunc(h.opts.Settle, s.settle)
+	time.AfterFunc(h.opts.SettleDelay, s.settle)
 	return s
 }
 
-// configure gives a shard its targets and policies under the current plan.
-func (h *Host) configure(s *hosted) {
+// configure applies the targets, policies and power limit of the current plan to a shard.
+func (h *Host) configure(s *hostedShard) {
 	if sp := h.plan[s.id.Service]; sp != nil && sp.Policies != nil {
 		s.runner.SetPolicy(sp.Policies)
 	}
@@ -159,13 +159,13 @@
 		names = sh.Targets
 	}
 	s.runner.SetTargets(h.plan.specsOf(s.id))
-	s.knows(names)
-	s.targets(names)
+	s.setKnownTargets(names)
+	s.setPolled(names)
 	h.applyPower(s)
 }
 
-// find returns a hosted shard, hosting it at need when the plan knows it.
-func (h *Host) find(id shard.ID) *hosted {
+// findOrHost returns a hosted shard and starts hosting it if the plan contains it; otherwise nil.
+func (h *Host) findOrHost(id shard.ID) *hostedShard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s := h.shards[id]; s != nil {
@@ -174,28 +174,28 @@
 	if h.plan.shard(id) == nil {
 		return nil
 	}
-	return h.host(id)
+	return h.ensureHosted(id)
 }
 
-// lookup returns a shard only when it is hosted.
-func (h *Host) lookup(id shard.ID) *hosted {
+// lookup returns a hosted shard, or nil.
+func (h *Host) lookup(id shard.ID) *hostedShard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.shards[id]
 }
 
-// all returns the hosted shards.
-func (h *Host) all() []*hosted {
+// hostedShards returns the hosted shards.
+func (h *Host) hostedShards() []*hostedShard {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make([]*hosted, 0, len(h.shards))
+	out := make([]*hostedShard, 0, len(h.shards))
 	for _, s := range h.shards {
 		out = append(out, s)
 	}
 	return out
 }
 
-// Digests sums up the shards that this process owns, for heartbeats.
+// Digests summarizes the shards that this process owns, for heartbeats.
 func (h *Host) Digests() []*meshpb.ShardDigest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/lib/schedlink/hosted.go
+++ b/lib/schedlink/hosted.go
@@ -13,41 +13,41 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// hosted is one shard that this process decides for.
-type hosted struct {
-	id      shard.ID
-	epoch   uint64
-	runner  *placer.Runner
-	targets func(names []string) // what is polled
-	capped  atomic.Bool          // a limit on power is in force
-	since   time.Time
-	cancel  context.CancelFunc
+// hostedShard is one shard that this process schedules.
+type hostedShard struct {
+	id        shard.ID
+	epoch     uint64
+	runner    *placer.Runner
+	setPolled func(names []string) // sets the targets to poll
+	capped    atomic.Bool          // a power limit is in force
+	hostedAt  time.Time
+	cancel    context.CancelFunc
 
-	mu       sync.Mutex // never held while runner is called: its Notify takes mu
-	gens     map[ids.Generation]*hostedGen
-	queued   int
-	wait     time.Duration // decayed mean of the time from Submit to Grant
-	free     map[string]int
-	leaving  map[string]bool
-	known    map[string]bool // targets that the policy was given
-	heard    map[string]bool // targets that have reported, or could not be reached
-	lastUsed time.Time
-	settling bool
-	held     []sched.Request // queued requests that came while settling
+	mu           sync.Mutex // must not be held while calling runner, whose Notify callbacks take mu
+	gens         map[ids.Generation]*hostedGen
+	queued       int
+	meanWait     time.Duration // decayed mean of the time from Submit to Grant
+	free         map[string]int
+	leaving      map[string]bool
+	knownTargets map[string]bool // targets given to the policy
+	reported     map[string]bool // targets that have reported or could not be reached
+	lastUsed     time.Time
+	settling     bool
+	deferred     []sched.Request // queued requests received while settling
 }
 
-// hostedGen is a generation that an entry asked about.
+// hostedGen is a generation submitted by an entry.
 type hostedGen struct {
 	attempt   uint32
 	session   *session
 	target    string // empty: queued
 	priority  int
 	submitted time.Time
-	preempted bool // told to the entry, and not ended yet
+	preempted bool // sent to the entry, and not yet ended
 }
 
-// take moves the generation to another session of its entry.
-func (g *hostedGen) take(s *session) {
+// moveTo moves the generation to another session of its entry.
+func (g *hostedGen) moveTo(s *session) {
 	if g.target == "" {
 		g.session.queued.Add(-1)
 		s.queued.Add(1)
@@ -55,105 +55,105 @@
 	g.session = s
 }
 
-const waitWeight = 0.2 // of the newest wait in the mean
+const waitWeight = 0.2 // weight of the newest wait in the mean
 
-// submit takes a request of an entry. An entry repeats its requests after its link broke, and a new owner hears them
-// for the first time: both must come out the same.
-func (h *hosted) submit(s *session, r sched.Request) {
-	known, again := h.claim(s, &r)
-	if again != nil {
-		s.push(downOf(*again, h.epoch))
+// submit handles a request of an entry. An entry repeats its requests after a reconnect, and a new owner receives them for
+// the first time; both must have the same outcome.
+func (h *hostedShard) submit(s *session, r sched.Request) {
+	known, missed := h.claim(s, &r)
+	if missed != nil {
+		s.enqueue(encodeAction(*missed, h.epoch))
 	}
-	if known || h.hold(r) || h.elsewhere(r.RunningOn) {
+	if known || h.deferSubmit(r) || h.runsOnUnknownTarget(r.RunningOn) {
 		return
 	}
-	h.runner.Submit(r, h.decided)
+	h.runner.Submit(r, h.deliver)
 }
 
-// elsewhere reports whether an attempt runs on a target that the policy was not given: one that is drained. The policy
-// would take it for a request without a place and grant it again.
-func (h *hosted) elsewhere(target string) bool {
+// runsOnUnknownTarget reports whether an attempt runs on a target that the policy does not have, because it is drained. The policy
+// would treat it as a request without a target and grant it again.
+func (h *hostedShard) runsOnUnknownTarget(target string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return target != "" && !h.known[target]
+	return target != "" && !h.knownTargets[target]
 }
 
-// hold keeps a queued request back while entries still tell a new owner what runs. Granted at once, the first entry's
-// queue would be put on top of what the other entries run, and the engines would overflow.
-func (h *hosted) hold(r sched.Request) bool {
+// deferSubmit defers a queued request while entries are still reporting running generations to a new owner. If it were granted at
+// once, the first entry's queue would be added to what other entries run, and the engines would be overloaded.
+func (h *hostedShard) deferSubmit(r sched.Request) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.settling || r.RunningOn != "" {
 		return false
 	}
-	h.held = append(h.held, r)
+	h.deferred = append(h.deferred, r)
 	return true
 }
 
-// settle passes on what was held, unless it ended meanwhile.
-func (h *hosted) settle() {
+// settle submits the deferred requests that have not ended in the meantime.
+func (h *hostedShard) settle() {
 	h.mu.Lock()
-	if h.unheard() {
+	if h.awaitsReports() {
 		h.mu.Unlock()
-		time.AfterFunc(settleAgain, h.settle)
+		time.AfterFunc(settleRetry, h.settle)
 		return
 	}
 	h.settling = false
 	var ready []sched.Request
-	for _, r := range h.held {
+	for _, r := range h.deferred {
 		if g := h.gens[r.Gen]; g != nil && g.attempt == r.Attempt && g.target == "" {
 			ready = append(ready, r)
 		}
 	}
-	h.held = nil
+	h.deferred = nil
 	h.mu.Unlock()
 	for _, r := range ready {
-		h.runner.Submit(r, h.decided)
+		h.runner.Submit(r, h.deliver)
 	}
 }
 
-// settleAgain is the time between two looks whether every target was heard.
-const settleAgain = 20 * time.Millisecond
+// settleRetry is the interval at which settle checks whether every target has reported.
+const settleRetry = 20 * time.Millisecond
 
-// heardWithin bounds the wait for targets that are not heard. The poller knows one that can't be reached sooner.
-const heardWithin = 10 * time.Second
+// reportTimeout limits the wait for targets that don't report. The poller detects an unreachable target sooner.
+const reportTimeout = 10 * time.Second
 
-// unheard reports whether a new owner under a cap on power must listen on. The caller holds mu.
+// awaitsReports reports whether a new owner under a power cap has to wait for reports of targets. The caller holds mu.
 //
-// Failure: the owner before it is cut off or frozen and its generations run on; entries that it alone serves tell the new
-// owner nothing of them. It would start as many again, and the engines together pass the cap. Each target's own report
-// tells of all that runs there, and the policy counts it before it grants.
-func (h *hosted) unheard() bool {
-	if !h.capped.Load() || time.Since(h.since) > heardWithin {
+// Failure: the previous owner is partitioned or frozen while its generations run on, and entries served by it alone report
+// nothing to the new owner. The new owner would start as many again, and the engines together exceed the cap. Each
+// target's own report covers all that runs there, and the policy counts it before it grants.
+func (h *hostedShard) awaitsReports() bool {
+	if !h.capped.Load() || time.Since(h.hostedAt) > reportTimeout {
 		return false
 	}
-	for name := range h.known {
-		if !h.heard[name] {
+	for name := range h.knownTargets {
+		if !h.reported[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// claim books the generation for session s. known: the policy has it already and as it should be; again is then
-// what the entry may have missed.
-func (h *hosted) claim(s *session, r *sched.Request) (known bool, again *sched.Action) {
+// claim assigns the generation to session s. It returns known if the policy already has the attempt in the state that the
+// request describes; missed is then the decision that the entry may have missed.
+func (h *hostedShard) claim(s *session, r *sched.Request) (known bool, missed *sched.Action) {
 	h.mu.Lock()
 	g := h.gens[r.Gen]
 	h.lastUsed = time.Now()
 	if g != nil && g.attempt == r.Attempt {
-		g.take(s)
-		if g.agrees(r) {
-			again = g.unheard(r)
+		g.moveTo(s)
+		if g.matches(r) {
+			missed = g.missedAction(r)
 			h.mu.Unlock()
-			return true, again
+			return true, missed
 		}
 	}
 	if g != nil && g.attempt > r.Attempt {
 		h.mu.Unlock()
 		return true, nil
 	}
-	h.forget(r.Gen)
+	h.drop(r.Gen)
 	h.gens[r.Gen] = &hostedGen{attempt: r.Attempt, session: s, target: r.RunningOn, submitted: time.Now()}
 	if r.RunningOn == "" {
 		h.queued++
@@ -161,24 +161,24 @@
 	}
 	h.mu.Unlock()
 	if g != nil && g.attempt == r.Attempt {
-		// Most often it runs elsewhere than this policy placed it, as the entry decided alone meanwhile. The policy must
-		// drop what it believes, for a second Submit of one attempt changes nothing there.
+		// Usually it runs on another target than this policy chose, because the entry placed it without the owner. The
+		// policy must drop its own placement first, as it ignores a second Submit of the same attempt.
 		h.runner.End(r.Gen, r.Attempt, r.Emitted, sched.EndCancelled)
 	}
 	return false, nil
 }
 
-// agrees reports whether the books match what the entry says of the attempt. One that was granted and preempted without
-// the entry hearing of either starts anew.
-func (g *hostedGen) agrees(r *sched.Request) bool {
+// matches reports whether the owner's state matches the request. An attempt that was granted and preempted without the entry
+// receiving either decision is submitted anew.
+func (g *hostedGen) matches(r *sched.Request) bool {
 	if r.RunningOn == "" {
 		return !g.preempted
 	}
 	return r.RunningOn == g.target
 }
 
-// unheard returns the decision that an entry which asks again for an attempt may have missed, or nil.
-func (g *hostedGen) unheard(r *sched.Request) *sched.Action {
+// missedAction returns the decision that an entry which repeats its request may have missed, or nil.
+func (g *hostedGen) missedAction(r *sched.Request) *sched.Action {
 	switch {
 	case g.preempted:
 		return &sched.Action{Kind: sched.ActPreempt, Gen: r.Gen, Attempt: r.Attempt}
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// forget drops a generation from the books. The caller holds mu.
-func (h *hosted) forget(id ids.Generation) {
+// drop removes a generation. The caller holds mu.
+func (h *hostedShard) drop(id ids.Generation) {
 	g := h.gens[id]
 	if g == nil {
 		return
@@ -202,8 +202,8 @@
 	h.lastUsed = time.Now()
 }
 
-// decided passes a decision to the entry that holds the generation. The runner calls it under its own lock.
-func (h *hosted) decided(a sched.Action) {
+// deliver sends a decision to the session that holds the generation. The runner calls it under its own lock.
+func (h *hostedShard) deliver(a sched.Action) {
 	h.mu.Lock()
 	g := h.gens[a.Gen]
 	if g == nil || g.attempt != a.Attempt {
@@ -213,39 +213,39 @@
 	s := g.session
 	switch a.Kind {
 	case sched.ActGrant:
-		h.granted(g, a)
+		h.recordGrant(g, a)
 	case sched.ActPreempt:
 		g.preempted = true
 	case sched.ActRefuse:
-		h.forget(a.Gen)
+		h.drop(a.Gen)
 	}
 	h.mu.Unlock()
-	s.push(downOf(a, h.epoch))
+	s.enqueue(encodeAction(a, h.epoch))
 }
 
-func (h *hosted) granted(g *hostedGen, a sched.Action) {
+func (h *hostedShard) recordGrant(g *hostedGen, a sched.Action) {
 	if g.target == "" {
 		h.queued--
 		g.session.queued.Add(-1)
 	}
 	g.target, g.priority = a.Target, a.Priority
 	took := time.Since(g.submitted)
-	h.wait += time.Duration(waitWeight * float64(took-h.wait))
+	h.meanWait += time.Duration(waitWeight * float64(took-h.meanWait))
 }
 
-// end closes an attempt.
-func (h *hosted) end(id ids.Generation, attempt uint32, tokens int, reason sched.EndReason) {
+// end records the end of an attempt.
+func (h *hostedShard) end(id ids.Generation, attempt uint32, tokens int, reason sched.EndReason) {
 	h.mu.Lock()
 	if g := h.gens[id]; g != nil && g.attempt == attempt {
-		h.forget(id)
+		h.drop(id)
 	}
 	h.mu.Unlock()
 	h.runner.End(id, attempt, tokens, reason)
 }
 
-// dropSession ends what is still booked for a session that closed a while ago. An entry whose link only broke has
-// claimed its generations on a new session by now.
-func (h *hosted) dropSession(s *session) {
+// dropSession ends the generations still assigned to a session that closed a while ago. An entry that only reconnected has
+// claimed its generations on a new session by then.
+func (h *hostedShard) dropSession(s *session) {
 	type ref struct {
 		id      ids.Generation
 		attempt uint32
@@ -255,7 +255,7 @@
 	for id, g := range h.gens {
 		if g.session == s {
 			gone = append(gone, ref{id, g.attempt})
-			h.forget(id)
+			h.drop(id)
 		}
 	}
 	h.mu.Unlock()
@@ -264,15 +264,15 @@
 	}
 }
 
-// idle reports whether nothing was booked for d.
-func (h *hosted) idle(d time.Duration) bool {
+// idleFor reports whether the shard has had no generations for longer than d.
+func (h *hostedShard) idleFor(d time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.gens) == 0 && time.Since(h.lastUsed) > d
 }
 
-// digest sums the shard up for entries that choose between shards.
-func (h *hosted) digest() *meshpb.ShardDigest {
+// digest summarizes the shard for entries that choose between shards.
+func (h *hostedShard) digest() *meshpb.ShardDigest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	d := &meshpb.ShardDigest{
@@ -289,54 +289,54 @@
 		d.Leaving = append(d.Leaving, name)
 	}
 	if h.queued > 0 {
-		d.ExpectedWaitMs = uint32(h.wait.Milliseconds())
+		d.ExpectedWaitMs = uint32(h.meanWait.Milliseconds())
 	}
 	return d
 }
 
-// feed passes reports on to the runner and keeps the free memory for digests.
+// feed forwards reports to the runner and records the free memory for digests.
 type feed struct {
 	*placer.Runner
-	h *hosted
+	shard *hostedShard
 }
 
 // Report implements placer.Feed.
 func (f feed) Report(r sched.Report) {
-	f.h.mu.Lock()
-	f.h.free[r.Target] = max(0, r.KVTotal-r.KVUsed)
-	delete(f.h.leaving, r.Target)
+	f.shard.mu.Lock()
+	f.shard.free[r.Target] = max(0, r.KVTotal-r.KVUsed)
+	delete(f.shard.leaving, r.Target)
 	if r.Leaving {
-		f.h.leaving[r.Target] = true
+		f.shard.leaving[r.Target] = true
 	}
-	f.h.mu.Unlock()
+	f.shard.mu.Unlock()
 	f.Runner.Report(r)
-	f.h.hears(r.Target)
+	f.shard.markReported(r.Target)
 }
 
 // TargetGone implements placer.Feed.
 func (f feed) TargetGone(target string) {
-	f.h.mu.Lock()
-	delete(f.h.free, target)
-	delete(f.h.leaving, target)
-	f.h.mu.Unlock()
+	f.shard.mu.Lock()
+	delete(f.shard.free, target)
+	delete(f.shard.leaving, target)
+	f.shard.mu.Unlock()
 	f.Runner.TargetGone(target)
-	f.h.hears(target)
+	f.shard.markReported(target)
 }
 
-// hears notes that the policy knows of a target's state.
-func (h *hosted) hears(target string) {
+// markReported records that the policy has the state of a target.
+func (h *hostedShard) markReported(target string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.heard[target] = true
+	h.reported[target] = true
 }
 
-// knows notes the targets that the policy was given.
-func (h *hosted) knows(names []string) {
+// setKnownTargets records the targets that the policy was given.
+func (h *hostedShard) setKnownTargets(names []string) {
 	known := make(map[string]bool, len(names))
 	for _, n := range names {
 		known[n] = true
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known = known
+	h.knownTargets = known
 }
--- a/lib/schedlink/item.go
+++ b/lib/schedlink/item.go
@@ -12,45 +12,45 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// item is one attempt that the entry asked a place for, until its End. Link.mu guards it.
+// item is one attempt for which the entry requested a placement, until its End. Link.mu guards it.
 type item struct {
-	id     shard.ID
-	req    sched.Request
-	notify placer.Notify
-	conn   *ownerConn // nil: no member owns the shard
-	since  time.Time  // when it was submitted
-	asked  time.Time  // when its owner was first asked
-	handle uint32     // short name of the generation on streams
-	target string     // where it runs; empty: queued
-	self   bool       // placed there without the owner
-	tokens int        // delivered, as last told
-	dirty  bool       // tokens not yet told to the owner
+	id         shard.ID
+	req        sched.Request
+	notify     placer.Notify
+	conn       *ownerConn // nil: no member owns the shard
+	submitted  time.Time  // when it was submitted
+	requested  time.Time  // when its owner was first sent the request
+	handle     uint32     // short identifier of the generation on streams
+	target     string     // where it runs; empty: queued
+	selfPlaced bool       // placed there without the owner
+	tokens     int        // tokens delivered, as last reported
+	dirty      bool       // tokens not yet sent to the owner
 }
 
 func (it *item) queued() bool { return it.target == "" }
 
-// submit is the message that tells an owner all about the item, whether it heard of it before or not.
+// submit returns the message that reports the full state of the item to an owner; repeating it is harmless.
 func (it *item) submit(now sched.Time) *meshpb.SchedUp {
-	return submitOf(it.id, &it.req, it.handle, it.target, now)
+	return encodeSubmit(it.id, &it.req, it.handle, it.target, now)
 }
 
-// progress takes the tokens not yet told.
+// progress returns the token count to send and marks the item as clean.
 func (it *item) progress() *meshpb.ProgressItem {
 	it.dirty = false
 	return &meshpb.ProgressItem{Handle: it.handle, Attempt: it.req.Attempt, Tokens: uint32(it.tokens)}
 }
 
-// items is the table of an entry's attempts.
+// items is an entry's attempts by generation.
 type items map[ids.Generation]*item
 
-// inOrder returns what runs, then what is queued, oldest first: an owner must know what runs before it is asked for
-// more, and must not turn the queue round.
+// inOrder returns running items before queued ones, each oldest first: an owner must know what runs before it grants more,
+// and must keep the order of the queue.
 func (m items) inOrder() []*item {
 	out := slices.Collect(maps.Values(m))
 	slices.SortFunc(out, func(a, b *item) int {
 		switch {
 		case a.queued() == b.queued():
-			return a.since.Compare(b.since)
+			return a.submitted.Compare(b.submitted)
 		case b.queued():
 			return -1
 		default:
--- a/lib/schedlink/link.go
+++ b/lib/schedlink/link.go
@@ -19,123 +19,123 @@
 )
 
 var (
-	aloneTotal  = metrics.NewCounter(`anvilwick_sched_decided_alone_total`)
-	reboundItem = metrics.NewCounter(`anvilwick_sched_rebound_total`)
+	selfPlacedTotal = metrics.NewCounter(`anvilwick_sched_decided_alone_total`)
+	reboundTotal    = metrics.NewCounter(`anvilwick_sched_rebound_total`)
 )
 
-// LinkOptions of a Link. Zero times take the defaults.
+// LinkOptions configures a Link. Zero durations take the defaults.
 type LinkOptions struct {
-	Self    string // instance
-	Node    *mesh.Node
-	Members Members
-	Host    *Host
-	Silence time.Duration // after which the entry decides alone for what it asked
-	Seed    uint64
+	Self         string // instance
+	Node         *mesh.Node
+	Members      Members
+	Host         *Host
+	OwnerTimeout time.Duration // after which the entry places pending requests by itself
+	Seed         uint64
 }
 
-// Link is the entry's way to the owners. It implements placer.Placer.
+// Link is the entry's connection to the owners. It implements placer.Placer.
 type Link struct {
 	opts  LinkOptions
 	ctx   context.Context
 	start time.Time
 
-	mu       sync.Mutex
-	plan     plan
-	view     *member.View
-	own      *owners
-	chosen   map[string][]shard.ID // of each service, the shards that this entry uses
-	digests  digests
-	items    items
-	conns    map[string]*ownerConn // by instance
-	alone    alone
-	rng      *rand.Rand
-	handle   uint32 // last given out
-	progress time.Duration
+	mu                 sync.Mutex
+	plan               plan
+	view               *member.View
+	owners             *owners
+	candidates         map[string][]shard.ID // by service, the shards that this entry uses
+	digests            digests
+	items              items
+	conns              map[string]*ownerConn // by instance
+	selfPlacer         selfPlacer
+	rng                *rand.Rand
+	lastHandle         uint32 // last one assigned
+	configuredProgress time.Duration
 }
 
 var _ placer.Placer = (*Link)(nil)
 
-// NewLink returns a Link that lives until ctx is done. Run must be started.
+// NewLink returns a Link that lives until ctx is done. The caller must start Run.
 func NewLink(ctx context.Context, o LinkOptions) *Link {
-	orDefault(&o.Silence, DefaultSilence)
+	orDefault(&o.OwnerTimeout, DefaultOwnerTimeout)
 	rng := rand.New(rand.NewPCG(o.Seed, 0))
 	v := o.Members.View()
 	return &Link{
-		opts:  o,
-		ctx:   ctx,
-		start: time.Now(),
-		plan:  make(plan),
-		view:  v,
-		own:   newOwners(nil, v),
-		items: make(items),
-		conns: make(map[string]*ownerConn),
-		alone: newAlone(rng),
-		rng:   rng,
+		opts:       o,
+		ctx:        ctx,
+		start:      time.Now(),
+		plan:       make(plan),
+		view:       v,
+		owners:     newOwners(nil, v),
+		items:      make(items),
+		conns:      make(map[string]*ownerConn),
+		selfPlacer: newSelfPlacer(rng),
+		rng:        rng,
 	}
 }
 
-// Apply takes up a revision of settings, for this Link and its Host.
+// Apply applies a revision of settings to this Link and its Host.
 func (l *Link) Apply(site Site) {
 	p := newPlan(site)
 	l.mu.Lock()
 	l.plan = p
-	l.chosen = make(map[string][]shard.ID, len(p))
+	l.candidates = make(map[string][]shard.ID, len(p))
 	for name, sp := range p {
-		l.chosen[name] = l.choices(sp)
+		l.candidates[name] = l.candidateShards(sp)
 	}
-	l.progress = site.ProgressEvery
+	l.configuredProgress = site.ProgressEvery
 	l.mu.Unlock()
 	l.opts.Host.setTick(site.Tick)
 	l.opts.Host.update(p, l.opts.Members.View())
 	l.rebind()
 }
 
-// Times of Run.
+// Intervals of Run.
 const (
-	sweepEvery   = 100 * time.Millisecond // between looks for silent owners
-	digestsEvery = 200 * time.Millisecond // between looks at what heartbeats brought
+	sweepInterval  = 100 * time.Millisecond // check for silent owners
+	digestInterval = 200 * time.Millisecond // read digests received with heartbeats
 )
 
-// progressEvery is the time between two messages of progress to an owner. Owners forecast memory from it and don't
-// guess between two messages, so it is short; a site whose entries run very many generations sets it longer, for the
-// bytes grow with generations over it.
-func (l *Link) progressEvery() time.Duration {
+// progressInterval returns the interval between progress messages to an owner. Owners forecast memory from these messages and
+// don't extrapolate between them, so it is short. A site whose entries run very many generations configures a longer one,
+// because the traffic is proportional to generations divided by the interval.
+func (l *Link) progressInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.progress > 0 {
-		return l.progress
+	if l.configuredProgress > 0 {
+		return l.configuredProgress
 	}
 	return DefaultProgressEvery
 }
 
-// Run follows the members and looks for silent owners, until ctx is done.
+// Run follows membership changes, sends progress and detects silent owners, until ctx is done.
 func (l *Link) Run(ctx context.Context) {
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	digests := time.NewTicker(digestsEvery)
+	digests := time.NewTicker(digestInterval)
 	defer digests.Stop()
-	progress := time.NewTimer(l.progressEvery())
+	progress := time.NewTimer(l.progressInterval())
 	defer progress.Stop()
 	for {
 		changed := l.opts.Members.Changed()
-		l.follow()
+		l.updateView()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		case <-sweep.C:
-			l.sweep(time.Now())
+			l.checkOwners(time.Now())
 		case <-progress.C:
 			l.flushProgress()
-			progress.Reset(l.progressEvery())
+			progress.Reset(l.progressInterval())
 		case <-digests.C:
-			l.readDigests()
+			l.updateDigests()
 		}
 	}
 }
 
-// follow takes up the newest view.
-func (l *Link) follow() {
+// updateView applies the newest membership view.
+func (l *Link) updateView() {
 	v := l.opts.Members.View()
 	l.mu.Lock()
 	p := l.plan
@@ -148,11 +148,11 @@
 	}
 }
 
-// rebind moves items to the owners of the current plan and view.
+// rebind moves items to the owners under the current plan and view.
 func (l *Link) rebind() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own = newOwners(l.plan, l.view)
+	l.owners = newOwners(l.plan, l.view)
 	moved := 0
 	for _, it := range l.items.inOrder() {
 		was := it.id
@@ -162,17 +162,17 @@
 			moved++
 		}
 	}
-	l.dropUnused()
+	l.dropUnusedConns()
 	if moved == 0 {
 		return
 	}
-	reboundItem.Add(moved)
+	reboundTotal.Add(moved)
 	log.Info().Str("event", "owners_changed").Uint64("view", l.view.Version).Int("generations", moved).Msg("")
 }
 
-// connFor returns the conversation with the owner of an item's shard, or nil.
+// connFor returns the connection to the owner of an item's shard, or nil.
 func (l *Link) connFor(it *item) *ownerConn {
-	m, ok := l.own.of(it.id)
+	m, ok := l.owners.ownerOf(it.id)
 	if !ok {
 		return nil
 	}
@@ -188,24 +188,24 @@
 	return c
 }
 
-// bind moves an item to an owner and tells both. The old owner, if it still listens, must not count on its place.
+// bind moves an item to an owner and notifies both. The old owner, if still reachable, must release the item's placement.
 func (l *Link) bind(it *item, c *ownerConn) {
 	if old := it.conn; old != nil {
 		old.bound--
-		old.send(endOf(it.req.Gen, it.req.Attempt, it.tokens, sched.EndCancelled))
+		old.send(encodeEnd(it.req.Gen, it.req.Attempt, it.tokens, sched.EndCancelled))
 	}
 	it.conn = c
 	if c == nil {
 		return
 	}
-	it.asked = time.Now()
+	it.requested = time.Now()
 	it.dirty = it.tokens > it.req.Emitted
 	c.bound++
 	c.send(it.submit(l.Now()))
 }
 
-// dropUnused forgets conversations with members that are gone.
-func (l *Link) dropUnused() {
+// dropUnusedConns removes connections to members that are gone.
+func (l *Link) dropUnusedConns() {
 	for name, c := range l.conns {
 		if m, ok := l.view.Get(name); c.bound == 0 && (!ok || m.State == member.Dead) {
 			c.retire()
@@ -222,17 +222,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.remove(r.Gen)
-	l.handle++
-	it := &item{req: r, notify: notify, since: time.Now(), handle: l.handle, tokens: r.Emitted}
+	l.lastHandle++
+	it := &item{req: r, notify: notify, submitted: time.Now(), handle: l.lastHandle, tokens: r.Emitted}
 	it.id.Service = service
-	if !l.choose(it) {
+	if !l.chooseShard(it) {
 		notify(refuseNoTarget(&r))
 		return
 	}
 	l.items[r.Gen] = it
 	l.bind(it, l.connFor(it))
 	if it.conn == nil || it.conn.silent {
-		l.decideAlone(it)
+		l.selfPlace(it)
 	}
 }
 
@@ -255,9 +255,9 @@
 	if it == nil || it.req.Attempt != attempt {
 		return
 	}
-	l.alone.ended(it.target, reason, time.Now())
+	l.selfPlacer.recordEnd(it.target, reason, time.Now())
 	if it.conn != nil {
-		it.conn.send(endOf(g, attempt, tokens, reason))
+		it.conn.send(encodeEnd(g, attempt, tokens, reason))
 	}
 	l.remove(g)
 }
@@ -269,20 +269,20 @@
 		return
 	}
 	delete(l.items, g)
-	l.alone.left(it)
+	l.selfPlacer.recordRemoval(it)
 	if it.conn != nil {
 		it.conn.bound--
 	}
 }
 
-func (l *Link) readDigests() {
+func (l *Link) updateDigests() {
 	list := l.opts.Members.Digests()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.digests = newDigests(l.digests, list, l.plan)
 }
 
-// flushProgress sends what was delivered since the last time, one message an owner.
+// flushProgress sends the progress since the last call, one message per owner.
 func (l *Link) flushProgress() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -293,22 +293,22 @@
 		}
 	}
 	for c, list := range byConn {
-		c.send(progressOf(list))
+		c.send(encodeProgress(list))
 	}
 }
 
-// sweep decides alone for what silent owners were asked.
-func (l *Link) sweep(now time.Time) {
+// checkOwners marks owners as silent and places the requests that they have not answered.
+func (l *Link) checkOwners(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, it := range l.items {
 		c := it.conn
-		if it.queued() && c != nil && !c.silent && c.isSilent(it.asked, now, l.opts.Silence) {
+		if it.queued() && c != nil && !c.silent && c.isSilent(it.requested, now, l.opts.OwnerTimeout) {
 			c.silent = true
 			log.Warn().Str("event", "owner_silent").Str("owner", c.to.Instance).Int("generations", c.bound).Msg("")
 		}
 	}
 	for _, it := range l.ownerless() {
-		l.decideAlone(it)
+		l.selfPlace(it)
 	}
 }
--- a/lib/schedlink/power.go
+++ b/lib/schedlink/power.go
@@ -7,27 +7,27 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// powerShare is what this instance may draw for a shard until it runs out.
+// powerShare is the power that this instance may draw for a shard until the share expires.
 type powerShare struct {
-	watts float64
-	until time.Time
+	watts   float64
+	expires time.Time
 }
 
-// SetPower sets this instance's share of watts for a shard. After validFor the fallback of the settings holds.
+// SetPower sets this instance's power share for a shard, in watts. After validFor the fallback of the settings applies.
 func (h *Host) SetPower(id shard.ID, watts float64, validFor time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.power[id] = powerShare{watts: watts, until: time.Now().Add(validFor)}
+	h.power[id] = powerShare{watts: watts, expires: time.Now().Add(validFor)}
 	if s := h.shards[id]; s != nil {
 		h.applyPower(s)
 	}
 }
 
-// applyPower puts the share in force, or the fallback of the settings. The caller holds mu.
+// applyPower applies the share in force, or the fallback of the settings. The caller holds mu.
 //
-// Failure: an entry whose control process has told it nothing, after a start or for ever, draws what it likes. All
-// fallbacks together are under the cap, whoever owns the shards, so an owner may start with its own.
-func (h *Host) applyPower(s *hosted) {
+// Failure: an entry that has received nothing from its control process, after a start or permanently, would draw without
+// limit. All fallbacks together are below the cap, whoever owns the shards, so an owner may start with its own.
+func (h *Host) applyPower(s *hostedShard) {
 	p, capped := h.plan.powerOf(s.id)
 	if !capped {
 		if s.capped.Swap(false) {
@@ -37,35 +37,36 @@
 	}
 	s.capped.Store(true)
 	watts, valid := p.FallbackWatts, time.Duration(0)
-	if share, ok := h.power[s.id]; ok && time.Now().Before(share.until) {
-		watts, valid = share.watts, time.Until(share.until)
+	if share, ok := h.power[s.id]; ok && time.Now().Before(share.expires) {
+		watts, valid = share.watts, time.Until(share.expires)
 	}
 	s.runner.SetPower(max(0, watts-p.DrainedWatts), valid, max(0, p.FallbackWatts-p.DrainedWatts))
 }
 
-// powerRoom reports whether this entry may start one more on a shard without its owner.
+// fitsPower reports whether this entry may start one more generation on a shard without its owner.
 //
-// Failure: an owner falls silent and every entry starts what it holds; the site passes its cap. Here they start, each its
-// part, what the shard's fallback leaves beside all that the owner last said to run. When that is nothing, their work
-// waits: a dead owner is replaced within seconds, and one that is silent to this entry alone has the shard's share in use.
-func (l *Link) powerRoom(id shard.ID) bool {
+// Failure: an owner becomes silent and every entry starts what it holds, so the site exceeds its cap. Instead, the entries
+// split evenly what the shard's fallback leaves beside all generations that the owner last reported as running. If nothing
+// is left, their work waits: a dead owner is replaced within seconds, and one that is silent only to this entry has the
+// shard's share in use.
+func (l *Link) fitsPower(id shard.ID) bool {
 	p, capped := l.plan.powerOf(id)
 	if !capped {
 		return true
 	}
-	free := (p.FallbackWatts - p.DrainedWatts) * (1 - aloneGuard)
-	perSeq, mine, self := 0.0, 0, 0
+	free := (p.FallbackWatts - p.DrainedWatts) * (1 - selfPlaceGuard)
+	perSeq, running, selfPlaced := 0.0, 0, 0
 	for _, t := range l.plan.specsOf(id) {
 		free -= t.IdleWatts
 		perSeq = max(perSeq, t.SeqWatts)
-		mine += l.alone.running[t.Name]
-		self += l.alone.self[t.Name]
+		running += l.selfPlacer.running[t.Name]
+		selfPlaced += l.selfPlacer.selfPlaced[t.Name]
 	}
-	known := max(int(l.digests[id].GetRunning()), mine-self)
+	known := max(int(l.digests[id].GetRunning()), running-selfPlaced)
 	free -= perSeq * float64(known)
-	part := free / float64(max(1, len(l.own.workers)))
-	return perSeq*float64(self+1) <= part
+	share := free / float64(max(1, len(l.owners.workers)))
+	return perSeq*float64(selfPlaced+1) <= share
 }
 
-// aloneGuard is the fraction of a fallback that entries leave free when they decide alone, as owners do.
-const aloneGuard = 0.02
+// selfPlaceGuard is the fraction of a fallback that entries keep free when they place without the owner, as owners do.
+const selfPlaceGuard = 0.02
--- a/lib/schedlink/power_test.go
+++ b/lib/schedlink/power_test.go
@@ -16,28 +16,28 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// watts is a policy that notes what it may draw.
-type watts struct {
+// powerRecorder is a policy that records its power limits.
+type powerRecorder struct {
 	sched.Policy
 	mu              sync.Mutex
 	set             bool
 	share, fallback float64
 }
 
-func (w *watts) SetPower(_ sched.Time, share float64, _ sched.Time, fallback float64) {
+func (w *powerRecorder) SetPower(_ sched.Time, share float64, _ sched.Time, fallback float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.set, w.share, w.fallback = true, share, fallback
 }
 
-func (w *watts) told() (share, fallback float64) {
+func (w *powerRecorder) limits() (share, fallback float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.share, w.fallback
 }
 
-// powered is a site of one service whose shards may draw the given fallbacks.
-func powered(targets, batch, limit int, seqWatts float64, fallbacks ...float64) Site {
+// poweredSite returns a site of one service whose shards have the given fallbacks.
+func poweredSite(targets, batch, limit int, seqWatts float64, fallbacks ...float64) Site {
 	site := siteOf(targets, batch, limit)
 	s := &site.Services[0]
 	for i := range s.Targets {
@@ -50,11 +50,11 @@
 	return site
 }
 
-// newWattsHost returns a Host that owns all shards of a site, and what the policy of each is told.
-func newWattsHost(t *testing.T, site Site) (h *Host, policies []*watts, v *member.View) {
+// newPowerHost returns a Host that owns all shards of a site, and the policy of each.
+func newPowerHost(t *testing.T, site Site) (h *Host, policies []*powerRecorder, v *member.View) {
 	t.Parallel()
 	h = NewHost(t.Context(), HostOptions{Self: "a", Poll: noPoll, NewPolicy: func(service string) sched.Policy {
-		w := &watts{Policy: newSlots(service)}
+		w := &powerRecorder{Policy: newSlots(service)}
 		policies = append(policies, w) // shards of one service are hosted in order
 		return w
 	}})
@@ -64,45 +64,45 @@
 	return h, policies, v
 }
 
-func (w *watts) draws(t *testing.T, share, fallback float64) {
+func (w *powerRecorder) mustLimit(t *testing.T, share, fallback float64) {
 	t.Helper()
-	s, f := w.told()
+	s, f := w.limits()
 	must.Eq(t, share, s)
 	must.Eq(t, fallback, f)
 }
 
-// An entry starts with settings from a peer, and its control process is dead. Told of no share, it would draw what it
-// likes; it must hold to the fallback that the settings give, less what drained targets draw.
-func TestHostStartsAtTheFallbackOfTheSettings(t *testing.T) {
-	site := powered(2, 8, 32, 50, 400)
+// An entry starts with settings from a peer while its control process is dead. Without a share it must apply the fallback of
+// the settings, less the draw of drained targets, instead of drawing without limit.
+func TestHostStartsAtFallbackFromSettings(t *testing.T) {
+	site := poweredSite(2, 8, 32, 50, 400)
 	site.Services[0].Power[0] = ShardPower{FallbackWatts: 400, DrainedWatts: 100}
-	_, policies, _ := newWattsHost(t, site)
+	_, policies, _ := newPowerHost(t, site)
 	must.Len(t, 1, policies)
-	policies[0].draws(t, 300, 300)
+	policies[0].mustLimit(t, 300, 300)
 }
 
-// An instance owns two shards of a service and is given a share for one. Divided over both, as once, the other would draw
-// a part that the holder of the budget has given to somebody else; and a share outlives no change of settings.
-func TestHostGivesEachShardItsOwnShare(t *testing.T) {
-	site := powered(4, 8, 2, 50, 200, 300)
-	h, policies, v := newWattsHost(t, site)
+// An instance owns two shards of a service and receives a share for one of them. When it once divided the share over both,
+// the other shard drew power that the allocator had given to another part. A share must also not outlive the removal of the cap.
+func TestHostAppliesPowerSharePerShard(t *testing.T) {
+	site := poweredSite(4, 8, 2, 50, 200, 300)
+	h, policies, v := newPowerHost(t, site)
 	must.Len(t, 2, policies)
 	h.SetPower(shard.ID{Service: svc, Index: 1}, 700, time.Hour)
-	policies[0].draws(t, 200, 200)
-	policies[1].draws(t, 700, 300)
+	policies[0].mustLimit(t, 200, 200)
+	policies[1].mustLimit(t, 700, 300)
 	site.Services[0].Power = map[uint32]ShardPower{0: {FallbackWatts: 100}, 1: {FallbackWatts: 150}}
 	h.update(newPlan(site), v)
-	policies[0].draws(t, 100, 100)
-	policies[1].draws(t, 700, 150)
+	policies[0].mustLimit(t, 100, 100)
+	policies[1].mustLimit(t, 700, 150)
 	h.SetPower(shard.ID{Service: svc, Index: 1}, 150, 0)
-	policies[1].draws(t, 150, 150)
+	policies[1].mustLimit(t, 150, 150)
 	site.Services[0].Power = nil
 	h.update(newPlan(site), v)
-	policies[0].draws(t, math.Inf(1), math.Inf(1))
+	policies[0].mustLimit(t, math.Inf(1), math.Inf(1))
 }
 
-// newOwner is a Host with the real policy under a cap, whose reports the test gives.
-func newOwner(t *testing.T, site Site) (h *Host, f placer.Feed) {
+// newCappedHost returns a Host with the real policy under a cap; the test provides the reports.
+func newCappedHost(t *testing.T, site Site) (h *Host, f placer.Feed) {
 	t.Parallel()
 	h = NewHost(t.Context(), HostOptions{
 		Self:      "a",
@@ -111,23 +111,23 @@
 			f = feed
 			return func([]string) {}
 		},
-		Settle: 50 * time.Millisecond,
+		SettleDelay: 50 * time.Millisecond,
 	})
 	self := member.Member{Instance: "a", Incarnation: 1}
 	h.update(newPlan(site), &member.View{Self: self, Members: []member.Member{self}})
 	return h, f
 }
 
-// The owner before is frozen or cut off, and six generations run: the entries that the new owner hears tell it of two of
-// them. The shard may run nine (980 W of 100 W each). The new owner must start nothing before the target itself has told
-// what runs there, and then no more than there is room for, and than its own half beside another's work: two, not seven.
-func TestNewOwnerCountsWhatTheOneBeforeItStarted(t *testing.T) {
-	h, f := newOwner(t, powered(1, 30, 32, 100, 1000))
-	c := newCaller(h)
-	c.ask(ids.From(1, 1), "t00")
-	c.ask(ids.From(2, 2), "t00")
+// The previous owner is frozen or partitioned while six generations run, and the entries that reach the new owner report two
+// of them. The shard may run nine (980 W of 100 W each). The new owner must start nothing before the target itself has
+// reported, and then no more than the capacity left and its own half beside the other owner's work allow: two, not seven.
+func TestNewOwnerCountsWorkOfPreviousOwner(t *testing.T) {
+	h, f := newCappedHost(t, poweredSite(1, 30, 32, 100, 1000))
+	c := newTestEntry(h)
+	c.request(ids.From(1, 1), "t00")
+	c.request(ids.From(2, 2), "t00")
 	for i := range 12 {
-		c.ask(ids.From(3, uint64(10+i)), "")
+		c.request(ids.From(3, uint64(10+i)), "")
 	}
 	time.Sleep(300 * time.Millisecond)
 	must.Len(t, 0, c.grants())
@@ -137,11 +137,11 @@
 	must.Len(t, 2, c.grants())
 }
 
-// A target that can't be reached tells nothing. The new owner must not wait for it longer than its poller does.
-func TestNewOwnerDoesNotWaitForADeadTarget(t *testing.T) {
-	h, f := newOwner(t, powered(2, 30, 32, 100, 1000))
-	c := newCaller(h)
-	c.ask(ids.From(1, 1), "")
+// A target that is unreachable sends no reports. The new owner must not wait for it longer than its poller does.
+func TestNewOwnerDoesNotWaitForDeadTarget(t *testing.T) {
+	h, f := newCappedHost(t, poweredSite(2, 30, 32, 100, 1000))
+	c := newTestEntry(h)
+	c.request(ids.From(1, 1), "")
 	f.Report(sched.Report{Target: "t00", KVTotal: 1 << 20, MaxBatch: 30})
 	time.Sleep(200 * time.Millisecond)
 	must.Len(t, 0, c.grants())
@@ -149,17 +149,17 @@
 	waitGrants(t, c, 1)
 }
 
-// The owner of a shard falls silent and two entries hold forty generations each. By the batches alone they would start
-// forty sequences of 100 W, on a shard whose fallback is 1000 W. What must be seen: the two together start no more than
-// the fallback allows, and what the owner runs counts.
-func TestDecidingAloneKeepsToTheFallback(t *testing.T) {
-	r := newSlowRig(t, 3, powered(2, 30, 32, 100, 1000))
+// The owner of a shard becomes silent and two entries hold forty generations each. By batch limits alone they would start
+// forty sequences of 100 W, on a shard whose fallback is 1000 W. Together they must start no more than the fallback allows,
+// counting what the owner runs.
+func TestSelfPlacementStaysWithinFallback(t *testing.T) {
+	r := newSlowRig(t, 3, poweredSite(2, 30, 32, 100, 1000))
 	owner, _ := r.owner()
 	for _, name := range []string{"t00", "t01"} {
-		owner.host.all()[0].hears(name)
+		owner.host.hostedShards()[0].markReported(name)
 	}
 	first := submit(owner, 4, 1)
-	r.until("first ones", func() bool { return countStarted(first) == 4 })
+	r.until("the first generations granted", func() bool { return countStarted(first) == 4 })
 	owner.members.SetLocal(1, owner.host.Digests())
 	var others []*proc
 	for _, p := range r.procs {
@@ -178,8 +178,8 @@
 	for i, p := range others {
 		gens = append(gens, submit(p, 40, uint64(2+i))...)
 	}
-	r.until("placed alone", func() bool { return countStarted(gens) > 0 })
-	time.Sleep(3 * sweepEvery)
+	r.until("placed without the owner", func() bool { return countStarted(gens) > 0 })
+	time.Sleep(3 * sweepInterval)
 	must.NotEq(t, member.Dead, r.stateAt(others[0], owner))
 	must.EqOp(t, 2, countStarted(gens)) // 980 W less 400 W, in three parts of 193 W: one each
 }
--- a/lib/schedlink/random_test.go
+++ b/lib/schedlink/random_test.go
@@ -15,7 +15,7 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// tracked is a generation of the random run, with the entry that holds it.
+// tracked is a generation of the random run, with its entry.
 type tracked struct {
 	*gen
 	at      *proc
@@ -23,9 +23,9 @@
 	ended   bool
 }
 
-// Owners die, leave, stall and come back, and links break, while entries submit and end generations. Whatever happens,
-// no attempt is started twice, none is refused, and after the faults every one is started and the owner's books hold
-// just those that run. SEED and SECONDS set another run.
+// Owners die, leave, stall and come back, and links break, while entries submit and end generations. No attempt may start
+// twice and none may be refused. After the faults every attempt must be started, and the owner's records must contain
+// exactly those that run. SEED and SECONDS select another run.
 func TestRandomFaultsStartEachAttemptOnce(t *testing.T) {
 	seed, seconds := envInt("SEED", 1), envInt("SECONDS", 3)
 	rng := rand.New(rand.NewPCG(uint64(seed), 0))
@@ -49,10 +49,10 @@
 
 type randomRun struct {
 	*rig
-	rng    *rand.Rand
-	gens   []*tracked
-	faults map[string]int
-	down   int
+	rng      *rand.Rand
+	gens     []*tracked
+	faults   map[string]int
+	replaced int
 }
 
 func (r *randomRun) step() {
@@ -98,7 +98,7 @@
 	g.at.End(svc, g.id, g.attempt, 5, sched.EndCompleted)
 }
 
-// replace kills a process; its generations die with it. A new one takes its place under a new name.
+// replace kills a process together with its generations and starts a new one under a new name.
 func (r *randomRun) replace(p *proc) {
 	p.stop()
 	r.mu.Lock()
@@ -109,14 +109,14 @@
 			g.ended = true
 		}
 	}
-	r.down++
-	n := r.start(fmt.Sprintf("r%02d", r.down))
-	r.introduce()
+	r.replaced++
+	n := r.start(fmt.Sprintf("r%02d", r.replaced))
+	r.syncInstances()
 	n.Apply(siteOf(4, 50, 32))
 }
 
-// introduce gives all processes the list, as the platform does.
-func (r *randomRun) introduce() {
+// syncInstances sends the current list of instances to all processes, as the platform does.
+func (r *randomRun) syncInstances() {
 	for _, p := range r.procs {
 		p.members.SetInstances(listOf(r.procs))
 	}
@@ -126,7 +126,7 @@
 	for _, p := range r.procs {
 		p.stalled.Store(false)
 	}
-	r.introduce()
+	r.syncInstances()
 }
 
 func (r *randomRun) check() {
@@ -148,18 +148,18 @@
 			running++
 		}
 	}
-	r.until("books of one owner that hold what runs", func() bool { return r.levelled(running) })
+	r.until("one owner whose records match what runs", func() bool { return r.consistent(running) })
 }
 
-func (r *randomRun) levelled(running int) bool {
-	owners, booked := 0, 0
+func (r *randomRun) consistent(running int) bool {
+	owners, counted := 0, 0
 	for _, p := range r.procs {
 		if len(p.host.Digests()) == 0 {
 			continue
 		}
 		owners++
-		q, run := p.booked()
-		booked += q*10000 + run
+		q, run := p.counts()
+		counted += q*10000 + run
 	}
-	return owners == 1 && booked == running
+	return owners == 1 && counted == running
 }
--- a/lib/schedlink/rig_test.go
+++ b/lib/schedlink/rig_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	svc          = "planner"
-	testInterval = 50 * time.Millisecond
-	testSilence  = 400 * time.Millisecond
+	svc              = "planner"
+	testInterval     = 50 * time.Millisecond
+	testOwnerTimeout = 400 * time.Millisecond
 )
 
 // slots is a sched.Policy that grants in order while its targets have a free slot.
@@ -47,7 +47,7 @@
 }
 
 func (p *slots) Submit(_ sched.Time, r sched.Request) {
-	if _, known := p.free[r.RunningOn]; known { // as sched.Owner: elsewhere it is queued
+	if _, known := p.free[r.RunningOn]; known { // like sched.Owner; on any other target it is queued
 		p.running[r.Gen] = r
 		p.free[r.RunningOn]--
 		return
@@ -71,7 +71,7 @@
 
 func (p *slots) Tick(_ sched.Time, acts []sched.Action) []sched.Action {
 	for len(p.queue) > 0 {
-		name := p.withRoom()
+		name := p.freeTarget()
 		if name == "" {
 			break
 		}
@@ -85,7 +85,7 @@
 	return acts
 }
 
-func (p *slots) withRoom() string {
+func (p *slots) freeTarget() string {
 	best := ""
 	for _, n := range p.names {
 		if p.free[n] > 0 && (best == "" || p.free[n] > p.free[best]) {
@@ -118,7 +118,7 @@
 	members *member.Runner
 	node    *mesh.Node
 	self    member.Member
-	stalled atomic.Bool // its links, either way, deliver nothing
+	stalled atomic.Bool // its links deliver nothing in either direction
 	dials   atomic.Int32
 	stop    func()
 }
@@ -133,7 +133,7 @@
 
 func newRig(t *testing.T, n int, site Site) *rig { return newRigAt(t, n, site, testInterval) }
 
-// newSlowRig has heartbeats so slow that a silent owner is done without long before it counts as dead.
+// newSlowRig uses heartbeats so slow that entries bypass a silent owner long before it counts as dead.
 func newSlowRig(t *testing.T, n int, site Site) *rig { return newRigAt(t, n, site, 5*testInterval) }
 
 func newRigAt(t *testing.T, n int, site Site, interval time.Duration) *rig {
@@ -150,7 +150,7 @@
 		r.until("all live", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return len(p.own.workers) == n
+			return len(p.owners.workers) == n
 		})
 	}
 	return r
@@ -180,9 +180,16 @@
 	must.NoError(r.t, err)
 	p.members = member.NewRunner(p.node, member.Config{Self: p.self, Interval: r.interval})
 	ctx, cancel := context.WithCancel(context.Background())
-	p.host = NewHost(ctx, HostOptions{Self: name, NewPolicy: newSlots, Poll: noPoll, AliveEvery: 50 * time.Millisecond, Settle: 50 * time.Millisecond, Grace: 500 * time.Millisecond})
+	p.host = NewHost(ctx, HostOptions{
+		Self:              name,
+		NewPolicy:         newSlots,
+		Poll:              noPoll,
+		KeepaliveInterval: 50 * time.Millisecond,
+		SettleDelay:       50 * time.Millisecond,
+		GracePeriod:       500 * time.Millisecond,
+	})
 	p.node.Handle(meshpb.StreamKind_STREAM_SCHED, p.host.Serve)
-	p.Link = NewLink(ctx, LinkOptions{Self: name, Node: p.node, Members: p.members, Host: p.host, Silence: testSilence})
+	p.Link = NewLink(ctx, LinkOptions{Self: name, Node: p.node, Members: p.members, Host: p.host, OwnerTimeout: testOwnerTimeout})
 	var wg sync.WaitGroup
 	for _, f := range []func(){func() { p.members.Run(ctx) }, func() { p.Link.Run(ctx) }, func() { p.node.Serve(ln) }} {
 		wg.Go(f)
@@ -199,7 +206,7 @@
 	return p
 }
 
-// dial makes links that stop delivering while either end is stalled.
+// dial returns connections that deliver nothing while either end is stalled.
 func (r *rig) dial(ctx context.Context, from *proc, addr string) (net.Conn, error) {
 	from.dials.Add(1)
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
@@ -224,7 +231,7 @@
 	once sync.Once
 }
 
-// wait holds a read or write back while an end is stalled.
+// wait blocks a read or write while an end is stalled.
 func (c *stallConn) wait() error {
 	for {
 		held := false
@@ -267,14 +274,14 @@
 	from := time.Now()
 	for !cond() {
 		if time.Since(from) > 10*time.Second {
-			r.t.Fatalf("waited in vain for %s", what)
+			r.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 	return time.Since(from)
 }
 
-// owner returns the process that owns the only shard, as p sees it, and one that doesn't.
+// owner returns the process that owns the only shard, and one that doesn't.
 func (r *rig) owner() (owner, other *proc) {
 	for _, p := range r.procs {
 		if len(p.host.Digests()) > 0 {
@@ -287,7 +294,7 @@
 	return owner, other
 }
 
-// gen is a generation as an entry's caller sees it: it counts starts of each attempt.
+// gen is a generation as an entry's caller sees it; it counts the starts.
 type gen struct {
 	id      ids.Generation
 	mu      sync.Mutex
@@ -345,9 +352,9 @@
 	return n
 }
 
-// booked counts what a process's hosted shards hold.
-func (p *proc) booked() (queued, running int) {
-	for _, h := range p.host.all() {
+// counts counts the generations in a process's hosted shards.
+func (p *proc) counts() (queued, running int) {
+	for _, h := range p.host.hostedShards() {
 		d := h.digest()
 		queued += int(d.GetQueued())
 		running += int(d.GetRunning())
@@ -355,7 +362,7 @@
 	return queued, running
 }
 
-// stateAt returns what p thinks of another process.
+// stateAt returns the state of process of in p's membership view.
 func (r *rig) stateAt(p, of *proc) member.State {
 	m, ok := p.members.View().Get(of.self.Instance)
 	must.True(r.t, ok)
--- a/lib/schedlink/schedlink_test.go
+++ b/lib/schedlink/schedlink_test.go
@@ -21,7 +21,7 @@
 	owner, other := r.owner()
 	gens := submit(other, 8, 1)
 	r.until("all slots taken", func() bool { return countStarted(gens) == 6 })
-	q, run := owner.booked()
+	q, run := owner.counts()
 	must.EqOp(t, 2, q)
 	must.EqOp(t, 6, run)
 	for _, g := range gens {
@@ -34,8 +34,8 @@
 	for _, g := range gens {
 		other.End(svc, g.id, 1, 10, sched.EndCompleted)
 	}
-	r.until("empty books", func() bool {
-		q, run := owner.booked()
+	r.until("no records left", func() bool {
+		q, run := owner.counts()
 		return q == 0 && run == 0
 	})
 }
@@ -49,10 +49,10 @@
 	must.Positive(t, got.RetryAfter)
 }
 
-// The owner of all targets is killed while generations run and wait. Callers of running ones must see nothing: no
-// second start, no refusal. Waiting ones must be granted by the new owner once a running one ends, and the new owner
-// must know of all that runs, or it would place too much.
-func TestOwnerKilledRunningGoOnAndWaitingAreGranted(t *testing.T) {
+// The owner of all targets is killed while generations run and wait. Running ones must not notice: no second start, no
+// refusal. Waiting ones must be granted by the new owner once a running one ends, and the new owner must know all that
+// runs, or it would exceed the batch.
+func TestOwnerKilledKeepsRunningAndGrantsWaiting(t *testing.T) {
 	r := newRig(t, 4, siteOf(2, 4, 32))
 	owner, other := r.owner()
 	gens := submit(other, 12, 1)
@@ -60,9 +60,9 @@
 	from := time.Now()
 	owner.stop()
 	r.procs = slices.DeleteFunc(r.procs, func(p *proc) bool { return p == owner })
-	r.until("a new owner with all of it", func() bool {
+	r.until("a new owner with complete state", func() bool {
 		for _, p := range r.procs {
-			if q, run := p.booked(); run >= 8 && q+run == 12 && len(p.host.Digests()) > 0 {
+			if q, run := p.counts(); run >= 8 && q+run == 12 && len(p.host.Digests()) > 0 {
 				return true
 			}
 		}
@@ -74,34 +74,34 @@
 			other.End(svc, g.id, 1, 5, sched.EndCompleted)
 		}
 	}
-	r.until("the waiting ones", func() bool { return countStarted(gens) == 12 })
+	r.until("waiting generations granted", func() bool { return countStarted(gens) == 12 })
 	t.Logf("last waiting generation granted after %v", time.Since(from).Round(time.Millisecond))
 	for _, g := range gens {
 		g.startedOnce(t)
 	}
 }
 
-// The owner's links stall without breaking, or its process is frozen: nothing it sends arrives. Callers must not wait
-// for it: after the bound on silence the entry places what it holds by itself, once. When the owner is heard again it
-// must learn where everything runs, and its late grants must start nothing a second time.
-func TestSilentOwnerIsDoneWithoutAndLearnsLater(t *testing.T) {
+// The owner's links stall without breaking, or its process is frozen, so nothing it sends arrives. After the timeout the
+// entry must place each pending item by itself, once. When the owner is back it must learn where everything runs, and its
+// late grants must start nothing a second time.
+func TestSilentOwnerIsBypassedAndResynced(t *testing.T) {
 	r := newSlowRig(t, 2, siteOf(2, 8, 32))
 	owner, other := r.owner()
 	first := submit(other, 2, 1)
-	r.until("first ones", func() bool { return countStarted(first) == 2 })
+	r.until("the first generations granted", func() bool { return countStarted(first) == 2 })
 	owner.stalled.Store(true)
 	from := time.Now()
 	gens := submit(other, 4, 2)
-	r.until("placed alone", func() bool { return countStarted(gens) == 4 })
-	t.Logf("placed alone after %v, bound %v", time.Since(from).Round(time.Millisecond), testSilence)
-	must.GreaterEq(t, testSilence/2, time.Since(from))
+	r.until("placed without the owner", func() bool { return countStarted(gens) == 4 })
+	t.Logf("placed without the owner after %v, timeout %v", time.Since(from).Round(time.Millisecond), testOwnerTimeout)
+	must.GreaterEq(t, testOwnerTimeout/2, time.Since(from))
 	must.NotEq(t, member.Dead, r.stateAt(other, owner))
 	owner.stalled.Store(false)
-	r.until("books level", func() bool {
+	r.until("consistent records", func() bool {
 		total := 0
 		for _, p := range r.procs {
 			if len(p.host.Digests()) > 0 {
-				q, run := p.booked()
+				q, run := p.counts()
 				total += q*100 + run
 			}
 		}
@@ -112,30 +112,30 @@
 	}
 }
 
-// Deciding alone must not put more on an engine than it can hold, with as many entries deciding alone as there are.
-func TestDecidingAloneIsBounded(t *testing.T) {
+// Placing without the owner must not exceed an engine's batch, even if all entries do so at once.
+func TestSelfPlacementIsLimitedByBatch(t *testing.T) {
 	r := newSlowRig(t, 2, siteOf(2, 8, 32))
 	owner, other := r.owner()
 	owner.stalled.Store(true)
 	gens := submit(other, 40, 1)
-	r.until("placed alone", func() bool { return countStarted(gens) > 0 })
-	time.Sleep(3 * sweepEvery)
+	r.until("placed without the owner", func() bool { return countStarted(gens) > 0 })
+	time.Sleep(3 * sweepInterval)
 	must.NotEq(t, member.Dead, r.stateAt(other, owner))
 	must.EqOp(t, 8, countStarted(gens)) // half of each batch, with two entries
 }
 
-// Two entries each take themselves for the owner, as after a cut between them. Each serves its own callers, no
-// generation is started twice or refused, and when they see each other again one owner has all.
-func TestTwoOwnersAtOnceCostSpeedOnly(t *testing.T) {
+// Two entries each consider themselves the owner, as after a partition. Each serves its own callers, no generation is
+// started twice or refused, and when the partition heals one owner has all generations.
+func TestTwoOwnersAtOnceLoseNoGeneration(t *testing.T) {
 	r := newRig(t, 2, siteOf(2, 100, 32))
 	owner, other := r.owner()
 	owner.stalled.Store(true) // with two processes, every link is cut
-	r.until("each alone", func() bool { return len(owner.host.Digests()) == 1 && len(other.host.Digests()) == 1 })
+	r.until("each an owner", func() bool { return len(owner.host.Digests()) == 1 && len(other.host.Digests()) == 1 })
 	a, b := submit(owner, 5, 1), submit(other, 5, 2)
 	r.until("both served", func() bool { return countStarted(a) == 5 && countStarted(b) == 5 })
 	owner.stalled.Store(false)
 	r.until("one owner with all", func() bool {
-		_, run := owner.booked()
+		_, run := owner.counts()
 		return run == 10 && len(other.host.Digests()) == 0
 	})
 	for _, g := range append(a, b...) {
@@ -143,8 +143,8 @@
 	}
 }
 
-// The link to the owner breaks and comes back at once. Grants that were lost on the way must be given again, and the
-// owner must not free the places meanwhile.
+// The link to the owner breaks and is restored at once. Lost grants must be repeated, and the owner must not release the
+// capacity meanwhile.
 func TestBrokenLinkLosesNoGrant(t *testing.T) {
 	r := newRig(t, 2, siteOf(2, 8, 32))
 	owner, other := r.owner()
@@ -154,20 +154,20 @@
 		other.node.Retire(owner.self.MeshAddr)
 		other.mu.Lock()
 		c := other.conns[owner.self.Instance]
-		c.up = false // as after an overflow: the stream is given up
+		c.up = false // as after an overflow, which closes the stream
 		c.wake()
 		other.mu.Unlock()
 	}
 	r.until("all granted", func() bool { return countStarted(all) == 10 })
-	time.Sleep(700 * time.Millisecond) // over the grace of the broken sessions
-	_, run := owner.booked()
+	time.Sleep(700 * time.Millisecond) // longer than the grace period of the broken sessions
+	_, run := owner.counts()
 	must.EqOp(t, 10, run)
 	for _, g := range all {
 		g.startedOnce(t)
 	}
 }
 
-// An owner that announces that it is leaving must get nothing new within three seconds; what runs goes on.
+// An owner that announces that it is leaving must get no new work within three seconds; what runs continues.
 func TestLeavingOwnerGetsNothingNew(t *testing.T) {
 	r := newRig(t, 3, siteOf(2, 8, 32))
 	owner, other := r.owner()
@@ -176,7 +176,7 @@
 	owner.members.Leave()
 	took := r.until("another owner", func() bool {
 		for _, p := range r.procs {
-			if _, run := p.booked(); p != owner && run == 2 && len(p.host.Digests()) == 1 {
+			if _, run := p.counts(); p != owner && run == 2 && len(p.host.Digests()) == 1 {
 				return true
 			}
 		}
@@ -185,7 +185,7 @@
 	must.Less(t, 3*time.Second, took)
 	after := submit(other, 2, 2)
 	r.until("granted", func() bool { return countStarted(after) == 2 })
-	q, run := owner.booked()
+	q, run := owner.counts()
 	must.EqOp(t, 0, q+run)
 	t.Logf("moved after %v", took.Round(time.Millisecond))
 	for _, g := range append(before, after...) {
@@ -205,7 +205,7 @@
 	must.LessEq(t, 25, other.dials.Load()-before)
 }
 
-func TestShardIsChosenByDigestsAndSilence(t *testing.T) {
+func TestShardChoiceUsesNewestDigests(t *testing.T) {
 	r := newRig(t, 1, siteOf(8, 4, 4))
 	l := r.procs[0].Link
 	l.mu.Lock()
@@ -216,24 +216,24 @@
 		{ShardDigest: &meshpb.ShardDigest{Service: svc, Shard: 1, Epoch: 1, ExpectedWaitMs: 50}},
 		{ShardDigest: &meshpb.ShardDigest{Service: svc, Shard: 1, Epoch: 2, ExpectedWaitMs: 5}},
 	}, l.plan)
-	// An owner that is gone spoke of shard 1 with a clock far ahead; the new one's word must count all the same.
+	// The previous owner published shard 1 with a clock far ahead; the new owner's digest must replace it all the same.
 	ahead := digests{id(1): {Epoch: 1 << 60, ExpectedWaitMs: 1000}, id(9): {}}
 	kept := newDigests(ahead, []member.Digest{{ShardDigest: l.digests[id(1)]}}, l.plan)
 	must.MapLen(t, 1, kept)
 	must.EqOp(t, 5, kept[id(1)].GetExpectedWaitMs())
-	must.True(t, l.better(id(1), id(0)))
-	must.False(t, l.better(id(0), id(1)))
+	must.True(t, l.preferred(id(1), id(0)))
+	must.False(t, l.preferred(id(0), id(1)))
 	must.Len(t, 2, l.plan[svc].shards)
 }
 
-// At the letter's size an entry must not keep a stream to every owner of the site, and each shard must still be used.
-func TestEntryUsesAFewShardsAndAllAreUsed(t *testing.T) {
+// At a site of 430 entries and 3,000 targets an entry must not keep a stream to every owner, and each shard must be used.
+func TestEntriesUseFewShardsAndCoverAll(t *testing.T) {
 	sp := newPlan(siteOf(12000/4, 8, 32))[svc]
 	used := make(map[shard.ID]int)
 	for i := range 430 {
 		l := &Link{opts: LinkOptions{Self: fmt.Sprint("entry", i)}}
-		ids := l.choices(sp)
-		must.Len(t, maxChoices, ids)
+		ids := l.candidateShards(sp)
+		must.Len(t, maxCandidates, ids)
 		for _, id := range ids {
 			used[id]++
 		}
@@ -247,13 +247,13 @@
 	must.GreaterEq(t, 25, least)
 }
 
-// A target is leaving, and then its owner falls silent. Entries that decide alone don't poll targets; they must not send
-// it anything new all the same, for the owner's last digest told them.
-func TestLeavingTargetGetsNothingFromThoseWhoDecideAlone(t *testing.T) {
+// A target is leaving when its owner becomes silent. Entries that place without the owner don't poll targets; they must
+// still send it no new work, because the owner's last digest lists it.
+func TestSelfPlacementSkipsLeavingTarget(t *testing.T) {
 	r := newSlowRig(t, 2, siteOf(2, 40, 32))
 	owner, other := r.owner()
-	h := owner.host.all()[0]
-	feed{Runner: h.runner, h: h}.Report(sched.Report{Target: "t00", Leaving: true})
+	h := owner.host.hostedShards()[0]
+	feed{Runner: h.runner, shard: h}.Report(sched.Report{Target: "t00", Leaving: true})
 	owner.members.SetLocal(1, owner.host.Digests())
 	r.until("the digest", func() bool {
 		other.mu.Lock()
@@ -269,18 +269,18 @@
 	must.Eq(t, "t01", gens[0].target)
 }
 
-func TestAlonePicksFewerOfTwoAndAvoidsWhatFailed(t *testing.T) {
+func TestSelfPlacerAvoidsFailedTargets(t *testing.T) {
 	r := newRig(t, 1, siteOf(4, 4, 32))
 	l := r.procs[0].Link
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	anyRoom := func(string, int) bool { return true }
-	l.alone.ended("t00", sched.EndTargetDied, now)
+	l.selfPlacer.recordEnd("t00", sched.EndTargetDied, now)
 	for range 50 {
-		got := l.alone.pick([]string{"t00", "t01", "t02"}, []string{"t01"}, anyRoom, now)
+		got := l.selfPlacer.pick([]string{"t00", "t01", "t02"}, []string{"t01"}, anyRoom, now)
 		must.Eq(t, "t02", got)
 	}
-	must.Eq(t, "t00", l.alone.pick([]string{"t00"}, nil, anyRoom, now))
-	must.Eq(t, "", l.alone.pick(nil, nil, anyRoom, now))
+	must.Eq(t, "t00", l.selfPlacer.pick([]string{"t00"}, nil, anyRoom, now))
+	must.Eq(t, "", l.selfPlacer.pick(nil, nil, anyRoom, now))
 }
--- a/lib/schedlink/session.go
+++ b/lib/schedlink/session.go
@@ -12,11 +12,11 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// downBound is how many decisions wait for a slow entry. Over it the stream is cut: the entry asks again for all it
-// has, so nothing is lost but time, and a stalled entry can't fill the owner's memory.
-const downBound = 4096
+// maxQueuedDown limits the decisions queued for a slow entry. Above it the stream is closed. The entry then submits all its
+// items again, so only time is lost, and a stalled entry can't exhaust the owner's memory.
+const maxQueuedDown = 4096
 
-// session is one entry's conversation with a Host, over a stream or inside the process.
+// session is one entry's stream to a Host, over the mesh or inside the process.
 type session struct {
 	host *Host
 	out  chan *meshpb.SchedDown
@@ -25,15 +25,15 @@
 
 	queued atomic.Int32 // generations that wait for a grant
 
-	local func(*meshpb.SchedDown) // instead of out, inside the process
+	local func(*meshpb.SchedDown) // receives decisions in place of out, inside the process
 
 	mu       sync.Mutex
-	gens     map[ids.Generation]booking
+	gens     map[ids.Generation]assignment
 	byHandle map[uint32]ids.Generation
 }
 
-// booking is where a generation of the entry is decided for, and its short name on this stream.
-type booking struct {
+// assignment is the shard of a generation, and its handle on this stream.
+type assignment struct {
 	shard  shard.ID
 	handle uint32
 }
@@ -41,15 +41,15 @@
 func newSession(h *Host) *session {
 	return &session{
 		host:     h,
-		out:      make(chan *meshpb.SchedDown, downBound),
+		out:      make(chan *meshpb.SchedDown, maxQueuedDown),
 		done:     make(chan struct{}),
-		gens:     make(map[ids.Generation]booking),
+		gens:     make(map[ids.Generation]assignment),
 		byHandle: make(map[uint32]ids.Generation),
 	}
 }
 
-// push queues a decision and returns at once.
-func (s *session) push(d *meshpb.SchedDown) {
+// enqueue queues a decision without blocking.
+func (s *session) enqueue(d *meshpb.SchedDown) {
 	if s.local != nil {
 		s.local(d)
 		return
@@ -63,11 +63,11 @@
 
 func (s *session) stop() { s.once.Do(func() { close(s.done) }) }
 
-// writeTo sends decisions, and Alive now and then while the entry waits for one: without it a full owner and a dead one
-// would look the same.
+// writeTo sends decisions, and periodic Alive messages while the entry waits for one: without them an owner with full
+// engines would look like a dead one.
 func (s *session) writeTo(st *mesh.Stream) {
 	defer st.Close()
-	t := time.NewTicker(s.host.opts.AliveEvery)
+	t := time.NewTicker(s.host.opts.KeepaliveInterval)
 	defer t.Stop()
 	alive := &meshpb.SchedDown{Msg: &meshpb.SchedDown_Alive{Alive: &meshpb.Alive{}}}
 	for {
@@ -88,7 +88,7 @@
 	}
 }
 
-// handle takes one message of the entry.
+// handle processes one message of the entry.
 func (s *session) handle(up *meshpb.SchedUp) {
 	switch m := up.GetMsg().(type) {
 	case *meshpb.SchedUp_Submit:
@@ -101,21 +101,21 @@
 }
 
 func (s *session) submit(m *meshpb.Submit) {
-	id, r, ok := requestOf(m, s.host.now())
+	id, r, ok := decodeSubmit(m, s.host.now())
 	if !ok {
 		return
 	}
-	h := s.host.find(id)
+	h := s.host.findOrHost(id)
 	if h == nil {
-		// The entry has settings that this process hasn't seen, or has seen replaced. Silence makes the entry decide
-		// alone; a refusal would tell a caller something untrue.
+		// The entry has settings that this process hasn't seen yet, or has already replaced. Without an answer the entry
+		// places by itself; a refusal would give the caller a false reason.
 		return
 	}
-	s.book(r.Gen, booking{shard: id, handle: m.GetHandle()})
+	s.assign(r.Gen, assignment{shard: id, handle: m.GetHandle()})
 	h.submit(s, r)
 }
 
-func (s *session) book(g ids.Generation, b booking) {
+func (s *session) assign(g ids.Generation, b assignment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.byHandle, s.gens[g].handle)
@@ -123,7 +123,7 @@
 	s.byHandle[b.handle] = g
 }
 
-func (s *session) unbook(g ids.Generation) {
+func (s *session) unassign(g ids.Generation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.byHandle, s.gens[g].handle)
@@ -135,7 +135,7 @@
 		s.mu.Lock()
 		g, ok := s.byHandle[it.GetHandle()]
 		s.mu.Unlock()
-		if h := s.booked(g); ok && h != nil {
+		if h := s.shardOf(g); ok && h != nil {
 			h.runner.Progress(g, it.GetAttempt(), int(it.GetTokens()))
 		}
 	}
@@ -146,16 +146,16 @@
 	if err != nil {
 		return
 	}
-	h := s.booked(g)
-	s.unbook(g)
+	h := s.shardOf(g)
+	s.unassign(g)
 	if h == nil {
 		return
 	}
 	h.end(g, m.GetAttempt(), int(m.GetTokens()), sched.EndReason(m.GetReason()))
 }
 
-// booked finds the shard of a generation of this entry.
-func (s *session) booked(g ids.Generation) *hosted {
+// shardOf returns the hosted shard of a generation of this entry, or nil.
+func (s *session) shardOf(g ids.Generation) *hostedShard {
 	s.mu.Lock()
 	b, ok := s.gens[g]
 	s.mu.Unlock()
@@ -165,12 +165,12 @@
 	return s.host.lookup(b.shard)
 }
 
-// close ends the session. What it booked is kept for Grace: a link that only broke comes back within it, and freeing
-// places that are still used would let the engines overflow.
+// close ends the session. Its generations are kept for GracePeriod: an entry that only lost its connection is back within it, and
+// releasing capacity that is still in use would overload the engines.
 func (s *session) close() {
 	s.stop()
-	time.AfterFunc(s.host.opts.Grace, func() {
-		for _, h := range s.host.all() {
+	time.AfterFunc(s.host.opts.GracePeriod, func() {
+		for _, h := range s.host.hostedShards() {
 			h.dropSession(s)
 		}
 	})
--- a/lib/schedlink/site.go
+++ b/lib/schedlink/site.go
@@ -10,46 +10,46 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// Service is a model service as one revision of settings has it.
+// Service is a model service under one revision of settings.
 type Service struct {
 	Name     string
 	Targets  []sched.TargetSpec
 	Policies sched.PolicyFunc
-	Power    map[uint32]ShardPower // by number of the shard; empty: no cap
+	Power    map[uint32]ShardPower // by shard index; empty: no cap
 }
 
-// ShardPower is what settings alone let the owner of a shard draw.
+// ShardPower is the power that settings alone allow the owner of a shard.
 type ShardPower struct {
 	FallbackWatts float64 // without a share in force
 	DrainedWatts  float64 // drawn by targets of the shard that are not in Service.Targets
 }
 
-// Site is what Link and Host need of one revision of settings.
+// Site is the part of one revision of settings that Link and Host need.
 type Site struct {
 	Services      []Service
-	ShardTargets  int           // targets of one shard at most; 0: no limit
-	ProgressEvery time.Duration // between an entry's messages of progress to an owner; 0: DefaultProgressEvery
-	Tick          time.Duration // of a policy; 0: HostOptions.Tick
+	ShardTargets  int           // maximum targets per shard; 0: no limit
+	ProgressEvery time.Duration // interval of an entry's progress messages to an owner; 0: DefaultProgressEvery
+	Tick          time.Duration // interval of policy ticks; 0: HostOptions.Tick
 }
 
-// Members tells who is live. member.Runner implements it.
+// Members provides the membership view. member.Runner implements it.
 type Members interface {
 	View() *member.View
 	Changed() <-chan struct{}
 	Digests() []member.Digest
 }
 
-// PollFunc starts polling targets of a service for feed, until ctx is done. It returns what sets the names of the
-// targets to poll.
+// PollFunc starts polling targets of a service for feed, until ctx is done. It returns a function that sets the targets to
+// poll by name.
 type PollFunc func(ctx context.Context, service string, feed placer.Feed) func(targets []string)
 
-// Defaults of times.
+// Default durations.
 const (
-	DefaultSilence       = time.Second
-	DefaultAliveEvery    = 250 * time.Millisecond
-	DefaultProgressEvery = 50 * time.Millisecond
-	DefaultGrace         = 2 * time.Second
-	DefaultSettle        = 200 * time.Millisecond
+	DefaultOwnerTimeout      = time.Second
+	DefaultKeepaliveInterval = 250 * time.Millisecond
+	DefaultProgressEvery     = 50 * time.Millisecond
+	DefaultGracePeriod       = 2 * time.Second
+	DefaultSettleDelay       = 200 * time.Millisecond
 )
 
 // servicePlan is a service with its shards.
@@ -59,7 +59,7 @@
 	specs  map[string]sched.TargetSpec
 }
 
-// plan is a Site with shards worked out. It is immutable.
+// plan is a Site divided into shards, by service name. It is immutable.
 type plan map[string]*servicePlan
 
 func newPlan(site Site) plan {
@@ -77,7 +77,7 @@
 	return p
 }
 
-// shard finds a shard, or nil when the plan doesn't have it.
+// shard returns a shard, or nil if the plan doesn't contain it.
 func (p plan) shard(id shard.ID) *shard.Shard {
 	sp := p[id.Service]
 	if sp == nil || int(id.Index) >= len(sp.shards) {
@@ -86,7 +86,7 @@
 	return &sp.shards[id.Index]
 }
 
-// powerOf returns what settings say of a shard's power; ok is false without a cap.
+// powerOf returns the power settings of a shard; ok is false without a cap.
 func (p plan) powerOf(id shard.ID) (sp ShardPower, ok bool) {
 	if svc := p[id.Service]; svc != nil {
 		sp, ok = svc.Power[id.Index]
@@ -107,7 +107,7 @@
 	return out
 }
 
-// ids returns all shards of the site.
+// ids returns the IDs of all shards of the site.
 func (p plan) ids() (ids []shard.ID) {
 	for _, sp := range p {
 		for _, s := range sp.shards {
@@ -117,7 +117,7 @@
 	return ids
 }
 
-// owners knows the owner of each shard under one plan and view.
+// owners maps shards to their owners under one plan and view.
 type owners struct {
 	workers  []member.Member
 	assigned map[shard.ID]member.Member
@@ -128,8 +128,8 @@
 	return &owners{workers: workers, assigned: shard.Assign(p.ids(), workers)}
 }
 
-// of returns the owner; ok is false when no member may own anything.
-func (o *owners) of(id shard.ID) (m member.Member, ok bool) {
+// ownerOf returns the owner of a shard; ok is false when no member is eligible.
+func (o *owners) ownerOf(id shard.ID) (m member.Member, ok bool) {
 	if m, ok = o.assigned[id]; ok {
 		return m, true
 	}
--- a/lib/schedlink/twoowners_test.go
+++ b/lib/schedlink/twoowners_test.go
@@ -17,26 +17,26 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// pair is two instances that are cut off from each other and both own one shard with one target, which both reach.
+// pair is two partitioned instances that both own one shard with one target, which both can reach.
 type pair struct {
-	mu    sync.Mutex
-	runs  map[ids.Generation]bool
-	ends  map[ids.Generation]func()
-	top   int
-	moved int
-	over  time.Duration
-	hosts [2]*Host
-	feeds [2]placer.Feed
+	mu         sync.Mutex
+	runs       map[ids.Generation]bool
+	ends       map[ids.Generation]func()
+	maxRunning int
+	moved      int
+	overTime   time.Duration
+	hosts      [2]*Host
+	feeds      [2]placer.Feed
 }
 
 const (
-	pairWatts = 1000.0 // fallback of the shard
-	pairSeq   = 100.0
-	pairFits  = 10 // sequences under it; an owner alone keeps to 9, for its guard
-	pairPoll  = 250 * time.Millisecond
-	pairLag   = 100 * time.Millisecond
-	pairEnds  = 40 * time.Millisecond
-	pairStep  = 5 * time.Millisecond
+	pairWatts       = 1000.0 // fallback of the shard
+	pairSeq         = 100.0
+	pairCapacity    = 10 // sequences within the fallback; a single owner starts 9 because of its guard
+	pairPoll        = 250 * time.Millisecond
+	pairReportAge   = 100 * time.Millisecond
+	pairEndInterval = 40 * time.Millisecond
+	pairStep        = 5 * time.Millisecond
 )
 
 func newPair(ctx context.Context) *pair {
@@ -51,22 +51,22 @@
 			},
 		})
 		self := member.Member{Instance: name, Incarnation: 1}
-		h.update(newPlan(powered(1, 100, 32, pairSeq, pairWatts)), &member.View{Self: self, Members: []member.Member{self}})
+		h.update(newPlan(poweredSite(1, 100, 32, pairSeq, pairWatts)), &member.View{Self: self, Members: []member.Member{self}})
 		p.hosts[i] = h
 	}
 	return p
 }
 
-// serve is an entry of host i: it starts what is granted, and submits the rest of what is preempted at once.
-func (p *pair) serve(i, generations int) {
+// runEntry runs an entry of host i: it starts what is granted, and submits the rest of what is preempted at once.
+func (p *pair) runEntry(i, generations int) {
 	sess := newSession(p.hosts[i])
 	attempts := make(map[ids.Generation]uint32)
 	submit := func(g ids.Generation) {
 		r := sched.Request{Gen: g, Attempt: attempts[g]}
-		sess.handle(submitOf(p.hosts[i].all()[0].id, &r, uint32(g[15])+1, "", 0))
+		sess.handle(encodeSubmit(p.hosts[i].hostedShards()[0].id, &r, uint32(g[15])+1, "", 0))
 	}
 	sess.local = func(d *meshpb.SchedDown) {
-		a, ok := actionOf(d)
+		a, ok := decodeAction(d)
 		if !ok {
 			return
 		}
@@ -75,14 +75,14 @@
 		switch a.Kind {
 		case sched.ActGrant:
 			p.runs[a.Gen] = true
-			p.ends[a.Gen] = func() { sess.handle(endOf(a.Gen, a.Attempt, 0, sched.EndCompleted)) }
-			p.top = max(p.top, len(p.runs))
+			p.ends[a.Gen] = func() { sess.handle(encodeEnd(a.Gen, a.Attempt, 0, sched.EndCompleted)) }
+			p.maxRunning = max(p.maxRunning, len(p.runs))
 		case sched.ActPreempt:
 			delete(p.runs, a.Gen)
 			p.moved++
 			attempts[a.Gen]++
 			go func() {
-				sess.handle(endOf(a.Gen, a.Attempt, 0, sched.EndMoved))
+				sess.handle(encodeEnd(a.Gen, a.Attempt, 0, sched.EndMoved))
 				submit(a.Gen)
 			}()
 		}
@@ -100,22 +100,22 @@
 	return len(p.runs)
 }
 
-// pass lets time go by with a report to both owners at once every pairPoll, each pairLag old, and one generation that
-// ends every 40 ms; the next one queued takes its place.
-func (p *pair) pass(d time.Duration) {
+// advance advances time. Both owners get a report at once every pairPoll, each pairLag old, and one generation ends every
+// 40 ms, whose capacity goes to the next queued one.
+func (p *pair) advance(d time.Duration) {
 	for range d / pairPoll {
 		n := p.running()
 		for at := time.Duration(0); at < pairPoll; at += pairStep {
-			if at == pairLag {
+			if at == pairReportAge {
 				p.report(n)
 			}
-			if at%pairEnds == 0 {
+			if at%pairEndInterval == 0 {
 				p.endOne()
 			}
 			time.Sleep(pairStep)
 			synctest.Wait()
-			if p.running() > pairFits {
-				p.over += pairStep
+			if p.running() > pairCapacity {
+				p.overTime += pairStep
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 
 func (p *pair) report(n int) {
 	for _, f := range p.feeds {
-		f.Report(sched.Report{Target: "t00", Age: pairLag, Running: n, KVTotal: 1 << 20, MaxBatch: 100, Watts: pairSeq * float64(n)})
+		f.Report(sched.Report{Target: "t00", Age: pairReportAge, Running: n, KVTotal: 1 << 20, MaxBatch: 100, Watts: pairSeq * float64(n)})
 	}
 }
 
@@ -142,30 +142,30 @@
 	}
 }
 
-// Two instances are cut off from each other, and each takes itself for the owner of a shard whose target both reach. Each
-// has more queued than the shard's fallback lets run. Before the first report each fills the shard: twice the fallback is
-// drawn until it comes, and never again. The two must come to rest under the fallback, and not move each other's work out
-// in turn for as long as the cut lasts.
-func TestTwoOwnersComeToRestUnderTheFallback(t *testing.T) {
+// Two instances are partitioned, and each considers itself the owner of a shard whose target both reach. Each has more
+// queued than the shard's fallback allows. Before the first report each fills the shard, so twice the fallback is drawn
+// until the report arrives, and never again. The two must settle under the fallback instead of preempting their work in
+// turn for as long as the partition lasts.
+func TestTwoOwnersSettleUnderFallback(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		p := newPair(ctx)
 		p.report(0)
-		p.serve(0, 400)
-		p.serve(1, 400)
-		p.pass(time.Second)
-		t.Logf("at most %d of %d sequences, over for %v, %d moved", p.top, pairFits, p.over, p.moved)
-		must.LessEq(t, 2*pairFits, p.top)
-		must.LessEq(t, pairPoll+pairLag, p.over)
-		must.LessEq(t, 2*pairFits, p.moved)
+		p.runEntry(0, 400)
+		p.runEntry(1, 400)
+		p.advance(time.Second)
+		t.Logf("at most %d of %d sequences, over for %v, %d moved", p.maxRunning, pairCapacity, p.overTime, p.moved)
+		must.LessEq(t, 2*pairCapacity, p.maxRunning)
+		must.LessEq(t, pairPoll+pairReportAge, p.overTime)
+		must.LessEq(t, 2*pairCapacity, p.moved)
 
-		over, moved := p.over, p.moved
+		over, moved := p.overTime, p.moved
 		for range 10 {
-			p.pass(time.Second)
-			must.GreaterEq(t, pairFits/2, p.running())
+			p.advance(time.Second)
+			must.GreaterEq(t, pairCapacity/2, p.running())
 		}
-		must.Eq(t, over, p.over)
+		must.Eq(t, over, p.overTime)
 		must.Eq(t, moved, p.moved)
 	})
 }
--- a/lib/schedlink/wire.go
+++ b/lib/schedlink/wire.go
@@ -10,8 +10,8 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// submitOf writes a request. Deadlines travel as time left: clocks of two processes have nothing in common.
-func submitOf(id shard.ID, r *sched.Request, handle uint32, runningOn string, now sched.Time) *meshpb.SchedUp {
+// encodeSubmit encodes a request. A deadline is sent as the time left, because the clocks of two processes are unrelated.
+func encodeSubmit(id shard.ID, r *sched.Request, handle uint32, runningOn string, now sched.Time) *meshpb.SchedUp {
 	m := &meshpb.Submit{
 		Generation:   r.Gen[:],
 		Service:      id.Service,
@@ -35,8 +35,8 @@
 	return &meshpb.SchedUp{Msg: &meshpb.SchedUp_Submit{Submit: m}}
 }
 
-// requestOf reads a Submit. ok is false when the generation's id is malformed.
-func requestOf(m *meshpb.Submit, now sched.Time) (id shard.ID, r sched.Request, ok bool) {
+// decodeSubmit decodes a Submit. ok is false when the generation's ID is malformed.
+func decodeSubmit(m *meshpb.Submit, now sched.Time) (id shard.ID, r sched.Request, ok bool) {
 	g, err := ids.FromBytes(m.GetGeneration())
 	if err != nil {
 		return id, r, false
@@ -61,11 +61,11 @@
 	return shard.ID{Service: m.GetService(), Index: m.GetShard()}, r, true
 }
 
-func progressOf(items []*meshpb.ProgressItem) *meshpb.SchedUp {
+func encodeProgress(items []*meshpb.ProgressItem) *meshpb.SchedUp {
 	return &meshpb.SchedUp{Msg: &meshpb.SchedUp_Progress{Progress: &meshpb.Progress{Items: items}}}
 }
 
-func endOf(g ids.Generation, attempt uint32, tokens int, reason sched.EndReason) *meshpb.SchedUp {
+func encodeEnd(g ids.Generation, attempt uint32, tokens int, reason sched.EndReason) *meshpb.SchedUp {
 	return &meshpb.SchedUp{Msg: &meshpb.SchedUp_End{End: &meshpb.End{
 		Generation: g[:],
 		Attempt:    attempt,
@@ -74,8 +74,8 @@
 	}}}
 }
 
-// downOf writes a decision.
-func downOf(a sched.Action, epoch uint64) *meshpb.SchedDown {
+// encodeAction encodes a decision.
+func encodeAction(a sched.Action, epoch uint64) *meshpb.SchedDown {
 	switch a.Kind {
 	case sched.ActGrant:
 		return &meshpb.SchedDown{Msg: &meshpb.SchedDown_Grant{Grant: &meshpb.Grant{
@@ -100,8 +100,8 @@
 	}
 }
 
-// actionOf reads a decision. ok is false for anything else, or a malformed id.
-func actionOf(m *meshpb.SchedDown) (a sched.Action, ok bool) {
+// decodeAction decodes a decision. ok is false for any other message, or a malformed ID.
+func decodeAction(m *meshpb.SchedDown) (a sched.Action, ok bool) {
 	var gen []byte
 	switch d := m.GetMsg().(type) {
 	case *meshpb.SchedDown_Grant:
@@ -112,7 +112,7 @@
 		a = sched.Action{Kind: sched.ActPreempt, Attempt: d.Preempt.GetAttempt()}
 	case *meshpb.SchedDown_Refuse:
 		gen = d.Refuse.GetGeneration()
-		a = refusalOf(d.Refuse)
+		a = decodeRefuse(d.Refuse)
 	default:
 		return a, false
 	}
@@ -121,7 +121,7 @@
 	return a, err == nil
 }
 
-func refusalOf(m *meshpb.Refuse) sched.Action {
+func decodeRefuse(m *meshpb.Refuse) sched.Action {
 	return sched.Action{
 		Kind:       sched.ActRefuse,
 		Attempt:    m.GetAttempt(),
