--- a/lib/gateway/permit_test.go
+++ b/lib/gateway/permit_test.go
@@ -20,29 +20,29 @@
 	return g, target
 }
 
-// Many callers are refused in one moment, since the only target has a limit. Told one time they would all come back for one permit.
-func TestCallersRefusedForALimitAreToldDifferentTimes(t *testing.T) {
+// Many callers are refused at once by the only target's limit. With equal Retry-After values all would return for one permit.
+func TestRetryAfterOfLimitedCallersIsSpread(t *testing.T) {
 	const holdOff = 100 * time.Millisecond
 	g, target := limitedGateway(5)
 	g.Fleet.HoldOff(time.Now(), target.ID, holdOff)
 	c := &call{service: "s", route: &routes.Route{}, deadline: time.Now().Add(5 * time.Second)}
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 200 {
-		ref := g.unplaced(c)
+		ref := g.noTargetRefusal(c)
 		must.Eq(t, "targets_limited", ref.reason)
-		least, most = min(least, ref.after), max(most, ref.after)
+		shortest, longest = min(shortest, ref.after), max(longest, ref.after)
 	}
-	must.Greater(t, holdOff/2, least)
-	must.Less(t, holdOff+againPlain, most)
-	must.Greater(t, againPlain/2, most-least)
+	must.Greater(t, holdOff/2, shortest)
+	must.Less(t, holdOff+retryAfterPlain, longest)
+	must.Greater(t, retryAfterPlain/2, longest-shortest)
 }
 
-// No owner answers: the instance sends its small share by its own choice, and passes the target over for the rest.
-func TestWithoutAnOwnerAnInstanceKeepsToItsShare(t *testing.T) {
+// When no owner answers, the instance sends only its small share of the limit and passes the target over otherwise.
+func TestInstanceWithoutOwnerKeepsToItsShare(t *testing.T) {
 	g, _ := limitedGateway(10)
 	sent := 0
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if target, ok := g.take(context.Background(), fleet.Need{Service: "s"}); ok {
+		if target, ok := g.acquirePermitted(context.Background(), fleet.Need{Service: "s"}); ok {
 			g.Fleet.Release(time.Now(), target.ID, fleet.Load{}, fleet.Served)
 			sent++
 		}
