--- a/lib/entry/claimed.go
+++ b/lib/entry/claimed.go
@@ -95,7 +95,7 @@
 // enough to be considered dead. Its claim is no longer held here and can't be settled, and engines treat the other
 // entry's attempts as newer. Continuing would occupy an engine for text that is delivered elsewhere. The caller is told
 // to retry with the key; the record is no longer written, and the next request with the key goes to the other entry.
-func (s *Server) Superseded(id ids.Generation) {
+func (s *Server) StopSuperseded(id ids.Generation) {
 	if g := s.table.removeSuperseded(id); g != nil {
 		g.cancel(errTakenOver)
 	}
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -270,7 +270,7 @@
 	for _, token := range rec.Tokens {
 		g.text.Append([]byte(token))
 	}
-	g.finishReason = rec.FinishedWhy
+	g.finishReason = rec.FinishReason
 	g.mayHaveRun = true
 	g.lastToken = g.accepted
 	return g
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -95,7 +95,7 @@
 }
 
 // NoteIncarnation records the incarnation that an engine reported.
-func (s *Server) NoteLife(name string, incarnation uint64) {
+func (s *Server) NoteIncarnation(name string, incarnation uint64) {
 	s.incarnations.record(s.now(), name, incarnation)
 }
 
@@ -194,7 +194,7 @@
 }
 
 // UpdateServiceLoad applies a load report of a plain service's target.
-func (s *Server) ServiceReport(service, name string, rep pick.Report) {
+func (s *Server) UpdateServiceLoad(service, name string, rep pick.Report) {
 	if t := s.pickTables.table(service); t != nil {
 		t.Report(s.now(), name, rep)
 	}
--- a/lib/entry/interfaces.go
+++ b/lib/entry/interfaces.go
@@ -73,18 +73,18 @@
 
 // Record is what another entry needs to resume a generation whose entry died.
 type Record struct {
-	Generation  ids.Generation
-	Subject     Subject
-	Key         string
-	Attempt     uint32
-	Target      string
-	Path        string
-	Request     []byte       // body as accepted
-	Tokens      []string     // delivered so far, from index 0
-	Finished    bool         // it ended and won't be resumed; without FinishReason it failed
-	FinishedWhy string       // finish reason from the finish frame
-	Owner       claim.Holder // the entry that put it; zero: this entry
-	Released    bool         // stopped because its caller stayed away too long: any entry may resume it
+	Generation   ids.Generation
+	Subject      Subject
+	Key          string
+	Attempt      uint32
+	Target       string
+	Path         string
+	Request      []byte       // body as accepted
+	Tokens       []string     // delivered so far, from index 0
+	Finished     bool         // it ended and won't be resumed; without FinishReason it failed
+	FinishReason string       // finish reason from the finish frame
+	Owner        claim.Holder // the entry that put it; zero: this entry
+	Released     bool         // stopped because its caller stayed away too long: any entry may resume it
 }
 
 // Records replicates records to peers, by workspace and key.
--- a/lib/entry/stop.go
+++ b/lib/entry/stop.go
@@ -15,13 +15,13 @@
 )
 
 // BeginShutdown marks the instance as not ready; requests are still accepted.
-func (s *Server) Leave() { s.shuttingDown.Store(true) }
+func (s *Server) BeginShutdown() { s.shuttingDown.Store(true) }
 
 // ShuttingDown reports whether a planned shutdown has begun.
-func (s *Server) Leaving() bool { return s.shuttingDown.Load() }
+func (s *Server) ShuttingDown() bool { return s.shuttingDown.Load() }
 
 // RejectNew refuses new requests from now on; those in progress continue.
-func (s *Server) Refuse() {
+func (s *Server) RejectNew() {
 	s.shuttingDown.Store(true)
 	s.stopping.Store(true)
 }
@@ -32,7 +32,7 @@
 // Stop refuses new requests and waits until all requests in progress have ended, however long they run, or until ctx is
 // done. Load balancers see the health page change before that; requests they still send are refused without being run.
 func (s *Server) Stop(ctx context.Context) error {
-	s.Refuse()
+	s.RejectNew()
 	t := time.NewTicker(stopPoll)
 	defer t.Stop()
 	for {
--- a/lib/entry/tick.go
+++ b/lib/entry/tick.go
@@ -94,17 +94,17 @@
 	}
 	from := g.recordedTokens
 	rec := &Record{
-		Generation:  g.id,
-		Subject:     g.subject,
-		Key:         g.key,
-		Attempt:     g.state.Attempt(),
-		Target:      g.attempt.target,
-		Path:        g.completion.Path(),
-		Request:     g.body,
-		Tokens:      g.text.Tokens(from),
-		Finished:    g.ended && !g.resumableLocked(),
-		FinishedWhy: g.finishReason,
-		Released:    g.resumableLocked(),
+		Generation:   g.id,
+		Subject:      g.subject,
+		Key:          g.key,
+		Attempt:      g.state.Attempt(),
+		Target:       g.attempt.target,
+		Path:         g.completion.Path(),
+		Request:      g.body,
+		Tokens:       g.text.Tokens(from),
+		Finished:     g.ended && !g.resumableLocked(),
+		FinishReason: g.finishReason,
+		Released:     g.resumableLocked(),
 	}
 	g.recordedTokens, g.recordedAt = g.text.Len(), now
 	g.mu.Unlock()
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -212,7 +212,7 @@
 }
 
 // LastReport returns a target's last report and its age, or nil if there is none.
-func (l *Link) Last(target string) (*meshpb.TargetReport, time.Duration) {
+func (l *Link) LastReport(target string) (*meshpb.TargetReport, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.reports[target]
