--- a/lib/fleet/outcome.go
+++ b/lib/fleet/outcome.go
@@ -6,14 +6,14 @@
 type Outcome uint8
 
 const (
-	Served      Outcome = iota // it answered
-	Failed                     // it answered with a failure of its own, or broke off
-	Unreachable                // no connection could be made
-	Refused                    // it was full, or another target has the address
-	Abandoned                  // the caller left, or the run went on elsewhere: says nothing of the target
+	Served      Outcome = iota // the target responded
+	Failed                     // the target responded with an error of its own, or the response broke off
+	Unreachable                // the connection failed
+	Refused                    // the target was full, or another target has the address
+	Abandoned                  // the caller left, or the run continued elsewhere: says nothing about the target
 )
 
-// Release takes a request off a target and learns from its outcome.
+// Release removes a request's load from its target and records the outcome.
 func (f *Fleet) Release(now time.Time, id string, l Load, o Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -21,46 +21,46 @@
 	if t == nil {
 		return
 	}
-	t.own.add(Load{Runs: -1, Tokens: -l.Tokens, Unread: -l.Unread})
-	t.learn(now, o)
+	t.local.add(Load{Runs: -1, Tokens: -l.Tokens, Unread: -l.Unread})
+	t.recordOutcome(now, o)
 }
 
-// RecordOutcome takes in how a request of another instance ended.
+// RecordOutcome records how a request of another instance ended.
 func (f *Fleet) RecordOutcome(now time.Time, id string, o Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if t := f.targets[id]; t != nil {
-		t.learn(now, o)
+		t.recordOutcome(now, o)
 	}
 }
 
-func (t *Target) learn(now time.Time, o Outcome) {
+func (t *Target) recordOutcome(now time.Time, o Outcome) {
 	switch o {
 	case Served:
-		t.fails -= failStep * t.fails
+		t.failureShare -= failureWeight * t.failureShare
 		t.avoidStep = 0
 	case Failed:
-		t.fails += failStep * (1 - t.fails)
+		t.failureShare += failureWeight * (1 - t.failureShare)
 	case Unreachable, Refused:
-		t.fails += failStep * (1 - t.fails)
-		t.avoidStep = min(max(2*t.avoidStep, avoidFirst), avoidMax)
+		t.failureShare += failureWeight * (1 - t.failureShare)
+		t.avoidStep = min(max(2*t.avoidStep, avoidMin), avoidMax)
 		t.avoidUntil = now.Add(t.avoidStep)
 	case Abandoned:
 	}
 }
 
-// Avoided lists the targets of a service that this instance could not reach lately, or that turned it away.
+// Avoided lists the targets of a service that this instance avoids because they were unreachable or asked it to back off.
 func (f *Fleet) Avoided(now time.Time, service string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for _, t := range f.index.of(service) {
-		if now.Before(t.avoidUntil) || now.Before(t.restUntil) {
+	for _, t := range f.index.targetsOf(service) {
+		if now.Before(t.avoidUntil) || now.Before(t.backoffUntil) {
 			out = append(out, t.ID)
 		}
 	}
 	for _, t := range f.index.granted {
-		if t.Service == service && (now.Before(t.avoidUntil) || now.Before(t.restUntil)) {
+		if t.Service == service && (now.Before(t.avoidUntil) || now.Before(t.backoffUntil)) {
 			out = append(out, t.ID)
 		}
 	}
--- a/lib/fleet/pace_test.go
+++ b/lib/fleet/pace_test.go
@@ -20,8 +20,8 @@
 	return f
 }
 
-// most returns the largest number of times within any second.
-func most(times []time.Duration) int {
+// maxPerSecond returns the largest number of times within any second.
+func maxPerSecond(times []time.Duration) int {
 	n := 0
 	for i, from := range times {
 		k := i
@@ -33,8 +33,8 @@
 	return n
 }
 
-// A plain target comes back cold and is the idlest of all. Seventy instances that know nothing of each other's sends all have
-// requests for it at any moment; together they send no more than it bears, and still send.
+// A plain target returns cold and is the least loaded of all. Seventy instances that don't know of each other's requests constantly have
+// requests for it; together they must stay within what it can take, and use it.
 func TestColdTargetIsSharedByThoseThatDecideAlone(t *testing.T) {
 	const instances = 70
 	fleets := make([]*Fleet, instances)
@@ -50,14 +50,14 @@
 			}
 		}
 	}
-	must.LessEq(t, int(1.5*coldRate), most(sent))
+	must.LessEq(t, int(1.5*coldRate), maxPerSecond(sent))
 	must.GreaterEq(t, int(0.9*coldRate*coldFor.Seconds()), len(sent))
 	_, ok := fleets[instances-1].Acquire(t0.Add(coldFor), Need{Service: "plain"})
 	must.True(t, ok) // warm
 }
 
-// A group of engines comes back empty. Its owner is asked for hundreds of streams, and instances that can't reach the owner decide
-// alone meanwhile: all of them together stay under what a cold engine bears.
+// A group of engines returns empty. The owner has requests for hundreds of streams, and instances that can't reach the owner decide on
+// their own; all together must stay within what a cold engine can take.
 func TestColdEngineIsSharedByItsOwnerAndOthers(t *testing.T) {
 	owner := coldFleet("engine", 1<<20)
 	alone := make([]*Fleet, 70)
@@ -76,11 +76,11 @@
 			}
 		}
 	}
-	must.LessEq(t, int(1.5*coldRate), most(sent))
+	must.LessEq(t, int(1.5*coldRate), maxPerSecond(sent))
 	must.GreaterEq(t, int(0.7*coldRate*coldFor.Seconds()), len(sent))
 }
 
-// An owner has counted a stream at a cold engine. The instance that sends it has no say of its own, and uses up nothing.
+// An owner has counted a stream at a cold engine. The sending instance, which may not choose the engine itself, uses up no pace.
 func TestGrantedStreamIsCountedOnce(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
 	f.SetSenders(func(string, int) bool { return false })
@@ -94,8 +94,8 @@
 	}
 }
 
-// An engine goes cold again at any moment, or starts again behind a list that doesn't tell: it counts as cold from then on.
-func TestTargetsGoColdAgain(t *testing.T) {
+// An engine becomes cold again at any time, or restarts without the list showing it: it counts as cold from then on.
+func TestTargetBecomesColdAgain(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
 	stand := func(at time.Duration) Availability { return f.Availability(t0.Add(at), Need{Service: "engine"}) }
 	must.Eq(t, Availability{Accepting: 1, Cold: 1}, stand(coldFor-1))
@@ -108,8 +108,8 @@
 	must.Eq(t, 0, stand(3*coldFor).Cold)
 }
 
-// The settings change what a cold target bears, while it is cold: from then on it gets that. A change that says the same gives nothing anew.
-func TestColdRateFollowsTheSettings(t *testing.T) {
+// The cold rate changes in the settings while a target is cold and applies from then on. Setting the same value must not refill the burst.
+func TestColdRateFollowsSettings(t *testing.T) {
 	f := coldFleet("plain", 0)
 	given := func(at time.Duration) int {
 		n := 0
@@ -130,8 +130,8 @@
 	must.Eq(t, 100, given(2*time.Second))
 }
 
-// Engines that have just started are no place for runs that move or for copies: these can't wait for their turn there.
-func TestNoMovesToColdEngines(t *testing.T) {
+// Cold engines are excluded for moved runs and for copies, which can't wait for their turn there.
+func TestNoMovesOrCopiesToColdEngines(t *testing.T) {
 	f := coldFleet("engine", 10_000)
 	must.Len(t, 0, f.MoveCandidates(t0, "engine", nil))
 	_, ok := f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 1}, "", 0)
@@ -139,8 +139,8 @@
 	must.Len(t, 1, f.MoveCandidates(t0.Add(coldFor), "engine", nil))
 }
 
-// BenchmarkAcquire is one choice among 64 engines that 300 runs are on, some of them cold, one domain of four evacuated and the
-// request bound to a region.
+// BenchmarkAcquire measures one choice among 64 engines with 300 runs, some of them cold, with one of four domains evacuated and the
+// request restricted to a region.
 func BenchmarkAcquire(b *testing.B) {
 	f := New("z0")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 20_000, ColdFor: coldFor, ColdRate: 25}})
--- a/lib/gateway/poison.go
+++ b/lib/gateway/poison.go
@@ -10,51 +10,51 @@
 	"anvilwick.example/anvilwick/lib/poison"
 )
 
-// poisonConfig refuses a content after the third target that died under it. Two would be enough to name it, but
-// targets here also die of themselves, under whatever they run.
+// poisonConfig refuses a content after the third target that died executing it. Two deaths would identify it, but targets here
+// also die for other reasons, whatever they run.
 var poisonConfig = poison.Config{
 	Weight: 3, Newest: 2, Window: 5 * time.Minute, Refuse: time.Minute, Settle: 300 * time.Millisecond,
 	Vouch: 10 * time.Minute, MaxSize: 1024,
 }
 
-// blamesTold bounds the records in one news. They are told again with each news while they are young.
-const blamesTold = 24
+// maxBlames bounds the records in one message to peers. Recent records are repeated in each message.
+const maxBlames = 24
 
-// fingerprint names what a call asks, whatever its id: the same comes again after each crash, at any instance.
+// fingerprint identifies a call's content, independent of its id: the same content returns after each crash, on any instance.
 func (c *call) fingerprint() uint64 {
 	return poison.Fingerprint(strings.Join([]string{c.workspace, c.method, c.host, c.target}, "\x00"), c.body)
 }
 
-// checkPoison refuses a call that has killed the targets which ran it.
+// checkPoison refuses a call whose content has killed the targets that executed it.
 func (g *Gateway) checkPoison(c *call) *refusal {
-	c.print = c.fingerprint()
+	c.contentHash = c.fingerprint()
 	now := time.Now()
-	switch v, wait := g.poison.Check(now, c.print); v {
+	switch v, wait := g.poison.Check(now, c.contentHash); v {
 	case poison.Poisoned, poison.Settling:
-		return &refusal{status: 503, after: c.wait(max(wait, againStream)), reason: "content_" + v.String()}
+		return &refusal{status: 503, after: c.boundWait(max(wait, retryAfterStream)), reason: "content_" + v.String()}
 	case poison.Suspect:
-		for _, target := range g.poison.Avoid(now, c.print) {
+		for _, target := range g.poison.Avoid(now, c.contentHash) {
 			c.tried[target] = true
 		}
 	}
 	return nil
 }
 
-// ended tells how a run of a call ended at a target. One that broke off is blamed only if the target is gone: links
-// break, and targets break off, without anybody's fault.
-func (g *Gateway) ended(run poison.Run, target fleet.Info, finished, broke bool) {
+// recordRunEnd records how a call's execution on a target ended. A broken one is blamed on its content only if the target has
+// died: connections and targets also fail for reasons unrelated to the content.
+func (g *Gateway) recordRunEnd(run poison.Run, target fleet.Info, finished, broke bool) {
 	switch {
 	case finished:
 		g.poison.Finished(time.Now(), run)
 	case !broke || g.Fleet.IsLeaving(target.ID):
 		g.poison.Stopped(run)
 	default:
-		go g.inquire(run, target)
+		go g.checkAlive(run, target)
 	}
 }
 
-// inquire finds out whether a target died.
-func (g *Gateway) inquire(run poison.Run, target fleet.Info) {
+// checkAlive blames the content if the target no longer accepts connections.
+func (g *Gateway) checkAlive(run poison.Run, target fleet.Info) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := g.Pool.Dial(ctx, target.Addr)
@@ -67,14 +67,14 @@
 	g.poison.Lost(time.Now(), run, 1)
 }
 
-// BlamesChanged has a value when there are blames that peers have not been told.
+// BlamesChanged receives a value when there are blames not yet sent to peers.
 func (g *Gateway) BlamesChanged() <-chan struct{} { return g.poison.News() }
 
-// Blames lists what peers should know of contents that were aboard dying targets.
+// Blames lists the blames to send to peers, on contents that were executing on targets when these died.
 func (g *Gateway) Blames() []*ownerpb.Blame {
 	recs, _ := g.poison.Since(time.Now(), 0)
-	if len(recs) > blamesTold {
-		recs = recs[len(recs)-blamesTold:]
+	if len(recs) > maxBlames {
+		recs = recs[len(recs)-maxBlames:]
 	}
 	out := make([]*ownerpb.Blame, len(recs))
 	for i, r := range recs {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// MergeBlames takes in what a peer tells.
+// MergeBlames applies the blames received from a peer.
 func (g *Gateway) MergeBlames(blames []*ownerpb.Blame) {
 	if len(blames) == 0 {
 		return
