--- a/lib/forecast/exact_test.go
+++ b/lib/forecast/exact_test.go
@@ -10,9 +10,9 @@
 	"anvilwick.example/anvilwick/lib/length"
 )
 
-// An oracle's engine ran out of memory though every length was told: a generation that ends between two points of the
-// grid was last seen at the point before, and grew on unseen.
-func TestExactSeesEndsBetweenPointsOfTheGrid(t *testing.T) {
+// An engine ran out of memory although all lengths were known: a generation that ends between two grid points was last counted at the
+// earlier point, and grew after it unnoticed.
+func TestExactCoversEndsBetweenGridPoints(t *testing.T) {
 	var grid Load
 	var e Exact
 	for range 10 {
@@ -24,30 +24,30 @@
 	test.EqOp(t, 10*(100+500), e.Peak(Grid[Steps-1]))
 }
 
-// Whatever the batch, Peak is what counting step by step gives.
-func TestExactAgreesWithCounting(t *testing.T) {
+// For any batch, Peak equals a step-by-step simulation.
+func TestExactMatchesSimulation(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	var e Exact
 	for range 200 {
 		e.Reset()
-		gens := make([]end, 1+rng.IntN(12))
+		gens := make([]activeGeneration, 1+rng.IntN(12))
 		for i := range gens {
-			gens[i] = end{1 + rng.IntN(500), rng.IntN(400)}
+			gens[i] = activeGeneration{1 + rng.IntN(500), rng.IntN(400)}
 			if i > 0 {
-				e.Add(Generation{Held: gens[i].held, Output: 10}, gens[i].left+10)
+				e.Add(Generation{Held: gens[i].held, Output: 10}, gens[i].remaining+10)
 			}
 		}
-		must.EqOp(t, counted(gens, 1000), e.PeakWith(Generation{Held: gens[0].held, Output: 10}, gens[0].left+10))
-		must.EqOp(t, counted(gens[1:], 50), e.Peak(50))
+		must.EqOp(t, simulatedPeak(gens, 1000), e.PeakWith(Generation{Held: gens[0].held, Output: 10}, gens[0].remaining+10))
+		must.EqOp(t, simulatedPeak(gens[1:], 50), e.Peak(50))
 	}
 }
 
-func counted(gens []end, ahead int) float64 {
+func simulatedPeak(gens []activeGeneration, ahead int) float64 {
 	peak := 0
 	for at := range ahead + 1 {
 		sum := 0
 		for _, g := range gens {
-			if at <= g.left {
+			if at <= g.remaining {
 				sum += g.held + at
 			}
 		}
--- a/lib/forecast/forecast.go
+++ b/lib/forecast/forecast.go
@@ -1,34 +1,33 @@
-// Package forecast foresees the peak of an engine's key-value memory from the generations it runs.
+// Package forecast forecasts the peak of an engine's key-value memory from the generations it runs.
 //
-// The generations of a batch advance together, one token a step. At each of a fixed grid of steps ahead, a
-// generation either still runs, and then holds what it holds now and one token for each step, or has ended and
-// holds nothing. A Load sums the mean and the variance of that over a batch; the lengths are taken as independent.
-// The engine stays within its memory over the horizon, with a chance set by the caller, when at every step of the
-// grid the mean and some standard deviations are under it.
+// The generations of a batch advance together, one token per step. At each point of a fixed grid of steps ahead, a generation either still
+// runs, holding its current tokens plus one per step, or has ended and holds nothing. A Load sums the mean and variance of that over a
+// batch, treating lengths as independent. The engine stays within its memory over the horizon, with a probability set by the caller, if at
+// every grid point the mean plus some standard deviations is below the capacity.
 package forecast
 
 import "math"
 
 // Survival is the length distribution of one generation; length.Curve implements it.
 type Survival interface {
-	// Reach returns the chance that an output has more than n tokens.
+	// Reach returns the probability that an output has more than n tokens.
 	Reach(n int) float64
 }
 
 // Steps is the number of grid points.
 const Steps = 20
 
-// Grid holds the steps ahead at which memory is foreseen.
+// Grid holds the steps ahead at which memory is forecast.
 var Grid = [Steps]int{0, 16, 32, 64, 96, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096, 6144, 8192, 12288, 16384}
 
-// Generation is what a Load needs to know of one running generation.
+// Generation is the state of one running generation.
 type Generation struct {
-	Held   int // tokens of memory it holds now: prompt and output
-	Output int // tokens of output so far
-	Max    int // bound on its output; 0: none
+	Held   int // tokens of memory held now: prompt and output
+	Output int // output tokens so far
+	Max    int // limit of its output; 0: none
 }
 
-// Load is the memory, in tokens, foreseen at each step of Grid. The zero value is an empty engine.
+// Load is the forecast memory, in tokens, at each point of Grid. The zero value is an empty engine.
 type Load struct {
 	Mean [Steps]float64
 	Var  [Steps]float64
@@ -54,11 +53,11 @@
 	}
 }
 
-// negligible cuts the tail of a generation whose further steps can't matter.
+// negligible is the survival probability below which the tail of a generation is ignored.
 const negligible = 1e-4
 
-// negligiblePart is the part of what a generation holds now that is no reason to keep it out.
-const negligiblePart = 0.05
+// negligibleShare is the share of its current memory below which a generation's forecast no longer counts against admitting it.
+const negligibleShare = 0.05
 
 // AddLoad adds all of other.
 func (l *Load) AddLoad(other *Load) {
@@ -68,7 +67,7 @@
 	}
 }
 
-// AddConstant adds memory that stays held, such as that of generations others placed.
+// AddConstant adds memory that stays in use, such as that of generations placed by others.
 func (l *Load) AddConstant(tokens float64) {
 	for i := range l.Mean {
 		l.Mean[i] += tokens
@@ -84,19 +83,19 @@
 	return peak
 }
 
-// Fits reports whether l and other together stay within capacity, at z standard deviations, over the first steps of
-// the grid. It is Peak of the sum without the roots. Steps at which other has all but ended are left out: short work
-// is not kept waiting for a peak that it has no part in.
+// Fits reports whether l and other together stay within capacity, at z standard deviations, over the first steps of the grid. It
+// compares the Peak of the sum without computing roots. Points at which other has all but ended are skipped: short work is not delayed
+// by a later peak that it has no part in.
 func (l *Load) Fits(other *Load, capacity, z float64, steps int) bool {
 	for i := range l.Mean[:steps] {
-		if other.Mean[i] < negligiblePart*other.Mean[0] {
+		if other.Mean[i] < negligibleShare*other.Mean[0] {
 			return true
 		}
-		room := capacity - l.Mean[i] - other.Mean[i]
-		if room < 0 {
+		headroom := capacity - l.Mean[i] - other.Mean[i]
+		if headroom < 0 {
 			return false
 		}
-		if room*room < z*z*(l.Var[i]+other.Var[i]) {
+		if headroom*headroom < z*z*(l.Var[i]+other.Var[i]) {
 			return false
 		}
 	}
@@ -112,15 +111,15 @@
 	return n
 }
 
-// stepsAlike is how many neighbouring steps of the grid break a bound together. A bound that each step keeps with chance
-// 1-risk is broken at one of the whole grid far more often: in the test of this package 24 of 100 batches broke a bound
-// made for 5.
-const stepsAlike = 2.5
+// correlatedSteps is how many neighbouring grid points tend to exceed a bound together. A bound that each point keeps with probability
+// 1-risk is exceeded at some point of the whole grid far more often: in this package's test, 24 of 100 batches exceeded a bound meant
+// for 5.
+const correlatedSteps = 2.5
 
-// Deviations returns how many standard deviations above the mean keep the peak of a batch, over the first steps of
-// the grid, within the bound but for a chance of risk.
+// Deviations returns how many standard deviations above the mean keep the peak of a batch, over the first steps of the grid, within the
+// bound except with probability risk.
 func Deviations(risk float64, steps int) float64 {
-	risk /= max(1, float64(steps)/stepsAlike)
+	risk /= max(1, float64(steps)/correlatedSteps)
 	if risk <= 0 {
 		return maxDeviations
 	}
@@ -130,5 +129,5 @@
 	return min(math.Sqrt2*math.Erfinv(1-2*risk), maxDeviations)
 }
 
-// maxDeviations stands for no risk at all.
+// maxDeviations stands for zero risk.
 const maxDeviations = 6
--- a/lib/forecast/forecast_test.go
+++ b/lib/forecast/forecast_test.go
@@ -10,19 +10,19 @@
 	"anvilwick.example/anvilwick/lib/length"
 )
 
-func TestKnownLengthsGiveTheExactPeak(t *testing.T) {
+func TestPeakOfKnownLengths(t *testing.T) {
 	var l Load
 	short, long := length.Fixed(64), length.Fixed(512)
 	l.Add(Generation{Held: 1000}, &short)
 	l.Add(Generation{Held: 100}, &long)
-	// The short one is last seen with 32 more tokens on the grid; then it frees 1,000 and more.
+	// The short one is last counted at 32 more tokens on the grid; then it frees more than 1,000.
 	test.EqOp(t, 1100+2*32, l.Peak(0, Steps))
 	test.EqOp(t, 0, l.Var[3])
 	test.EqOp(t, 100+384, l.Mean[8])
 	test.EqOp(t, 0, l.Mean[9])
 }
 
-func TestMaxBoundsGrowth(t *testing.T) {
+func TestMaxBoundsForecast(t *testing.T) {
 	var l Load
 	c := length.Fixed(10_000)
 	l.Add(Generation{Held: 150, Output: 50, Max: 100}, &c)
@@ -36,20 +36,20 @@
 	for range 300 {
 		e.Observe(g, 1+rng.IntN(1500))
 	}
-	var l, one Load
+	var l, candidate Load
 	for range 30 {
 		l.Add(Generation{Held: 200 + rng.IntN(500), Output: rng.IntN(200)}, e.Curve(g))
 	}
-	one.Add(Generation{Held: 400}, e.Curve(g))
+	candidate.Add(Generation{Held: 400}, e.Curve(g))
 	sum := l
-	sum.AddLoad(&one)
+	sum.AddLoad(&candidate)
 	peak := sum.Peak(2, Steps)
-	test.True(t, l.Fits(&one, peak+1, 2, Steps))
-	test.False(t, l.Fits(&one, peak-1, 2, Steps))
+	test.True(t, l.Fits(&candidate, peak+1, 2, Steps))
+	test.False(t, l.Fits(&candidate, peak-1, 2, Steps))
 }
 
-// The share of batches that really outgrow the forecast must be near the accepted risk.
-func TestPeakIsExceededAboutAsOftenAsTheRisk(t *testing.T) {
+// The share of batches that exceed the forecast must be close to the accepted risk.
+func TestPeakIsExceededAtAcceptedRisk(t *testing.T) {
 	const risk, trials, batch = 0.05, 400, 30
 	rng := rand.New(rand.NewPCG(5, 6))
 	e := length.New(length.Options{Memory: 5000})
@@ -73,7 +73,7 @@
 			over++
 		}
 	}
-	// Lengths are skewed, which the normal bound does not see: half as much again is allowed.
+	// Lengths are skewed, which the normal approximation ignores: up to 1.5 times the risk is allowed.
 	test.Between(t, 0, over, 1.5*risk*trials)
 }
 
--- a/lib/length/buckets.go
+++ b/lib/length/buckets.go
@@ -8,10 +8,10 @@
 	minOctave  = 4   // bits of the first length that shares a bucket width above 1
 )
 
-// MaxLength is the longest length that is told apart.
+// MaxLength is the largest length that is distinguished; longer ones share the last bucket.
 const MaxLength = 1<<18 - 1
 
-// bucketOf returns the bucket of a length: exact below 16, then eight buckets for each doubling.
+// bucketOf returns the bucket of a length: exact below 16, then eight buckets per doubling.
 func bucketOf(n int) int {
 	if n < 0 {
 		return 0
--- a/lib/length/curve.go
+++ b/lib/length/curve.go
@@ -1,16 +1,16 @@
 package length
 
-// Curve is a survival function of total output length: the chance that an output reaches at least a given length.
-// It is read-only for callers and is updated in place by its Estimator.
+// Curve is a survival function of total output length: the probability that an output reaches at least a given length. It is read-only for
+// callers and is updated in place by its Estimator.
 type Curve struct {
-	reach [numBuckets + 1]float32 // chance to reach the lower edge of each bucket; the last is 0
-	known int                     // >0: the length is known
+	reach [numBuckets + 1]float32 // probability to reach the lower edge of each bucket; the last is 0
+	known int                     // >0: the length is known in advance
 }
 
 // Fixed returns the curve of a length that is known in advance.
 func Fixed(n int) Curve { return Curve{known: max(n, 1)} }
 
-// Reach returns the chance that an output has more than n tokens.
+// Reach returns the probability that an output has more than n tokens.
 func (c *Curve) Reach(n int) float64 {
 	if c.known > 0 {
 		if n < c.known {
@@ -18,11 +18,11 @@
 		}
 		return 0
 	}
-	return float64(c.at(n + 1))
+	return float64(c.interpolate(n + 1))
 }
 
-// at interpolates within the bucket of n.
-func (c *Curve) at(n int) float32 {
+// interpolate returns the probability to reach n tokens, interpolated within the bucket of n.
+func (c *Curve) interpolate(n int) float32 {
 	if n <= 0 {
 		return 1
 	}
@@ -35,28 +35,28 @@
 	return c.reach[b] + frac*(c.reach[b+1]-c.reach[b])
 }
 
-// floorReach keeps conditional chances defined beyond the longest output ever seen.
-const floorReach = 1e-12
+// minReach keeps conditional probabilities defined beyond the longest observed output.
+const minReach = 1e-12
 
-// Survival returns the chance that an output which has had tokens so far gives more than ahead further tokens.
-func (c *Curve) Survival(had, ahead int) float64 {
-	given := c.Reach(had - 1)
-	if c.known > 0 && had >= c.known {
-		// It ran past what was told: it may end with any token.
+// Survival returns the probability that an output of generated tokens so far gets more than ahead further tokens.
+func (c *Curve) Survival(generated, ahead int) float64 {
+	reached := c.Reach(generated - 1)
+	if c.known > 0 && generated >= c.known {
+		// It ran past its announced length: it may end with any token.
 		return 0
 	}
-	if given < floorReach {
+	if reached < minReach {
 		return 0.5
 	}
-	return min(c.Reach(had+ahead)/given, 1)
+	return min(c.Reach(generated+ahead)/reached, 1)
 }
 
-// Quantile returns the number of further tokens that an output with had tokens stays within with chance q.
-func (c *Curve) Quantile(had int, q float64) int {
+// Quantile returns the number of further tokens that an output of generated tokens stays within with probability q.
+func (c *Curve) Quantile(generated int, q float64) int {
 	lo, hi := 0, MaxLength
 	for lo < hi {
 		mid := (lo + hi) / 2
-		if c.Survival(had, mid) <= 1-q {
+		if c.Survival(generated, mid) <= 1-q {
 			hi = mid
 		} else {
 			lo = mid + 1
@@ -65,30 +65,30 @@
 	return lo
 }
 
-// Mean returns the expected number of further tokens, none beyond limit in total (0: no limit).
-func (c *Curve) Mean(had, limit int) float64 {
+// Mean returns the expected number of further tokens, with the total capped at limit (0: no limit).
+func (c *Curve) Mean(generated, limit int) float64 {
 	if c.known > 0 {
-		return float64(max(c.known-had, 0))
+		return float64(max(c.known-generated, 0))
 	}
-	given := c.at(had)
-	if given < floorReach {
+	reached := c.interpolate(generated)
+	if reached < minReach {
 		return 1
 	}
 	end := MaxLength
 	if limit > 0 {
 		end = min(limit, end)
 	}
-	if end <= had {
+	if end <= generated {
 		return 0
 	}
 	var sum float32
-	at := had
-	last := given
-	for b := bucketOf(had); b < numBuckets && at < end; b++ {
-		next := min(int(edges[b+1]), end)
-		reach := c.at(next)
-		sum += (last + reach) / 2 * float32(next-at)
-		at, last = next, reach
+	pos := generated
+	prevReach := reached
+	for b := bucketOf(generated); b < numBuckets && pos < end; b++ {
+		nextPos := min(int(edges[b+1]), end)
+		reach := c.interpolate(nextPos)
+		sum += (prevReach + reach) / 2 * float32(nextPos-pos)
+		pos, prevReach = nextPos, reach
 	}
-	return float64(sum / given)
+	return float64(sum / reached)
 }
--- a/lib/length/example_test.go
+++ b/lib/length/example_test.go
@@ -6,7 +6,7 @@
 	"anvilwick.example/anvilwick/lib/length"
 )
 
-// A planner's outputs are either short answers or long narratives. What has run past the short ones is long.
+// A planner's outputs are either short answers or long narratives. An output that has passed the length of the short ones will be long.
 func Example() {
 	est := length.New(length.Options{})
 	planner := est.Group("council", "planner")
--- a/lib/length/length_test.go
+++ b/lib/length/length_test.go
@@ -26,7 +26,7 @@
 	return max(int(median*math.Exp(sigma*rng.NormFloat64())), 1)
 }
 
-func TestCurveAgreesWithWhatWasSeen(t *testing.T) {
+func TestCurveMatchesObservedLengths(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	e := New(Options{Memory: 2000})
 	g := e.Group("w", "c")
@@ -44,13 +44,13 @@
 	}
 }
 
-// An output that already ran past most others is expected to run longer, not to be nearly done.
+// An output that is already longer than most others must be expected to run longer, not to be nearly done.
 func TestRemainingIsConditionalOnTokensSoFar(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	e := New(Options{})
 	g := e.Group("w", "c")
 	for range 500 {
-		// Half are short answers, half are route narratives.
+		// Half are short answers, half are long narratives.
 		e.Observe(g, 20+rng.IntN(20))
 		e.Observe(g, 1500+rng.IntN(500))
 	}
@@ -60,7 +60,7 @@
 	test.Between(t, 1, e.Quantile(g, 1900, 0.5), 300)
 }
 
-// With only short outputs ended and long ones still running, the estimate must not say that all are short.
+// If only short outputs have ended while long ones still run, the estimate must not take all outputs for short.
 func TestRunningOutputsCountWhileCold(t *testing.T) {
 	e := New(Options{})
 	g := e.Group("w", "c")
@@ -88,7 +88,7 @@
 	test.Greater(t, 0.2, e.Curve(newClass).Reach(40))
 }
 
-func TestMixShiftIsLearntWithinMemory(t *testing.T) {
+func TestDistributionShiftIsLearnedWithinMemory(t *testing.T) {
 	e := New(Options{Memory: 100})
 	g := e.Group("w", "c")
 	for range 1000 {
@@ -100,7 +100,7 @@
 	test.Greater(t, 500, e.Quantile(g, 0, 0.5))
 }
 
-func TestHeavyTailStaysOpenBeyondWhatWasSeen(t *testing.T) {
+func TestTailStaysHeavyBeyondObservedLengths(t *testing.T) {
 	e := New(Options{})
 	g := e.Group("w", "c")
 	for range 300 {
@@ -113,7 +113,7 @@
 	test.Greater(t, 100, c.Mean(5000, 0))
 }
 
-func TestLimitBoundsTheMean(t *testing.T) {
+func TestMeanRespectsLimit(t *testing.T) {
 	e := New(Options{})
 	g := e.Group("w", "c")
 	test.LessEq(t, 28, e.Mean(g, 100, 128))
--- a/lib/moveplan/plan_test.go
+++ b/lib/moveplan/plan_test.go
@@ -13,18 +13,21 @@
 	leaving = []Engine{{ID: "x", Domain: "z1"}, {ID: "y", Domain: "z1"}}
 )
 
-// Two instances with the same news make the same plan, whatever the order in which they heard it.
-func TestPlanDoesNotDependOnOrder(t *testing.T) {
+// Instances with the same state compute the same plan, whatever order it is in.
+func TestPlanIsIndependentOfInputOrder(t *testing.T) {
 	runs := []Run{{ID: 1, From: "x", Tokens: 3000}, {ID: 2, From: "x", Tokens: 1000}, {ID: 3, From: "y", Tokens: 2000}}
 	dests := []Engine{{ID: "b", Free: 5000, Domain: "z1"}, {ID: "a", Free: 9000, Domain: "z2"}}
-	back := []Run{runs[2], runs[0], runs[1]}
-	must.Eq(t, Plan(runs, leaving, dests, link), Plan(back, leaving, []Engine{dests[1], dests[0]}, link))
+	reordered := []Run{runs[2], runs[0], runs[1]}
+	must.Eq(t, Plan(runs, leaving, dests, link), Plan(reordered, leaving, []Engine{dests[1], dests[0]}, link))
 }
 
-// Small runs go first, one after another, near before far; what can't be copied yet goes last.
-func TestOrderAndDestinations(t *testing.T) {
+// Small runs go first, one after another, within the failure domain before across; runs that can't be copied yet go last.
+func TestPlanOrderAndDestinations(t *testing.T) {
 	got := Plan(
-		[]Run{{ID: 1, From: "x", Tokens: 3000}, {ID: 2, From: "x", Tokens: 1000}, {ID: 3, From: "x", Tokens: 2000}, {ID: 4, From: "x", Tokens: 10, Prefilling: true}},
+		[]Run{
+			{ID: 1, From: "x", Tokens: 3000}, {ID: 2, From: "x", Tokens: 1000}, {ID: 3, From: "x", Tokens: 2000},
+			{ID: 4, From: "x", Tokens: 10, Prefilling: true},
+		},
 		leaving, []Engine{{ID: "near", Free: 3500, Domain: "z1"}, {ID: "far", Free: 9000, Domain: "z2"}}, link,
 	)
 	must.Eq(t, []string{"near", "near", "far"}, []string{got[0].To, got[1].To, got[2].To})
@@ -34,10 +37,9 @@
 	must.Eq(t, 300*time.Millisecond+2*stepOverhead, got[2].Start)
 }
 
-// Two engines leave at once. Planned each alone, both send their runs to the engine with the most memory, whose link
-// then carries one copy after another: streams stand still while their last part queues there. Planned together no link
-// carries two copies at a time.
-func TestNoLinkCarriesTwoCopiesAtATime(t *testing.T) {
+// Two engines leave at once. Planned separately, both would send their runs to the engine with the most memory, whose link carries one copy
+// at a time: streams stall while their last part queues there. Planned together, no link carries two copies at a time.
+func TestLinksCarryOneCopyAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Run {
 			return Run{
@@ -53,14 +55,14 @@
 			}
 			for _, l := range []string{s.Run.From, s.To} {
 				must.GreaterEq(t, busy[l], s.Start)
-				busy[l] = s.Start + link.time(s.Run.Tokens, s.To != "b") + stepOverhead
+				busy[l] = s.Start + link.transferTime(s.Run.Tokens, s.To != "b") + stepOverhead
 			}
 		}
 	})
 }
 
-// No plan promises an engine more than its free memory, and every run has a step.
-func TestNoEngineIsOverfilled(t *testing.T) {
+// A plan assigns no engine more than its free memory, and every run has a step.
+func TestPlanKeepsWithinFreeMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Run {
 			return Run{
--- a/lib/placement/placement_test.go
+++ b/lib/placement/placement_test.go
@@ -16,12 +16,12 @@
 	v2   = State{Model: "planner", Version: "2", Adapters: []string{"falkirk"}}
 )
 
-// serving is a target that reports a state.
+// serving returns a target that reports the given state.
 func serving(name string, s State) Target {
 	return Target{Name: name, LastReport: &Report{State: s, At: now}}
 }
 
-// inChange is a target with an open intent of the current term.
+// inChange returns a target with an open intent of the current term.
 func inChange(name string, s State) Target {
 	t := serving(name, s)
 	t.Intent = &Intent{Want: v2, Fence: term.Fence}
@@ -30,22 +30,22 @@
 
 func service(ts ...Target) Service { return Service{Name: "planner-llm", Want: v2, Targets: ts} }
 
-func TestPlanStepByStep(t *testing.T) {
+func TestPlanSteps(t *testing.T) {
 	busy, drained, done := inChange("a", v1), inChange("a", v1), inChange("a", v2)
 	busy.DrainedAt, busy.LastReport.Running = now.Add(-DrainPropagation), 1
 	drained.DrainedAt, done.DrainedAt = busy.DrainedAt, busy.DrainedAt
 	justDrained := drained
 	justDrained.DrainedAt = now.Add(1 - DrainPropagation)
-	old := inChange("a", v1)
-	old.Intent.Fence = 6
-	other := inChange("a", v1)
-	other.Intent.Want = v1
+	oldTerm := inChange("a", v1)
+	oldTerm.Intent.Fence = 6
+	otherState := inChange("a", v1)
+	otherState.Intent.Want = v1
 	ordered := drained
 	ordered.OrderedAt, ordered.OrderedState = now.Add(-time.Second), v2
-	again := drained
-	again.OrderedAt, again.OrderedState = now.Add(-ReorderAfter), v2
-	early := done
-	early.OrderedAt = now // the report does not follow the order
+	unconfirmed := drained
+	unconfirmed.OrderedAt, unconfirmed.OrderedState = now.Add(-ReorderAfter), v2
+	staleReport := done
+	staleReport.OrderedAt = now // the report is from before the order
 	superseded := done
 	superseded.OrderedAt, superseded.OrderedState = now.Add(1-MaxOrderDelay), v1
 	arrived := superseded
@@ -54,34 +54,34 @@
 	adapter.LastReport.Running = 3
 	silent := drained
 	silent.LastReport = &Report{State: v1, At: now.Add(-ReportTTL - 1)}
-	left := done
-	left.Intent = &Intent{Want: v2, Fence: 6, Done: true}
+	leftDrained := done
+	leftDrained.Intent = &Intent{Want: v2, Fence: 6, Done: true}
 	rest := serving("b", v1)
 	cases := []struct {
 		name string
 		s    Service
-		kind Kind // 0: wait
+		kind Kind // 0: no step
 		who  string
 	}{
-		{"all as wanted", service(serving("a", v2), serving("b", v2)), 0, ""},
-		{"first that differs", service(serving("a", v2), serving("b", v1)), WriteIntent, "b"},
-		{"intent of an old term is taken over", service(old, rest), WriteIntent, "a"},
-		{"settings changed meanwhile", service(other, rest), WriteIntent, "a"},
-		{"a version needs a drain", service(inChange("a", v1), rest), Drain, "a"},
-		{"what runs is waited for", service(busy, rest), 0, ""},
-		{"idle, by a report from before the drain was in force", service(justDrained, rest), 0, ""},
+		{"no difference", service(serving("a", v2), serving("b", v2)), 0, ""},
+		{"first target that differs", service(serving("a", v2), serving("b", v1)), WriteIntent, "b"},
+		{"intent of an old term is taken over", service(oldTerm, rest), WriteIntent, "a"},
+		{"settings changed during the change", service(otherState, rest), WriteIntent, "a"},
+		{"a new version needs a drain", service(inChange("a", v1), rest), Drain, "a"},
+		{"waits for running work", service(busy, rest), 0, ""},
+		{"idle by a report from before the drain took effect", service(justDrained, rest), 0, ""},
 		{"idle", service(drained, rest), SendOrders, "a"},
-		{"order at work", service(ordered, rest), 0, ""},
-		{"order without effect", service(again, rest), SendOrders, "a"},
-		{"report from before the order", service(early, rest), 0, ""},
-		{"an order for something else may be on its way", service(superseded, rest), 0, ""},
-		{"it has arrived", service(arrived, rest), Undrain, "a"},
+		{"order sent recently", service(ordered, rest), 0, ""},
+		{"order without effect", service(unconfirmed, rest), SendOrders, "a"},
+		{"report from before the order", service(staleReport, rest), 0, ""},
+		{"order for another state may be in flight", service(superseded, rest), 0, ""},
+		{"order for another state has arrived", service(arrived, rest), Undrain, "a"},
 		{"an adapter needs no drain", service(adapter, rest), SendOrders, "a"},
 		{"loaded", service(done, rest), Undrain, "a"},
 		{"serving again", service(inChange("a", v2), rest), CloseIntent, "a"},
-		{"silent in the middle", service(silent, rest), 0, ""},
-		{"nobody else serves", service(serving("a", v1), Target{Name: "b"}), 0, ""},
-		{"left drained by a change that looks closed", service(left, rest), WriteIntent, "a"},
+		{"silent during a change", service(silent, rest), 0, ""},
+		{"no other target serves", service(serving("a", v1), Target{Name: "b"}), 0, ""},
+		{"left drained by a change that looks closed", service(leftDrained, rest), WriteIntent, "a"},
 		{"a single target", service(serving("a", v1)), WriteIntent, "a"},
 	}
 	for _, c := range cases {
@@ -106,25 +106,24 @@
 	}, step.Orders)
 }
 
-// A holder dies with an order on its way to an engine that ignores fencing numbers. An order that its successor gave
-// at once could arrive first and be undone; it waits until the old one must have arrived, or enforces.
-func TestNewTermWaitsOutOldOrders(t *testing.T) {
+// A holder dies with an order in flight to an engine that ignores fencing. An order sent immediately by its successor could arrive
+// first and be undone by the old one, so the successor waits until the old order must have arrived, unless the engine enforces fencing.
+func TestNewTermWaitsForOldOrders(t *testing.T) {
 	drained := inChange("a", v1)
 	drained.DrainedAt = now.Add(-time.Minute)
 	s := service(drained)
-	young := Term{Fence: 7, Since: now.Add(-MaxOrderDelay + 1)}
-	_, ok := Plan(now, young, s)
+	newTerm := Term{Fence: 7, Since: now.Add(-MaxOrderDelay + 1)}
+	_, ok := Plan(now, newTerm, s)
 	must.True(t, ok)
 	s.IgnoresFences = true
-	_, ok = Plan(now, young, s)
+	_, ok = Plan(now, newTerm, s)
 	must.False(t, ok)
-	_, ok = Plan(now.Add(1), young, s)
+	_, ok = Plan(now.Add(1), newTerm, s)
 	must.True(t, ok)
 }
 
-// A target dies in the middle of its change. It must not hold up the whole service for ever, and it must not be
-// forgotten while it may only be loading.
-func TestLostTargetStopsHoldingUp(t *testing.T) {
+// A target dies during its change. It must not block its service forever, but must not be given up while it may only be loading.
+func TestLostTargetStopsBlockingOthers(t *testing.T) {
 	dead := inChange("a", v1)
 	dead.LastReport.At = now.Add(-LostAfter)
 	s := service(dead, serving("b", v1), serving("c", v1))
--- a/lib/placement/run.go
+++ b/lib/placement/run.go
@@ -15,44 +15,44 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// Tick is the time between two plans.
+// Tick is the interval between plans.
 const Tick = time.Second
 
-// Store is the part of the platform's client that placement uses.
+// Store is the part of the platform client that placement uses.
 type Store interface {
 	Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error)
 	Get(ctx context.Context, key string) (platformapi.Item, bool, error)
 	StartTransfer(ctx context.Context, model, version string) (bool, time.Duration, error)
 }
 
-// Environment is how Run sees and reaches what is outside.
+// Environment connects Run to the settings, the engines and the store.
 type Environment struct {
 	Store Store
-	// Services returns what the settings in force want, with each target's newest Report and Drained. Run fills in
-	// Intent and Ordered.
+	// Services returns the state wanted by the current settings, with each target's latest report and drain time. Run fills in the
+	// remaining fields of the targets.
 	Services func() []Service
-	// Order gives one order to an engine.
+	// Order sends one order to an engine.
 	Order func(ctx context.Context, target string, o engineapi.Order) error
-	// Drain keeps new work from a target, or lets it have it again.
+	// Drain starts or ends keeping new work from a target.
 	Drain func(ctx context.Context, target string, on bool) error
 }
 
-// errLost ends a step whose lease has ended.
-var errLost = errorx.IllegalState.New("placement: the lease has ended")
+// errLeaseEnded is the error of a step whose lease has ended.
+var errLeaseEnded = errorx.IllegalState.New("placement: lease ended before the step was complete")
 
-// runner is one term.
+// runner places models for one lease term.
 type runner struct {
-	site    Environment
-	held    *lease.Held
-	term    Term
-	intents map[string]*intent // by target
-	ordered map[string]order   // the last of each target
-	notYet  time.Time          // the weight store's time to come back
+	env           Environment
+	lease         *lease.Held
+	term          Term
+	intents       map[string]*intent   // by target
+	lastOrders    map[string]lastOrder // by target
+	transferAfter time.Time            // when the weight store accepts the next transfer
 }
 
-type order struct {
-	at   time.Time
-	want State
+type lastOrder struct {
+	sentAt time.Time
+	state  State
 }
 
 type intent struct {
@@ -60,14 +60,14 @@
 	rev uint64
 }
 
-// Run places models until ctx ends. It is the work of a lease: see lease.Run.
-func Run(ctx context.Context, h *lease.Held, site Environment) {
+// Run places models until ctx ends. It is meant to be run under a lease: see lease.Run.
+func Run(ctx context.Context, h *lease.Held, env Environment) {
 	r := &runner{
-		site:    site,
-		held:    h,
-		term:    Term{Fence: h.Fence(), Since: time.Now()},
-		intents: map[string]*intent{},
-		ordered: map[string]order{},
+		env:        env,
+		lease:      h,
+		term:       Term{Fence: h.Fence(), Since: time.Now()},
+		intents:    map[string]*intent{},
+		lastOrders: map[string]lastOrder{},
 	}
 	t := time.NewTicker(Tick)
 	defer t.Stop()
@@ -81,10 +81,10 @@
 	}
 }
 
-// tick takes one step for each service. A step that fails is planned again at the next tick.
+// tick takes one step for each service. A failed step is planned again at the next tick.
 func (r *runner) tick(ctx context.Context) {
-	for _, s := range r.site.Services() {
-		if err := r.fill(ctx, &s); err != nil {
+	for _, s := range r.env.Services() {
+		if err := r.addTermState(ctx, &s); err != nil {
 			logStep(Step{Target: s.Name}, "read_intents", err)
 			continue
 		}
@@ -92,21 +92,21 @@
 		if !ok {
 			continue
 		}
-		logStep(step, "step", r.take(ctx, step))
+		logStep(step, "step", r.execute(ctx, step))
 	}
 }
 
-func logStep(s Step, what string, err error) {
+func logStep(s Step, event string, err error) {
 	e := log.Info()
 	if err != nil {
 		e = log.Warn().Str("error", err.Error())
 	}
-	e.Str("event", "placement_"+what).Str("target", s.Target).Int("kind", int(s.Kind)).Str("model", s.Want.Model).
+	e.Str("event", "placement_"+event).Str("target", s.Target).Int("kind", int(s.Kind)).Str("model", s.Want.Model).
 		Str("version", s.Want.Version).Msg("")
 }
 
-// fill adds this term's knowledge to a service. Each intent is read once in a term: nobody else can write it then.
-func (r *runner) fill(ctx context.Context, s *Service) error {
+// addTermState fills in this term's state of a service. Each intent is read once per term, since nobody else can write it meanwhile.
+func (r *runner) addTermState(ctx context.Context, s *Service) error {
 	for i := range s.Targets {
 		t := &s.Targets[i]
 		in, err := r.intent(ctx, t.Name)
@@ -116,7 +116,7 @@
 		if in.rev != 0 {
 			t.Intent = &in.Intent
 		}
-		t.OrderedAt, t.OrderedState = r.ordered[t.Name].at, r.ordered[t.Name].want
+		t.OrderedAt, t.OrderedState = r.lastOrders[t.Name].sentAt, r.lastOrders[t.Name].state
 	}
 	return nil
 }
@@ -125,93 +125,93 @@
 	if in, ok := r.intents[target]; ok {
 		return in, nil
 	}
-	it, found, err := r.site.Store.Get(ctx, platformapi.KeyIntent+target)
+	it, found, err := r.env.Store.Get(ctx, platformapi.KeyIntent+target)
 	if err != nil {
 		return nil, err
 	}
 	in := &intent{rev: it.Rev}
 	if found && json.Unmarshal(it.Value, &in.Intent) != nil {
-		in.Intent = Intent{} // unreadable: a change to be made again
+		in.Intent = Intent{} // undecodable: make the change again
 	}
 	r.intents[target] = in
 	return in, nil
 }
 
-func (r *runner) take(ctx context.Context, s Step) error {
-	ctx, cancel := context.WithTimeout(ctx, min(OrderTimeout, max(0, r.held.Left())))
+func (r *runner) execute(ctx context.Context, s Step) error {
+	ctx, cancel := context.WithTimeout(ctx, min(OrderTimeout, max(0, r.lease.Left())))
 	defer cancel()
 	switch s.Kind {
 	case WriteIntent:
-		return r.write(ctx, s.Target, Intent{Want: s.Want, Fence: r.term.Fence})
+		return r.writeIntent(ctx, s.Target, Intent{Want: s.Want, Fence: r.term.Fence})
 	case CloseIntent:
-		return r.write(ctx, s.Target, Intent{Want: s.Want, Fence: r.term.Fence, Done: true})
+		return r.writeIntent(ctx, s.Target, Intent{Want: s.Want, Fence: r.term.Fence, Done: true})
 	case SendOrders:
-		return r.order(ctx, s)
+		return r.sendOrders(ctx, s)
 	}
-	if !r.held.Valid() {
-		return errLost
+	if !r.lease.Valid() {
+		return errLeaseEnded
 	}
-	return r.site.Drain(ctx, s.Target, s.Kind == Drain)
+	return r.env.Drain(ctx, s.Target, s.Kind == Drain)
 }
 
-// write puts an intent under the lease's condition, so that only the holder of the term can.
-func (r *runner) write(ctx context.Context, target string, in Intent) error {
+// writeIntent writes an intent conditional on the lease, so that only the holder of the term can write it.
+func (r *runner) writeIntent(ctx context.Context, target string, in Intent) error {
 	value, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
 	key := platformapi.KeyIntent + target
-	res, err := r.site.Store.Txn(ctx, platformapi.Txn{
-		Conds: []platformapi.Cond{r.held.Cond(), {Key: key, Rev: r.intents[target].rev}},
+	res, err := r.env.Store.Txn(ctx, platformapi.Txn{
+		Conds: []platformapi.Cond{r.lease.Cond(), {Key: key, Rev: r.intents[target].rev}},
 		Puts:  []platformapi.Put{{Key: key, Value: value}},
 	})
 	if err != nil || !res.Committed {
-		delete(r.intents, target) // it may have been written, or an old read was in the way: read it again
-		return errorx.DecorateMany("intent of "+target, err, notCommitted(res))
+		delete(r.intents, target) // it may have been written, or the cached revision was stale: read it again
+		return errorx.DecorateMany("placement: write intent of "+target, err, commitError(res))
 	}
 	r.intents[target] = &intent{Intent: in, rev: res.Rev}
 	return nil
 }
 
-func notCommitted(res platformapi.TxnResult) error {
+func commitError(res platformapi.TxnResult) error {
 	if res.Committed {
 		return nil
 	}
-	return errorx.IllegalState.New("%d conditions did not hold", len(res.Failed))
+	return errorx.IllegalState.New("%d transaction conditions failed", len(res.Failed))
 }
 
-// order gives the orders of a step, once the weight store lets its transfer start. Valid is asked before each: after
-// a pause, ctx may not have ended yet.
-func (r *runner) order(ctx context.Context, s Step) error {
-	if err := r.mayOrder(s); err != nil {
+// sendOrders sends the orders of a step once the weight store allows its transfer to start. The lease is checked before each order: after a
+// pause of the process, ctx may not have ended yet.
+func (r *runner) sendOrders(ctx context.Context, s Step) error {
+	if err := r.checkOrder(s); err != nil {
 		return err
 	}
-	if time.Now().Before(r.notYet) {
+	if time.Now().Before(r.transferAfter) {
 		return nil
 	}
-	ok, after, err := r.site.Store.StartTransfer(ctx, s.Want.Model, s.Want.Version)
+	ok, after, err := r.env.Store.StartTransfer(ctx, s.Want.Model, s.Want.Version)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		r.notYet = time.Now().Add(after)
+		r.transferAfter = time.Now().Add(after)
 		return nil
 	}
 	for i, o := range s.Orders {
 		o.ID = s.Target + "/" + strconv.FormatUint(o.Fence, 10) + "/" + strconv.Itoa(i)
-		if !r.held.Valid() {
-			return errLost
+		if !r.lease.Valid() {
+			return errLeaseEnded
 		}
-		r.ordered[s.Target] = order{time.Now(), s.Want}
-		if err := r.site.Order(ctx, s.Target, o); err != nil {
+		r.lastOrders[s.Target] = lastOrder{time.Now(), s.Want}
+		if err := r.env.Order(ctx, s.Target, o); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// mayOrder stops orders that no open intent of this term covers: after this holder's death nobody would know of them.
-func (r *runner) mayOrder(s Step) error {
+// checkOrder fails for orders that are not covered by an open intent of this term: if this holder died, no successor would know of them.
+func (r *runner) checkOrder(s Step) error {
 	in := r.intents[s.Target]
 	ok := in != nil && !in.Done && in.Fence == r.term.Fence && in.Want.equal(s.Want)
 	return invariant.Check(ok, "placement_order_without_intent", "%s", s.Target)
--- a/lib/placement/run_test.go
+++ b/lib/placement/run_test.go
@@ -28,19 +28,19 @@
 	v3 = placement.State{Model: "treaty", Version: "3"}
 )
 
-// site is three engines of one service, and what operators want of them.
-type site struct {
-	mu      sync.Mutex
-	ignores bool
-	want    placement.State
-	engines [3]placement.State
-	fences  [3]uint64
-	drained [3]time.Time
-	maxOut  int
+// cluster is three engines of one service and their wanted state.
+type cluster struct {
+	mu         sync.Mutex
+	ignores    bool
+	want       placement.State
+	engines    [3]placement.State
+	fences     [3]uint64
+	drained    [3]time.Time
+	maxDrained int
 }
 
-// services is what a holder sees. changed is the engine's own report.
-func (s *site) services() []placement.Service {
+// services returns the view of a lease holder, with the engines' current states as reports.
+func (s *cluster) services() []placement.Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sv := placement.Service{Name: "treaty", IgnoresFences: s.ignores, Want: s.want}
@@ -51,46 +51,46 @@
 	return []placement.Service{sv}
 }
 
-func (s *site) drain(_ context.Context, target string, on bool) error {
+func (s *cluster) drain(_ context.Context, target string, on bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := index(target)
+	i := targetIndex(target)
 	s.drained[i] = time.Time{}
 	if on {
 		s.drained[i] = time.Now()
 	}
-	out := 0
+	drained := 0
 	for _, d := range s.drained {
 		if !d.IsZero() {
-			out++
+			drained++
 		}
 	}
-	s.maxOut = max(s.maxOut, out)
+	s.maxDrained = max(s.maxDrained, drained)
 	return nil
 }
 
-func index(target string) int { return int(target[0] - '0') }
+func targetIndex(target string) int { return int(target[0] - '0') }
 
-// order is the engine: it loads what it is told, unless it enforces fencing and the number is old.
-func (s *site) order(_ context.Context, target string, o engineapi.Order) error {
+// order executes an order on an engine: it loads the model, unless the engine enforces fencing and the number is old.
+func (s *cluster) order(_ context.Context, target string, o engineapi.Order) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := index(target)
+	i := targetIndex(target)
 	if !s.ignores && o.Fence < s.fences[i] {
-		return fmt.Errorf("fenced")
+		return fmt.Errorf("order refused: fencing number is too old")
 	}
 	s.fences[i] = max(s.fences[i], o.Fence)
 	s.engines[i] = placement.State{Model: o.Model, Version: o.Version}
 	return nil
 }
 
-func (s *site) set(want placement.State) {
+func (s *cluster) setWanted(want placement.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.want = want
 }
 
-func (s *site) all(v placement.State) bool {
+func (s *cluster) allServe(v placement.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, e := range s.engines {
@@ -101,15 +101,15 @@
 	return true
 }
 
-// holder campaigns for the lease and places models by way of order.
-func (s *site) holder(ctx context.Context, c *platform.Client, name string, order func(context.Context, string, engineapi.Order) error) {
+// holder campaigns for the lease and places models, sending orders through order.
+func (s *cluster) holder(ctx context.Context, c *platform.Client, name string, order func(context.Context, string, engineapi.Order) error) {
 	lease.Run(ctx, c, lease.Config{Name: "placement", Holder: name, TTL: ttl}, func(ctx context.Context, h *lease.Held) {
 		placement.Run(ctx, h, placement.Environment{Store: c, Services: s.services, Order: order, Drain: s.drain})
 	})
 }
 
-// until waits for a condition, a second at a time; it returns how long it took.
-func until(t *testing.T, limit time.Duration, cond func() bool) time.Duration {
+// waitUntil polls a condition every second and returns how long it took to become true.
+func waitUntil(t *testing.T, limit time.Duration, cond func() bool) time.Duration {
 	t.Helper()
 	from := time.Now()
 	for !cond() {
@@ -123,84 +123,84 @@
 	return platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport()})
 }
 
-// Operators ask for version 2. The three engines change one after the other, each drained first, though the store is
-// down for an hour in the middle: the change stops there and goes on after it.
-func TestRollOutThroughAnOutage(t *testing.T) {
+// A rollout of version 2 changes three engines one after the other, each drained first. The store fails for an hour in the middle; the
+// rollout pauses and continues afterwards.
+func TestRolloutContinuesAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Config{})
-		s := &site{want: v1, engines: [3]placement.State{v1, v1, v1}}
+		s := &cluster{want: v1, engines: [3]placement.State{v1, v1, v1}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		for i := range 2 {
 			wg.Go(func() { s.holder(ctx, client(store), fmt.Sprint(i), s.order) })
 		}
 		time.Sleep(time.Minute)
-		s.set(v2)
+		s.setWanted(v2)
 		time.Sleep(15 * time.Second)
 		store.SetFault(standin.Fault{Kind: standin.FaultOutage, DurationMS: time.Hour.Milliseconds()})
 		time.Sleep(time.Hour)
-		must.False(t, s.all(v2))
-		until(t, 3*time.Minute, func() bool { return s.all(v2) })
+		must.False(t, s.allServe(v2))
+		waitUntil(t, 3*time.Minute, func() bool { return s.allServe(v2) })
 		cancel()
 		wg.Wait()
-		must.Eq(t, 1, s.maxOut)
+		must.Eq(t, 1, s.maxDrained)
 	})
 }
 
-// pausedHolder lets holder a be paused between its check and its order of version 2, for ten minutes, in which b takes
-// over and brings version 3. Then a's order comes out. It returns how long engine 0 was wrong afterwards.
+// pausedHolder pauses holder a between its check and its order of version 2 for ten minutes, in which b takes over and rolls out version 3.
+// Then a's order is delivered. It returns how long engine 0 was in the wrong state afterwards.
 func pausedHolder(t *testing.T, ignores bool) (wrong time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Config{})
-		s := &site{ignores: ignores, want: v1, engines: [3]placement.State{v1, v1, v1}}
+		s := &cluster{ignores: ignores, want: v1, engines: [3]placement.State{v1, v1, v1}}
 		ctx, cancel := context.WithCancel(t.Context())
-		dead, kill := context.WithCancel(ctx)
+		holderCtx, kill := context.WithCancel(ctx)
 		var wg sync.WaitGroup
 		woken := make(chan struct{})
-		paused := func(ctx context.Context, target string, o engineapi.Order) error {
-			kill() // a neither renews nor releases from here on
+		delayedOrder := func(ctx context.Context, target string, o engineapi.Order) error {
+			kill() // from here on a neither renews nor releases the lease
 			time.Sleep(10 * time.Minute)
 			defer close(woken)
 			return s.order(ctx, target, o)
 		}
-		link := &cutLink{Client: client(store), dead: dead}
+		link := &pausableClient{Client: client(store), paused: holderCtx}
 		wg.Go(func() {
 			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(ctx context.Context, h *lease.Held) {
-				placement.Run(dead, h, placement.Environment{Store: link, Services: s.services, Order: paused, Drain: s.drain})
+				placement.Run(holderCtx, h, placement.Environment{Store: link, Services: s.services, Order: delayedOrder, Drain: s.drain})
 			})
 		})
 		time.Sleep(5 * time.Second)
 		wg.Go(func() { s.holder(ctx, client(store), "b", s.order) })
-		s.set(v2)
+		s.setWanted(v2)
 		time.Sleep(2 * time.Minute)
-		s.set(v3)
-		until(t, 5*time.Minute, func() bool { return s.all(v3) })
+		s.setWanted(v3)
+		waitUntil(t, 5*time.Minute, func() bool { return s.allServe(v3) })
 		<-woken
-		wrong = until(t, 2*time.Minute, func() bool { return s.all(v3) })
+		wrong = waitUntil(t, 2*time.Minute, func() bool { return s.allServe(v3) })
 		time.Sleep(time.Hour)
-		must.True(t, s.all(v3))
+		must.True(t, s.allServe(v3))
 		cancel()
 		wg.Wait()
-		must.Eq(t, 1, s.maxOut)
+		must.Eq(t, 1, s.maxDrained)
 	})
 	return wrong
 }
 
-// cutLink reaches the store until its process is paused.
-type cutLink struct {
+// pausableClient is a store client that fails once its process is paused.
+type pausableClient struct {
 	*platform.Client
-	dead context.Context
+	paused context.Context
 }
 
-func (l *cutLink) Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
-	if l.dead.Err() != nil {
+func (l *pausableClient) Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
+	if l.paused.Err() != nil {
 		return platformapi.TxnResult{}, errPaused
 	}
 	return l.Client.Txn(ctx, txn)
 }
 
-func (l *cutLink) Get(ctx context.Context, key string) (platformapi.Item, bool, error) {
-	if l.dead.Err() != nil {
+func (l *pausableClient) Get(ctx context.Context, key string) (platformapi.Item, bool, error) {
+	if l.paused.Err() != nil {
 		return platformapi.Item{}, false, errPaused
 	}
 	return l.Client.Get(ctx, key)
@@ -208,52 +208,52 @@
 
 var errPaused = errors.New("paused")
 
-// A paused holder's order comes out ten minutes late. An engine that enforces fencing refuses it.
-func TestPausedHolderBeforeEnforcingEngines(t *testing.T) {
+// A paused holder's order is sent ten minutes late. An engine that enforces fencing refuses it.
+func TestPausedHolderWithEnforcingEngines(t *testing.T) {
 	must.Zero(t, pausedHolder(t, false))
 }
 
-// An engine that ignores numbers obeys it: its callers get the old version until the holder in office has seen the
-// next report and made the change again. One order for one pause, and here less than half a minute.
-func TestPausedHolderBeforeIgnoringEngines(t *testing.T) {
+// An engine that ignores fencing executes the order: its callers get the old version until the current holder has seen the next report and
+// made the change again. This happens once per pause, and here lasts less than 30 seconds.
+func TestPausedHolderWithIgnoringEngines(t *testing.T) {
 	must.Between(t, time.Second, pausedHolder(t, true), 30*time.Second)
 }
 
-// lateStore delivers its holder's first intent ten minutes late, in which the holder does nothing else.
-type lateStore struct {
-	*cutLink
-	kill context.CancelFunc
-	res  chan platformapi.TxnResult
+// delayedIntentStore delays its holder's first intent by ten minutes, in which the holder does nothing else.
+type delayedIntentStore struct {
+	*pausableClient
+	pause context.CancelFunc
+	res   chan platformapi.TxnResult
 }
 
-func (l *lateStore) Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
+func (l *delayedIntentStore) Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
 	if !strings.HasPrefix(txn.Puts[0].Key, platformapi.KeyIntent) {
-		return l.cutLink.Txn(ctx, txn)
+		return l.pausableClient.Txn(ctx, txn)
 	}
-	l.kill()
+	l.pause()
 	time.Sleep(10 * time.Minute)
 	res, err := l.Client.Txn(context.Background(), txn)
 	l.res <- res
 	return res, err
 }
 
-// A holder is paused with an intent for version 2 on its way; the operators go back to version 1, and another holder
-// takes over. Were the late intent written, whoever reads it would take version 2 for what was decided.
+// A holder is paused with an intent for version 2 in flight; the settings go back to version 1 and another holder takes over. If the late
+// intent were written, its readers would take version 2 for the current decision.
 func TestLateIntentIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.New(standin.Config{})
-		s := &site{want: v2, engines: [3]placement.State{v1, v1, v1}}
+		s := &cluster{want: v2, engines: [3]placement.State{v1, v1, v1}}
 		ctx, cancel := context.WithCancel(t.Context())
-		dead, kill := context.WithCancel(ctx)
-		link := &lateStore{&cutLink{client(store), dead}, kill, make(chan platformapi.TxnResult, 1)}
+		holderCtx, kill := context.WithCancel(ctx)
+		link := &delayedIntentStore{&pausableClient{client(store), holderCtx}, kill, make(chan platformapi.TxnResult, 1)}
 		var wg sync.WaitGroup
 		wg.Go(func() {
 			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Held) {
-				placement.Run(dead, h, placement.Environment{Store: link, Services: s.services, Order: s.order, Drain: s.drain})
+				placement.Run(holderCtx, h, placement.Environment{Store: link, Services: s.services, Order: s.order, Drain: s.drain})
 			})
 		})
 		time.Sleep(5 * time.Second)
-		s.set(v1)
+		s.setWanted(v1)
 		wg.Go(func() { s.holder(ctx, client(store), "b", s.order) })
 		res := <-link.res
 		must.False(t, res.Committed)
--- a/lib/placer/leastloaded.go
+++ b/lib/placer/leastloaded.go
@@ -9,11 +9,11 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// noTargetRetryAfter is told to callers when no target of the service is known or alive.
+// noTargetRetryAfter is the retry time given to callers when no target of the service is known or reachable.
 const noTargetRetryAfter = time.Second
 
-// LeastLoaded is a sched.Policy that grants at once, to the target with the fewest sequences by its last report plus
-// what was granted and not ended since. It keeps no queue; the engines queue. It serves until a shard's owner is known.
+// LeastLoaded is a sched.Policy that grants immediately, to the target with the fewest sequences: the larger of its last report and the
+// number of grants that have not ended. It keeps no queue; the engines queue. It is used until a shard's owner is known.
 type LeastLoaded struct {
 	targets map[string]*loadedTarget
 	order   []string
@@ -22,10 +22,10 @@
 }
 
 type loadedTarget struct {
-	granted  int
-	reported int
-	leaving  bool
-	gone     bool
+	granted     int
+	reported    int
+	leaving     bool
+	unreachable bool
 }
 
 var _ sched.Policy = (*LeastLoaded)(nil)
@@ -51,16 +51,16 @@
 	slices.Sort(p.order)
 }
 
-// SetPolicy implements sched.Policy; priorities don't matter to it.
+// SetPolicy implements sched.Policy; LeastLoaded ignores priorities.
 func (p *LeastLoaded) SetPolicy(sched.PolicyFunc) {}
 
-// SetPower implements sched.Policy; power doesn't matter to it.
+// SetPower implements sched.Policy; LeastLoaded ignores power limits.
 func (p *LeastLoaded) SetPower(sched.Time, float64, sched.Time, float64) {}
 
 // Submit implements sched.Policy.
 func (p *LeastLoaded) Submit(_ sched.Time, r sched.Request) {
 	if r.RunningOn != "" {
-		p.place(r.Gen, r.RunningOn)
+		p.record(r.Gen, r.RunningOn)
 		return
 	}
 	p.pending = append(p.pending, r)
@@ -83,7 +83,7 @@
 	}
 	t.granted--
 	if reason == sched.EndTargetDied {
-		t.gone = true
+		t.unreachable = true
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	t.reported = r.Running + r.Waiting
 	t.leaving = r.Leaving
-	t.gone = false
+	t.unreachable = false
 }
 
 // CacheSnapshot implements sched.Policy.
@@ -107,47 +107,47 @@
 // TargetGone implements sched.Policy.
 func (p *LeastLoaded) TargetGone(_ sched.Time, target string) {
 	if t := p.targets[target]; t != nil {
-		t.gone = true
+		t.unreachable = true
 	}
 }
 
 // Tick implements sched.Policy.
 func (p *LeastLoaded) Tick(_ sched.Time, acts []sched.Action) []sched.Action {
 	for _, r := range p.pending {
-		acts = append(acts, p.decide(r))
+		acts = append(acts, p.assign(r))
 	}
 	p.pending = p.pending[:0]
 	return acts
 }
 
-func (p *LeastLoaded) decide(r sched.Request) sched.Action {
+func (p *LeastLoaded) assign(r sched.Request) sched.Action {
 	name := p.pick(r.Avoid)
 	if name == "" {
 		return sched.Action{Kind: sched.ActRefuse, Gen: r.Gen, Attempt: r.Attempt, Code: result.NoTarget, RetryAfter: noTargetRetryAfter}
 	}
-	p.place(r.Gen, name)
+	p.record(r.Gen, name)
 	return sched.Action{Kind: sched.ActGrant, Gen: r.Gen, Attempt: r.Attempt, Target: name}
 }
 
-func (p *LeastLoaded) place(g ids.Generation, name string) {
+func (p *LeastLoaded) record(g ids.Generation, name string) {
 	p.running[g] = name
 	if t := p.targets[name]; t != nil {
 		t.granted++
 	}
 }
 
-// pick returns the least loaded usable target, one in avoid only when there is no other.
+// pick returns the least loaded usable target; one in avoid only if there is no other.
 func (p *LeastLoaded) pick(avoid []string) string {
 	best, bestLoad, bestAvoided := "", 0, false
 	for _, name := range p.order {
 		t := p.targets[name]
-		if t.leaving || t.gone {
+		if t.leaving || t.unreachable {
 			continue
 		}
 		load := max(t.granted, t.reported)
 		avoided := slices.Contains(avoid, name)
-		better := best == "" || (bestAvoided && !avoided) || (bestAvoided == avoided && load < bestLoad)
-		if better {
+		preferred := best == "" || (bestAvoided && !avoided) || (bestAvoided == avoided && load < bestLoad)
+		if preferred {
 			best, bestLoad, bestAvoided = name, load, avoided
 		}
 	}
--- a/lib/placer/local.go
+++ b/lib/placer/local.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// Local decides for every service inside this process, one Runner a service.
+// Local is a Placer that decides for every service inside this process, with one Runner per service.
 type Local struct {
 	newPolicy func(service string) sched.Policy
 	tick      time.Duration
@@ -23,7 +23,7 @@
 
 var _ Placer = (*Local)(nil)
 
-// NewLocal returns a Local whose Runners live until ctx is done.
+// NewLocal returns a Local whose Runners run until ctx is done.
 func NewLocal(ctx context.Context, newPolicy func(service string) sched.Policy, tick time.Duration) *Local {
 	return &Local{
 		newPolicy: newPolicy,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Runner returns the Runner of a service and starts it at first use. Only names from settings may be given.
+// Runner returns the Runner of a service, starting it on first use. Callers must pass only service names from the settings.
 func (l *Local) Runner(service string) *Runner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,18 +48,18 @@
 	return r
 }
 
-func (l *Local) find(service string) *Runner {
+func (l *Local) lookup(service string) *Runner {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runners[service]
 }
 
-// Now is nanoseconds since the Local was made; all its Runners share it.
+// Now returns the nanoseconds since the Local was created; all its Runners share this clock.
 func (l *Local) Now() sched.Time { return sched.Time(time.Since(l.start)) }
 
 // Submit implements Placer.
 func (l *Local) Submit(service string, q sched.Request, notify Notify) {
-	r := l.find(service)
+	r := l.lookup(service)
 	if r == nil {
 		notify(sched.Action{Kind: sched.ActRefuse, Gen: q.Gen, Attempt: q.Attempt, Code: result.NoTarget, RetryAfter: time.Second})
 		return
@@ -69,14 +69,14 @@
 
 // Progress implements Placer.
 func (l *Local) Progress(service string, g ids.Generation, attempt uint32, tokens int) {
-	if r := l.find(service); r != nil {
+	if r := l.lookup(service); r != nil {
 		r.Progress(g, attempt, tokens)
 	}
 }
 
 // End implements Placer.
 func (l *Local) End(service string, g ids.Generation, attempt uint32, tokens int, reason sched.EndReason) {
-	if r := l.find(service); r != nil {
+	if r := l.lookup(service); r != nil {
 		r.End(g, attempt, tokens, reason)
 	}
 }
--- a/lib/placer/placer_test.go
+++ b/lib/placer/placer_test.go
@@ -26,35 +26,35 @@
 	return sched.Request{Gen: ids.From(0, n), Attempt: attempt}
 }
 
-// scripted is a policy whose decisions the test writes.
-type scripted struct {
+// scriptedPolicy is a policy whose decisions are set by the test.
+type scriptedPolicy struct {
 	*LeastLoaded
 	next []sched.Action
 }
 
-func (p *scripted) Tick(_ sched.Time, acts []sched.Action) []sched.Action {
+func (p *scriptedPolicy) Tick(_ sched.Time, acts []sched.Action) []sched.Action {
 	acts = append(acts, p.next...)
 	p.next = nil
 	return acts
 }
 
-// Decisions reach the generation that they are about, in their order, and none after its End or its refusal: a late
-// preempt would else hit the next attempt.
-func TestRunnerDelivers(t *testing.T) {
-	p := &scripted{LeastLoaded: NewLeastLoaded()}
+// Decisions are delivered to their generation in order, and none after its End or refusal: a late preemption would otherwise hit the next
+// attempt.
+func TestRunnerDeliversDecisions(t *testing.T) {
+	p := &scriptedPolicy{LeastLoaded: NewLeastLoaded()}
 	r := NewRunner(p)
 	var got []sched.Action
-	note := func(a sched.Action) { got = append(got, a) }
+	notify := func(a sched.Action) { got = append(got, a) }
 	act := func(kind sched.ActionKind, n uint64) sched.Action {
 		return sched.Action{Kind: kind, Gen: ids.From(0, n), Attempt: 1}
 	}
-	r.Submit(request(1, 1), note)
-	r.Submit(request(2, 1), note)
+	r.Submit(request(1, 1), notify)
+	r.Submit(request(2, 1), notify)
 	p.next = []sched.Action{act(sched.ActGrant, 1), act(sched.ActPreempt, 1), act(sched.ActRefuse, 2), act(sched.ActGrant, 9)}
 	r.tick()
 	must.Eq(t, []sched.Action{act(sched.ActGrant, 1), act(sched.ActPreempt, 1), act(sched.ActRefuse, 2)}, got)
 	got = nil
-	r.End(ids.From(0, 1), 2, 0, sched.EndMoved) // of another attempt: changes nothing
+	r.End(ids.From(0, 1), 2, 0, sched.EndMoved) // of another attempt: no effect
 	p.next = []sched.Action{act(sched.ActPreempt, 1), act(sched.ActGrant, 2)}
 	r.tick()
 	must.Eq(t, []sched.Action{act(sched.ActPreempt, 1)}, got)
@@ -65,8 +65,8 @@
 	must.SliceEmpty(t, got)
 }
 
-// A request is placed at once, not at the next tick: the tick would be a part of every time to first token.
-func TestRunnerWakesForWork(t *testing.T) {
+// A request is placed immediately rather than at the next tick, which would add to every time to first token.
+func TestRunnerTicksImmediatelyOnSubmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
--- a/lib/placer/runner.go
+++ b/lib/placer/runner.go
@@ -9,20 +9,19 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// DefaultTick is the interval between ticks when nothing asks for an earlier one.
+// DefaultTick is the default interval between ticks.
 const DefaultTick = 10 * time.Millisecond
 
-// Runner drives one sched.Policy: it serialises calls to it, ticks it, and hands each decision to the Notify of its
-// generation.
+// Runner drives one sched.Policy: it serialises calls to the policy, ticks it, and passes each decision to the Notify of its generation.
 type Runner struct {
 	mu     sync.Mutex
 	policy sched.Policy
 	subs   map[ids.Generation]subscriber
 	acts   []sched.Action
 
-	start time.Time
-	every time.Duration // between ticks; 0: as Run was told
-	kick  chan struct{}
+	start    time.Time
+	interval time.Duration // between ticks; 0: as passed to Run
+	wakeup   chan struct{}
 }
 
 type subscriber struct {
@@ -32,50 +31,49 @@
 
 var _ Feed = (*Runner)(nil)
 
-// NewRunner returns a Runner of p. Run must be started for decisions to be made.
+// NewRunner returns a Runner of p. It makes no decisions until Run is called.
 func NewRunner(p sched.Policy) *Runner {
 	return &Runner{
 		policy: p,
 		subs:   make(map[ids.Generation]subscriber),
 		start:  time.Now(),
-		kick:   make(chan struct{}, 1),
+		wakeup: make(chan struct{}, 1),
 	}
 }
 
-// Now is nanoseconds since the Runner was made.
+// Now returns the nanoseconds since the Runner was created.
 func (r *Runner) Now() sched.Time { return sched.Time(time.Since(r.start)) }
 
-// SetTick changes the time between ticks, also while the Runner runs; 0: as Run was told.
+// SetTick changes the interval between ticks, also while Run is active; 0: as passed to Run.
 func (r *Runner) SetTick(every time.Duration) {
 	r.mu.Lock()
-	changed := r.every != every
-	r.every = every
+	changed := r.interval != every
+	r.interval = every
 	r.mu.Unlock()
 	if changed {
 		r.wake()
 	}
 }
 
-func (r *Runner) tickEvery(told time.Duration) time.Duration {
+func (r *Runner) tickInterval(fallback time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.every > 0:
-		return r.every
-	case told > 0:
-		return told
+	case r.interval > 0:
+		return r.interval
+	case fallback > 0:
+		return fallback
 	}
 	return DefaultTick
 }
 
-// Run ticks the policy every interval, unless SetTick says another, and at once after a Submit or an End, until ctx is
-// done.
+// Run ticks the policy every interval, unless SetTick overrides it, and immediately after a Submit, End or TargetGone, until ctx is done.
 func (r *Runner) Run(ctx context.Context, interval time.Duration) {
-	every := r.tickEvery(interval)
+	every := r.tickInterval(interval)
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
-		if now := r.tickEvery(interval); now != every {
+		if now := r.tickInterval(interval); now != every {
 			every = now
 			t.Reset(every)
 		}
@@ -83,7 +81,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-r.kick:
+		case <-r.wakeup:
 		}
 		r.tick()
 	}
@@ -98,7 +96,7 @@
 	}
 }
 
-// deliver runs under the lock, so that decisions on one generation keep their order; Notify returns at once.
+// deliver is called with the lock held, which keeps the order of decisions on a generation; Notify returns immediately.
 func (r *Runner) deliver(a sched.Action) {
 	s, ok := r.subs[a.Gen]
 	if !ok {
@@ -112,12 +110,12 @@
 
 func (r *Runner) wake() {
 	select {
-	case r.kick <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Submit asks for a place for q.
+// Submit requests a target for q.
 func (r *Runner) Submit(q sched.Request, notify Notify) {
 	r.mu.Lock()
 	r.subs[q.Gen] = subscriber{attempt: q.Attempt, notify: notify}
@@ -126,14 +124,14 @@
 	r.wake()
 }
 
-// Progress tells how many tokens of g were delivered.
+// Progress reports how many tokens of g were delivered.
 func (r *Runner) Progress(g ids.Generation, attempt uint32, tokens int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.policy.Progress(r.Now(), g, attempt, tokens)
 }
 
-// End tells that an attempt is over, or withdraws one that is queued.
+// End ends an attempt, or withdraws a queued one.
 func (r *Runner) End(g ids.Generation, attempt uint32, tokens int, reason sched.EndReason) {
 	r.mu.Lock()
 	if s, ok := r.subs[g]; ok && s.attempt == attempt {
@@ -158,7 +156,7 @@
 	r.policy.SetPolicy(f)
 }
 
-// SetPower sets the shard's share of the power cap; after validFor it falls to fallback watts.
+// SetPower sets the shard's share of the power cap; after validFor it falls back to fallback watts.
 func (r *Runner) SetPower(watts float64, validFor time.Duration, fallback float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,14 +164,14 @@
 	r.policy.SetPower(now, watts, now.Add(validFor), fallback)
 }
 
-// Report passes on a target's load report.
+// Report forwards a target's load report to the policy.
 func (r *Runner) Report(rep sched.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.policy.Report(r.Now(), rep)
 }
 
-// TargetGone tells that a target can't be reached.
+// TargetGone reports that a target is unreachable.
 func (r *Runner) TargetGone(target string) {
 	r.mu.Lock()
 	r.policy.TargetGone(r.Now(), target)
@@ -181,14 +179,14 @@
 	r.wake()
 }
 
-// CacheSnapshot replaces what is known of a target's prefix cache.
+// CacheSnapshot replaces the known contents of a target's prefix cache.
 func (r *Runner) CacheSnapshot(target string, prefixes []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.policy.CacheSnapshot(r.Now(), target, prefixes)
 }
 
-// CacheStored passes on one cache event.
+// CacheStored forwards one cache event to the policy.
 func (r *Runner) CacheStored(target string, prefix uint64, stored bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/placer/runner_test.go
+++ b/lib/placer/runner_test.go
@@ -11,7 +11,7 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// tickCounter is a policy that counts its ticks; the rest of it is not called.
+// tickCounter is a policy that counts ticks; its other methods are not called.
 type tickCounter struct {
 	sched.Policy
 	ticks int
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// Operators change the time between ticks in settings, before a Runner runs and while it does.
-func TestTicksFollowSetTick(t *testing.T) {
+// SetTick changes the interval both before and while a Runner runs.
+func TestSetTickChangesInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &tickCounter{}
 		r := NewRunner(c)
