--- a/lib/entry/view_test.go
+++ b/lib/entry/view_test.go
@@ -9,9 +9,9 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// An operator sets max_preemptions to 0 so that a class's generations stay where they are. To the scheduler zero means
-// that nothing was said, and they would be moved as often as it does by itself.
-func TestNoPreemptionsReachesTheScheduler(t *testing.T) {
+// An operator sets max_preemptions to 0 so that a class's generations are never moved. The scheduler treats zero as unset and
+// would apply its default.
+func TestZeroPreemptionsReachesScheduler(t *testing.T) {
 	tree, err := settings.Parse([]byte(`
 site: {name: s, failure_domains: [a]}
 classes:
@@ -26,8 +26,8 @@
 	must.Eq(t, 1, policies("w", "once").MaxPreemptions)
 }
 
-// An operator asks for no risk at all. The scheduler fills a risk of 0 by its default, which is far more.
-func TestMemoryRiskOfZeroIsNotTheDefault(t *testing.T) {
+// An operator sets a memory risk of 0. The scheduler replaces 0 by its default, which is far higher.
+func TestZeroMemoryRiskIsNotDefault(t *testing.T) {
 	tree, err := settings.Parse([]byte(`
 site: {name: s, failure_domains: [a]}
 policy: {memory_risk: 0}
@@ -38,6 +38,6 @@
 	must.NoError(t, err)
 	snap, err := tree.Resolve(1)
 	must.NoError(t, err)
-	must.Between(t, 0, ClassPolicies(snap, "m")("w", "c").MemoryRisk, leastRisk)
+	must.Between(t, 0, ClassPolicies(snap, "m")("w", "c").MemoryRisk, minMemoryRisk)
 	must.Positive(t, ClassPolicies(snap, "m")("w", "c").MemoryRisk)
 }
--- a/lib/gateway/handoff.go
+++ b/lib/gateway/handoff.go
@@ -2,30 +2,30 @@
 
 import "strings"
 
-// stopFor tells the run that its stream is about to be stopped, and returns where the copy is to be handed over; nil
-// when the run is no longer there.
-func (r *run) stopFor(target string) chan next {
+// beginHandoff marks the run's stream as about to be stopped by a move and returns the channel for the copy to continue from;
+// nil when the run is no longer on the target or a handoff is in progress.
+func (r *run) beginHandoff(target string) chan placement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended || r.target.ID != target || r.handoff != nil {
 		return nil
 	}
-	r.handoff = make(chan next, 1)
+	r.handoff = make(chan placement, 1)
 	return r.handoff
 }
 
-// goOn takes stopFor back: the engine says that it did not stop the run. A run whose stream has ended meanwhile is told
-// that there is nothing to go on from.
-func (r *run) goOn(ch chan<- next) {
+// cancelHandoff undoes beginHandoff after the engine reported that it did not stop the run. A run whose stream has ended
+// meanwhile receives an empty placement: there is nothing to continue from.
+func (r *run) cancelHandoff(ch chan<- placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.handoff = nil
-	ch <- next{}
+	ch <- placement{}
 }
 
-// handOver tells the run where it goes on. One that has ended by itself takes nothing: what the move had booked and
-// copied would count at the destination for as long as the process lives.
-func (r *run) handOver(ch chan<- next, n next) {
+// completeHandoff passes the run the placement to continue at. If the run has ended by itself, the reservation and the copy
+// are released; otherwise they would count at the destination until the process exits.
+func (r *run) completeHandoff(ch chan<- placement, n placement) {
 	r.mu.Lock()
 	ended := r.ended
 	if !ended {
@@ -33,14 +33,14 @@
 	}
 	r.mu.Unlock()
 	if ended {
-		r.g.abandon(r, n)
+		r.g.discardMove(r, n)
 	}
 }
 
-// abandon gives up what a move has made ready for a run that has ended at its source.
-func (g *Gateway) abandon(r *run, n next) {
-	g.unbook(r)
+// discardMove releases what a move has prepared for a run that ended at its source.
+func (g *Gateway) discardMove(r *run, n placement) {
+	g.releaseReservation(r)
 	if _, handle, ok := strings.Cut(n.copyFrom, "/"); ok {
-		go g.free(r.at(), handle)
+		go g.releaseCopy(r.currentTarget(), handle)
 	}
 }
--- a/lib/gateway/plain.go
+++ b/lib/gateway/plain.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// dialTimeout bounds opening a connection. Targets are milliseconds away; one that is dark never answers.
+	// dialTimeout bounds opening a connection. Targets are milliseconds away; an unreachable one never answers.
 	dialTimeout = 250 * time.Millisecond
-	// maxDials bounds the targets tried for one call without sending anything.
+	// maxDials bounds the unsuccessful connection attempts for one call.
 	maxDials = 4
-	// answerLimit bounds, in bytes, an answer that is held whole before it is passed on.
+	// answerLimit bounds the size of a response that is buffered before it is forwarded, in bytes.
 	answerLimit = 16 << 20
-	// hedgeShare is the part of the time left after which a silent target is given up on, for a call that may be
-	// repeated: the rest must do for another target.
-	hedgeShare = 0.4
+	// firstAttemptShare is the share of the remaining time after which an attempt without a response is abandoned, if the call
+	// may be repeated: the rest is needed for another target.
+	firstAttemptShare = 0.4
 )
 
-// exchange is one send to one target.
+// exchange is one request to one target and its result.
 type exchange struct {
 	target  fleet.Info
 	verdict verdict
@@ -31,10 +31,10 @@
 	body    []byte
 	err     error
 	sent    bool // a target may have seen the request
-	whole   bool // a stream that ended between two events, and not by an error
+	whole   bool // the stream ended between two events and without an error
 }
 
-// servePlain serves a call with one answer, which is read whole before the caller sees any of it.
+// servePlain serves a call with a single response, which is read completely before any of it is forwarded.
 func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, c *call) {
 	var last *exchange
 	dials := 0
@@ -43,17 +43,17 @@
 		if !ok {
 			break
 		}
-		run := g.poison.Started(target.ID, c.print)
-		believed := g.Fleet.KnownState(time.Now(), target.ID)
+		run := g.poison.Started(target.ID, c.contentHash)
+		lastKnown := g.Fleet.KnownState(time.Now(), target.ID)
 		x := g.send(ctx, c, target, c.route.MayRepeat() && c.sends+1 < c.route.MaxAttempts)
-		g.ended(run, target, x.verdict == verdictGood, x.sent && x.err != nil && ctx.Err() == nil)
+		g.recordRunEnd(run, target, x.verdict == verdictGood, x.sent && x.err != nil && ctx.Err() == nil)
 		c.tried[target.ID] = true
 		outcome := x.outcome(ctx)
 		g.Fleet.Release(time.Now(), target.ID, fleet.Load{}, outcome)
 		if g.Owners != nil {
 			g.Owners.RecordPlainOutcome(c.service, target.ID, outcome)
 		}
-		g.Log.Sent(c.entry(), target.ID, believed, x.statusCode(), x.verdict.String(), x.err)
+		g.Log.Sent(c.entry(), target.ID, lastKnown, x.statusCode(), x.verdict.String(), x.err)
 		c.count(metricSent, "outcome", x.verdict.String())
 		if !x.sent {
 			if ctx.Err() != nil {
@@ -66,9 +66,9 @@
 			continue
 		}
 		c.sends++
-		c.mayRan = c.mayRan || x.verdict != verdictNotRun
+		c.mayHaveRun = c.mayHaveRun || x.verdict != verdictNotRun
 		last = x
-		if ctx.Err() != nil || x.verdict == verdictGood || !g.onward(c, x) {
+		if ctx.Err() != nil || x.verdict == verdictGood || !g.retryPlain(c, x) {
 			break
 		}
 	}
@@ -76,60 +76,60 @@
 }
 
 const (
-	// listPoll is the pause between two looks at a list that is still filling.
-	listPoll = 20 * time.Millisecond
-	// listPart is the part of a call's time that it waits for one.
-	listPart = 0.5
+	// settlePoll is the interval of checks on a list of targets that is still incomplete.
+	settlePoll = 20 * time.Millisecond
+	// settleShare is the share of a call's time that it waits for such a list.
+	settleShare = 0.5
 )
 
-// acquire chooses a target. An instance that has just been started may know a list that lacks every target of
-// a service, because their entries lapsed in an outage; a refusal would use up the caller's only repeat.
+// acquire chooses a target. An instance that was just started may have a list without any target of a service, because the
+// entries expired in an outage of the store; it waits for them, since a refusal would use up the caller's only retry.
 func (g *Gateway) acquire(ctx context.Context, c *call, need fleet.Need) (fleet.Info, bool) {
-	until := time.Now().Add(time.Duration(listPart * float64(c.left(time.Now()))))
+	deadline := time.Now().Add(time.Duration(settleShare * float64(c.timeLeft(time.Now()))))
 	for {
-		target, ok := g.take(ctx, need)
-		if ok || c.sends > 0 || !g.Fleet.Settling(time.Now()) || time.Now().After(until) || ctx.Err() != nil {
+		target, ok := g.acquirePermitted(ctx, need)
+		if ok || c.sends > 0 || !g.Fleet.Settling(time.Now()) || time.Now().After(deadline) || ctx.Err() != nil {
 			return target, ok
 		}
-		if stand := g.Fleet.Availability(time.Now(), need); stand.Blocked() {
-			return target, false // the list has targets, and no wait for others is worth the caller's time
+		if avail := g.Fleet.Availability(time.Now(), need); avail.Blocked() {
+			return target, false // the list has targets; waiting for others isn't worth the caller's time
 		}
-		time.Sleep(listPoll)
+		time.Sleep(settlePoll)
 	}
 }
 
-// onward decides whether a call goes to one more target after x.
-func (g *Gateway) onward(c *call, x *exchange) bool {
+// retryPlain decides whether a call is sent to one more target after x.
+func (g *Gateway) retryPlain(c *call, x *exchange) bool {
 	if x.verdict == verdictNotRun {
 		return g.maySendAgain(c)
 	}
 	return g.mayRepeat(c)
 }
 
-// send makes one exchange and reads the whole answer.
-func (g *Gateway) send(ctx context.Context, c *call, target fleet.Info, spare bool) *exchange {
+// send sends the call to one target and reads the whole response. With keepTime it leaves time for another attempt.
+func (g *Gateway) send(ctx context.Context, c *call, target fleet.Info, keepTime bool) *exchange {
 	x := &exchange{target: target, verdict: verdictFaulty}
 	conn, err := g.connect(ctx, target)
 	if err != nil {
 		x.err = err
 		return x
 	}
-	if spare {
+	if keepTime {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(hedgeShare*float64(c.left(time.Now()))))
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(firstAttemptShare*float64(c.timeLeft(time.Now()))))
 		defer cancel()
 	}
 	stop := context.AfterFunc(ctx, conn.Close)
-	defer g.sends.add(target, conn.Close)()
-	asked := time.Now()
-	x.resp, x.err = g.ask(conn, c, g.request(c, target.ID, asked))
+	defer g.conns.add(target, conn.Close)()
+	sentAt := time.Now()
+	x.resp, x.err = g.roundTrip(conn, c, g.request(c, target.ID, sentAt))
 	x.sent = x.err == nil || wirehttp.MaybeSent(x.err)
 	if x.err == nil {
-		x.verdict = g.judge(x.resp)
-		g.ReadNotices(target, x.resp, asked)
+		x.verdict = g.classify(x.resp)
+		g.ReadNotices(target, x.resp, sentAt)
 		x.body, x.err = x.resp.ReadAll(answerLimit)
 		if x.err != nil {
-			// A cut answer proves nothing, whatever its head says.
+			// A truncated response proves nothing, whatever its head says.
 			x.verdict = verdictFaulty
 		}
 	}
@@ -141,11 +141,11 @@
 	return x
 }
 
-// errEvacuated says that a target was chosen just before its failure domain was evacuated.
+// errEvacuated means that a target was chosen just before its failure domain was evacuated.
 var errEvacuated = errors.New("gateway: the target's failure domain is evacuated")
 
-// connect opens or reuses a connection within dialTimeout. All that is sent to targets on callers' behalf passes here, whatever
-// has chosen its target: a run that moves or goes on from a copy was placed seconds ago.
+// connect opens or reuses a connection within dialTimeout. All requests on callers' behalf pass through here, so it checks for
+// evacuation: a run that is moved or resumed from a copy may have been placed seconds ago.
 func (g *Gateway) connect(ctx context.Context, target fleet.Info) (*wirehttp.Conn, error) {
 	if g.Fleet.Evacuated(target.Domain) {
 		return nil, errEvacuated
@@ -155,15 +155,15 @@
 	return g.Pool.Get(ctx, target.Addr)
 }
 
-// ask sends the request and reads the answer's head.
-func (g *Gateway) ask(conn *wirehttp.Conn, c *call, req *wirehttp.Request) (*wirehttp.Response, error) {
+// roundTrip sends the request and reads the head of the response.
+func (g *Gateway) roundTrip(conn *wirehttp.Conn, c *call, req *wirehttp.Request) (*wirehttp.Response, error) {
 	if err := conn.Send(req); err != nil {
 		return nil, err
 	}
 	return conn.Receive(c.method, g.Names.RequestID, c.id)
 }
 
-// outcome is what the exchange says of its target.
+// outcome classifies the exchange for the target's health.
 func (x *exchange) outcome(ctx context.Context) fleet.Outcome {
 	switch {
 	case ctx.Err() != nil && x.err != nil:
@@ -186,15 +186,15 @@
 	return x.resp.Status
 }
 
-// finishPlain answers the caller with what is known.
+// finishPlain responds to the caller with the last exchange, or with a refusal.
 func (g *Gateway) finishPlain(ctx context.Context, w http.ResponseWriter, c *call, x *exchange) {
 	switch {
 	case x == nil:
-		g.refuse(w, c, g.unplaced(c))
+		g.refuse(w, c, g.noTargetRefusal(c))
 	case x.err == nil && (x.verdict == verdictGood || x.verdict == verdictFailure):
-		g.answer(w, c, x)
-	case x.verdict == verdictNotRun && !c.mayRan:
-		g.refuse(w, c, c.again("target_refused"))
+		g.writeAnswer(w, c, x)
+	case x.verdict == verdictNotRun && !c.mayHaveRun:
+		g.refuse(w, c, c.unavailable("target_refused"))
 	case ctx.Err() != nil:
 		g.refuse(w, c, refusal{status: http.StatusGatewayTimeout, reason: "time_limit"})
 	default:
@@ -202,13 +202,13 @@
 	}
 }
 
-// answer passes a whole answer on.
-func (g *Gateway) answer(w http.ResponseWriter, c *call, x *exchange) {
+// writeAnswer forwards a complete response.
+func (g *Gateway) writeAnswer(w http.ResponseWriter, c *call, x *exchange) {
 	g.Log.Answered(c.entry(), x.target.ID, x.resp.Status, time.Since(c.arrived))
 	c.observe(metricAnswer)
 	g.copyHead(w, x.resp.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(x.body)))
 	w.WriteHeader(x.resp.Status)
-	// The caller's leaving is the only cause of an error here, and nobody is left to tell.
+	// Write fails only if the caller has disconnected; then nobody is left to inform.
 	_, _ = w.Write(x.body)
 }
--- a/lib/placement/run_test.go
+++ b/lib/placement/run_test.go
@@ -77,7 +77,7 @@
 	defer s.mu.Unlock()
 	i := targetIndex(target)
 	if !s.ignores && o.Fence < s.fences[i] {
-		return fmt.Errorf("order refused: fencing number is too old")
+		return fmt.Errorf("fenced")
 	}
 	s.fences[i] = max(s.fences[i], o.Fence)
 	s.engines[i] = placement.State{Model: o.Model, Version: o.Version}
--- a/lib/target/frame.go
+++ b/lib/target/frame.go
@@ -10,28 +10,28 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// ErrBadFrame is returned for an event that can't be read as an engineapi.Frame.
+// ErrBadFrame is returned for an event that can't be parsed as an engineapi.Frame.
 var ErrBadFrame = errors.New("bad frame")
 
-// Frame is one event of an engine's stream. Its slices are valid until the next call of Stream.Next.
+// Frame is one event of an engine's stream. Its slices are valid until the next call to Stream.Next.
 type Frame struct {
 	Raw        []byte // the event's data, one line of JSON
 	Generation ids.Generation
 	Attempt    uint32
-	Index      uint32 // token index; with Finish set, the count of tokens
+	Index      uint32 // token index; if Finish is set, the number of tokens
 	Text       []byte
-	Finish     string // FinishReason of the last frame; empty on a token
+	Finish     string // finish reason of the last frame; empty on a token
 	Err        *engineapi.Error
 }
 
-// frameParser reads frames without allocating once its buffers have grown.
+// frameParser parses frames without allocating once its buffers have grown.
 type frameParser struct {
-	p fastjson.Parser
+	parser fastjson.Parser
 }
 
 // parse fills f from data.
 func (fp *frameParser) parse(data []byte, f *Frame) error {
-	v, err := fp.p.ParseBytes(data)
+	v, err := fp.parser.ParseBytes(data)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
@@ -58,10 +58,10 @@
 		return fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	f.Generation = g
-	if f.Attempt, err = number(ext, "attempt"); err != nil {
+	if f.Attempt, err = parseNumber(ext, "attempt"); err != nil {
 		return err
 	}
-	f.Index, err = number(ext, "index")
+	f.Index, err = parseNumber(ext, "index")
 	return err
 }
 
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// finishReason avoids an allocation for the two usual values.
+// finishReason avoids an allocation for the two common values.
 func finishReason(b []byte) string {
 	switch string(b) {
 	case "":
@@ -91,7 +91,7 @@
 	return string(b)
 }
 
-func number(v *fastjson.Value, key string) (uint32, error) {
+func parseNumber(v *fastjson.Value, key string) (uint32, error) {
 	n := v.Get(key)
 	if n == nil {
 		return 0, fmt.Errorf("%w: ext has no %s", ErrBadFrame, key)
@@ -111,7 +111,7 @@
 	}
 }
 
-// parseGeneration is ids.Parse for bytes, without the copy to a string.
+// parseGeneration is ids.Parse for bytes, without the conversion to a string.
 func parseGeneration(b []byte) (ids.Generation, error) {
 	var g ids.Generation
 	if len(b) != 2*ids.Size {
