--- a/lib/entry/attempt.go
+++ b/lib/entry/attempt.go
@@ -17,7 +17,7 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// Causes of attempts that an engine's stream ended.
+// Causes of attempts that fail within an engine's stream.
 var (
 	errEngine       = errors.New("the engine ended the stream with an error")
 	errPreempted    = errors.New("the engine preempted the sequence")
--- a/lib/entry/keyed_test.go
+++ b/lib/entry/keyed_test.go
@@ -295,7 +295,7 @@
 // A keyed generation was marked as sent, and its claim was then released because no engine had accepted it. The resend must
 // number its attempts after that one; starting from 1 again, it would be stopped as out of order.
 func TestReleasedGenerationRunsOnResend(t *testing.T) {
-	addr := freeAddr(t)
+	addr := unusedAddr(t)
 	store := newMemoryStore()
 	r := newRig(t, siteText("  max_wait: 300ms\n", true, []string{addr}, nil), withKeys(store.claims("e1"), newMemoryRecords()))
 	a := callerRequest{prompt: "route [len=5]", key: "k"}
--- a/lib/entry/plain_test.go
+++ b/lib/entry/plain_test.go
@@ -119,7 +119,7 @@
 func TestReleasedKeyRunsOnResend(t *testing.T) {
 	for _, back := range []string{"e1", "e2"} {
 		t.Run("through "+back, func(t *testing.T) {
-			addr := freeAddr(t)
+			addr := unusedAddr(t)
 			store := newMemoryStore()
 			text := siteText("", true, nil, []string{addr})
 			rigs := map[string]*rig{}
@@ -137,8 +137,8 @@
 	}
 }
 
-// freeAddr returns an address that refuses connections until the test listens on it.
-func freeAddr(t *testing.T) string {
+// unusedAddr returns an address that refuses connections until the test listens on it.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	addrs, err := proc.Addrs(1)
 	must.NoError(t, err)
--- a/lib/entry/run.go
+++ b/lib/entry/run.go
@@ -29,7 +29,7 @@
 
 // runState is the state kept between the attempts of a generation.
 type runState struct {
-	avoid         []string  // targets that failed the generation since its last token
+	failedTargets []string  // targets that failed the generation since its last token
 	anyTarget     bool      // placement without the targets to avoid timed out: allow any target
 	emptyAttempts int       // consecutive attempts without a token
 	preemptions   int       // moves and preemptions
@@ -132,7 +132,7 @@
 	case <-g.ctx.Done():
 		err = causeError(context.Cause(g.ctx))
 	case <-avoidTimer.C:
-		rs.avoid, rs.anyTarget = nil, true
+		rs.failedTargets, rs.anyTarget = nil, true
 	case <-timeout.C:
 		err = result.New(result.QueueFull, "no place within %s", g.policy.MaxWait)
 		err.RetryAfter = defaultRetryAfter
@@ -150,7 +150,7 @@
 	if svc == nil || rs.anyTarget {
 		return nil
 	}
-	avoid := s.targetsToAvoid(rs.avoid, g.subject.Fingerprint)
+	avoid := s.targetsToAvoid(rs.failedTargets, g.subject.Fingerprint)
 	for i := range svc.Targets {
 		t := &svc.Targets[i]
 		if !t.Draining && !slices.Contains(avoid, t.Name) {
@@ -281,13 +281,13 @@
 	rs.emptyAttempts++
 	if g.attemptTokens() > 0 {
 		rs.emptyAttempts = 0
-		rs.avoid = rs.avoid[:0]
+		rs.failedTargets = rs.failedTargets[:0]
 	}
-	if !slices.Contains(rs.avoid, name) {
-		rs.avoid = append(rs.avoid, name)
+	if !slices.Contains(rs.failedTargets, name) {
+		rs.failedTargets = append(rs.failedTargets, name)
 	}
-	if len(rs.avoid) > maxAvoid {
-		rs.avoid = rs.avoid[1:]
+	if len(rs.failedTargets) > maxAvoid {
+		rs.failedTargets = rs.failedTargets[1:]
 	}
 }
 
--- a/lib/entry/store_test.go
+++ b/lib/entry/store_test.go
@@ -105,12 +105,12 @@
 // GroupTxn implements claim.Store.
 func (g *storeGate) GroupTxn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
 	g.mu.Lock()
-	dead, slow := g.closed, g.hold
+	closed, hold := g.closed, g.hold
 	g.mu.Unlock()
-	if slow != nil {
-		<-slow
+	if hold != nil {
+		<-hold
 	}
-	if dead {
+	if closed {
 		return platformapi.TxnResult{}, platform.NotCommitted.New("the entry is dead")
 	}
 	return g.store.GroupTxn(ctx, txn)
--- a/lib/entry/table.go
+++ b/lib/entry/table.go
@@ -72,8 +72,8 @@
 	return t.byKey[keyRef{workspace, key}]
 }
 
-// moveToFinished moves a generation out of those in progress. A keyed one that was run stays available to returning callers; one
-// proved not run frees its key at once, so that the caller may retry.
+// moveToFinished moves a generation out of those in progress. A keyed one that was run stays available to returning
+// callers; one proved not run frees its key at once, so that the caller may retry.
 func (t *table) moveToFinished(g *generation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lib/entry/takeover_test.go
+++ b/lib/entry/takeover_test.go
@@ -28,8 +28,8 @@
 
 // submissions counts the attempts that entries submit for placement.
 type submissions struct {
-	mu sync.Mutex
-	n  int
+	mu    sync.Mutex
+	count int
 }
 
 type countingPlacer struct {
@@ -39,7 +39,7 @@
 
 func (c countingPlacer) Submit(service string, r sched.Request, notify placer.Notify) {
 	c.count.mu.Lock()
-	c.count.n++
+	c.count.count++
 	c.count.mu.Unlock()
 	c.Placer.Submit(service, r, notify)
 }
@@ -105,7 +105,7 @@
 		}
 		st.read(t, eventsOf(answers[0]), nil)
 		st.checkComplete(t, d.prompt, d.length)
-		must.Eq(t, 1, count.n)
+		must.Eq(t, 1, count.count)
 		eventually(t, "outcome in the table", func() bool { return d.store.countContaining(`"state":"finished"`) == 1 })
 		must.Eq(t, 0, d.store.countContaining(`"instance":"e1"`), must.Sprint("the claim still names the dead entry"))
 		must.Eq(t, 1, d.store.countContaining(`"attempt":17`), must.Sprint("attempt 1 plus restoreGap"))
