--- a/lib/schedlink/power_test.go
+++ b/lib/schedlink/power_test.go
@@ -82,7 +82,8 @@
 }
 
 // An instance owns two shards of a service and receives a share for one of them. When it once divided the share over both,
-// the other shard drew power that the allocator had given to another part. A share must also not outlive the removal of the cap.
+// the other shard drew power that the allocator had given to another part. Changed fallbacks and the removal of the cap must
+// take effect when the settings change.
 func TestHostAppliesPowerSharePerShard(t *testing.T) {
 	site := poweredSite(4, 8, 2, 50, 200, 300)
 	h, policies, v := newPowerHost(t, site)
