--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// Readings returns what is learnt of how fast prompts are read.
-func (g *Gateway) Readings() *admit.PrefillRates { return g.placer.Prefill }
+// PrefillRates returns what is learnt of how fast prompts are read.
+func (g *Gateway) PrefillRates() *admit.PrefillRates { return g.placer.Prefill }
 
 // Table returns the table in force, nil before the first.
 func (g *Gateway) Table() *routes.Table { return g.table.Load() }
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -84,7 +84,7 @@
 	}
 	link, err := ownerlink.New(ownerlink.Config{
 		Self: p.self(), Incarnation: p.born, Fleet: p.fleet, Conn: conn,
-		Coordinator: owner.NewCoordinator(p.cfg.Instance, p.fleet, p.gate.Readings(), time.Now()),
+		Coordinator: owner.NewCoordinator(p.cfg.Instance, p.fleet, p.gate.PrefillRates(), time.Now()),
 		Gather: func(shardOf func(string) *owner.Shard) map[string]owner.Report {
 			return owner.ByShard(shardOf, p.gate.Runs(), p.gate.HeldMemory())
 		},
