--- a/lib/entry/attempt.go
+++ b/lib/entry/attempt.go
@@ -17,22 +17,22 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errEngine is an error frame in a stream.
+// Causes of attempts that an engine's stream ended.
 var (
-	errEngine    = errors.New("the engine ended the stream with an error")
-	errPreempted = errors.New("the engine preempted the sequence")
-	errGap       = errors.New("a token is missing from the stream")
+	errEngine       = errors.New("the engine ended the stream with an error")
+	errPreempted    = errors.New("the engine preempted the sequence")
+	errMissingToken = errors.New("a token is missing from the stream")
 )
 
-// attemptEnd tells how an attempt ended.
+// attemptEnd describes how an attempt ended.
 type attemptEnd struct {
-	reason  sched.EndReason
-	cause   error
-	final   *result.Error // the generation ends with it; nil: completed, or another attempt may follow
-	settled bool          // nothing to cancel at the engine: it ended or refused the attempt itself
+	reason          sched.EndReason
+	cause           error
+	final           *result.Error // ends the generation; nil: completed, or another attempt may follow
+	nothingToCancel bool          // the engine ended or refused the attempt itself, so there is nothing to cancel
 }
 
-// endFrame keeps an end mark until [DONE] follows it.
+// endFrame holds the finish frame until [DONE] follows it.
 type endFrame struct {
 	generation ids.Generation
 	attempt    uint32
@@ -41,8 +41,8 @@
 	raw        []byte
 }
 
-// run is one attempt on its target.
-type run struct {
+// attemptRun is one attempt running on its target.
+type attemptRun struct {
 	server   *Server
 	g        *generation
 	client   *target.Client
@@ -53,8 +53,8 @@
 	watch    uint64
 }
 
-// do sends the attempt and forwards its tokens until it ends.
-func (r *run) do() attemptEnd {
+// execute sends the attempt and forwards its tokens until it ends.
+func (r *attemptRun) execute() attemptEnd {
 	g := r.g
 	ctx, cancel := context.WithCancelCause(g.ctx)
 	defer cancel(nil)
@@ -63,15 +63,15 @@
 		return attemptEnd{reason: sched.EndTargetRefused, final: result.Wrap(result.BadRequest, err, "encode the request")}
 	}
 	now := r.server.now()
-	g.start(r.client.Name(), now, cancel)
+	g.startAttempt(r.client.Name(), now, cancel)
 	r.watch = r.server.watches.start(now, g, r.client.Name())
 	defer r.server.watches.end(r.watch)
-	st, err := r.client.Open(ctx, g.asked.Path(), body)
+	st, err := r.client.Open(ctx, g.completion.Path(), body)
 	if err != nil {
 		return openEnd(ctx, g, err)
 	}
 	defer st.Close()
-	g.noteRan()
+	g.markMayHaveRun()
 	return r.forward(ctx, st)
 }
 
@@ -87,23 +87,23 @@
 	return g.template.With(ext)
 }
 
-// openEnd classifies a failure before the first frame. Only a proof makes it "refused".
+// openEnd classifies a failure before the first frame. The attempt counts as not run only if the error proves it.
 func openEnd(ctx context.Context, g *generation, err error) attemptEnd {
 	var refusal *target.RefusedError
 	switch {
 	case errors.Is(err, target.ErrNotSent):
-		return attemptEnd{reason: sched.EndTargetDied, cause: err, settled: true}
+		return attemptEnd{reason: sched.EndTargetDied, cause: err, nothingToCancel: true}
 	case errors.As(err, &refusal):
 		return refusalEnd(g, refusal)
 	}
-	g.noteRan()
+	g.markMayHaveRun()
 	return breakEnd(ctx, err)
 }
 
 func refusalEnd(g *generation, r *target.RefusedError) attemptEnd {
-	end := attemptEnd{reason: sched.EndTargetRefused, cause: r, settled: true}
+	end := attemptEnd{reason: sched.EndTargetRefused, cause: r, nothingToCancel: true}
 	if !r.Err.NotRun {
-		g.noteRan()
+		g.markMayHaveRun()
 	}
 	switch {
 	case r.Err.Type == engineapi.ErrBad || r.Status == http.StatusBadRequest:
@@ -114,7 +114,7 @@
 	return end
 }
 
-// breakEnd names why a connection broke: by our own order, or by the target.
+// breakEnd maps a broken connection to its reason: cancelled by this entry, or broken by the target.
 func breakEnd(ctx context.Context, err error) attemptEnd {
 	switch cause := context.Cause(ctx); cause {
 	case errStalled:
@@ -128,7 +128,7 @@
 	}
 }
 
-// causeError is what the caller is told when the generation was cancelled as a whole.
+// causeError returns the error reported to the caller when the whole generation was cancelled.
 func causeError(cause error) *result.Error {
 	switch {
 	case errors.Is(cause, errDeadline):
@@ -145,8 +145,8 @@
 	return result.Wrap(result.CallerGone, cause, "deliver tokens")
 }
 
-// forward hands on frames until the attempt ends.
-func (r *run) forward(ctx context.Context, st *target.Stream) attemptEnd {
+// forward delivers frames to the caller until the attempt ends.
+func (r *attemptRun) forward(ctx context.Context, st *target.Stream) attemptEnd {
 	s, g := r.server, r.g
 	var end *endFrame
 	for {
@@ -158,26 +158,26 @@
 			return attemptEnd{reason: sched.EndTargetDied, cause: err}
 		case err != nil:
 			return breakEnd(ctx, err)
-		case (f.Err != nil || f.Finish != "") && !g.current(f):
+		case (f.Err != nil || f.Finish != "") && !g.isCurrent(f):
 			s.metrics.Dropped(stream.Foreign.String())
 			continue
 		case f.Err != nil:
 			return errorFrameEnd(f.Err)
 		case f.Finish != "":
-			end = keepEnd(f)
+			end = copyEndFrame(f)
 			continue
 		}
-		if v := r.token(f); v.Failed() {
-			return attemptEnd{reason: sched.EndTargetDied, cause: errGap}
+		if v := r.handleToken(f); v.Failed() {
+			return attemptEnd{reason: sched.EndTargetDied, cause: errMissingToken}
 		}
 	}
 }
 
-// token is the hot path: one call for each token.
-func (r *run) token(f *target.Frame) stream.Verdict {
+// handleToken delivers one token frame. It is the hot path, called once per token.
+func (r *attemptRun) handleToken(f *target.Frame) stream.Verdict {
 	g := r.g
 	now := r.server.now()
-	v, gap := g.token(now, f)
+	v, gap := g.acceptToken(now, f)
 	if v != stream.Deliver {
 		r.server.metrics.Dropped(v.String())
 		return v
@@ -196,7 +196,7 @@
 	return v
 }
 
-func keepEnd(f *target.Frame) *endFrame {
+func copyEndFrame(f *target.Frame) *endFrame {
 	return &endFrame{
 		generation: f.Generation,
 		attempt:    f.Attempt,
@@ -206,18 +206,18 @@
 	}
 }
 
-// closeStream judges a stream that was closed by [DONE]. Without an end mark that counts every token it was cut short:
-// the caller would take a part for the whole.
+// closeStream classifies a stream that was closed by [DONE]. Unless a finish frame confirms the token count, the stream
+// was truncated, and the caller must not take the partial answer for the complete one.
 func (s *Server) closeStream(g *generation, end *endFrame) attemptEnd {
 	if end == nil {
-		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrCutShort}
+		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrTruncated}
 	}
-	v := g.endMark(end)
+	v := g.acceptFinish(end)
 	if v != stream.End {
 		s.metrics.Dropped(v.String())
-		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrCutShort}
+		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrTruncated}
 	}
-	return attemptEnd{reason: sched.EndCompleted, settled: true}
+	return attemptEnd{reason: sched.EndCompleted, nothingToCancel: true}
 }
 
 func errorFrameEnd(e *engineapi.Error) attemptEnd {
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -22,12 +22,12 @@
 
 const (
 	deathProbeTimeout = 300 * time.Millisecond
-	lifeFresh         = time.Minute      // how long an engine's incarnation is believed
-	plainDeathSpan    = 30 * time.Second // plain services have no incarnation; deaths within it count as one
-	maxSettles        = 4                // waits for peers to tell who else was aboard
+	incarnationTTL    = time.Minute      // how long a reported engine incarnation stays valid
+	plainDeathWindow  = 30 * time.Second // plain services have no incarnation; deaths within this window count as one
+	maxPoisonWaits    = 4                // waits for peers to report which other requests ran on a dead target
 )
 
-// outcomeOf says what an attempt's end tells of the link to its target.
+// outcomeOf maps an attempt's end reason to a breaker outcome for the target's link.
 func outcomeOf(r sched.EndReason) breaker.Outcome {
 	switch r {
 	case sched.EndCompleted:
@@ -38,10 +38,11 @@
 	return breaker.Ignored
 }
 
-// clean refuses content that is known to kill the targets that run it. Just after a second death it waits, a bounded
-// time, until peers have told who else was aboard: an innocent request must not be refused for its neighbour.
-func (s *Server) clean(ctx context.Context, fingerprint uint64) *result.Error {
-	for range maxSettles {
+// checkPoison refuses content known to kill the targets that run it. Right after a second death it waits, for a bounded
+// time, until peers have reported which other requests ran there: an innocent request must not be refused because it
+// ran beside the cause.
+func (s *Server) checkPoison(ctx context.Context, fingerprint uint64) *result.Error {
+	for range maxPoisonWaits {
 		verdict, wait := s.opts.Poison.Check(s.now(), fingerprint)
 		switch verdict {
 		case poison.Poisoned:
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// pause waits d, or less when ctx ends.
+// pause waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -67,95 +68,96 @@
 	}
 }
 
-// lives remembers the incarnation of engines, so that one death has one name at every entry that saw it.
-type lives struct {
+// incarnations caches the incarnations of engines, so that every entry identifies the same engine death by the same number.
+type incarnations struct {
 	mu   sync.Mutex
-	seen map[string]life
+	seen map[string]engineIncarnation
 }
 
-type life struct {
-	incarnation uint64
-	at          time.Time
+type engineIncarnation struct {
+	value  uint64
+	seenAt time.Time
 }
 
-func newLives() *lives { return &lives{seen: make(map[string]life)} }
+func newIncarnations() *incarnations { return &incarnations{seen: make(map[string]engineIncarnation)} }
 
-func (l *lives) note(now time.Time, name string, incarnation uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.seen[name] = life{incarnation, now}
+func (c *incarnations) record(now time.Time, name string, incarnation uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.seen[name] = engineIncarnation{incarnation, now}
 }
 
-func (l *lives) get(name string) (life, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	seen, ok := l.seen[name]
-	return seen, ok
+func (c *incarnations) get(name string) (engineIncarnation, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cached, ok := c.seen[name]
+	return cached, ok
 }
 
-// NoteIncarnation tells the incarnation that an engine reported.
+// NoteIncarnation records the incarnation that an engine reported.
 func (s *Server) NoteIncarnation(name string, incarnation uint64) {
-	s.lives.note(s.now(), name, incarnation)
+	s.incarnations.record(s.now(), name, incarnation)
 }
 
-// learnLife asks an engine for its incarnation in the background, unless it is known.
-func (s *Server) learnLife(c *target.Client) {
-	seen, ok := s.lives.get(c.Name())
-	if ok && s.now().Sub(seen.at) < lifeFresh {
+// refreshIncarnation queries an engine's incarnation in the background if no valid one is cached.
+func (s *Server) refreshIncarnation(c *target.Client) {
+	cached, ok := s.incarnations.get(c.Name())
+	if ok && s.now().Sub(cached.seenAt) < incarnationTTL {
 		return
 	}
 	s.background.Go(func() {
 		if rep, err := c.Load(context.Background()); err == nil {
-			s.lives.note(s.now(), c.Name(), rep.Incarnation)
+			s.incarnations.record(s.now(), c.Name(), rep.Incarnation)
 		}
 	})
 }
 
 // engineDied reports whether the engine process that ran an attempt is gone: nothing listens on its address, or another
-// incarnation answers there. A cut link, a lost answer or a slow engine says nothing about the content, and is no death.
+// incarnation answers there. A broken link, a lost answer or a slow engine is no evidence against the content and does
+// not count as a death.
 func (s *Server) engineDied(ctx context.Context, c *target.Client) (incarnation uint64, died bool) {
-	seen, _ := s.lives.get(c.Name())
+	cached, _ := s.incarnations.get(c.Name())
 	ctx, cancel := context.WithTimeout(ctx, deathProbeTimeout)
 	defer cancel()
 	rep, err := c.Load(ctx)
 	if err != nil {
-		return seen.incarnation, errors.Is(err, syscall.ECONNREFUSED)
+		return cached.value, errors.Is(err, syscall.ECONNREFUSED)
 	}
-	s.lives.note(s.now(), c.Name(), rep.Incarnation)
-	return seen.incarnation, seen.incarnation != 0 && rep.Incarnation != seen.incarnation
+	s.incarnations.record(s.now(), c.Name(), rep.Incarnation)
+	return cached.value, cached.value != 0 && rep.Incarnation != cached.value
 }
 
-// settlePoison tells how an attempt ended to the table that looks for content that kills. Each attempt that was aboard
-// tells a death; the table counts it once.
-func (s *Server) settlePoison(g *generation, c *target.Client, ran poison.Run, reason sched.EndReason) {
+// reportAttemptToPoison reports an attempt's end to the poison table. Every attempt that was running reports the death;
+// the table counts it once.
+func (s *Server) reportAttemptToPoison(g *generation, c *target.Client, ran poison.Run, reason sched.EndReason) {
 	switch reason {
 	case sched.EndCompleted:
 		s.opts.Poison.Finished(s.now(), ran)
 		return
 	case sched.EndTargetDied:
 		if incarnation, died := s.engineDied(g.ctx, c); died {
-			s.tellDeath(ran, c.Name(), incarnation)
+			s.reportDeath(ran, c.Name(), incarnation)
 			return
 		}
 	}
 	s.opts.Poison.Stopped(ran)
 }
 
-func (s *Server) tellDeath(ran poison.Run, name string, incarnation uint64) {
+func (s *Server) reportDeath(ran poison.Run, name string, incarnation uint64) {
 	log.Warn().Str("event", "target_died").Str("target", name).Uint64("incarnation", incarnation).Msg("")
 	s.opts.Poison.Lost(s.now(), ran, incarnation)
 }
 
-// picks holds the load of plain services' targets.
-type picks struct {
+// pickTables holds the load-balancing tables of plain services, by service name.
+type pickTables struct {
 	mu     sync.Mutex
 	tables map[string]*pick.Table
 }
 
-func newPicks() *picks { return &picks{tables: make(map[string]*pick.Table)} }
+func newPickTables() *pickTables { return &pickTables{tables: make(map[string]*pick.Table)} }
 
-// apply takes up a revision's plain services.
-func (p *picks) apply(snap *settings.Snapshot) {
+// apply updates the tables for the plain services of a settings revision.
+func (p *pickTables) apply(snap *settings.Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, svc := range snap.Services {
@@ -185,22 +187,22 @@
 	return out
 }
 
-func (p *picks) table(service string) *pick.Table {
+func (p *pickTables) table(service string) *pick.Table {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tables[service]
 }
 
-// UpdateServiceLoad takes a load report of a plain service's target.
+// UpdateServiceLoad applies a load report of a plain service's target.
 func (s *Server) UpdateServiceLoad(service, name string, rep pick.Report) {
-	if t := s.picks.table(service); t != nil {
+	if t := s.pickTables.table(service); t != nil {
 		t.Report(s.now(), name, rep)
 	}
 }
 
-// pickTarget chooses the target of a plain call; avoid holds those that failed it.
+// pickTarget chooses the target of a plain call; avoid lists the targets on which it already failed.
 func (s *Server) pickTarget(service string, avoid []string) (string, bool) {
-	t := s.picks.table(service)
+	t := s.pickTables.table(service)
 	if t == nil {
 		return "", false
 	}
@@ -213,11 +215,11 @@
 	})
 }
 
-// avoidFor joins the targets that failed a request with those on which its content must not meet another suspect.
-func (s *Server) avoidFor(failed []string, fingerprint uint64) []string {
-	apart := s.opts.Poison.Avoid(s.now(), fingerprint)
-	if len(apart) == 0 {
+// targetsToAvoid joins the targets that failed a request with those where its content would run beside another suspect.
+func (s *Server) targetsToAvoid(failed []string, fingerprint uint64) []string {
+	separate := s.opts.Poison.Avoid(s.now(), fingerprint)
+	if len(separate) == 0 {
 		return failed
 	}
-	return slices.Concat(failed, apart)
+	return slices.Concat(failed, separate)
 }
--- a/lib/entry/seams.go
+++ b/lib/entry/interfaces.go
@@ -11,44 +11,46 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// Subject is who a request belongs to and what it asks for.
+// Subject identifies the owner of a request and what it requests.
 type Subject struct {
 	Service     string
 	Workspace   string
 	Class       string
-	Fingerprint uint64 // of the content; equal for resends under other keys
+	Fingerprint uint64 // content fingerprint; equal for resends under other keys
 }
 
-// Limiter holds workspaces and classes to their rates and counts.
+// Limiter enforces the rate and concurrency limits of workspaces and classes.
 type Limiter interface {
-	// Acquire admits a request or refuses it at once. release is called when the request has ended.
+	// Acquire admits a request or refuses it immediately. release must be called when the request has ended.
 	Acquire(ctx context.Context, s Subject, p *settings.Policy) (release func(), err *result.Error)
 }
 
-// Claim is the right to run one keyed request, held in the platform's table. *claim.Claim implements it.
+// Claim is the right to run one keyed request, recorded in the platform's table. *claim.Claim implements it.
 type Claim interface {
-	// FirstAttempt is the number to begin with: lower ones may have been used by earlier requests under the key.
+	// FirstAttempt is the first attempt number to use: earlier requests under the key may have used lower ones.
 	FirstAttempt() uint32
-	// Sent must return nil before anything leaves for a target. A refusal ends the claim.
+	// Sent must return nil before anything is sent to a target. An error ends the claim.
 	Sent(ctx context.Context, target string, attempt uint32) *result.Error
-	// Resent is Sent after an attempt that may have run. AlreadyRunning ends the claim; after StoreDown only Finish is left.
+	// Resent replaces Sent after an attempt that may have run. AlreadyRunning ends the claim; after StoreDown only Finish
+	// may be called.
 	Resent(ctx context.Context, target string, attempt uint32) *result.Error
-	// Finish keeps the outcome for resends. It doesn't wait for the table.
+	// Finish stores the outcome for resends. It doesn't wait for the table.
 	Finish(sum claim.Summary)
-	// Release gives the key free; only on proof that no target ran the request.
+	// Release frees the key. It requires proof that no target ran the request.
 	Release()
 }
 
-// Claims makes keyed requests that are not idempotent run at most once, over all entries and their deaths.
+// Claims makes keyed non-idempotent requests run at most once across all entries, including when entries die.
 type Claims interface {
-	// Begin returns the claim to run, or the outcome of an earlier run, or a refusal.
+	// Begin returns a claim to run the request, the outcome of an earlier run, or a refusal.
 	Begin(ctx context.Context, req claim.Request) (Claim, *claim.Summary, *result.Error)
-	// TakeOver moves the claim of a generation to this entry, which goes on with it from its record. used is the
-	// highest attempt number that may have been used so far. Results as with Begin; one of several entries gets the claim.
+	// TakeOver transfers the claim of a generation to this entry, which resumes it from its record. used is the highest
+	// attempt number that may have been used so far. It returns the same results as Begin; only one of several competing
+	// entries gets the claim.
 	TakeOver(ctx context.Context, req claim.Request, used uint32) (Claim, *claim.Summary, *result.Error)
 }
 
-// TableClaims makes a claim.Table a Claims.
+// TableClaims adapts a claim.Table to Claims.
 type TableClaims struct{ *claim.Table }
 
 // Begin implements Claims.
@@ -69,7 +71,7 @@
 	return c, nil, nil
 }
 
-// Record is what another entry needs to go on with a generation whose entry died.
+// Record is what another entry needs to resume a generation whose entry died.
 type Record struct {
 	Generation   ids.Generation
 	Subject      Subject
@@ -79,28 +81,28 @@
 	Path         string
 	Request      []byte       // body as accepted
 	Tokens       []string     // delivered so far, from index 0
-	Finished     bool         // it ended and won't go on; without FinishedWhy it failed
-	FinishReason string       // finish reason of the end mark
-	Owner        claim.Holder // who put it; zero: this entry
-	Released     bool         // its caller left for too long and it was stopped: any entry may go on with it
+	Finished     bool         // it ended and won't be resumed; without FinishReason it failed
+	FinishReason string       // finish reason from the finish frame
+	Owner        claim.Holder // the entry that put it; zero: this entry
+	Released     bool         // stopped because its caller stayed away too long: any entry may resume it
 }
 
-// Records keeps Records with peers, by workspace and key.
+// Records replicates records to peers, by workspace and key.
 type Records interface {
-	// Put stores the whole of rec, or only the tokens from index from on when the peer has the rest. It doesn't block.
+	// Put stores the whole of rec, or only the tokens starting at from if the peer has the earlier ones. It doesn't block.
 	Put(rec *Record, from int)
-	// Get finds the record of a key. The holder must be known dead or cut off, else it refuses with AlreadyRunning.
+	// Get returns the record of a key, or AlreadyRunning unless its holder is known to be dead or partitioned.
 	Get(ctx context.Context, workspace, key string) (*Record, *result.Error)
 }
 
-// noLimits, and the types below, are the defaults of Options.
+// noLimits, noStore and noRecords are the defaults of Options.
 type noLimits struct{}
 
 func (noLimits) Acquire(context.Context, Subject, *settings.Policy) (func(), *result.Error) {
 	return func() {}, nil
 }
 
-// noStore refuses every claim: without the table a keyed non-idempotent request can't be held to one run.
+// noStore refuses every claim: without the table, at-most-once can't be guaranteed for keyed non-idempotent requests.
 type noStore struct{}
 
 const storeRetryAfter = 5 * time.Second
--- a/lib/entry/refusal_test.go
+++ b/lib/entry/refusal_test.go
@@ -18,7 +18,7 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Each refusal comes at once, with its code, status and outcome, and nothing reaches a target.
+// Each refusal must come at once, with its code, status and outcome, and nothing may reach a target.
 func TestRefusals(t *testing.T) {
 	r := newRig(t, siteText("  max_body: 1KiB\n", true, nil, nil), nil)
 	for _, tc := range []struct {
@@ -58,61 +58,61 @@
 	}
 }
 
-// A planned stop while an answer is under way: new requests are refused, not run, with a time to come back, and the
-// answer in progress goes on to its end before the stop is over.
-func TestStopCutsNothing(t *testing.T) {
+// During a planned shutdown, new requests must be refused as not run, with a Retry-After, and the answer in progress must
+// complete before Stop returns.
+func TestStopWaitsForRequests(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "stop [len=100]"
-	resp := r.send(context.Background(), ask{prompt: prompt, stream: true})
-	stopped := make(chan error, 1)
-	var st story
+	resp := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
+	stopResult := make(chan error, 1)
+	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 90 {
-			must.Eq(t, 0, len(stopped), must.Sprint("stopped while an answer was under way"))
+			must.Eq(t, 0, len(stopResult), must.Sprint("Stop returned while an answer was in progress"))
 		}
 		if n != 10 {
 			return
 		}
-		go func() { stopped <- r.server.Stop(context.Background()) }()
+		go func() { stopResult <- r.server.Stop(context.Background()) }()
 		eventually(t, "stopping", r.server.Stopping)
-		late := r.send(context.Background(), ask{prompt: "late", stream: true})
+		late := r.send(context.Background(), callerRequest{prompt: "late", stream: true})
 		must.Eq(t, http.StatusServiceUnavailable, late.StatusCode)
 		must.NotEq(t, "", late.Header.Get("Retry-After"))
 		must.Eq(t, result.Stopping, readError(t, late).Code)
 	})
-	st.whole(t, prompt, 100)
-	must.NoError(t, <-stopped)
+	st.checkComplete(t, prompt, 100)
+	must.NoError(t, <-stopResult)
 }
 
-// The deadline passes while the answer is under way: the caller is told, as the end of its stream, that it was run.
+// The deadline passes while the answer is in progress: the stream must end with an error that says that it was run.
 func TestDeadlineWhileRunning(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
-	var st story
-	st.read(t, eventsOf(r.send(context.Background(), ask{prompt: "slow [len=5000]", stream: true, ms: "150"})), nil)
+	var st transcript
+	st.read(t, eventsOf(r.send(context.Background(), callerRequest{prompt: "slow [len=5000]", stream: true, deadlineMS: "150"})), nil)
 	must.NotNil(t, st.err)
 	must.Eq(t, result.DeadlinePassed, st.err.Code)
 	must.Positive(t, st.tokens)
 }
 
-// More requests than the bound at once: the one too many is refused at once and the others don't notice.
+// The bound on concurrent requests is exceeded: the extra request must be refused at once, and the others are not affected.
 func TestTooManyStreams(t *testing.T) {
 	e := startEngine(t, nil)
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), func(o *Options) { o.MaxStreams = 1 })
 	const prompt = "one [len=50]"
-	first := r.send(context.Background(), ask{prompt: prompt, stream: true})
+	first := r.send(context.Background(), callerRequest{prompt: prompt, stream: true})
 	start := time.Now()
-	second := r.send(context.Background(), ask{prompt: "two", stream: true})
+	second := r.send(context.Background(), callerRequest{prompt: "two", stream: true})
 	must.Eq(t, result.TooManyStreams, readError(t, second).Code)
 	must.Less(t, time.Second, time.Since(start))
-	var st story
+	var st transcript
 	st.read(t, eventsOf(first), nil)
-	st.whole(t, prompt, 50)
+	st.checkComplete(t, prompt, 50)
 }
 
-// A caller reads nothing. What the kernel keeps for it must be bounded, since the bound on the sink does not see it.
-func TestKernelBufferIsBounded(t *testing.T) {
+// A caller reads nothing. The kernel's send buffer must be bounded, since the bound on the sink does not cover it.
+func TestKernelBufferBounded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer ln.Close()
@@ -132,7 +132,7 @@
 	must.NoError(t, raw.Control(func(fd uintptr) {
 		size, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF)
 		must.NoError(t, err)
-		must.Eq(t, 2*connWriteBuffer, size, must.Sprint("the kernel doubles what is asked"))
+		must.Eq(t, 2*connWriteBuffer, size, must.Sprint("the kernel doubles the requested size"))
 	}))
 }
 
--- a/lib/entry/stop.go
+++ b/lib/entry/stop.go
@@ -11,26 +11,26 @@
 
 const (
 	stopPoll       = 50 * time.Millisecond
-	stopRetryAfter = time.Second // another entry takes the request at once
+	stopRetryAfter = time.Second // short, since another entry accepts the request immediately
 )
 
-// BeginShutdown marks the instance as not ready; requests are still taken.
-func (s *Server) BeginShutdown() { s.leaving.Store(true) }
+// BeginShutdown marks the instance as not ready; requests are still accepted.
+func (s *Server) BeginShutdown() { s.shuttingDown.Store(true) }
 
-// ShuttingDown reports whether a planned stop has begun.
-func (s *Server) ShuttingDown() bool { return s.leaving.Load() }
+// ShuttingDown reports whether a planned shutdown has begun.
+func (s *Server) ShuttingDown() bool { return s.shuttingDown.Load() }
 
-// RejectNew refuses new requests from now on; those in progress go on.
+// RejectNew refuses new requests from now on; those in progress continue.
 func (s *Server) RejectNew() {
-	s.leaving.Store(true)
+	s.shuttingDown.Store(true)
 	s.stopping.Store(true)
 }
 
 // Stopping reports whether new requests are refused.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// Stop refuses new requests and waits until every request in progress has ended, however long it runs, or until ctx is
-// done. Balancers learn of it from the health page before that; what they still send is refused, not run.
+// Stop refuses new requests and waits until all requests in progress have ended, however long they run, or until ctx is
+// done. Load balancers see the health page change before that; requests they still send are refused without being run.
 func (s *Server) Stop(ctx context.Context) error {
 	s.RejectNew()
 	t := time.NewTicker(stopPoll)
@@ -50,8 +50,8 @@
 	}
 }
 
-// enter counts a request in progress, or refuses it while stopping. The count comes first, so that Stop can't see zero
-// between the two.
+// enter counts a request in progress, or refuses it while stopping. It counts first, so that Stop can't see a zero count
+// between the check and the increment.
 func (s *Server) enter() *result.Error {
 	if err := s.table.enter(); err != nil {
 		return err
--- a/lib/entry/table.go
+++ b/lib/entry/table.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	keepFinished = time.Minute // a keyed answer stays for callers that come back
-	maxKept      = 1024        // finished keyed answers kept
+	finishedTTL = time.Minute // how long a finished keyed answer stays available to returning callers
+	maxFinished = 1024        // bound on finished keyed answers
 )
 
 type keyRef struct{ workspace, key string }
 
-// table holds the generations in progress, and finished keyed ones for a while.
+// table holds the generations in progress and, for a limited time, finished keyed ones.
 type table struct {
-	max int // requests being answered
+	max int // bound on active
 
-	mu     sync.Mutex
-	byID   map[ids.Generation]*generation
-	byKey  map[keyRef]*generation
-	kept   []*generation // finished, oldest first
-	active int           // callers' requests being answered
+	mu       sync.Mutex
+	byID     map[ids.Generation]*generation
+	byKey    map[keyRef]*generation
+	finished []*generation // finished, oldest first
+	active   int           // requests being answered
 }
 
 func newTable(limit int) *table {
 	return &table{max: limit, byID: make(map[ids.Generation]*generation), byKey: make(map[keyRef]*generation)}
 }
 
-// enter counts one more request in progress, or refuses it.
+// enter counts one more request in progress, or refuses it at the bound.
 func (t *table) enter() *result.Error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,21 +43,21 @@
 	return nil
 }
 
-// leave undoes enter.
+// leave reverts enter.
 func (t *table) leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.active--
 }
 
-// add registers a generation. When its key is taken it returns the holder instead.
+// add registers a generation. If its key is taken, it returns the generation that holds the key.
 func (t *table) add(g *generation) *generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g.key != "" {
 		ref := keyRef{g.subject.Workspace, g.key}
-		if old := t.byKey[ref]; old != nil {
-			return old
+		if holder := t.byKey[ref]; holder != nil {
+			return holder
 		}
 		t.byKey[ref] = g
 	}
@@ -72,9 +72,9 @@
 	return t.byKey[keyRef{workspace, key}]
 }
 
-// ended moves a generation out of those in progress. A keyed one that was run stays for callers that come back; one
-// proved not run frees its key at once, so that the caller may ask again.
-func (t *table) ended(g *generation, now time.Time) {
+// moveToFinished moves a generation out of those in progress. A keyed one that was run stays available to returning callers; one
+// proved not run frees its key at once, so that the caller may retry.
+func (t *table) moveToFinished(g *generation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.byID, g.id)
@@ -82,47 +82,48 @@
 		return
 	}
 	if g.err != nil && result.Lookup(g.err.Code).Outcome == result.NotRun {
-		t.forget(g)
+		t.freeKey(g)
 		return
 	}
-	t.kept = append(t.kept, g)
+	t.finished = append(t.finished, g)
 	t.expire(now)
 }
 
-func (t *table) forget(g *generation) {
+func (t *table) freeKey(g *generation) {
 	ref := keyRef{g.subject.Workspace, g.key}
 	if t.byKey[ref] == g {
 		delete(t.byKey, ref)
 	}
 }
 
-// expire forgets finished generations beyond their time or count.
+// expire removes finished generations beyond the time or count limit. The caller must hold mu.
 func (t *table) expire(now time.Time) {
-	for len(t.kept) > 0 && (len(t.kept) > maxKept || now.Sub(t.kept[0].endedAt) > keepFinished) {
-		t.forget(t.kept[0])
-		t.kept[0] = nil
-		t.kept = t.kept[1:]
+	for len(t.finished) > 0 && (len(t.finished) > maxFinished || now.Sub(t.finished[0].endedAt) > finishedTTL) {
+		t.freeKey(t.finished[0])
+		t.finished[0] = nil
+		t.finished = t.finished[1:]
 	}
 }
 
-// lost frees the key of a generation that another entry goes on with, and returns it, or nil.
-func (t *table) lost(id ids.Generation) *generation {
+// removeSuperseded frees the key of a generation that another entry has resumed. It returns the generation if it is in
+// progress, else nil.
+func (t *table) removeSuperseded(id ids.Generation) *generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if g := t.byID[id]; g != nil {
-		t.forget(g)
+		t.freeKey(g)
 		return g
 	}
-	for _, g := range t.kept {
-		if g.id == id && g.released() {
-			t.forget(g)
+	for _, g := range t.finished {
+		if g.id == id && g.resumableLocked() {
+			t.freeKey(g)
 		}
 	}
 	return nil
 }
 
-// running appends the generations in progress to out, for the systems that run over them.
-func (t *table) running(out []*generation) []*generation {
+// appendRunning appends the generations in progress to out.
+func (t *table) appendRunning(out []*generation) []*generation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, g := range t.byID {
@@ -131,24 +132,24 @@
 	return out
 }
 
-// counts returns requests being answered, and generations in progress, a few of which may have no caller just now.
+// counts returns the requests being answered and the generations in progress, some of which may have no caller attached.
 func (t *table) counts() (active, generations int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.active, len(t.byID)
 }
 
-// drop removes a generation that never started.
-func (t *table) drop(g *generation) {
+// remove deletes a generation that never started.
+func (t *table) remove(g *generation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.byID, g.id)
-	t.forget(g)
+	t.freeKey(g)
 }
 
-// release frees the key of a generation that was stopped for want of a caller, so that it can be gone on with.
-func (t *table) release(g *generation) {
+// releaseKey frees the key of a generation that was stopped for lack of a caller, so that it can be resumed.
+func (t *table) releaseKey(g *generation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(g)
+	t.freeKey(g)
 }
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -1,7 +1,8 @@
-// Package entrylink is the entry's end of the local link: it turns what the control process sends into settings in
-// force, drains, power shares and the instance list, and reports the entry's state and its targets' back.
+// Package entrylink is the entry's end of the local link to the control process. It applies the settings, drains, power
+// shares and instance list that the control process sends, and reports the state of the entry and its targets back.
 //
-// The entry needs none of it from one moment to the next: while the control process is away, what was sent last holds.
+// The entry does not depend on the link at run time: while the control process is unavailable, the last values received
+// stay in effect.
 package entrylink
 
 import (
@@ -21,10 +22,10 @@
 
 const sourceControl = "control"
 
-// Options connect a Link to its entry. Functions are called one at a time; a nil one is left out.
+// Options connects a Link to its entry. The callbacks are called one at a time; nil ones are skipped.
 type Options struct {
 	Instance string
-	Sync     *settingsync.Sync // holds the settings of this process; the caller runs it
+	Sync     *settingsync.Sync // holds the process's settings; run by the caller
 	Apply    func(*settings.Snapshot)
 	View     func(*meshpb.View)
 	Power    func(share *meshpb.PowerShare)
@@ -32,49 +33,49 @@
 	Interval time.Duration // default DefaultInterval
 }
 
-// Link is the entry's end.
+// Link is the entry's end of the local link.
 type Link struct {
 	opts Options
 
-	told    chan struct{} // closed once the control process has sent its drains, and the settings after them
-	tell    sync.Once
-	mu      sync.Mutex
-	drains  map[string]bool
-	reports map[string]taken
-	changed chan struct{}
+	drainsReceived chan struct{} // closed when the first settings arrive; the control process sends its drains before them
+	drainsOnce     sync.Once
+	mu             sync.Mutex
+	drains         map[string]bool
+	reports        map[string]timedReport
+	changed        chan struct{}
 }
 
-// taken is a target's report with the time at which it was true.
-type taken struct {
-	rep *engineapi.LoadReport
-	at  time.Time
+// timedReport is a target's load report with the time at which it was measured.
+type timedReport struct {
+	report     *engineapi.LoadReport
+	measuredAt time.Time
 }
 
-// New returns a Link that was told nothing yet.
+// New returns a Link that has received nothing yet.
 func New(o Options) *Link {
 	if o.Interval == 0 {
 		o.Interval = DefaultInterval
 	}
 	return &Link{
-		opts:    o,
-		told:    make(chan struct{}),
-		drains:  map[string]bool{},
-		reports: map[string]taken{},
-		changed: make(chan struct{}, 1),
+		opts:           o,
+		drainsReceived: make(chan struct{}),
+		drains:         map[string]bool{},
+		reports:        map[string]timedReport{},
+		changed:        make(chan struct{}, 1),
 	}
 }
 
-// Server returns the link's server, to be set as a node's handler.
+// Server returns the link's server, to be registered as a node's handler.
 func (l *Link) Server() *locallink.Server {
-	return &locallink.Server{Instance: l.opts.Instance, Down: l.Down, Up: l.Up, Interval: l.opts.Interval}
+	return &locallink.Server{Instance: l.opts.Instance, Down: l.HandleDown, Up: l.UpMessages, Interval: l.opts.Interval}
 }
 
-// Down takes one message of the control process.
-func (l *Link) Down(m *meshpb.LocalDown) {
+// HandleDown applies one message from the control process.
+func (l *Link) HandleDown(m *meshpb.LocalDown) {
 	switch m := m.GetMsg().(type) {
 	case *meshpb.LocalDown_Settings:
 		l.opts.Sync.Learn(m.Settings, sourceControl)
-		l.tell.Do(func() { close(l.told) })
+		l.drainsOnce.Do(func() { close(l.drainsReceived) })
 	case *meshpb.LocalDown_View:
 		if l.opts.View != nil {
 			l.opts.View(m.View)
@@ -102,24 +103,24 @@
 	}
 }
 
-// drainWait bounds how long a new entry waits to be told of drains. It leaves room in the three seconds after which a
-// leaving target gets nothing new.
+// drainWait bounds how long a new entry waits for the control process's drains. It fits into the three seconds after which
+// a draining target must receive no new work.
 const drainWait = 2 * time.Second
 
-// awaitDrains waits until the control process has told of drains. Peers give a new entry its settings at once, and drains
-// come from the control process alone: without the wait, targets that were drained long ago would get new work. A control
-// process that is dead or cut off delays the entry by drainWait and no longer.
+// awaitDrains waits until the control process has sent its drains. Peers give a new entry its settings at once, but drains
+// come only from the control process: without the wait, targets drained long ago would receive new work. A dead or
+// partitioned control process delays the entry by at most drainWait.
 func (l *Link) awaitDrains(ctx context.Context) {
 	t := time.NewTimer(drainWait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-l.told:
+	case <-l.drainsReceived:
 	case <-t.C:
 	}
 }
 
-// Run brings each revision, and each change of drains, into force until ctx is done.
+// Run applies each settings revision and each change of drains until ctx is done.
 func (l *Link) Run(ctx context.Context) {
 	l.awaitDrains(ctx)
 	for {
@@ -136,7 +137,7 @@
 	}
 }
 
-// overlay returns snap with operators' drains put on its targets; snap itself is shared and stays as it is.
+// overlay returns snap with the operators' drains applied to its targets. snap itself is shared and not modified.
 func (l *Link) overlay(snap *settings.Snapshot) *settings.Snapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,12 +147,12 @@
 	out := *snap
 	out.Services = make(map[string]*settings.Service, len(snap.Services))
 	for name, svc := range snap.Services {
-		out.Services[name] = drained(svc, l.drains)
+		out.Services[name] = withDrains(svc, l.drains)
 	}
 	return &out
 }
 
-func drained(svc *settings.Service, drains map[string]bool) *settings.Service {
+func withDrains(svc *settings.Service, drains map[string]bool) *settings.Service {
 	out := *svc
 	out.Targets = append([]settings.Target(nil), svc.Targets...)
 	for i := range out.Targets {
@@ -161,15 +162,15 @@
 	return &out
 }
 
-// Report takes a target's load report, to be passed on.
+// Report stores a target's load report for the next round of reports.
 func (l *Link) Report(target string, rep *engineapi.LoadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reports[target] = taken{rep, time.Now().Add(-time.Duration(rep.AgeMS) * time.Millisecond)}
+	l.reports[target] = timedReport{rep, time.Now().Add(-time.Duration(rep.AgeMS) * time.Millisecond)}
 }
 
-// Up returns the messages of one round.
-func (l *Link) Up() []*meshpb.LocalUp {
+// UpMessages returns the messages of one reporting round.
+func (l *Link) UpMessages() []*meshpb.LocalUp {
 	var msgs []*meshpb.LocalUp
 	if l.opts.Status != nil {
 		msgs = append(msgs, &meshpb.LocalUp{Msg: &meshpb.LocalUp_Status{Status: l.opts.Status()}})
@@ -177,16 +178,16 @@
 	return append(msgs, &meshpb.LocalUp{Msg: &meshpb.LocalUp_Reports{Reports: l.targetReports(time.Now())}})
 }
 
-// forgetAfter is how long the last report of a target is passed on.
-const forgetAfter = time.Minute
+// reportRetention is how long the last report of a target is forwarded.
+const reportRetention = time.Minute
 
 func (l *Link) targetReports(now time.Time) *meshpb.TargetReports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := &meshpb.TargetReports{}
 	for name, t := range l.reports {
-		age := now.Sub(t.at)
-		if age > forgetAfter {
+		age := now.Sub(t.measuredAt)
+		if age > reportRetention {
 			delete(l.reports, name)
 			continue
 		}
@@ -195,22 +196,22 @@
 	return out
 }
 
-func (t taken) message(name string, age time.Duration) *meshpb.TargetReport {
+func (t timedReport) message(name string, age time.Duration) *meshpb.TargetReport {
 	return &meshpb.TargetReport{
 		Target:       name,
-		Watts:        t.rep.Watts,
-		Running:      uint32(t.rep.Running),
-		KvUsed:       uint64(t.rep.KVUsed),
-		KvTotal:      uint64(t.rep.KVTotal),
-		Model:        t.rep.Model,
-		ModelVersion: t.rep.ModelVersion,
-		Fence:        t.rep.Fence,
-		Leaving:      t.rep.Leaving,
+		Watts:        t.report.Watts,
+		Running:      uint32(t.report.Running),
+		KvUsed:       uint64(t.report.KVUsed),
+		KvTotal:      uint64(t.report.KVTotal),
+		Model:        t.report.Model,
+		ModelVersion: t.report.ModelVersion,
+		Fence:        t.report.Fence,
+		Leaving:      t.report.Leaving,
 		AgeMs:        age.Milliseconds(),
 	}
 }
 
-// LastReport returns a target's last report and its age; nil when there is none.
+// LastReport returns a target's last report and its age, or nil if there is none.
 func (l *Link) LastReport(target string) (*meshpb.TargetReport, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,6 +219,6 @@
 	if !ok {
 		return nil, 0
 	}
-	age := time.Since(t.at)
+	age := time.Since(t.measuredAt)
 	return t.message(target, age), age
 }
