--- a/lib/owner/ledger.go
+++ b/lib/owner/ledger.go
@@ -191,7 +191,7 @@
 		l.waiting[i].lastSeen = now
 		return Answer{}, false
 	}
-	l.markReturned(now, &req)
+	l.markRetry(now, &req)
 	answer, ok = l.decide(now, s, &req)
 	if !ok && l.cannotStartInTime(now, s, &req) {
 		return l.recordDecision(now, s, &req, l.placer().Reject(req.Stream)), true
--- a/lib/owner/rejections.go
+++ b/lib/owner/rejections.go
@@ -19,8 +19,8 @@
 	l.rejected[req.Fingerprint] = now.Add(after)
 }
 
-// markReturned marks a stream that is retried no earlier than its caller was told.
-func (l *Ledger) markReturned(now time.Time, req *PlaceRequest) {
+// markRetry marks a stream that is retried no earlier than its caller was told.
+func (l *Ledger) markRetry(now time.Time, req *PlaceRequest) {
 	due, ok := l.rejected[req.Fingerprint]
 	if !ok || now.Before(due.Add(-earlyTolerance)) {
 		return
--- a/lib/owner/report.go
+++ b/lib/owner/report.go
@@ -115,7 +115,7 @@
 }
 
 // dropGrants drops the grants that the report contains, that the instance received but no longer uses, or that have expired.
-func (h *holder) dropGrants(now time.Time, seen uint64) {
+func (h *holder) dropGrants(now time.Time, lastGrant uint64) {
 	reported := make(map[uint64]bool, len(h.runs)+len(h.copies))
 	for _, r := range h.runs {
 		reported[r.ID] = true
@@ -125,7 +125,7 @@
 	}
 	kept := h.grants[:0]
 	for _, g := range h.grants {
-		used := g.serial <= seen && now.Sub(g.at) > runStartDelay
+		used := g.serial <= lastGrant && now.Sub(g.at) > runStartDelay
 		if !reported[g.run] && !used && now.Sub(g.at) < grantTTL {
 			kept = append(kept, g)
 		}
--- a/lib/owner/wait.go
+++ b/lib/owner/wait.go
@@ -42,9 +42,9 @@
 	if !limited || req.Mode != Admit {
 		return false
 	}
-	turn, ahead := l.orderOf(&req.Stream), 0
+	order, ahead := l.orderOf(&req.Stream), 0
 	for _, w := range l.waiting {
-		if w.shard.Key == s.Key && !w.order.After(turn) {
+		if w.shard.Key == s.Key && !w.order.After(order) {
 			ahead++
 		}
 	}
@@ -54,7 +54,7 @@
 // enqueue inserts a request into the queue.
 func (l *Ledger) enqueue(w *waitingRequest) {
 	w.order = l.orderOf(&w.Stream)
-	at, _ := slices.BinarySearchFunc(l.waiting, w.order, func(x *waitingRequest, turn time.Time) int { return x.order.Compare(turn) })
+	at, _ := slices.BinarySearchFunc(l.waiting, w.order, func(x *waitingRequest, order time.Time) int { return x.order.Compare(order) })
 	for at < len(l.waiting) && l.waiting[at].order.Equal(w.order) {
 		at++
 	}
