--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -91,7 +91,7 @@
 	RequestMoves(ctx context.Context, engines []fleet.Info) ([]moveplan.Step, error)
 	// LastContact returns when any instance last received anything from an engine.
 	LastContact(ctx context.Context, engine string) (time.Time, error)
-	// ScheduleReport reports that this instance's set of runs has changed.
+	// ScheduleReport is called after a change of this instance's runs or reservations.
 	ScheduleReport()
 	// RecordOutcome reports how a run ended on an engine.
 	RecordOutcome(engine string, o fleet.Outcome)
--- a/lib/gateway/ownerreport.go
+++ b/lib/gateway/ownerreport.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// notifyOwners reports to the owners that this instance's set of runs has changed.
+// notifyOwners schedules a report to the owners after a change of this instance's runs or reservations.
 func (g *Gateway) notifyOwners() {
 	if g.Owners != nil {
 		g.Owners.ScheduleReport()
--- a/lib/gateway/relay.go
+++ b/lib/gateway/relay.go
@@ -9,11 +9,11 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// recordReading records the time to a first event for the prefill rates, here and at the owner.
-func (g *Gateway) recordReading(m owner.PrefillSample) {
-	g.placer.Prefill.Observe(m.Service, m.Unread, m.Took)
+// recordPrefill records the time to a first event for the prefill rates, here and at the owner.
+func (g *Gateway) recordPrefill(sample owner.PrefillSample) {
+	g.placer.Prefill.Observe(sample.Service, sample.Unread, sample.Took)
 	if g.Owners != nil {
-		g.Owners.RecordPrefill(m)
+		g.Owners.RecordPrefill(sample)
 	}
 }
 
@@ -94,7 +94,7 @@
 		r.g.copyHead(r.w, resp.Header)
 		r.w.WriteHeader(resp.Status)
 		r.firstAt = time.Now()
-		r.g.recordReading(owner.PrefillSample{Service: r.c.service, Unread: r.lastKnown.Load.Unread, Took: r.firstAt.Sub(r.sentAt)})
+		r.g.recordPrefill(owner.PrefillSample{Service: r.c.service, Unread: r.lastKnown.Load.Unread, Took: r.firstAt.Sub(r.sentAt)})
 		r.g.Log.FirstEvent(r.c.entry(), r.currentTarget().ID, r.waited)
 		r.c.observe(metricFirst)
 	}
--- a/lib/gateway/reservation_test.go
+++ b/lib/gateway/reservation_test.go
@@ -21,9 +21,9 @@
 
 func (o *countingOwners) ScheduleReport() { o.changes++ }
 
-// Until a moving run arrived, only its own instance knew of the memory it needs at the destination: peers sent new streams
-// there, which then waited behind the run for seconds. The reservation must count from the plan on, here and at peers, until
-// it is released.
+// Without a reservation only a moving run's own instance knows of the memory that the run needs at its destination: peers send
+// new streams there, which then wait behind the run for seconds. The reservation must count from the plan on, here and at
+// peers, until it is released.
 func TestRoomOfAMoveCountsEverywhere(t *testing.T) {
 	g := newTestGateway()
 	owners := new(countingOwners)
--- a/lib/gateway/run.go
+++ b/lib/gateway/run.go
@@ -31,7 +31,7 @@
 	target       fleet.Info     // where it runs now
 	load         fleet.Load     // counted for the run on its target
 	outputTokens int            // produced so far
-	lastContact  time.Time      // when its target last sent something for it
+	lastContact  time.Time      // last contact with the target for this run
 	handoff      chan placement // where to continue once a move has stopped the run; nil unless a move makes its final copy
 	partial      partialCopy    // made by a move in progress
 	reserved     reservation    // at the destination of a move
--- a/lib/gateway/stream.go
+++ b/lib/gateway/stream.go
@@ -56,10 +56,10 @@
 	dials := 0
 	for {
 		if to.target.ID == "" {
-			var away time.Duration
-			to, away = r.place(ctx)
-			if away > 0 {
-				g.refuse(w, c, refusal{status: http.StatusServiceUnavailable, after: away, reason: "no_room"})
+			var retryAfter time.Duration
+			to, retryAfter = r.place(ctx)
+			if retryAfter > 0 {
+				g.refuse(w, c, refusal{status: http.StatusServiceUnavailable, after: retryAfter, reason: "no_room"})
 				return
 			}
 			if to.target.ID == "" {
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -104,10 +104,10 @@
 func (r *run) recordContact(target string) {
 	now := time.Now()
 	r.mu.Lock()
-	begun := !r.lastContact.IsZero()
+	hadContact := !r.lastContact.IsZero()
 	r.lastContact = now
 	r.mu.Unlock()
-	if begun {
+	if hadContact {
 		r.g.Fleet.RecordContact(now, target)
 	}
 }
--- a/lib/stall/monitor.go
+++ b/lib/stall/monitor.go
@@ -176,7 +176,7 @@
 
 // countLink counts a stream towards its link. Neighbours count as silent from half their timeout on: the streams of a frozen
 // link produced their last tokens some milliseconds apart, and the first to time out would otherwise look like the only one.
-// A stream in prefill is expected to be silent and does not count until its own limit.
+// A stream in prefill is expected to be silent, so it is not evidence about its link until half of FirstToken has passed.
 func (m *Monitor) countLink(s *stream, silent bool) {
 	if !s.started && !silent {
 		return
