--- a/lib/entry/claimed.go
+++ b/lib/entry/claimed.go
@@ -91,11 +91,11 @@
 	return err
 }
 
-// Superseded stops a generation that another entry goes on with: this one was frozen or cut off for so long that it was
+// StopSuperseded stops a generation that another entry goes on with: this one was frozen or cut off for so long that it was
 // taken for dead. Its claim is not its own any more, so it can't be settled; engines take the other's attempts for the
 // later ones. Run on, it would keep an engine busy for a text that is given elsewhere. Its caller is told to ask again with
 // the key; its record is no longer put, and the next request with the key is led to the other entry.
-func (s *Server) Superseded(id ids.Generation) {
+func (s *Server) StopSuperseded(id ids.Generation) {
 	if g := s.table.lost(id); g != nil {
 		g.cancel(errTakenOver)
 	}
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -270,7 +270,7 @@
 	for _, token := range rec.Tokens {
 		g.text.Append([]byte(token))
 	}
-	g.finish = rec.FinishedWhy
+	g.finish = rec.FinishReason
 	g.mayHaveRun = true
 	g.lastToken = g.accepted
 	return g
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -93,8 +93,10 @@
 	return seen, ok
 }
 
-// NoteLife tells the incarnation that an engine reported.
-func (s *Server) NoteLife(name string, incarnation uint64) { s.lives.note(s.now(), name, incarnation) }
+// NoteIncarnation tells the incarnation that an engine reported.
+func (s *Server) NoteIncarnation(name string, incarnation uint64) {
+	s.lives.note(s.now(), name, incarnation)
+}
 
 // learnLife asks an engine for its incarnation in the background, unless it is known.
 func (s *Server) learnLife(c *target.Client) {
@@ -189,8 +191,8 @@
 	return p.tables[service]
 }
 
-// ServiceReport takes a load report of a plain service's target.
-func (s *Server) ServiceReport(service, name string, rep pick.Report) {
+// UpdateServiceLoad takes a load report of a plain service's target.
+func (s *Server) UpdateServiceLoad(service, name string, rep pick.Report) {
 	if t := s.picks.table(service); t != nil {
 		t.Report(s.now(), name, rep)
 	}
--- a/lib/entry/seams.go
+++ b/lib/entry/seams.go
@@ -71,18 +71,18 @@
 
 // Record is what another entry needs to go on with a generation whose entry died.
 type Record struct {
-	Generation  ids.Generation
-	Subject     Subject
-	Key         string
-	Attempt     uint32
-	Target      string
-	Path        string
-	Request     []byte       // body as accepted
-	Tokens      []string     // delivered so far, from index 0
-	Finished    bool         // it ended and won't go on; without FinishedWhy it failed
-	FinishedWhy string       // finish reason of the end mark
-	Owner       claim.Holder // who put it; zero: this entry
-	Released    bool         // its caller left for too long and it was stopped: any entry may go on with it
+	Generation   ids.Generation
+	Subject      Subject
+	Key          string
+	Attempt      uint32
+	Target       string
+	Path         string
+	Request      []byte       // body as accepted
+	Tokens       []string     // delivered so far, from index 0
+	Finished     bool         // it ended and won't go on; without FinishedWhy it failed
+	FinishReason string       // finish reason of the end mark
+	Owner        claim.Holder // who put it; zero: this entry
+	Released     bool         // its caller left for too long and it was stopped: any entry may go on with it
 }
 
 // Records keeps Records with peers, by workspace and key.
--- a/lib/entry/stop.go
+++ b/lib/entry/stop.go
@@ -14,14 +14,14 @@
 	stopRetryAfter = time.Second // another entry takes the request at once
 )
 
-// Leave marks the instance as not ready; requests are still taken.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// BeginShutdown marks the instance as not ready; requests are still taken.
+func (s *Server) BeginShutdown() { s.leaving.Store(true) }
 
-// Leaving reports whether a planned stop has begun.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+// ShuttingDown reports whether a planned stop has begun.
+func (s *Server) ShuttingDown() bool { return s.leaving.Load() }
 
-// Refuse refuses new requests from now on; those in progress go on.
-func (s *Server) Refuse() {
+// RejectNew refuses new requests from now on; those in progress go on.
+func (s *Server) RejectNew() {
 	s.leaving.Store(true)
 	s.stopping.Store(true)
 }
@@ -32,7 +32,7 @@
 // Stop refuses new requests and waits until every request in progress has ended, however long it runs, or until ctx is
 // done. Balancers learn of it from the health page before that; what they still send is refused, not run.
 func (s *Server) Stop(ctx context.Context) error {
-	s.Refuse()
+	s.RejectNew()
 	t := time.NewTicker(stopPoll)
 	defer t.Stop()
 	for {
--- a/lib/entry/takeover_test.go
+++ b/lib/entry/takeover_test.go
@@ -215,7 +215,7 @@
 		records.recs["k"].Attempt += 17 // of the other entry
 		put = records.recs["k"].Attempt
 		records.mu.Unlock()
-		r.server.Superseded(r.server.table.running(nil)[0].id)
+		r.server.StopSuperseded(r.server.table.running(nil)[0].id)
 	})
 	must.False(t, st.done)
 	must.NotNil(t, st.err)
--- a/lib/entry/tick.go
+++ b/lib/entry/tick.go
@@ -94,17 +94,17 @@
 	}
 	from := g.recorded
 	rec := &Record{
-		Generation:  g.id,
-		Subject:     g.subject,
-		Key:         g.key,
-		Attempt:     g.state.Attempt(),
-		Target:      g.attempt.target,
-		Path:        g.asked.Path(),
-		Request:     g.body,
-		Tokens:      g.text.Tokens(from),
-		Finished:    g.ended && !g.released(),
-		FinishedWhy: g.finish,
-		Released:    g.released(),
+		Generation:   g.id,
+		Subject:      g.subject,
+		Key:          g.key,
+		Attempt:      g.state.Attempt(),
+		Target:       g.attempt.target,
+		Path:         g.asked.Path(),
+		Request:      g.body,
+		Tokens:       g.text.Tokens(from),
+		Finished:     g.ended && !g.released(),
+		FinishReason: g.finish,
+		Released:     g.released(),
 	}
 	g.recorded, g.recordedAt = g.text.Len(), now
 	g.mu.Unlock()
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// Last returns a target's last report and its age; nil when there is none.
-func (l *Link) Last(target string) (*meshpb.TargetReport, time.Duration) {
+// LastReport returns a target's last report and its age; nil when there is none.
+func (l *Link) LastReport(target string) (*meshpb.TargetReport, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, ok := l.reports[target]
--- a/lib/entryproc/assemble.go
+++ b/lib/entryproc/assemble.go
@@ -72,7 +72,7 @@
 
 // onReport sees the load reports of the engines that this process decides for.
 func (p *Process) onReport(name string, rep *engineapi.LoadReport) {
-	p.server.NoteLife(name, rep.Incarnation)
+	p.server.NoteIncarnation(name, rep.Incarnation)
 	if p.links != nil {
 		p.links.report(name, rep)
 	}
@@ -81,7 +81,7 @@
 // onView takes up a revision of settings before requests are accepted under it.
 func (p *Process) onView(ctx context.Context, d decider) func(*settings.Snapshot, func(*settings.Service) []*target.Client) {
 	services := loadpoll.NewServices(ctx, func(service, name string, rep pick.Report) {
-		p.server.ServiceReport(service, name, rep)
+		p.server.UpdateServiceLoad(service, name, rep)
 	})
 	return func(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
 		if p.links != nil {
@@ -109,7 +109,7 @@
 			Self: mesh.Identity{Instance: p.cfg.Instance, Incarnation: p.cfg.Incarnation},
 			Node: p.links.node,
 			View: p.links.members.View,
-			Lost: func(g ids.Generation) { p.server.Superseded(g) },
+			Lost: func(g ids.Generation) { p.server.StopSuperseded(g) },
 		})
 	}
 }
--- a/lib/entryproc/links.go
+++ b/lib/entryproc/links.go
@@ -150,7 +150,7 @@
 	l.sync.Notice(l.members.SettingsRevisions())
 	l.members.SetLocal(l.sync.Offer().GetRevision(), l.decider.host.Digests())
 	if l.members.View().Replaced {
-		l.server.Refuse()
+		l.server.RejectNew()
 	}
 }
 
@@ -175,7 +175,7 @@
 		Instance:         cfg.Instance,
 		SettingsRevision: l.server.Revision(),
 		Streams:          uint32(max(requests, generations)),
-		Stopping:         l.server.Leaving(),
+		Stopping:         l.server.ShuttingDown(),
 		Shards:           l.decider.host.Digests(),
 	}
 	for _, m := range l.members.View().Members {
--- a/lib/entryproc/ops.go
+++ b/lib/entryproc/ops.go
@@ -28,7 +28,7 @@
 // ready answers balancers: not ready before there are settings, and from the first moment of a planned stop.
 func (p *Process) ready() error {
 	switch {
-	case p.server.Leaving():
+	case p.server.ShuttingDown():
 		return errLeaving
 	case p.server.Snapshot() == nil:
 		return errNoSettings
@@ -45,7 +45,7 @@
 		FailureDomain:    p.cfg.Domain,
 		SettingsRevision: p.server.Revision(),
 		Streams:          requests,
-		Stopping:         p.server.Leaving(),
+		Stopping:         p.server.ShuttingDown(),
 	}
 	if p.links != nil {
 		p.links.describe(&st)
@@ -60,7 +60,7 @@
 		Draining: func(string) bool { return false },
 	}
 	if p.links != nil {
-		v.Report = p.links.control.Last
+		v.Report = p.links.control.LastReport
 	}
 	return opsapi.TargetsOf(p.server.Snapshot(), v)
 }
--- a/lib/entryproc/process.go
+++ b/lib/entryproc/process.go
@@ -157,7 +157,7 @@
 // then new requests are refused, not run; then requests in progress end, however long they run; then it closes.
 func (p *Process) Stop() error {
 	log.Info().Str("event", "stopping").Msg("")
-	p.server.Leave()
+	p.server.BeginShutdown()
 	if p.links != nil {
 		p.links.members.Leave()
 	}
