--- a/lib/entry/plain.go
+++ b/lib/entry/plain.go
@@ -17,25 +17,25 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// plainCall is one caller's call of a plain service.
+// plainCall is one caller's call to a plain service.
 type plainCall struct {
 	*request
-	service *settings.Service
-	route   *settings.Route
-	policy  *settings.Policy
-	subject Subject
-	call    target.Call
-	claim   Claim
-	first   uint32         // attempt number of the first try under the claim
-	kept    *claim.Summary // the answer of an earlier run under the same key
-	answer  []byte         // start of the answer, kept for the claim
-
-	maySent  bool // some target may have got it
-	complete bool // the whole answer was read, whoever was still there for it
-	metrics  *entrymetrics.Pair
+	service      *settings.Service
+	route        *settings.Route
+	policy       *settings.Policy
+	subject      Subject
+	call         target.Call
+	claim        Claim
+	firstAttempt uint32         // attempt number of the first try under the claim
+	replay       *claim.Summary // stored answer of an earlier run under the same key
+	answer       []byte         // start of the answer, stored in the claim
+
+	mayHaveSent bool // some target may have received it
+	complete    bool // the whole answer was read, even if the caller disconnected
+	metrics     *entrymetrics.Pair
 }
 
-// servePlain routes any method and path under a route of a plain service.
+// servePlain routes requests of any method and path to a plain service.
 func (s *Server) servePlain(w http.ResponseWriter, r *http.Request) {
 	rq, ok := s.accept(w, r)
 	if !ok {
@@ -53,8 +53,8 @@
 		return
 	}
 	defer release()
-	if pc.kept != nil {
-		writeKept(w, pc.kept)
+	if pc.replay != nil {
+		writeReplayed(w, pc.replay)
 		return
 	}
 	s.runPlain(w, r, pc)
@@ -62,7 +62,7 @@
 
 func (s *Server) readPlain(w http.ResponseWriter, r *http.Request, rq *request) (*plainCall, *result.Error) {
 	pc := &plainCall{request: rq}
-	if pc.service, pc.route = rq.view.snap.LookupRoute(r.Method, r.URL.Path); pc.service == nil {
+	if pc.service, pc.route = rq.view.snapshot.LookupRoute(r.Method, r.URL.Path); pc.service == nil {
 		return nil, result.New(result.NoRoute, "%s %s", r.Method, r.URL.Path)
 	}
 	var err *result.Error
@@ -74,14 +74,14 @@
 		return nil, err
 	}
 	header := r.Header.Clone()
-	header.Del("Authorization") // the workspace's key is for us alone
+	header.Del("Authorization") // the workspace's key must not reach targets
 	header.Set(callerapi.HeaderRequestID, rq.id)
 	pc.call = target.Call{
-		Method: r.Method,
-		Path:   r.URL.RequestURI(),
-		Header: header,
-		Body:   body,
-		Once:   !pc.route.Idempotent,
+		Method:   r.Method,
+		Path:     r.URL.RequestURI(),
+		Header:   header,
+		Body:     body,
+		NoResend: !pc.route.Idempotent,
 	}
 	pc.subject = Subject{
 		Service:     pc.service.Name,
@@ -100,9 +100,9 @@
 	return d.Sum64()
 }
 
-// admitPlain is the chain of checks before anything is sent. The claim comes last, since it costs a write.
+// admitPlain runs the checks that precede sending. The claim comes last, since it costs a write.
 func (s *Server) admitPlain(ctx context.Context, pc *plainCall) (func(), *result.Error) {
-	if err := s.clean(ctx, pc.subject.Fingerprint); err != nil {
+	if err := s.checkPoison(ctx, pc.subject.Fingerprint); err != nil {
 		return nil, err
 	}
 	release, err := s.opts.Limiter.Acquire(ctx, pc.subject, pc.policy)
@@ -119,9 +119,9 @@
 	return release, nil
 }
 
-// runPlain sends the call and relays its answer.
+// runPlain sends the call and relays the answer.
 func (s *Server) runPlain(w http.ResponseWriter, r *http.Request, pc *plainCall) {
-	ctx, cancel := pc.limit(r.Context())
+	ctx, cancel := pc.boundContext(r.Context())
 	defer cancel()
 	s.opts.Budgets.Deposit(s.now(), pc.subject.Workspace, pc.policy.RetryBudget)
 	resp, name, err := s.sendPlain(ctx, pc)
@@ -137,22 +137,22 @@
 		return
 	}
 	if started {
-		panic(http.ErrAbortHandler) // a connection closed in the middle tells the caller that its answer was cut
+		panic(http.ErrAbortHandler) // closing the connection mid-answer shows the caller that the answer is truncated
 	}
 	callerapi.WriteError(w, err, pc.id)
 }
 
-// claimedLimit bounds a claimed call without a deadline, which goes on without its caller.
-const claimedLimit = 10 * time.Minute
+// claimedTimeout is the time limit of a claimed call without a deadline, since such a call outlives its caller.
+const claimedTimeout = 10 * time.Minute
 
-// limit bounds a call by its deadline and its caller's presence. A claimed call goes on when its caller leaves: cutting it
-// would turn an outcome that is about to be known into one that nobody knows.
-func (pc *plainCall) limit(ctx context.Context) (context.Context, context.CancelFunc) {
+// boundContext bounds a call by its deadline and by the caller's connection. A claimed call continues when its caller
+// disconnects: cancelling it would turn an outcome that is about to be known into an unknown one.
+func (pc *plainCall) boundContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline := pc.deadline(pc.policy)
 	if pc.claim != nil {
 		ctx = context.WithoutCancel(ctx)
 		if deadline.IsZero() {
-			deadline = pc.accepted.Add(claimedLimit)
+			deadline = pc.accepted.Add(claimedTimeout)
 		}
 	}
 	if deadline.IsZero() {
@@ -161,7 +161,7 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-func (pc *plainCall) noTarget(mayHaveRun bool) *result.Error {
+func (pc *plainCall) noTargetError(mayHaveRun bool) *result.Error {
 	if mayHaveRun {
 		return result.New(result.Unknown, "no other target can take it")
 	}
@@ -170,7 +170,7 @@
 	return err
 }
 
-func (pc *plainCall) gaveUp(mayHaveRun bool, cause error) *result.Error {
+func (pc *plainCall) giveUpError(mayHaveRun bool, cause error) *result.Error {
 	if mayHaveRun {
 		return result.Wrap(unknownCode(cause), cause, "get a target's answer")
 	}
@@ -179,7 +179,7 @@
 	return err
 }
 
-// unknownCode tells silence from a broken connection, where nobody knows whether the target ran the call.
+// unknownCode distinguishes a silent target from a broken connection; in both cases the target may have run the call.
 func unknownCode(cause error) result.Code {
 	if errors.Is(cause, errSilent) {
 		return result.TargetSilent
@@ -187,8 +187,8 @@
 	return result.Unknown
 }
 
-// ended is what a call is told whose deadline passed, or whose caller left.
-func (pc *plainCall) ended(ctx context.Context, mayHaveRun bool, cause error) *result.Error {
+// endedError returns the error for a call whose deadline passed or whose caller disconnected.
+func (pc *plainCall) endedError(ctx context.Context, mayHaveRun bool, cause error) *result.Error {
 	if !mayHaveRun {
 		err := result.Wrap(result.DeadlineTooNear, cause, "reach a target before the deadline")
 		err.RetryAfter = time.Second
@@ -200,14 +200,14 @@
 	return result.Wrap(result.Unknown, cause, "get the target's answer")
 }
 
-// endPlain settles claim, metrics and log. resp is nil when no target answered.
+// endPlain settles the claim and writes metrics and the log line. resp is nil if no target answered.
 func (s *Server) endPlain(pc *plainCall, name string, resp *http.Response, err *result.Error) {
 	code := codeOf(err)
 	pc.settleClaim(resp, err)
-	took := s.now().Sub(pc.accepted)
-	pc.metrics.Duration.Update(took.Seconds())
+	elapsed := s.now().Sub(pc.accepted)
+	pc.metrics.Duration.Update(elapsed.Seconds())
 	pc.metrics.Result(code)
 	e := log.Info().Str("event", "call_end").Str("request", pc.id).Str("workspace", pc.workspace.Name).Str("class", pc.class)
 	e = e.Str("service", pc.service.Name).Str("target", name).Uint16("code", uint16(code))
-	e.Str("result", result.Lookup(code).Name).Int64("took_ms", took.Milliseconds()).Msg("")
+	e.Str("result", result.Lookup(code).Name).Int64("took_ms", elapsed.Milliseconds()).Msg("")
 }
--- a/lib/entry/rig_test.go
+++ b/lib/entry/rig_test.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	testKey   = "glasgow-planning-test-key"
-	testModel = "planner-llm"
-	waitMost  = 10 * time.Second
-	pollEvery = 20 * time.Millisecond
+	testKey      = "glasgow-planning-test-key"
+	testModel    = "planner-llm"
+	waitTimeout  = 10 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 func init() {
@@ -40,14 +40,14 @@
 	invariant.SetHook(func(name, detail string) { panic("invariant " + name + ": " + detail) })
 }
 
-// rig is one entry in this process, before engines and plain services at given addresses.
+// rig is an entry in this process, in front of engines and plain services at given addresses.
 type rig struct {
 	t      testing.TB
 	server *Server
 	http   *httptest.Server
 }
 
-// siteText returns settings with the given targets.
+// siteText returns site settings with the given policy lines and targets.
 func siteText(policy string, resumes bool, engines, plains []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "site:\n  name: test\n  failure_domains: [govan-depot]\npolicy:\n  stall_floor: 100ms\n%s", policy)
@@ -80,7 +80,7 @@
 	return snap
 }
 
-// newRig starts an entry. change may set further options.
+// newRig starts an entry. change may modify its options.
 func newRig(t testing.TB, text string, change func(*Options)) *rig {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,7 +94,7 @@
 		r := local.Runner("planner-llm")
 		r.SetPolicy(ClassPolicies(snap, "planner-llm"))
 		r.SetTargets(TargetSpecs(svc))
-		loadpoll.New(ctx, r, pollEvery).SetTargets(clients(svc))
+		loadpoll.New(ctx, r, pollInterval).SetTargets(clients(svc))
 	}}
 	if change != nil {
 		change(&opts)
@@ -116,7 +116,7 @@
 	return r
 }
 
-// startEngine starts a stand-in engine with quick steps.
+// startEngine starts a stand-in engine with short steps.
 func startEngine(t *testing.T, change func(*engine.Config)) *engine.Server {
 	t.Helper()
 	cfg := engine.Config{Addr: "127.0.0.1:0", Engine: enginemodel.Default(), Model: testModel, Die: func() {}}
@@ -131,24 +131,24 @@
 	return e
 }
 
-// ask is one caller's request for a completion.
-type ask struct {
-	prompt string
-	stream bool
-	key    string
-	last   string
-	ms     string
-	extra  string // further fields of the body
+// callerRequest is a caller's completion request.
+type callerRequest struct {
+	prompt     string
+	stream     bool
+	key        string
+	lastEvent  string
+	deadlineMS string
+	extra      string // additional fields of the body
 }
 
-func (r *rig) send(ctx context.Context, a ask) *http.Response {
+func (r *rig) send(ctx context.Context, a callerRequest) *http.Response {
 	r.t.Helper()
 	prompt, _ := json.Marshal(a.prompt)
 	body := fmt.Sprintf(`{"model":%q,"prompt":%s,"stream":%t%s}`, testModel, prompt, a.stream, a.extra)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.http.URL+engineapi.PathCompletions, strings.NewReader(body))
 	must.NoError(r.t, err)
 	req.Header.Set("Authorization", "Bearer "+testKey)
-	for name, v := range map[string]string{callerapi.HeaderKey: a.key, callerapi.HeaderLastEvent: a.last, callerapi.HeaderDeadline: a.ms} {
+	for name, v := range map[string]string{callerapi.HeaderKey: a.key, callerapi.HeaderLastEvent: a.lastEvent, callerapi.HeaderDeadline: a.deadlineMS} {
 		if v != "" {
 			req.Header.Set(name, v)
 		}
@@ -159,12 +159,12 @@
 	return resp
 }
 
-// event is one event as the caller sees it.
+// event is a server-sent event as the caller receives it.
 type event struct {
 	id, name, data string
 }
 
-// events reads a stream event by event; ok is false when the connection ended.
+// events reads a stream event by event; next returns false when the connection has ended.
 type events struct {
 	s *bufio.Scanner
 }
@@ -192,23 +192,23 @@
 	return event{}, false
 }
 
-// story is what a caller saw of one stream.
-type story struct {
+// transcript records what a caller received from one stream.
+type transcript struct {
 	text   strings.Builder
 	tokens int
 	lastID string
 	finish string
-	done   bool // [DONE] came
+	done   bool // [DONE] was received
 	err    *callerapi.ErrorDetail
 }
 
-// read follows a stream to its end, and calls each after every token with the count so far. It fails the test when an
-// index is not the next one.
-func (st *story) read(t *testing.T, e *events, each func(n int)) {
+// read reads a stream to its end and calls each after every token with the count so far. It fails the test if an index is
+// out of order.
+func (st *transcript) read(t *testing.T, e *events, each func(n int)) {
 	t.Helper()
 	for {
 		ev, ok := e.next()
-		if !ok || !st.take(t, ev) {
+		if !ok || !st.add(t, ev) {
 			return
 		}
 		if each != nil {
@@ -217,7 +217,7 @@
 	}
 }
 
-func (st *story) take(t *testing.T, ev event) bool {
+func (st *transcript) add(t *testing.T, ev event) bool {
 	t.Helper()
 	if ev.data == engineapi.DoneData {
 		st.done = true
@@ -244,8 +244,8 @@
 	return true
 }
 
-// whole checks that the caller got all n tokens of one generation, each once, and the end mark.
-func (st *story) whole(t *testing.T, prompt string, n int) {
+// checkComplete checks that the caller received all n tokens of one generation, each once, and [DONE].
+func (st *transcript) checkComplete(t *testing.T, prompt string, n int) {
 	t.Helper()
 	must.Nil(t, st.err)
 	must.True(t, st.done, must.Sprint("no [DONE]"))
@@ -267,13 +267,13 @@
 	return body.Error
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition holds, for at most waitMost.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitMost); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("never came true: %s", what)
+	t.Fatalf("condition not reached in time: %s", what)
 }
