--- a/lib/owner/candidates.go
+++ b/lib/owner/candidates.go
@@ -8,24 +8,24 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// candidates is how many instances rank to own a shard: the owner, one that is told as much, and one more for when both
+// candidateCount is the number of candidates for a shard: the owner, a second that receives the same reports, and a third for when both
 // are gone.
-const candidates = 3
+const candidateCount = 3
 
-// Candidates ranks instances for shards. It is not changed once it is made.
+// Candidates ranks instances as owners of shards. It is immutable.
 type Candidates struct {
 	instances []Instance
 	hashes    []uint64
-	domains   map[string]*tiers // by failure domain; of all by the empty name
+	domains   map[string]*tiers // by failure domain; the empty name stands for all
 }
 
-// tiers are the numbers of a domain's instances, by whether they have half of the largest capacity there or more.
+// tiers are the indexes of a domain's instances: strong ones have at least half of the largest capacity there.
 type tiers struct {
-	most         uint32
+	maxCapacity  uint32
 	strong, weak []int
 }
 
-// NewCandidates returns the ranking of some instances.
+// NewCandidates returns the ranking of instances.
 func NewCandidates(instances []Instance) *Candidates {
 	c := &Candidates{instances: instances, hashes: make([]uint64, len(instances)), domains: map[string]*tiers{"": {}}}
 	for i, in := range instances {
@@ -33,8 +33,8 @@
 		if c.domains[in.Domain] == nil {
 			c.domains[in.Domain] = new(tiers)
 		}
-		c.domains[in.Domain].most = max(c.domains[in.Domain].most, in.Capacity)
-		c.domains[""].most = max(c.domains[""].most, in.Capacity)
+		c.domains[in.Domain].maxCapacity = max(c.domains[in.Domain].maxCapacity, in.Capacity)
+		c.domains[""].maxCapacity = max(c.domains[""].maxCapacity, in.Capacity)
 	}
 	for i, in := range instances {
 		c.domains[in.Domain].add(i, in.Capacity)
@@ -46,37 +46,37 @@
 }
 
 func (t *tiers) add(i int, capacity uint32) {
-	if capacity >= t.most/2 {
+	if capacity >= t.maxCapacity/2 {
 		t.strong = append(t.strong, i)
 	} else {
 		t.weak = append(t.weak, i)
 	}
 }
 
-// rank returns the first candidates for a shard: those of its failure domain first, then those with half of the largest
-// capacity or more, which many instances' asks do not slow down, then by rendezvous.
+// rank returns the candidates for a shard: instances of its failure domain first, then those with at least half of the largest
+// capacity, which requests of many instances do not slow down, then by rendezvous rank.
 func (c *Candidates) rank(domain string, key uint64) []Instance {
 	near := c.domains[domain]
 	if near == nil {
 		near = new(tiers)
 	}
-	out := c.Top(domain, key, candidates)
-	if domain != "" && len(out) < candidates {
-		far := c.beyond(domain, near.most)
-		out = c.best(out, candidates, far.strong, key)
-		out = c.best(out, candidates, far.weak, key)
+	out := c.Top(domain, key, candidateCount)
+	if domain != "" && len(out) < candidateCount {
+		far := c.otherDomains(domain, near.maxCapacity)
+		out = c.appendTop(out, candidateCount, far.strong, key)
+		out = c.appendTop(out, candidateCount, far.weak, key)
 	}
 	return out
 }
 
-// Top returns the first n instances of a failure domain for a key, of all by the empty name: those with half of the largest capacity
-// there or more, then by rendezvous.
+// Top returns the first n instances of a failure domain for a key, or of all domains if domain is empty: those with at least half
+// of the largest capacity there first, then by rendezvous rank.
 func (c *Candidates) Top(domain string, key uint64, n int) []Instance {
 	near := c.domains[domain]
 	if near == nil {
 		return nil
 	}
-	return c.best(c.best(nil, n, near.strong, key), n, near.weak, key)
+	return c.appendTop(c.appendTop(nil, n, near.strong, key), n, near.weak, key)
 }
 
 // Count returns how many instances are in a failure domain.
@@ -93,9 +93,9 @@
 	return slices.DeleteFunc(out, func(d string) bool { return d == "" })
 }
 
-// beyond are the instances of other domains, against the largest capacity of one.
-func (c *Candidates) beyond(domain string, most uint32) *tiers {
-	far := &tiers{most: most}
+// otherDomains returns the instances of other domains, in tiers by the given largest capacity.
+func (c *Candidates) otherDomains(domain string, maxCapacity uint32) *tiers {
+	far := &tiers{maxCapacity: maxCapacity}
 	for i, in := range c.instances {
 		if in.Domain != domain {
 			far.add(i, in.Capacity)
@@ -104,27 +104,27 @@
 	return far
 }
 
-// best appends the first in rank of some instances until there are n.
-func (c *Candidates) best(out []Instance, n int, among []int, key uint64) []Instance {
-	better := func(a, b int) int {
+// appendTop appends the highest-ranked instances of among until out has n.
+func (c *Candidates) appendTop(out []Instance, n int, among []int, key uint64) []Instance {
+	compare := func(a, b int) int {
 		return cmp.Compare(rendezvous.Rank(key, c.hashes[among[b]]), rendezvous.Rank(key, c.hashes[among[a]]))
 	}
-	for _, i := range first(len(among), n-len(out), better) {
+	for _, i := range topK(len(among), n-len(out), compare) {
 		out = append(out, c.instances[among[i]])
 	}
 	return out
 }
 
-// first returns the k best of the numbers below n, in order.
-func first(n, k int, better func(a, b int) int) []int {
+// topK returns the k first of the numbers below n by compare, in order.
+func topK(n, k int, compare func(a, b int) int) []int {
 	if k <= 0 {
 		return nil
 	}
 	out := make([]int, 0, k+1)
 	for i := range n {
-		at, _ := slices.BinarySearchFunc(out, i, better)
-		if at < k {
-			out = slices.Insert(out, at, i)
+		rank, _ := slices.BinarySearchFunc(out, i, compare)
+		if rank < k {
+			out = slices.Insert(out, rank, i)
 			out = out[:min(k, len(out))]
 		}
 	}
--- a/lib/ownerlink/moves.go
+++ b/lib/ownerlink/moves.go
@@ -8,15 +8,15 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// plan is one of moves that is about to be made, with those who ask for it.
+// plan is a plan of moves in preparation, with the requests that wait for it.
 type plan struct {
-	shard   *owner.Shard
-	engines []fleet.Info
-	asks    []*ownerpb.Datagram
+	shard    *owner.Shard
+	engines  []fleet.Info
+	requests []*ownerpb.Datagram
 }
 
-// PlanLeaving plans the moves of the runs on engines that leave, where this instance may be asked for them. Engines that leave
-// with the first, some milliseconds later, come into the same plan: their runs share the links of the same destinations.
+// PlanLeaving plans the moves of the runs on engines that leave, for shards that this instance is a candidate for. Engines that leave
+// some milliseconds after the first are included in the same plan: their runs share the links of the same destinations.
 func (l *Link) PlanLeaving(engines []fleet.Info) {
 	layout := l.layout.Load()
 	l.mu.Lock()
@@ -30,7 +30,7 @@
 		if p == nil {
 			p = &plan{shard: s}
 			l.plans[s.Key] = p
-			time.AfterFunc(planWait, func() { l.makePlan(p) })
+			time.AfterFunc(planDelay, func() { l.makePlan(p) })
 		}
 		p.engines = append(p.engines, e)
 	}
@@ -45,27 +45,27 @@
 		engines := p.engines
 		l.mu.Unlock()
 		l.Coordinator.Plan(time.Now(), p.shard, engines, link)
-		l.tellLeaving(p.shard, engines)
+		l.notifyUsers(p.shard, engines)
 	}
 	l.mu.Lock()
 	if l.plans[p.shard.Key] == p {
 		delete(l.plans, p.shard.Key)
 	}
-	asks := p.asks
+	requests := p.requests
 	l.mu.Unlock()
-	for _, d := range asks {
-		l.tellMoves(p.shard, d)
+	for _, d := range requests {
+		l.replyMoves(p.shard, d)
 	}
 }
 
-// tellLeaving tells the instances that have runs on engines which leave. While the list of targets is away, they have it
-// from nobody else.
-func (l *Link) tellLeaving(s *owner.Shard, engines []fleet.Info) {
+// notifyUsers informs the instances that have runs on engines that leave. While the target list is unavailable, they learn of it in
+// no other way.
+func (l *Link) notifyUsers(s *owner.Shard, engines []fleet.Info) {
 	var left []*ownerpb.Left
 	ids := make(map[string]bool, len(engines))
 	for _, e := range engines {
 		if l.Fleet.IsPresumedGone(e.ID) {
-			continue // others judge the missing entry by themselves, and would take this for the engine's own word
+			continue // others detect the missing entry themselves, and would take this for the engine's own announcement
 		}
 		left = append(left, &ownerpb.Left{Target: e.ID, Born: e.Born})
 		ids[e.ID] = true
@@ -73,59 +73,59 @@
 	if len(left) == 0 {
 		return
 	}
-	d := l.leftTold(left...)
+	d := l.newLeftDatagram(left...)
 	for _, addr := range l.Coordinator.Users(s.Key, ids) {
 		l.send(addr, d)
 	}
 }
 
-func (l *Link) handleMovesAsk(d *ownerpb.Datagram, a *ownerpb.MovesAsk) {
-	if a.Report == nil {
-		l.tellBad("moves_ask", errNoBody)
+func (l *Link) handleMovesRequest(d *ownerpb.Datagram, req *ownerpb.MovesAsk) {
+	if req.Report == nil {
+		l.reportBad("moves_ask", errMalformed)
 		return
 	}
 	now := time.Now()
-	s := l.layout.Load().Shard(a.Report.Shard)
+	s := l.layout.Load().Shard(req.Report.Shard)
 	if s == nil {
-		l.tellMoves(&owner.Shard{}, d)
+		l.replyMoves(&owner.Shard{}, d)
 		return
 	}
-	if to, ok := l.otherOwner(now, s); ok && !a.PassedOn {
+	if to, ok := l.otherOwner(now, s); ok && !req.PassedOn {
 		l.send(to.Addr, &ownerpb.Datagram{
 			Instance: d.Instance, Incarnation: d.Incarnation, Addr: d.Addr,
-			Body: &ownerpb.Datagram_MovesAsk{MovesAsk: &ownerpb.MovesAsk{Id: a.Id, Left: a.Left, Report: a.Report, PassedOn: true}},
+			Body: &ownerpb.Datagram_MovesAsk{MovesAsk: &ownerpb.MovesAsk{Id: req.Id, Left: req.Left, Report: req.Report, PassedOn: true}},
 		})
 		return
 	}
-	l.Coordinator.Report(now, decodeReport(d, a.Report))
-	for _, e := range a.Left {
+	l.Coordinator.Report(now, decodeReport(d, req.Report))
+	for _, e := range req.Left {
 		l.OnLeft(e.Target, e.Born)
 	}
 	l.mu.Lock()
 	p := l.plans[s.Key]
 	if p != nil {
-		p.asks = append(p.asks, d)
+		p.requests = append(p.requests, d)
 	}
 	l.mu.Unlock()
 	if p == nil {
-		l.tellMoves(s, d)
+		l.replyMoves(s, d)
 	}
 }
 
-func (l *Link) tellMoves(s *owner.Shard, d *ownerpb.Datagram) {
-	a := d.GetMovesAsk()
-	runs := make([]uint64, len(a.Report.Runs))
-	for i, r := range a.Report.Runs {
+func (l *Link) replyMoves(s *owner.Shard, d *ownerpb.Datagram) {
+	req := d.GetMovesAsk()
+	runs := make([]uint64, len(req.Report.Runs))
+	for i, r := range req.Report.Runs {
 		runs[i] = r.Id
 	}
-	out := l.own()
+	out := l.newDatagram()
 	moves := encodeMoves(l.Coordinator.Moves(time.Now(), s, d.Instance, runs))
-	if a.Report.Describe {
+	if req.Report.Describe {
 		for _, m := range moves {
 			to, _ := l.Fleet.Info(m.To)
 			m.ToInfo = encodeTarget(&to)
 		}
 	}
-	out.Body = &ownerpb.Datagram_Moves{Moves: &ownerpb.Moves{Id: a.Id, Moves: moves}}
-	l.reply(d.Instance, d.Addr, a.Id, out)
+	out.Body = &ownerpb.Datagram_Moves{Moves: &ownerpb.Moves{Id: req.Id, Moves: moves}}
+	l.reply(d.Instance, d.Addr, req.Id, out)
 }
--- a/lib/ownerlink/wire.go
+++ b/lib/ownerlink/wire.go
@@ -19,13 +19,14 @@
 
 func tokens(n int) uint32 { return uint32(min(max(0, n), 1<<31)) }
 
-func encodeAsk(a *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
-	n := &a.Stream.Need
+func encodePlaceRequest(req *owner.PlaceRequest, shard string, now time.Time) *ownerpb.Ask {
+	n := &req.Stream.Need
 	out := &ownerpb.Ask{
-		Id: a.ID, Shard: shard, Hops: uint32(a.Hops), Run: a.Run, Mode: uint32(a.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
-		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(a.Stream.Objective),
-		AgeMs: ms(now.Sub(a.Stream.Arrived)), KeepsMs: ms(a.Stream.MaxRetryAfter), Near: n.PreferredDomain, BackupTokens: tokens(a.Backup), Print: a.Fingerprint,
-		Back: a.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: a.Describe,
+		Id: req.ID, Shard: shard, Hops: uint32(req.Hops), Run: req.Run, Mode: uint32(req.Mode), Service: n.Service, Tokens: tokens(n.Tokens),
+		Unread: tokens(n.Unread), Now: tokens(n.Peak.Held), Left: tokens(n.Peak.Remaining), AimMs: ms(req.Stream.Objective),
+		AgeMs: ms(now.Sub(req.Stream.Arrived)), KeepsMs: ms(req.Stream.MaxRetryAfter), Near: n.PreferredDomain,
+		BackupTokens: tokens(req.Backup), Print: req.Fingerprint,
+		Back: req.Stream.IsRetry, Bound: n.Regions != nil, Regions: n.Regions, Describe: req.Describe,
 	}
 	for id := range n.Exclude {
 		out.Without = append(out.Without, id)
@@ -34,25 +35,29 @@
 	return out
 }
 
-func decodeAsk(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
-	a := d.GetAsk()
+func decodePlaceRequest(d *ownerpb.Datagram, now time.Time) owner.PlaceRequest {
+	req := d.GetAsk()
 	need := fleet.Need{
-		Service: a.Service, Tokens: int(a.Tokens), Unread: int(a.Unread), PreferredDomain: a.Near,
-		Peak: fleet.Size{Held: int(a.Now), Remaining: int(a.Left)},
+		Service: req.Service, Tokens: int(req.Tokens), Unread: int(req.Unread), PreferredDomain: req.Near,
+		Peak: fleet.Size{Held: int(req.Now), Remaining: int(req.Left)},
 	}
-	if a.Bound {
-		need.Regions = append([]string{}, a.Regions...)
+	if req.Bound {
+		need.Regions = append([]string{}, req.Regions...)
 	}
-	if len(a.Without) > 0 {
-		need.Exclude = make(map[string]bool, len(a.Without))
-		for _, id := range a.Without {
+	if len(req.Without) > 0 {
+		need.Exclude = make(map[string]bool, len(req.Without))
+		for _, id := range req.Without {
 			need.Exclude[id] = true
 		}
 	}
 	return owner.PlaceRequest{
-		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: a.Id},
-		ReplyAddr: d.Addr, Run: a.Run, Mode: owner.Mode(a.Mode), Backup: int(a.BackupTokens), Hops: int(a.Hops), Fingerprint: a.Print, Describe: a.Describe,
-		Stream: admit.Stream{Arrived: now.Add(-duration(a.AgeMs)), Objective: duration(a.AimMs), MaxRetryAfter: duration(a.KeepsMs), IsRetry: a.Back, Need: need},
+		Key:       owner.Key{Instance: d.Instance, Incarnation: d.Incarnation, ID: req.Id},
+		ReplyAddr: d.Addr, Run: req.Run, Mode: owner.Mode(req.Mode), Backup: int(req.BackupTokens), Hops: int(req.Hops),
+		Fingerprint: req.Print, Describe: req.Describe,
+		Stream: admit.Stream{
+			Arrived: now.Add(-duration(req.AgeMs)), Objective: duration(req.AimMs), MaxRetryAfter: duration(req.KeepsMs),
+			IsRetry: req.Back, Need: need,
+		},
 	}
 }
 
@@ -65,7 +70,7 @@
 	}
 }
 
-// encodeTarget writes what the list says of a target; nil: nothing.
+// encodeTarget encodes the target list's entry of a target; nil if it has none.
 func encodeTarget(t *fleet.Info) *ownerpb.Target {
 	if t.Addr == "" {
 		return nil
@@ -115,7 +120,10 @@
 }
 
 func decodeReport(d *ownerpb.Datagram, r *ownerpb.Report) owner.Report {
-	out := owner.Report{Shard: r.Shard, Instance: d.Instance, ReplyAddr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, LastGrant: r.Seen, Describe: r.Describe}
+	out := owner.Report{
+		Shard: r.Shard, Instance: d.Instance, ReplyAddr: d.Addr, Incarnation: d.Incarnation, Seq: r.Seq, LastGrant: r.Seen,
+		Describe: r.Describe,
+	}
 	for _, m := range r.Runs {
 		out.Runs = append(out.Runs, owner.Run{
 			ID: m.Id, Target: m.Target, Tokens: int(m.Tokens), Expected: int(m.Expected), Unread: int(m.Unread),
@@ -134,8 +142,8 @@
 	return out
 }
 
-// fit cuts a report to a datagram by leaving runs out.
-func fit(d *ownerpb.Datagram, r *ownerpb.Report) {
+// truncateReport leaves runs out of a report until it fits into a datagram.
+func truncateReport(d *ownerpb.Datagram, r *ownerpb.Report) {
 	for proto.Size(d) > maxDatagram && len(r.Runs) > 0 {
 		r.Runs = r.Runs[:len(r.Runs)/2]
 	}
