--- a/lib/admit/reading.go
+++ b/lib/admit/reading.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// readStep is how far one sample moves what is learnt, as a part of it: the last fifty or so count.
-const readStep = 0.05
+// rateStep is the relative step by which one sample moves the estimate: about the last fifty samples count.
+const rateStep = 0.05
 
-// Readings learns how long the engines of each service take to read a token of a prompt, from the first events of streams
-// and what was believed to wait on their engines. The median is followed: some first events wait for memory, too, and a
-// mean would take their time for reading. The zero value is ready for use.
-type Readings struct {
-	mu sync.Mutex
-	of map[string]float64 // nanoseconds a token, by service
+// PrefillRates estimates how long the engines of each service take to prefill a prompt token, from the times to first event and the prompt
+// tokens known to be pending on the engine. It tracks the median: some first events wait for memory as well, and a mean would count that
+// time as prefill. The zero value is ready for use.
+type PrefillRates struct {
+	mu         sync.Mutex
+	nsPerToken map[string]float64 // by service
 }
 
-// Saw takes in that the first event came after d on an engine with so many tokens to read.
-func (s *Readings) Saw(service string, unread int, d time.Duration) {
+// Observe records a first event that came after d on an engine with the given prompt tokens pending.
+func (s *PrefillRates) Observe(service string, unread int, d time.Duration) {
 	if unread <= 0 || d <= 0 {
 		return
 	}
-	each := float64(d) / float64(unread)
+	perToken := float64(d) / float64(unread)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, known := s.of[service]
+	old, known := s.nsPerToken[service]
 	switch {
 	case !known:
-		if s.of == nil {
-			s.of = make(map[string]float64)
+		if s.nsPerToken == nil {
+			s.nsPerToken = make(map[string]float64)
 		}
-		s.of[service] = each
-	case each > old:
-		s.of[service] = old * (1 + readStep)
+		s.nsPerToken[service] = perToken
+	case perToken > old:
+		s.nsPerToken[service] = old * (1 + rateStep)
 	default:
-		s.of[service] = old * (1 - readStep)
+		s.nsPerToken[service] = old * (1 - rateStep)
 	}
 }
 
-// Within is how many tokens are read in d; 0 while nothing is known.
-func (s *Readings) Within(service string, d time.Duration) int {
+// TokensWithin returns how many prompt tokens are prefilled in d; 0 if there is no estimate yet.
+func (s *PrefillRates) TokensWithin(service string, d time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	each := s.of[service]
-	if each <= 0 {
+	perToken := s.nsPerToken[service]
+	if perToken <= 0 {
 		return 0
 	}
-	return max(1, int(float64(d)/each))
+	return max(1, int(float64(d)/perToken))
 }
--- a/lib/entry/hedge.go
+++ b/lib/entry/hedge.go
@@ -11,69 +11,70 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// errOvertaken cancels a call whose answer another target gave first.
-var errOvertaken = errors.New("another target answered first")
+// errOtherAnswered cancels a hedged call that another target answered first.
+var errOtherAnswered = errors.New("another target answered first")
 
-// sending is one call under way at one target.
-type sending struct {
+// hedgedCall is one of the concurrent calls made for a hedged request.
+type hedgedCall struct {
 	name   string
 	resp   *http.Response
 	err    error
 	cancel context.CancelCauseFunc
 }
 
-// sendHedged sends an idempotent call, and again to another target when the first is silent for the stall floor. The first
-// answer counts.
+// sendHedged sends an idempotent call and, if the target has not answered within the stall floor, sends it to another
+// target too. The first answer is used.
 //
-// A target that is frozen, or whose link stalls, keeps its connections and answers nothing. A status check without a
-// deadline would wait as long as it does, beside a healthy target. A bound on the wait would fail calls that are only
-// slow; the second call leaves the first running, and is paid for out of the retry budget.
+// A frozen target, or one behind a stalled link, keeps its connections open and never answers. Without a second call, a
+// status check without a deadline would wait for that target although a healthy one is available. A timeout instead would
+// fail calls that are merely slow; the second call leaves the first running and is charged to the retry budget.
 func (s *Server) sendHedged(ctx context.Context, pc *plainCall, name string, try uint32, avoid []string) (*http.Response, string, error) {
-	most := max(1, pc.policy.MaxAttempts)
-	answers := make(chan *sending, most)
-	under := []*sending{s.launch(ctx, pc, name, try, answers)}
+	maxCalls := max(1, pc.policy.MaxAttempts)
+	answers := make(chan *hedgedCall, maxCalls)
+	calls := []*hedgedCall{s.launchCall(ctx, pc, name, try, answers)}
 	avoid = append(slices.Clone(avoid), name)
-	quiet := time.NewTimer(pc.policy.StallFloor)
-	defer quiet.Stop()
-	var failed *sending
-	for left := 1; ; {
+	hedgeTimer := time.NewTimer(pc.policy.StallFloor)
+	defer hedgeTimer.Stop()
+	var failed *hedgedCall
+	for pending := 1; ; {
 		select {
-		case got := <-answers:
-			left--
-			if got.err == nil {
-				overtake(under, got, answers, left)
-				got.resp.Body = &sentBody{got.resp.Body, got.cancel}
-				return got.resp, got.name, nil
+		case done := <-answers:
+			pending--
+			if done.err == nil {
+				cancelOthers(calls, done, answers, pending)
+				done.resp.Body = &cancelOnClose{done.resp.Body, done.cancel}
+				return done.resp, done.name, nil
 			}
-			got.cancel(nil)
-			if failed = graver(failed, got); left == 0 {
+			done.cancel(nil)
+			if failed = moreSevere(failed, done); pending == 0 {
 				return nil, failed.name, failed.err
 			}
-			quiet.Reset(pc.policy.StallFloor) // the others may still answer; or a further one
-		case <-quiet.C:
-			if len(under) == most {
+			hedgeTimer.Reset(pc.policy.StallFloor) // wait for the remaining calls, or hedge again
+		case <-hedgeTimer.C:
+			if len(calls) == maxCalls {
 				continue
 			}
-			if other, ok := s.second(pc, avoid); ok {
-				under = append(under, s.launch(ctx, pc, other, try+uint32(len(under)), answers))
+			if other, ok := s.hedgeTarget(pc, avoid); ok {
+				calls = append(calls, s.launchCall(ctx, pc, other, try+uint32(len(calls)), answers))
 				avoid = append(avoid, other)
-				left++
+				pending++
 			}
 		}
 	}
 }
 
-// graver returns the failure that says more: one call that was never sent does not prove that another was not.
-func graver(a, b *sending) *sending {
+// moreSevere returns the failure to report. That of a sent call takes precedence: a call that was never sent does not
+// prove that another was not.
+func moreSevere(a, b *hedgedCall) *hedgedCall {
 	if a == nil || errors.Is(a.err, target.ErrNotSent) {
 		return b
 	}
 	return a
 }
 
-// second picks a target for the second call, if the retry budget allows one.
-func (s *Server) second(pc *plainCall, avoid []string) (string, bool) {
-	name, ok := s.pickTarget(pc.service.Name, s.avoidFor(avoid, pc.subject.Fingerprint))
+// hedgeTarget picks a target for a further call, if the retry budget allows one.
+func (s *Server) hedgeTarget(pc *plainCall, avoid []string) (string, bool) {
+	name, ok := s.pickTarget(pc.service.Name, s.targetsToAvoid(avoid, pc.subject.Fingerprint))
 	if !ok {
 		return "", false
 	}
@@ -84,28 +85,28 @@
 	return name, true
 }
 
-func (s *Server) launch(ctx context.Context, pc *plainCall, name string, try uint32, answers chan<- *sending) *sending {
+func (s *Server) launchCall(ctx context.Context, pc *plainCall, name string, try uint32, answers chan<- *hedgedCall) *hedgedCall {
 	ctx, cancel := context.WithCancelCause(ctx)
-	snd := &sending{name: name, cancel: cancel}
+	call := &hedgedCall{name: name, cancel: cancel}
 	go func() {
-		snd.resp, snd.err = s.sendOnce(ctx, pc, name, try)
-		answers <- snd
+		call.resp, call.err = s.sendOnce(ctx, pc, name, try)
+		answers <- call
 	}()
-	return snd
+	return call
 }
 
-// overtake ends the calls other than the one whose answer counts, and drops what they bring.
-func overtake(under []*sending, got *sending, answers <-chan *sending, left int) {
-	for _, snd := range under {
-		if snd != got {
-			snd.cancel(errOvertaken)
+// cancelOthers cancels all calls except the winner and closes the answers they still return.
+func cancelOthers(calls []*hedgedCall, winner *hedgedCall, answers <-chan *hedgedCall, pending int) {
+	for _, call := range calls {
+		if call != winner {
+			call.cancel(errOtherAnswered)
 		}
 	}
-	if left == 0 {
+	if pending == 0 {
 		return
 	}
 	go func() {
-		for range left {
+		for range pending {
 			if late := <-answers; late.err == nil {
 				_ = late.resp.Body.Close()
 			}
@@ -113,14 +114,14 @@
 	}()
 }
 
-// sentBody releases the call's context when its answer has been read.
-type sentBody struct {
+// cancelOnClose releases the call's context when the answer's body is closed.
+type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelCauseFunc
 }
 
 // Close implements io.Closer.
-func (b *sentBody) Close() error {
+func (b *cancelOnClose) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel(nil)
 	return err
--- a/lib/fleet/choose.go
+++ b/lib/fleet/choose.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Constants of the choice. Scores are in units of a full target.
+// Constants of target selection. Scores are in units of one fully loaded target.
 const (
-	// failStep is the weight of one outcome in the share of failures: about the last ten requests count.
-	failStep = 0.1
-	// failFree is the share of failures that is borne as the callers' own: some requests fail wherever they run.
-	failFree = 0.25
-	// failCost is the score of a target that fails everything, beyond failFree.
-	failCost = 3.0
-	// awayCost is the score of another failure domain: bytes between domains cost, but less than waiting.
-	awayCost = 0.04
-	// reportLife is how long a report of load is believed.
-	reportLife = 400 * time.Millisecond
-	// avoidFirst and avoidMax bound how long a target that could not be reached gets nothing.
-	avoidFirst = 250 * time.Millisecond
-	avoidMax   = 2 * time.Second
-	// OutageGrace is how long an entry that lapsed while the store was away is still believed: entries of targets that
-	// live are back within about two seconds of the store's return.
+	// failureWeight is the weight of one outcome in the moving failure share: about the last ten requests count.
+	failureWeight = 0.1
+	// toleratedFailures is the failure share that carries no penalty: some requests fail on any target because of their own content.
+	toleratedFailures = 0.25
+	// failureCost is the penalty, beyond toleratedFailures, of a target that fails every request.
+	failureCost = 3.0
+	// crossDomainCost is the penalty for another failure domain: traffic between domains costs, but less than waiting does.
+	crossDomainCost = 0.04
+	// reportTTL is how long a load report is used.
+	reportTTL = 400 * time.Millisecond
+	// avoidMin and avoidMax bound the exponential backoff of a target that could not be reached.
+	avoidMin = 250 * time.Millisecond
+	avoidMax = 2 * time.Second
+	// OutageGrace is how long targets whose entries expired during a store outage are kept: live targets write their entries again
+	// within about two seconds of the store's return.
 	OutageGrace = 2 * time.Second
-	// peerLife is how long a peer's news of its sends is believed.
-	peerLife = 1500 * time.Millisecond
-	// jitter keeps instances that believe the same from choosing the same target.
+	// peerTTL is how long a peer's load update is used.
+	peerTTL = 1500 * time.Millisecond
+	// jitter keeps instances with the same view from all choosing the same target.
 	jitter = 0.02
-	// minConns is the number of connections that an instance may hold to a target however many instances there are.
+	// minConns is the number of connections that an instance may always hold to a target, however many instances there are.
 	minConns = 2
-	// unreadWeight is what a token of a prompt that waits to be read costs, against one in memory: prompts are read one
-	// chunk between the tokens of others, so a second one doubles the time to the first token of both.
+	// unreadWeight is the cost of a prompt token that waits for prefill, relative to one in memory: prompts are prefilled one chunk
+	// between decode steps, so a second prompt doubles the time to first token of both.
 	unreadWeight = 2.0
-	// runWeight is the score of one more run on an engine, beside its memory: each run slows the others' tokens.
+	// runWeight is the cost of one more run on an engine, besides its memory: each run slows down decoding for the others.
 	runWeight = 0.01
 )
 
-// Need is what a request asks of a target.
+// Need describes what a request requires of a target.
 type Need struct {
-	Service  string
-	Tokens   int             // of engine memory; 0 for a plain service
-	Unread   int             // tokens of its prompt to read
-	Without  map[string]bool // targets not to choose
-	Among    []string        // ids of the targets to choose among, sorted; nil: all
-	Kept     map[string]bool // targets that are kept for other requests
-	Near     string          // failure domain to prefer; empty: the instance's own
-	Must     bool            // engine memory must hold Tokens: for copies, which are refused otherwise
-	Peak     Size            // if set with Must: engine memory must hold this run beside the others to their ends
-	Reading  int             // with Must: prompts that wait to be read there, with this one, hold no more tokens; 0: any
-	AwayCost float64         // score of another failure domain than Near; 0: the constant awayCost
-	Regions  []string        // regions that the request is bound to; nil: any
-	Granted  bool            // the target's owner has chosen it and counted the request there
-	Found    bool            // the target was found by an owner: it may be one that this instance does not list
-	asOwner  bool            // this instance chooses as the target's owner
+	Service         string
+	Tokens          int             // of engine memory; 0 for a plain service
+	Unread          int             // prompt tokens to prefill
+	Exclude         map[string]bool // targets not to choose
+	Among           []string        // ids of the targets to choose among, sorted; nil: all
+	Reserved        map[string]bool // targets that are reserved for other requests
+	PreferredDomain string          // preferred failure domain; empty: the instance's own
+	RequireMemory   bool            // refuse unless engine memory holds Tokens; set for copies
+	Peak            Size            // if set, with RequireMemory: engine memory must hold this run beside the others until they end
+	MaxUnread       int             // with RequireMemory: limit on prompt tokens waiting for prefill there, this request's included; 0: none
+	CrossDomainCost float64         // penalty for a domain other than PreferredDomain, if above the default
+	Regions         []string        // regions that the request is restricted to; nil: any
+	Granted         bool            // the target's owner chose it and has counted the request there
+	FoundByOwner    bool            // an owner found the target, which this instance's list may not contain
+	asOwner         bool            // this instance chooses as the target's owner
 }
 
-// Acquire chooses a target and counts the request there until Release.
+// Acquire chooses a target and counts the request there until it is released.
 func (f *Fleet) Acquire(now time.Time, n Need) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,11 +61,11 @@
 		return Info{}, false
 	}
 	f.countPaced(now, best, &n)
-	best.own.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
+	best.local.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
 	return best.Info, true
 }
 
-// Choose chooses a target for a request of another instance, which counts it.
+// Choose chooses a target for a request of another instance, which counts the request itself.
 func (f *Fleet) Choose(now time.Time, n Need) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +78,7 @@
 	return best.Info, true
 }
 
-// AcquireAt counts a request at one target, if it may be chosen.
+// AcquireAt counts a request at the given target if the target may be chosen.
 func (f *Fleet) AcquireAt(now time.Time, id string, n Need) (Info, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,7 +87,7 @@
 		return Info{}, false
 	}
 	f.countPaced(now, t, &n)
-	t.own.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
+	t.local.add(Load{Runs: 1, Tokens: n.Tokens, Unread: n.Unread})
 	return t.Info, true
 }
 
@@ -95,7 +95,7 @@
 	var best, last *Target
 	bestScore := 0.0
 	for _, t := range f.among(n.Service, n.Among) {
-		if n.Must && n.Kept[t.ID] || !f.allowed(now, t, n) {
+		if n.RequireMemory && n.Reserved[t.ID] || !f.allowed(now, t, n) {
 			continue
 		}
 		if now.Before(t.avoidUntil) {
@@ -109,160 +109,160 @@
 			best, bestScore = t, s
 		}
 	}
-	if best == nil && !n.Must {
-		// All were unreachable lately; the one whose pause ends first is better than a refusal.
+	if best == nil && !n.RequireMemory {
+		// All were unreachable recently: the one whose backoff ends first is better than refusing the request.
 		return last
 	}
 	return best
 }
 
-// among returns the targets of some ids, or with nil all of a service, in the order of their ids. The list is valid until the next
-// call.
+// among returns the targets with the given ids, or all targets of the service if ids is nil, ordered by id. The result is valid until
+// the next call.
 func (f *Fleet) among(service string, ids []string) []*Target {
 	if ids == nil {
-		return f.index.of(service)
+		return f.index.targetsOf(service)
 	}
-	f.named = f.named[:0]
+	f.amongBuf = f.amongBuf[:0]
 	for _, id := range ids {
 		if t := f.targets[id]; t != nil {
-			f.named = append(f.named, t)
+			f.amongBuf = append(f.amongBuf, t)
 		}
 	}
-	return f.named
+	return f.amongBuf
 }
 
 func (f *Fleet) allowed(now time.Time, t *Target, n Need) bool {
 	switch {
-	case t.Service != n.Service, n.Without[t.ID], !f.takes(t), t.isGranted() && !n.Granted && !n.Found:
+	case t.Service != n.Service, n.Exclude[t.ID], !f.accepts(t), t.isGranted() && !n.Granted && !n.FoundByOwner:
 		return false
-	case !n.asOwner && now.Before(t.restUntil):
+	case !n.asOwner && now.Before(t.backoffUntil):
 		return false
-	case !f.within(t, n.Regions), !f.paceAllows(now, t, &n):
+	case !f.inRegions(t, n.Regions), !f.paceAllows(now, t, &n):
 		return false
 	}
 	spec := f.specs[t.Service]
-	if spec.ConnCap > 0 && float64(t.own.Runs) >= max(minConns, f.share*float64(spec.ConnCap)) {
+	if spec.ConnCap > 0 && float64(t.local.Runs) >= max(minConns, f.share*float64(spec.ConnCap)) {
 		return false
 	}
-	if n.Must && n.Reading > 0 {
-		if unread := f.carried(t).Unread; unread > 0 && unread+n.Unread > n.Reading {
+	if n.RequireMemory && n.MaxUnread > 0 {
+		if unread := f.totalLoad(t).Unread; unread > 0 && unread+n.Unread > n.MaxUnread {
 			return false
 		}
 	}
-	if n.Must && spec.KVTokens > 0 && n.Peak.Now > 0 {
+	if n.RequireMemory && spec.KVTokens > 0 && n.Peak.Held > 0 {
 		return f.fits(t, n.Peak, spec.KVTokens)
 	}
-	if n.Must && spec.KVTokens > 0 {
-		return f.carried(t).Tokens+n.Tokens <= spec.KVTokens
+	if n.RequireMemory && spec.KVTokens > 0 {
+		return f.totalLoad(t).Tokens+n.Tokens <= spec.KVTokens
 	}
 	return true
 }
 
-// Belief is what a choice of a target rested on.
-type Belief struct {
-	Ready  int           // targets of the service that take requests
-	Load   Load          // of the target, with the request itself
-	Peers  int           // instances whose news are counted in the load
-	Oldest time.Duration // age of the oldest of these
-	Passed []Passed      // targets of the service that were passed over by their own word, some of them if there are many
+// KnownState is the state of a target, and of its service, on which a choice was based.
+type KnownState struct {
+	ReadyTargets int             // targets of the service that accept requests
+	Load         Load            // of the target, including the request itself
+	Peers        int             // instances whose updates the load includes
+	OldestUpdate time.Duration   // age of the oldest of these updates
+	Skipped      []SkippedTarget // targets of the service that their own notices excluded, at most maxSkipped
 }
 
-// Word is a kind of thing that a target says of itself in answers.
-type Word string
+// SkipReason is the kind of notice, sent by a target with its responses, that excludes it from selection.
+type SkipReason string
 
-// Values of Word, as they are written in logs.
+// Values of SkipReason as written to logs.
 const (
-	WordLimit  Word = "limit"
-	WordRests  Word = "rests"
-	WordLeaves Word = "leaves"
+	SkipLimit   SkipReason = "limit"
+	SkipBackoff SkipReason = "rests"
+	SkipLeaving SkipReason = "leaves"
 )
 
-// Passed is a target that gets nothing because of what it said of itself.
-type Passed struct {
-	ID   string
-	Word Word
-	Age  time.Duration // of the word
-	Told bool          // another instance heard it
+// SkippedTarget is a target that is excluded because of a notice it sent.
+type SkippedTarget struct {
+	ID      string
+	Reason  SkipReason
+	Age     time.Duration // of the notice
+	Relayed bool          // another instance received the notice
 }
 
-// passedMost bounds the targets that a Belief names.
-const passedMost = 6
+// maxSkipped bounds the targets listed in a KnownState.
+const maxSkipped = 6
 
-// passedFor is how long after its word a target that leaves is named.
-const passedFor = 5 * time.Second
+// leavingShownFor is how long a target is listed as skipped after it announced that it leaves.
+const leavingShownFor = 5 * time.Second
 
-// passed tells whether a target gets nothing now because of what it said.
-func (t *Target) passed(now time.Time) (Passed, bool) {
-	p := Passed{ID: t.ID}
+// skipReason reports whether a notice from the target excludes it now.
+func (t *Target) skipReason(now time.Time) (SkippedTarget, bool) {
+	p := SkippedTarget{ID: t.ID}
 	switch {
-	case t.state == Leaving && now.Sub(t.leavingAt) < passedFor:
-		p.Word, p.Age = WordLeaves, now.Sub(t.leavingAt)
-	case t.state != Leaving && now.Before(t.restUntil):
-		p.Word, p.Age = WordRests, now.Sub(t.restFrom)
+	case t.state == Leaving && now.Sub(t.leftAt) < leavingShownFor:
+		p.Reason, p.Age = SkipLeaving, now.Sub(t.leftAt)
+	case t.state != Leaving && now.Before(t.backoffUntil):
+		p.Reason, p.Age = SkipBackoff, now.Sub(t.backoffSince)
 	case t.state != Leaving && t.limit.On && now.Before(t.pacer.holdOff):
-		p.Word, p.Age, p.Told = WordLimit, now.Sub(t.limit.Heard), t.limit.Told
+		p.Reason, p.Age, p.Relayed = SkipLimit, now.Sub(t.limit.ReceivedAt), t.limit.Relayed
 	}
-	return p, p.Word != ""
+	return p, p.Reason != ""
 }
 
-// Believe tells what is believed of a target, for logs.
-func (f *Fleet) Believe(now time.Time, id string) Belief {
+// KnownState returns the known state of a target, for logs.
+func (f *Fleet) KnownState(now time.Time, id string) KnownState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.targets[id]
 	if t == nil {
-		return Belief{}
+		return KnownState{}
 	}
-	b := Belief{Load: f.carried(t), Peers: len(f.peers)}
+	state := KnownState{Load: f.totalLoad(t), Peers: len(f.peers)}
 	for _, p := range f.peers {
-		b.Oldest = max(b.Oldest, now.Sub(p.at))
+		state.OldestUpdate = max(state.OldestUpdate, now.Sub(p.receivedAt))
 	}
 	for domain, n := range f.index.services[t.Service].ready {
 		if !f.evacuated[domain] {
-			b.Ready += n
+			state.ReadyTargets += n
 		}
 	}
-	pass := func(other *Target) bool {
-		if p, ok := other.passed(now); ok && other.Service == t.Service {
-			b.Passed = append(b.Passed, p)
+	addSkipped := func(other *Target) bool {
+		if p, ok := other.skipReason(now); ok && other.Service == t.Service {
+			state.Skipped = append(state.Skipped, p)
 		}
-		return len(b.Passed) < passedMost
+		return len(state.Skipped) < maxSkipped
 	}
-	f.index.leftSince(now.Add(-passedFor), pass)
-	for _, other := range f.index.worded {
-		if len(b.Passed) >= passedMost || !pass(other) {
+	f.index.leftSince(now.Add(-leavingShownFor), addSkipped)
+	for _, other := range f.index.signalled {
+		if len(state.Skipped) >= maxSkipped || !addSkipped(other) {
 			break
 		}
 	}
-	return b
+	return state
 }
 
-// carried is the load of all instances, as far as this one knows.
-func (f *Fleet) carried(t *Target) Load {
-	sum := t.own
-	sum.add(f.toldOf(t).load)
+// totalLoad returns the load of all instances on a target, as far as known.
+func (f *Fleet) totalLoad(t *Target) Load {
+	sum := t.local
+	sum.add(f.peerTotal(t).load)
 	return sum
 }
 
 func (f *Fleet) score(now time.Time, t *Target, n Need) float64 {
-	load := f.carried(t)
-	s := failCost*max(0, t.failing(now)-failFree) + jitter*f.random()
-	if kv := f.specs[t.Service].KVTokens; kv > 0 {
-		s += (float64(load.Tokens+n.Tokens) + unreadWeight*float64(load.Unread)) / float64(kv)
-		s += runWeight * float64(load.Runs)
+	load := f.totalLoad(t)
+	score := failureCost*max(0, t.failureEstimate(now)-toleratedFailures) + jitter*f.random()
+	if memory := f.specs[t.Service].KVTokens; memory > 0 {
+		score += (float64(load.Tokens+n.Tokens) + unreadWeight*float64(load.Unread)) / float64(memory)
+		score += runWeight * float64(load.Runs)
 	} else {
 		busy := float64(load.Runs)
-		if now.Sub(t.reportedAt) < reportLife {
-			busy = max(busy, t.reported)
+		if now.Sub(t.reportedAt) < reportTTL {
+			busy = max(busy, t.reportedLoad)
 		}
-		s += busy / float64(max(1, t.Slots))
+		score += busy / float64(max(1, t.Slots))
 	}
-	near := n.Near
-	if near == "" {
-		near = f.domain
+	preferred := n.PreferredDomain
+	if preferred == "" {
+		preferred = f.domain
 	}
-	if t.Domain != near {
-		s += max(awayCost, n.AwayCost)
+	if t.Domain != preferred {
+		score += max(crossDomainCost, n.CrossDomainCost)
 	}
-	return s
+	return score
 }
--- a/lib/fleet/pace_test.go
+++ b/lib/fleet/pace_test.go
@@ -20,8 +20,8 @@
 	return f
 }
 
-// most returns the largest number of times within any second.
-func most(times []time.Duration) int {
+// maxPerSecond returns the largest number of times within any second.
+func maxPerSecond(times []time.Duration) int {
 	n := 0
 	for i, from := range times {
 		k := i
@@ -33,8 +33,8 @@
 	return n
 }
 
-// A plain target comes back cold and is the idlest of all. Seventy instances that know nothing of each other's sends all have
-// requests for it at any moment; together they send no more than it bears, and still send.
+// A plain target returns cold and is the least loaded of all. Seventy instances that don't know of each other's requests constantly have
+// requests for it; together they must stay within what it can take, and use it.
 func TestColdTargetIsSharedByThoseThatDecideAlone(t *testing.T) {
 	const instances = 70
 	fleets := make([]*Fleet, instances)
@@ -50,14 +50,14 @@
 			}
 		}
 	}
-	must.LessEq(t, int(1.5*coldRate), most(sent))
+	must.LessEq(t, int(1.5*coldRate), maxPerSecond(sent))
 	must.GreaterEq(t, int(0.9*coldRate*coldFor.Seconds()), len(sent))
 	_, ok := fleets[instances-1].Acquire(t0.Add(coldFor), Need{Service: "plain"})
 	must.True(t, ok) // warm
 }
 
-// A group of engines comes back empty. Its owner is asked for hundreds of streams, and instances that can't reach the owner decide
-// alone meanwhile: all of them together stay under what a cold engine bears.
+// A group of engines returns empty. The owner has requests for hundreds of streams, and instances that can't reach the owner decide on
+// their own; all together must stay within what a cold engine can take.
 func TestColdEngineIsSharedByItsOwnerAndOthers(t *testing.T) {
 	owner := coldFleet("engine", 1<<20)
 	alone := make([]*Fleet, 70)
@@ -67,7 +67,7 @@
 	}
 	var sent []time.Duration
 	for at := time.Duration(0); at < coldFor; at += 5 * time.Millisecond {
-		if _, ok := owner.Choose(t0.Add(at), Need{Service: "engine", Must: true}); ok {
+		if _, ok := owner.Choose(t0.Add(at), Need{Service: "engine", RequireMemory: true}); ok {
 			sent = append(sent, at)
 		}
 		for _, f := range alone {
@@ -76,11 +76,11 @@
 			}
 		}
 	}
-	must.LessEq(t, int(1.5*coldRate), most(sent))
+	must.LessEq(t, int(1.5*coldRate), maxPerSecond(sent))
 	must.GreaterEq(t, int(0.7*coldRate*coldFor.Seconds()), len(sent))
 }
 
-// An owner has counted a stream at a cold engine. The instance that sends it has no say of its own, and uses up nothing.
+// An owner has counted a stream at a cold engine. The sending instance, which may not choose the engine itself, uses up no pace.
 func TestGrantedStreamIsCountedOnce(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
 	f.SetSenders(func(string, int) bool { return false })
@@ -94,22 +94,22 @@
 	}
 }
 
-// An engine goes cold again at any moment, or starts again behind a list that doesn't tell: it counts as cold from then on.
-func TestTargetsGoColdAgain(t *testing.T) {
+// An engine becomes cold again at any time, or restarts without the list showing it: it counts as cold from then on.
+func TestTargetBecomesColdAgain(t *testing.T) {
 	f := coldFleet("engine", 1<<20)
-	stand := func(at time.Duration) Standing { return f.Stand(t0.Add(at), Need{Service: "engine"}) }
-	must.Eq(t, Standing{Takes: 1, Cold: 1}, stand(coldFor-1))
-	must.Eq(t, Standing{Takes: 1}, stand(coldFor))
+	stand := func(at time.Duration) Availability { return f.Availability(t0.Add(at), Need{Service: "engine"}) }
+	must.Eq(t, Availability{Accepting: 1, Cold: 1}, stand(coldFor-1))
+	must.Eq(t, Availability{Accepting: 1}, stand(coldFor))
 	f.Apply(t0.Add(coldFor), []Info{{ID: "t", Born: 7, Service: "engine", Domain: "z1", ColdFor: time.Second}}, nil, 0)
 	must.Eq(t, 1, stand(coldFor).Cold)
 	must.Eq(t, 0, stand(coldFor+time.Second).Cold)
-	f.Restart(t0.Add(2*coldFor), "t", 8)
+	f.MarkRestarted(t0.Add(2*coldFor), "t", 8)
 	must.Eq(t, 1, stand(3*coldFor-1).Cold)
 	must.Eq(t, 0, stand(3*coldFor).Cold)
 }
 
-// The settings change what a cold target bears, while it is cold: from then on it gets that. A change that says the same gives nothing anew.
-func TestColdRateFollowsTheSettings(t *testing.T) {
+// The cold rate changes in the settings while a target is cold and applies from then on. Setting the same value must not refill the burst.
+func TestColdRateFollowsSettings(t *testing.T) {
 	f := coldFleet("plain", 0)
 	given := func(at time.Duration) int {
 		n := 0
@@ -130,17 +130,17 @@
 	must.Eq(t, 100, given(2*time.Second))
 }
 
-// Engines that have just started are no place for runs that move or for copies: these can't wait for their turn there.
-func TestNoMovesToColdEngines(t *testing.T) {
+// Cold engines are excluded for moved runs and for copies, which can't wait for their turn there.
+func TestNoMovesOrCopiesToColdEngines(t *testing.T) {
 	f := coldFleet("engine", 10_000)
-	must.Len(t, 0, f.Rooms(t0, "engine", nil))
-	_, ok := f.Spare(t0, Need{Service: "engine", Tokens: 1}, "", 0)
+	must.Len(t, 0, f.MoveCandidates(t0, "engine", nil))
+	_, ok := f.ChooseForCopy(t0, Need{Service: "engine", Tokens: 1}, "", 0)
 	must.False(t, ok)
-	must.Len(t, 1, f.Rooms(t0.Add(coldFor), "engine", nil))
+	must.Len(t, 1, f.MoveCandidates(t0.Add(coldFor), "engine", nil))
 }
 
-// BenchmarkAcquire is one choice among 64 engines that 300 runs are on, some of them cold, one domain of four evacuated and the
-// request bound to a region.
+// BenchmarkAcquire measures one choice among 64 engines with 300 runs, some of them cold, with one of four domains evacuated and the
+// request restricted to a region.
 func BenchmarkAcquire(b *testing.B) {
 	f := New("z0")
 	f.SetSpecs(map[string]Spec{"engine": {KVTokens: 20_000, ColdFor: coldFor, ColdRate: 25}})
@@ -155,11 +155,11 @@
 	sizes := make(map[string][]Size)
 	for i := range 300 {
 		id := fmt.Sprint("e", i%64)
-		sizes[id] = append(sizes[id], Size{Now: 3000, Left: 10 * i})
+		sizes[id] = append(sizes[id], Size{Held: 3000, Remaining: 10 * i})
 	}
-	f.Tell(t0, "peer", nil, sizes)
+	f.SetPeerLoad(t0, "peer", nil, sizes)
 	f.Evacuate("z3")
-	need := Need{Service: "engine", Tokens: 3000, Must: true, Peak: Size{Now: 3000, Left: 300}, Regions: []string{"r"}}
+	need := Need{Service: "engine", Tokens: 3000, RequireMemory: true, Peak: Size{Held: 3000, Remaining: 300}, Regions: []string{"r"}}
 	for b.Loop() {
 		if to, ok := f.Acquire(t0, need); ok {
 			f.Release(t0, to.ID, Load{Tokens: 3000}, Served)
--- a/lib/fleet/places.go
+++ b/lib/fleet/places.go
@@ -9,44 +9,46 @@
 	f.regions = regions
 }
 
-// takes reports whether a target takes new requests at all.
-func (f *Fleet) takes(t *Target) bool {
+// accepts reports whether a target accepts new requests at all.
+func (f *Fleet) accepts(t *Target) bool {
 	return t.state == Ready && !t.unreadable && !f.evacuated[t.Domain]
 }
 
-// Barred reports whether targets of a service are there, and all of them are evacuated or outside the request's regions. Who waits
-// for room there waits in vain.
-func (f *Fleet) Barred(n Need) bool {
+// AllExcluded reports whether a service has targets and all of them are evacuated or outside the request's regions, so that waiting for
+// capacity is pointless.
+func (f *Fleet) AllExcluded(n Need) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.evacuated) == 0 && n.Regions == nil {
 		return false
 	}
-	barred := false
-	for _, t := range f.index.of(n.Service) {
+	excluded := false
+	for _, t := range f.index.targetsOf(n.Service) {
 		if t.state != Ready || t.unreadable {
 			continue
 		}
-		if f.takes(t) && f.within(t, n.Regions) {
+		if f.accepts(t) && f.inRegions(t, n.Regions) {
 			return false
 		}
-		barred = true
+		excluded = true
 	}
-	return barred
+	return excluded
 }
 
-// Open reports whether requests that are bound to some regions may go to a failure domain; nil stands for all regions.
-func (f *Fleet) Open(domain string, regions []string) bool {
+// DomainAllowed reports whether requests restricted to the given regions may go to a failure domain; nil means all regions.
+func (f *Fleet) DomainAllowed(domain string, regions []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.evacuated[domain] && f.inRegions(domain, regions)
+	return !f.evacuated[domain] && f.domainInRegions(domain, regions)
 }
 
-// within reports whether a target lies in one of some regions; nil stands for all. A failure domain whose region is not known
-// lies in none: a request that is bound to regions must not leave them on a guess.
-func (f *Fleet) within(t *Target, regions []string) bool { return f.inRegions(t.Domain, regions) }
+// inRegions reports whether a target is in one of the given regions; nil means all. A failure domain of unknown region is in none: a
+// request restricted to regions must not leave them on a guess.
+func (f *Fleet) inRegions(t *Target, regions []string) bool {
+	return f.domainInRegions(t.Domain, regions)
+}
 
-func (f *Fleet) inRegions(domain string, regions []string) bool {
+func (f *Fleet) domainInRegions(domain string, regions []string) bool {
 	if regions == nil {
 		return true
 	}
--- a/lib/owner/layout_test.go
+++ b/lib/owner/layout_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// instances are small ones, but for three large in each domain.
+// instances returns small instances, with three large ones in each domain.
 func instances(n, domains int) []Instance {
 	out := make([]Instance, n)
 	for i := range out {
@@ -30,9 +30,9 @@
 	return out
 }
 
-// Instances hear of engines and of each other in any order. All must ask the same owner: two owners of one shard give the
-// same room away twice.
-func TestLayoutDependsOnTheSetsAlone(t *testing.T) {
+// Instances learn of engines and of each other in any order. All must agree on the owner: two owners of one shard would grant the same
+// capacity twice.
+func TestLayoutIsIndependentOfOrder(t *testing.T) {
 	es, ins := engines(128, 5), instances(295, 5)
 	want := NewLayout(es, ins)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -47,52 +47,52 @@
 	}
 }
 
-// A few engines have one owner, which sees all of them. Of many each shard lies in one failure domain and is owned there, by
-// an instance that can carry it; it has neighbours to pass streams on to.
+// A few engines have one owner for all. Of many, each shard lies in one failure domain and is owned there by an instance with
+// sufficient capacity; it has neighbours to forward streams to.
 func TestShardsFollowDomainsAndCapacity(t *testing.T) {
 	few := NewLayout(engines(12, 3), instances(8, 3))
 	must.SliceLen(t, 1, few.All())
-	must.Len(t, 12, few.Home("s", "z1", "i001").Engines())
+	must.Len(t, 12, few.HomeShard("s", "z1", "i001").Engines())
 	must.SliceLen(t, 1, NewLayout(engines(60, 3), instances(72, 3)).All())
 
 	l := NewLayout(engines(128, 5), instances(295, 5))
 	must.SliceLen(t, 5, l.All())
 	for _, s := range l.All() {
-		must.LessEq(t, shardLimit, len(s.Engines()))
-		must.Len(t, candidates, s.Ranked)
+		must.LessEq(t, maxShardEngines, len(s.Engines()))
+		must.Len(t, candidateCount, s.Ranked)
 		must.Len(t, 4, s.Neighbours())
 		for _, in := range s.Ranked {
 			must.Eq(t, s.Domain, in.Domain)
 			must.Eq(t, 16000, in.Capacity)
 			must.True(t, s.IsCandidate(in.Name))
 		}
-		must.True(t, s == l.Home("s", s.Domain, "anyone"))
-		must.True(t, s == l.Of(fleet.Info{ID: s.Engines()[0], Service: "s", Domain: s.Domain}))
+		must.True(t, s == l.HomeShard("s", s.Domain, "anyone"))
+		must.True(t, s == l.ShardOf(fleet.Info{ID: s.Engines()[0], Service: "s", Domain: s.Domain}))
 	}
-	must.Nil(t, l.Home("other", "z1", "i001"))
-	must.Nil(t, l.Of(fleet.Info{ID: "nobody", Service: "other"}))
-	// A domain without engines asks some shard all the same.
-	must.NotNil(t, l.Home("s", "z9", "i001"))
+	must.Nil(t, l.HomeShard("other", "z1", "i001"))
+	must.Nil(t, l.ShardOf(fleet.Info{ID: "nobody", Service: "other"}))
+	// A domain without engines uses a shard of another one.
+	must.NotNil(t, l.HomeShard("s", "z9", "i001"))
 }
 
-// An engine that leaves is in a shard for its runs' sake, and is not chosen from it.
-func TestLeavingEnginesStayInAShard(t *testing.T) {
+// An engine that leaves stays assigned to a shard for its runs, but is not among the engines that the shard places streams on.
+func TestLeavingEnginesKeepTheirShard(t *testing.T) {
 	es := engines(128, 5)
 	l := NewLayout(es[1:], instances(295, 5))
-	s := l.Of(es[0])
+	s := l.ShardOf(es[0])
 	must.NotNil(t, s)
 	must.Eq(t, es[0].Domain, s.Domain)
 	must.SliceNotContains(t, s.Engines(), es[0].ID)
 }
 
-// At the size that is designed for no instance owns many shards, and none looks to more than a few others.
-func TestLayoutOfManyEngines(t *testing.T) {
+// At the design size no instance owns many shards, and none exchanges fill levels with more than a few others.
+func TestLayoutBalanceAtDesignSize(t *testing.T) {
 	l := NewLayout(engines(12_000, 21), instances(430, 21))
 	owned := make(map[string]int)
 	most := 0
 	for _, s := range l.All() {
-		must.LessEq(t, 2*shardLimit, len(s.Engines())) // by hash, some have more than the mean
-		must.LessEq(t, neighbours, len(s.Neighbours()))
+		must.LessEq(t, 2*maxShardEngines, len(s.Engines())) // by hash, some have more than the mean
+		must.LessEq(t, maxNeighbours, len(s.Neighbours()))
 		owned[s.Ranked[0].Name]++
 		most = max(most, owned[s.Ranked[0].Name])
 	}
@@ -107,9 +107,9 @@
 	}
 }
 
-// A sixth of the engines leaves again and again, and others come. The shards stay the same ones: with another number of them
-// all owners would change, and what they were told.
-func TestShardsStayWhileEnginesComeAndGo(t *testing.T) {
+// A sixth of the engines leaves repeatedly, and others arrive. The shards stay the same: another number of shards would change all
+// owners and lose the state reported to them.
+func TestShardsAreStableUnderEngineChurn(t *testing.T) {
 	for _, n := range []int{8, 72, 295} {
 		all := engines(max(12, n/2), 5)
 		want := NewLayout(all, instances(n, 5))
@@ -121,7 +121,7 @@
 				must.Eq(t, s.Ranked, got.All()[i].Ranked)
 			}
 			for _, e := range all {
-				must.Eq(t, want.Of(e).Key, got.Of(e).Key)
+				must.Eq(t, want.ShardOf(e).Key, got.ShardOf(e).Key)
 			}
 		}
 	}
--- a/lib/owner/partition_test.go
+++ b/lib/owner/partition_test.go
@@ -12,8 +12,8 @@
 	"anvilwick.example/anvilwick/lib/fleet"
 )
 
-// partition is of a fleet of some size, with one service.
-func partition(nEngines, nInstances int) (*Partition, []fleet.Info) {
+// newTestPartition returns a partition with one service of the given size, and its engines.
+func newTestPartition(nEngines, nInstances int) (*Partition, []fleet.Info) {
 	p := NewPartition()
 	p.SetInstances(instances(nInstances, 5))
 	all := engines(nEngines, 5)
@@ -21,12 +21,12 @@
 	return p, all
 }
 
-// All engines of a fleet were divided anew whenever one came or went: 22 ms and 8.8 MB at each of 985 instances before 10,000 engines.
-// A change costs the same whatever the size of the fleet.
-func TestChangeCostsWhatItChanges(t *testing.T) {
+// All engines of a fleet were divided anew whenever one arrived or left: 22 ms and 8.8 MB at each of 985 instances with 10,000 engines.
+// The cost of an update must not depend on the size of the fleet.
+func TestUpdateCostIsIndependentOfFleetSize(t *testing.T) {
 	var allocated []uint64
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
-		p, all := partition(size.engines, size.instances)
+		p, all := newTestPartition(size.engines, size.instances)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		const changes = 100
@@ -45,8 +45,8 @@
 	}
 }
 
-// Engines come and go in any order, by any updates, and instances, too: the shards are the same as if all had been divided at once.
-func TestUpdatesEndInTheSameShards(t *testing.T) {
+// Engines arrive and leave in any order and grouping, and instances change: the shards are the same as if all had been divided at once.
+func TestIncrementalUpdatesMatchFullLayout(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 3))
 	for _, n := range []int{20, 300, 3_000} {
 		p := NewPartition()
@@ -59,7 +59,7 @@
 				p.SetInstances(instances(1+rng.IntN(300), 5))
 			}
 		}
-		p.Update(all[:5], all[:n/2]) // what leaves in the same update is gone
+		p.Update(all[:5], all[:n/2]) // an engine added and removed in one update is gone
 		p.Update(all[:n/4], nil)
 		list := instances(200, 5)
 		got := p.SetInstances(list)
@@ -73,34 +73,34 @@
 			must.Eq(t, s.Ranked, o.Ranked)
 		}
 		for _, e := range left {
-			must.SliceContains(t, got.Of(e).Engines(), e.ID)
+			must.SliceContains(t, got.ShardOf(e).Engines(), e.ID)
 		}
 	}
 }
 
-// A service loses its last engine, and has one again later.
-func TestServiceWithoutEngines(t *testing.T) {
-	p, all := partition(1, 3)
-	must.NotNil(t, p.Layout().Home("s", "z0", "i000"))
-	must.Nil(t, p.Update(nil, all).Home("s", "z0", "i000"))
-	must.Eq(t, []string{all[0].ID}, p.Update(all, nil).Home("s", "z0", "i000").Engines())
+// A service loses its last engine and gets one again later.
+func TestServiceLosesItsLastEngine(t *testing.T) {
+	p, all := newTestPartition(1, 3)
+	must.NotNil(t, p.Layout().HomeShard("s", "z0", "i000"))
+	must.Nil(t, p.Update(nil, all).HomeShard("s", "z0", "i000"))
+	must.Eq(t, []string{all[0].ID}, p.Update(all, nil).HomeShard("s", "z0", "i000").Engines())
 }
 
-// An engine starts again in another failure domain under its id. It is in one shard only.
-func TestEngineThatChangesItsDomain(t *testing.T) {
-	p, all := partition(1_000, 200)
+// An engine restarts under its ID in another failure domain. It is in one shard only.
+func TestEngineChangesDomain(t *testing.T) {
+	p, all := newTestPartition(1_000, 200)
 	moved := all[0]
 	moved.Domain = "z3"
-	before := p.Layout().Of(all[0])
+	before := p.Layout().ShardOf(all[0])
 	l := p.Update([]fleet.Info{moved}, nil)
 	must.SliceNotContains(t, before.Engines(), moved.ID)
-	must.SliceContains(t, l.Of(moved).Engines(), moved.ID)
+	must.SliceContains(t, l.ShardOf(moved).Engines(), moved.ID)
 }
 
 func BenchmarkUpdate(b *testing.B) {
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
 		b.Run(fmt.Sprintf("%dx%d", size.engines, size.instances), func(b *testing.B) {
-			p, all := partition(size.engines, size.instances)
+			p, all := newTestPartition(size.engines, size.instances)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				one := all[i%len(all) : i%len(all)+1]
@@ -114,7 +114,7 @@
 func BenchmarkSetInstances(b *testing.B) {
 	for _, size := range []struct{ engines, instances int }{{1_000, 100}, {10_000, 985}, {20_000, 1_970}} {
 		b.Run(fmt.Sprintf("%dx%d", size.engines, size.instances), func(b *testing.B) {
-			p, _ := partition(size.engines, size.instances)
+			p, _ := newTestPartition(size.engines, size.instances)
 			list := instances(size.instances, 5)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/lib/owner/peers.go
+++ b/lib/owner/peers.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// BeatEvery is the period at which owners tell each other that they live and how full their shards are.
-	BeatEvery = 100 * time.Millisecond
-	// beatLife is how long an owner without a beat is believed to live: three may be lost or late.
-	beatLife = 350 * time.Millisecond
-	// fillLife is how long a shard is believed to be as full as was told.
-	fillLife = 600 * time.Millisecond
-	// FarFactor is how many times more seldom a fill is told to other failure domains, and how many times longer it is believed there:
-	// bytes between domains cost, and few streams go there.
-	FarFactor = 5
-	// suspectFor and suspectMax bound how long an owner that did not answer is asked after all others: each time twice as
-	// long. One that is gone for good stays listed, and costs whoever asks it first 0.15 s.
-	suspectFor = 2 * time.Second
+	// HeartbeatInterval is the period of the heartbeats between candidates, which carry the fill levels of their shards.
+	HeartbeatInterval = 100 * time.Millisecond
+	// heartbeatTTL is how long a candidate counts as alive after a heartbeat: three may be lost or late.
+	heartbeatTTL = 350 * time.Millisecond
+	// fillTTL is how long a published fill level is used.
+	fillTTL = 600 * time.Millisecond
+	// RemoteDomainFactor multiplies the interval at which fill levels are sent to other failure domains, and how long they are used there:
+	// traffic between domains costs money, and few streams are forwarded there.
+	RemoteDomainFactor = 5
+	// suspectMin and suspectMax bound how long an owner that did not answer is queried after all others, doubled each time. An owner
+	// that is gone for good stays listed, and costs an instance that queries it first 0.15 s.
+	suspectMin = 2 * time.Second
 	suspectMax = time.Minute
-	// coldFor is how long an owner that has just started, woken or been cut off has been told too little to decide: what
-	// the others have on its engines comes with their next reports.
-	coldFor = ReportEvery + 200*time.Millisecond
-	// alone is the silence of all other candidates after which an owner takes itself to have been cut off.
-	aloneFor = time.Second
-	// passMargin is how much fuller than another shard, as a part of its memory, one must be for a stream to be passed on.
-	// Fills are told ten times a second, and a stream takes under a hundredth of a shard: with less of a margin streams
-	// would be passed to and fro.
-	passMargin = 0.08
+	// coldPeriod is how long an owner lacks the state to decide after it started, resumed or was isolated: the others report what
+	// they have on its engines within one report interval.
+	coldPeriod = ReportInterval + 200*time.Millisecond
+	// isolationTimeout is the silence of all other candidates after which an owner assumes that it was isolated.
+	isolationTimeout = time.Second
+	// forwardMargin is the difference in fill level, as a share of memory, from which a stream is forwarded to a less loaded shard.
+	// Fill levels are sent ten times a second, and a stream takes under a hundredth of a shard: with a smaller margin streams
+	// would be forwarded back and forth.
+	forwardMargin = 0.08
 )
 
-// Beat is what an instance that ranks to own shards tells the others that do.
-type Beat struct {
+// Heartbeat is the periodic message between candidates for a shard.
+type Heartbeat struct {
 	Instance    string
 	Incarnation uint64
 	Cold        bool
 	Leaving     bool
-	Fills       map[string]Fill // of the shards that it owns, by key
+	Fills       map[string]Fill // of the shards that the instance owns, by key
 }
 
-// Fill is how full a shard is.
+// Fill is the fill level of a shard.
 type Fill struct {
-	Part float64 // of its memory that is spoken for, prompts to read weighed in
-	Room int     // tokens that a run may take on the roomiest of its engines
+	Used        float64 // share of its memory in use or reserved, with pending prefill weighed in
+	LargestFree int     // tokens that a run may take on the engine with the most free memory
 }
 
-type beat struct {
-	Beat
+type receivedHeartbeat struct {
+	Heartbeat
 	at time.Time
 }
 
@@ -56,100 +56,100 @@
 	step  time.Duration
 }
 
-type fill struct {
+type receivedFill struct {
 	Fill
 	owner string
 	at    time.Time
 }
 
-// Peers is what an instance believes of the others that rank to own shards. It is safe for concurrent use.
+// Peers holds the last known state of the other candidates. It is safe for concurrent use.
 type Peers struct {
 	self   string
 	random func() float64
 
-	mu       sync.Mutex
-	beats    map[string]beat
-	fills    map[string]fill // by shard
-	suspects map[string]suspect
-	cold     time.Time // until then this instance is cold
-	heard    time.Time // when any beat last came
-	leaving  bool
+	mu            sync.Mutex
+	heartbeats    map[string]receivedHeartbeat
+	fills         map[string]receivedFill // by shard
+	suspects      map[string]suspect
+	coldUntil     time.Time // until then this instance is cold
+	lastHeartbeat time.Time // when the last heartbeat of any instance arrived
+	leaving       bool
 }
 
-// NewPeers returns the beliefs of an instance that starts now.
+// NewPeers returns the empty state of an instance that starts now.
 func NewPeers(self string, now time.Time) *Peers {
 	return &Peers{
-		self: self, random: rand.Float64, cold: now.Add(coldFor),
-		beats: make(map[string]beat), fills: make(map[string]fill), suspects: make(map[string]suspect),
+		self: self, random: rand.Float64, coldUntil: now.Add(coldPeriod),
+		heartbeats: make(map[string]receivedHeartbeat), fills: make(map[string]receivedFill), suspects: make(map[string]suspect),
 	}
 }
 
-// setRandom replaces the source of chance, between 0 and 1.
+// setRandom replaces the random source, which returns numbers in [0, 1).
 func (p *Peers) setRandom(random func() float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.random = random
 }
 
-// TakeBeat takes in a beat.
-func (p *Peers) TakeBeat(now time.Time, b Beat) {
+// ReceiveHeartbeat applies a heartbeat.
+func (p *Peers) ReceiveHeartbeat(now time.Time, b Heartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old, known := p.beats[b.Instance]
-	if b.Instance == p.self || known && now.Sub(old.at) <= beatLife && b.Incarnation < old.Incarnation {
+	old, known := p.heartbeats[b.Instance]
+	if b.Instance == p.self || known && now.Sub(old.at) <= heartbeatTTL && b.Incarnation < old.Incarnation {
 		return
 	}
-	if now.Sub(p.heard) > aloneFor {
-		p.cold = now.Add(coldFor)
+	if now.Sub(p.lastHeartbeat) > isolationTimeout {
+		p.coldUntil = now.Add(coldPeriod)
 	}
-	p.heard = now
-	p.beats[b.Instance] = beat{Beat: b, at: now}
+	p.lastHeartbeat = now
+	p.heartbeats[b.Instance] = receivedHeartbeat{Heartbeat: b, at: now}
 	delete(p.suspects, b.Instance)
 	for key, f := range b.Fills {
-		p.fills[key] = fill{Fill: f, owner: b.Instance, at: now}
+		p.fills[key] = receivedFill{Fill: f, owner: b.Instance, at: now}
 	}
 }
 
-// Woke says that this instance has stood still: what it was told is old.
-func (p *Peers) Woke(now time.Time) {
+// MarkStalled records that this instance was stalled: the state that it received is outdated.
+func (p *Peers) MarkStalled(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cold = now.Add(coldFor)
+	p.coldUntil = now.Add(coldPeriod)
 }
 
-// Leave says that this instance stops.
+// Leave records that this instance terminates.
 func (p *Peers) Leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = true
 }
 
-// State tells whether this instance is cold, and whether it stops.
+// State reports whether this instance is cold, and whether it terminates.
 func (p *Peers) State(now time.Time) (cold, leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Before(p.cold), p.leaving
+	return now.Before(p.coldUntil), p.leaving
 }
 
-// Suspect notes that an instance did not answer.
+// Suspect records that an instance did not answer.
 func (p *Peers) Suspect(now time.Time, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.suspects[name]
-	s.step = min(max(2*s.step, suspectFor), suspectMax)
+	s.step = min(max(2*s.step, suspectMin), suspectMax)
 	s.until = now.Add(s.step)
 	p.suspects[name] = s
 }
 
-// Heard notes that an instance has answered.
-func (p *Peers) Heard(name string) {
+// ClearSuspect records that an instance has answered.
+func (p *Peers) ClearSuspect(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.suspects, name)
 }
 
-// Order returns the candidates of a shard in the order in which to ask them: those that did not answer lately come last.
-func (p *Peers) Order(now time.Time, s *Shard) []Instance {
+// QueryOrder returns the candidates of a shard in the order in which to query them: suspects last.
+func (p *Peers) QueryOrder(now time.Time, s *Shard) []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]Instance, 0, len(s.Ranked))
@@ -164,16 +164,16 @@
 	return append(out, last...)
 }
 
-// Acting returns the candidate that decides for a shard: the first in rank that lives, stays and is not cold; where all
-// are cold, the first that lives. An instance that is no candidate takes the first for it.
-func (p *Peers) Acting(now time.Time, s *Shard) (Instance, bool) {
+// ActingOwner returns the candidate that decides for a shard: the first in rank that is alive, not leaving and not cold; if all
+// are cold, the first that is alive. An instance that is no candidate itself assumes that all are alive.
+func (p *Peers) ActingOwner(now time.Time, s *Shard) (Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	member := s.IsCandidate(p.self)
+	isCandidate := s.IsCandidate(p.self)
 	var cold *Instance
 	for i, in := range s.Ranked {
 		alive, isCold := p.alive(now, in.Name)
-		if !member {
+		if !isCandidate {
 			alive = true
 		}
 		if !alive {
@@ -194,18 +194,18 @@
 
 func (p *Peers) alive(now time.Time, name string) (alive, cold bool) {
 	if name == p.self {
-		return !p.leaving, now.Before(p.cold)
+		return !p.leaving, now.Before(p.coldUntil)
 	}
-	b, ok := p.beats[name]
-	return ok && now.Sub(b.at) < beatLife && !b.Leaving, b.Cold
+	b, ok := p.heartbeats[name]
+	return ok && now.Sub(b.at) < heartbeatTTL && !b.Leaving, b.Cold
 }
 
-// OwnerOf returns the candidate of a shard that last told how full it is; ok is false if none has lately.
-func (p *Peers) OwnerOf(now time.Time, s *Shard) (by Instance, ok bool) {
+// LastKnownOwner returns the candidate of a shard that last sent its fill level; ok is false if none has recently.
+func (p *Peers) LastKnownOwner(now time.Time, s *Shard) (by Instance, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f, known := p.fills[s.Key]
-	if !known || now.Sub(f.at) > FarFactor*fillLife {
+	if !known || now.Sub(f.at) > RemoteDomainFactor*fillTTL {
 		return Instance{}, false
 	}
 	for _, in := range s.Ranked {
@@ -216,52 +216,52 @@
 	return Instance{}, false
 }
 
-// Silent reports whether an instance has been heard, and is not any more or stops.
-func (p *Peers) Silent(now time.Time, name string) bool {
+// IsSilent reports whether an instance sent heartbeats before, and has stopped or is leaving.
+func (p *Peers) IsSilent(now time.Time, name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b, heard := p.beats[name]
-	return heard && (now.Sub(b.at) >= beatLife || b.Leaving)
+	b, known := p.heartbeats[name]
+	return known && (now.Sub(b.at) >= heartbeatTTL || b.Leaving)
 }
 
-// PassOn returns the shard to which a stream is passed on from one that is full to part own, and its owner; ok is false when it
-// stays. It is drawn from the emptier ones, by how much emptier each is: they are told some tens of milliseconds late, and
-// all owners would else pass theirs to the same.
-func (p *Peers) PassOn(now time.Time, s *Shard, own float64) (to *Shard, owner string, ok bool) {
-	return p.draw(now, s, func(f *fill) float64 { return own - passMargin - f.Part })
+// PickLessLoaded returns a shard to which a stream is forwarded from one with the given used share, and its owner; ok is false when
+// the stream stays. It is chosen at random among the less loaded shards, weighted by the difference: fill levels arrive some tens of
+// milliseconds late, and all owners would otherwise forward their streams to the same shard.
+func (p *Peers) PickLessLoaded(now time.Time, s *Shard, used float64) (to *Shard, owner string, ok bool) {
+	return p.pickWeighted(now, s, func(f *receivedFill) float64 { return used - forwardMargin - f.Used })
 }
 
-// PassToRoom returns a shard with an engine that has room for a stream of some tokens, and its owner. Of several it is drawn by
-// how much room there is. The room is taken off what is believed, so that streams that wait here together are not all
-// passed on to the same.
-func (p *Peers) PassToRoom(now time.Time, s *Shard, tokens int) (to *Shard, owner string, ok bool) {
-	to, owner, ok = p.draw(now, s, func(f *fill) float64 {
-		if f.Room < tokens {
+// PickWithCapacity returns a shard with an engine that has capacity for a number of tokens, and its owner. It is chosen at random,
+// weighted by free capacity. The tokens are deducted from the last known fill level, so that streams that wait here together are not
+// all forwarded to the same shard.
+func (p *Peers) PickWithCapacity(now time.Time, s *Shard, tokens int) (to *Shard, owner string, ok bool) {
+	to, owner, ok = p.pickWeighted(now, s, func(f *receivedFill) float64 {
+		if f.LargestFree < tokens {
 			return 0
 		}
-		return float64(f.Room)
+		return float64(f.LargestFree)
 	})
 	if ok {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		f := p.fills[to.Key]
-		f.Room -= tokens
+		f.LargestFree -= tokens
 		p.fills[to.Key] = f
 	}
 	return to, owner, ok
 }
 
-// draw draws one of a shard's neighbours by weight; those that weigh nothing are left out.
-func (p *Peers) draw(now time.Time, s *Shard, weigh func(*fill) float64) (to *Shard, owner string, ok bool) {
+// pickWeighted chooses one of a shard's neighbours at random by weight; those without a positive weight are left out.
+func (p *Peers) pickWeighted(now time.Time, s *Shard, weightOf func(*receivedFill) float64) (to *Shard, owner string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum := 0.0
 	for _, n := range s.Neighbours() {
 		f, known := p.fills[n.Key]
-		if !known || now.Sub(f.at) > fillLifeAt(s, n) {
+		if !known || now.Sub(f.at) > fillTTLBetween(s, n) {
 			continue
 		}
-		weight := weigh(&f)
+		weight := weightOf(&f)
 		if weight <= 0 {
 			continue
 		}
@@ -273,17 +273,17 @@
 	return to, owner, ok
 }
 
-// fillLifeAt is how long a shard's owner believes what it was told of another.
-func fillLifeAt(s, other *Shard) time.Duration {
+// fillTTLBetween is how long a shard's owner uses the fill level of another shard.
+func fillTTLBetween(s, other *Shard) time.Duration {
 	if other.Domain != s.Domain {
-		return FarFactor * fillLife
+		return RemoteDomainFactor * fillTTL
 	}
-	return fillLife
+	return fillTTL
 }
 
-// Filled notes how full a shard is that this instance owns.
-func (p *Peers) Filled(now time.Time, shard string, f Fill) {
+// SetFill records the fill level of a shard that this instance owns.
+func (p *Peers) SetFill(now time.Time, shard string, f Fill) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fills[shard] = fill{Fill: f, owner: p.self, at: now}
+	p.fills[shard] = receivedFill{Fill: f, owner: p.self, at: now}
 }
--- a/lib/owner/peers_test.go
+++ b/lib/owner/peers_test.go
@@ -15,71 +15,71 @@
 	return s
 }
 
-func acting(t *testing.T, p *Peers, now time.Time, s *Shard) string {
+func actingOwner(t *testing.T, p *Peers, now time.Time, s *Shard) string {
 	t.Helper()
-	in, ok := p.Acting(now, s)
+	in, ok := p.ActingOwner(now, s)
 	must.True(t, ok)
 	return in.Name
 }
 
-// The owner dies. The second in rank, which was told the same, takes over when beats stay away; when the first is back it
-// knows nothing, and decides only after it was told again.
-func TestSecondInRankTakesOver(t *testing.T) {
+// The owner dies. The second candidate, which received the same reports, takes over when heartbeats stop. When the first is back, it
+// has no state, and decides only after it has received reports again.
+func TestSecondCandidateTakesOver(t *testing.T) {
 	s := shardOf("a", "b", "c")
 	b := NewPeers("b", t0)
-	now := t0.Add(coldFor)
-	b.TakeBeat(now, Beat{Instance: "a"})
-	must.Eq(t, "a", acting(t, b, now, s))
-	// It had heard nobody for as long as it lives, and is cold until it was told by all.
-	now = now.Add(coldFor)
-	must.Eq(t, "b", acting(t, b, now, s))
-	b.TakeBeat(now, Beat{Instance: "a", Incarnation: 1, Cold: true})
-	must.Eq(t, "b", acting(t, b, now, s))
-	b.TakeBeat(now, Beat{Instance: "a", Incarnation: 1})
-	must.Eq(t, "a", acting(t, b, now, s))
-	b.TakeBeat(now, Beat{Instance: "a", Incarnation: 1, Leaving: true})
-	must.Eq(t, "b", acting(t, b, now, s))
+	now := t0.Add(coldPeriod)
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a"})
+	must.Eq(t, "a", actingOwner(t, b, now, s))
+	// It never received a heartbeat before, and is cold until it has received the reports of all.
+	now = now.Add(coldPeriod)
+	must.Eq(t, "b", actingOwner(t, b, now, s))
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1, Cold: true})
+	must.Eq(t, "b", actingOwner(t, b, now, s))
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1})
+	must.Eq(t, "a", actingOwner(t, b, now, s))
+	b.ReceiveHeartbeat(now, Heartbeat{Instance: "a", Incarnation: 1, Leaving: true})
+	must.Eq(t, "b", actingOwner(t, b, now, s))
 	b.Leave()
-	_, ok := b.Acting(now, s)
+	_, ok := b.ActingOwner(now, s)
 	must.False(t, ok)
 }
 
-// All instances have just started. Somebody has to decide, although nobody knows much.
-func TestFirstOfColdOwnersDecides(t *testing.T) {
+// All instances have just started. One has to decide although none has state.
+func TestFirstColdCandidateDecides(t *testing.T) {
 	s := shardOf("a", "b")
 	a := NewPeers("a", t0)
-	a.TakeBeat(t0, Beat{Instance: "b", Cold: true})
-	must.Eq(t, "a", acting(t, a, t0, s))
-	// One that is no candidate takes the first for the owner.
-	must.Eq(t, "a", acting(t, NewPeers("x", t0), t0, s))
+	a.ReceiveHeartbeat(t0, Heartbeat{Instance: "b", Cold: true})
+	must.Eq(t, "a", actingOwner(t, a, t0, s))
+	// An instance that is no candidate assumes that the first is the owner.
+	must.Eq(t, "a", actingOwner(t, NewPeers("x", t0), t0, s))
 }
 
-// An owner was cut off, or stood still, and comes back with what it was told before. It lets the second decide until it was
-// told again.
-func TestOwnerThatWasAwayIsCold(t *testing.T) {
+// An owner was isolated or stalled, and resumes with outdated state. It leaves decisions to the second candidate until it has received
+// reports again.
+func TestIsolatedOrStalledOwnerIsCold(t *testing.T) {
 	s := shardOf("a", "b")
 	a := NewPeers("a", t0)
 	now := t0.Add(time.Second)
-	a.TakeBeat(now, Beat{Instance: "b"})
-	now = now.Add(coldFor)
-	a.TakeBeat(now, Beat{Instance: "b"})
-	must.Eq(t, "a", acting(t, a, now, s))
-	a.Woke(now)
-	must.Eq(t, "b", acting(t, a, now, s))
-	now = now.Add(coldFor)
-	a.TakeBeat(now, Beat{Instance: "b"})
-	must.Eq(t, "a", acting(t, a, now, s))
-	now = now.Add(aloneFor + time.Millisecond)
-	a.TakeBeat(now, Beat{Instance: "b"})
-	must.Eq(t, "b", acting(t, a, now, s))
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
+	now = now.Add(coldPeriod)
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
+	must.Eq(t, "a", actingOwner(t, a, now, s))
+	a.MarkStalled(now)
+	must.Eq(t, "b", actingOwner(t, a, now, s))
+	now = now.Add(coldPeriod)
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
+	must.Eq(t, "a", actingOwner(t, a, now, s))
+	now = now.Add(isolationTimeout + time.Millisecond)
+	a.ReceiveHeartbeat(now, Heartbeat{Instance: "b"})
+	must.Eq(t, "b", actingOwner(t, a, now, s))
 }
 
-// An owner that did not answer is asked after the others for a while, until it is heard.
-func TestSilentOwnersAreAskedLast(t *testing.T) {
+// An owner that did not answer is queried after the others for a while, or until it answers.
+func TestUnresponsiveOwnersAreQueriedLast(t *testing.T) {
 	s := shardOf("a", "b", "c")
 	p := NewPeers("x", t0)
 	names := func(now time.Time) (out string) {
-		for _, in := range p.Order(now, s) {
+		for _, in := range p.QueryOrder(now, s) {
 			out += in.Name
 		}
 		return out
@@ -87,37 +87,37 @@
 	must.Eq(t, "abc", names(t0))
 	p.Suspect(t0, "a")
 	must.Eq(t, "bca", names(t0))
-	must.Eq(t, "abc", names(t0.Add(suspectFor)))
-	again := t0.Add(suspectFor)
-	p.Suspect(again, "a") // twice as long: it may be gone for good
-	must.Eq(t, "bca", names(again.Add(2*suspectFor-1)))
-	must.Eq(t, "abc", names(again.Add(2*suspectFor)))
+	must.Eq(t, "abc", names(t0.Add(suspectMin)))
+	again := t0.Add(suspectMin)
+	p.Suspect(again, "a") // suspected twice as long: it may be gone for good
+	must.Eq(t, "bca", names(again.Add(2*suspectMin-1)))
+	must.Eq(t, "abc", names(again.Add(2*suspectMin)))
 	p.Suspect(again, "a")
-	p.Heard("a")
+	p.ClearSuspect("a")
 	must.Eq(t, "abc", names(again))
 	p.Suspect(again, "a")
-	must.Eq(t, "abc", names(again.Add(suspectFor)))
+	must.Eq(t, "abc", names(again.Add(suspectMin)))
 }
 
-// A shard is fuller than others. Its streams go to the emptier ones, to each by how much emptier it is, and to none that is
-// hardly emptier or not heard of.
-func TestStreamsArePassedToEmptierShards(t *testing.T) {
+// A shard has a higher fill level than others. Its streams are forwarded to less loaded ones, weighted by the difference, and to none
+// within the margin or without a known fill level.
+func TestStreamsAreForwardedToLessLoadedShards(t *testing.T) {
 	s := shardOf("a")
 	near, far, full, silent := &Shard{Key: "near"}, &Shard{Key: "far"}, &Shard{Key: "full"}, &Shard{Key: "silent"}
 	s.nearest = []*Shard{near, far, full, silent}
 	p := NewPeers("a", t0)
-	p.TakeBeat(t0, Beat{Instance: "b", Fills: map[string]Fill{"near": {Part: 0.5}, "far": {Part: 0.2}, "full": {Part: 0.78}}})
+	p.ReceiveHeartbeat(t0, Heartbeat{Instance: "b", Fills: map[string]Fill{"near": {Used: 0.5}, "far": {Used: 0.2}, "full": {Used: 0.78}}})
 	got := make(map[string]int)
 	for range 3000 {
-		to, by, ok := p.PassOn(t0, s, 0.8)
+		to, by, ok := p.PickLessLoaded(t0, s, 0.8)
 		must.True(t, ok)
 		must.Eq(t, "b", by)
 		got[to.Key]++
 	}
 	must.MapLen(t, 2, got)
-	must.Between(t, 1.8, float64(got["far"])/float64(got["near"]), 3.2) // 0.52 to 0.22
-	_, _, ok := p.PassOn(t0, s, 0.25)
+	must.Between(t, 1.8, float64(got["far"])/float64(got["near"]), 3.2) // margins of 0.52 and 0.22
+	_, _, ok := p.PickLessLoaded(t0, s, 0.25)
 	must.False(t, ok)
-	_, _, ok = p.PassOn(t0.Add(fillLife+time.Millisecond), s, 0.8)
+	_, _, ok = p.PickLessLoaded(t0.Add(fillTTL+time.Millisecond), s, 0.8)
 	must.False(t, ok)
 }
--- a/lib/owner/report.go
+++ b/lib/owner/report.go
@@ -7,33 +7,33 @@
 	"anvilwick.example/anvilwick/lib/moveplan"
 )
 
-// Run is a run of some instance on an engine.
+// Run is an instance's run on an engine.
 type Run struct {
-	ID       uint64 // hash of its request's id
-	Target   string
-	Tokens   int // of engine memory that it holds
-	Expected int // tokens that it is expected to add, as counted in loads
-	Unread   int // tokens of its prompt that are not known to be read yet
-	Left     int // tokens that it adds if it gets as long as its caller guesses
-	Stays    bool
-	Silent   time.Duration // since its engine was last heard on it
+	ID           uint64 // hash of the caller's request ID
+	Target       string
+	Tokens       int // of engine memory that it occupies
+	Expected     int // expected further tokens, as counted in loads
+	Unread       int // prompt tokens not known to be prefilled yet
+	Remaining    int // further tokens if it gets as long as its caller's hint
+	Pinned       bool
+	SinceContact time.Duration // time since its engine last sent anything for it
 }
 
-// Held is engine memory that a copy of a run takes.
-type Held struct {
+// Copy is engine memory that is occupied by a copy of a run.
+type Copy struct {
 	Target string
 	Tokens int
 	Run    uint64
 }
 
-// Outcomes counts how requests of one instance ended at a target since that instance was started.
+// Outcomes counts the results of one instance's requests to a target since the instance started.
 type Outcomes struct {
 	Target                      string
 	Served, Failed, Unreachable uint32
 }
 
-// Reading is how long a first event took after tokens of prompts were believed to be read before it.
-type Reading struct {
+// PrefillSample is the time until a first event, and the prompt tokens assumed to be prefilled before it.
+type PrefillSample struct {
 	Service string
 	Unread  int
 	Took    time.Duration
@@ -41,37 +41,37 @@
 
 // Report is what an instance has on the engines of a shard.
 type Report struct {
-	Shard       string
-	Instance    string
-	Addr        string // where the instance is answered
-	Incarnation uint64
-	Seq         uint64 // grows with each report of one incarnation
-	Seen        uint64 // newest grant of the receiver that the instance has
-	Runs        []Run
-	Held        []Held
-	Outcomes    []Outcomes
-	Readings    []Reading
-	Describe    bool // as in Ask
+	Shard          string
+	Instance       string
+	ReplyAddr      string // where the instance receives answers
+	Incarnation    uint64
+	Seq            uint64 // increases with each report of one incarnation
+	LastGrant      uint64 // newest grant of the receiver that the instance has received
+	Runs           []Run
+	Copies         []Copy
+	Outcomes       []Outcomes
+	PrefillSamples []PrefillSample
+	Describe       bool // as in PlaceRequest
 }
 
 const (
-	// ReportEvery is the period of an instance's reports while it has something on a shard's engines; a change is told
-	// sooner. It bounds how old the news is by which a dark engine is told from a busy one.
-	ReportEvery = 500 * time.Millisecond
-	// reportLife is how long a report is believed: two may be lost.
-	reportLife = 1500 * time.Millisecond
-	// grantLife is how long a grant counts that its instance has not told of.
-	grantLife = time.Second
-	// enterTime is how long a run may take from the grant's arrival until its instance tells of it.
-	enterTime = 100 * time.Millisecond
-	// tokensMax bounds, in tokens, what one run is believed to take. No engine is that large; sums of absurd reports must
+	// ReportInterval is the period of an instance's reports while it has load on a shard's engines; changes are reported
+	// sooner. It bounds the age of the data that distinguishes an engine that is dark from one that is under load.
+	ReportInterval = 500 * time.Millisecond
+	// reportTTL is how long a report is used: two may be lost.
+	reportTTL = 1500 * time.Millisecond
+	// grantTTL is how long a grant counts that its instance has not reported.
+	grantTTL = time.Second
+	// runStartDelay is how long a run may take from the receipt of the grant until its instance reports it.
+	runStartDelay = 100 * time.Millisecond
+	// maxTokens bounds the tokens that one run is assumed to take. No engine is that large; sums over implausible reports must
 	// not overflow.
-	tokensMax = 1 << 24
-	// holdersMax bounds the instances that a Book believes, for each shard.
-	holdersMax = 4096
+	maxTokens = 1 << 24
+	// maxHolders bounds the instances that a Ledger tracks for each shard.
+	maxHolders = 4096
 )
 
-// grant is room that the owner has given and that is not told of yet.
+// grant is capacity that the owner has granted and the instance has not reported yet.
 type grant struct {
 	serial uint64
 	run    uint64
@@ -81,59 +81,59 @@
 	at     time.Time
 }
 
-// holder is what is known of one instance on one shard.
+// holder is the known state of one instance that holds load on a shard.
 type holder struct {
-	name        string // in the fleet
-	own         bool   // it is this instance
+	name        string // its name in the fleet
+	local       bool   // this instance
 	incarnation uint64
 	seq         uint64
-	at          time.Time
+	lastReport  time.Time
 	addr        string
 	runs        []Run
-	held        []Held
+	copies      []Copy
 	grants      []grant
 	outcomes    map[string]Outcomes
 }
 
-// fresh reports whether a report is newer than the last. A lower incarnation counts once the old one is silent: it is a
-// time of day, which may have been set back.
-func (h *holder) fresh(now time.Time, r *Report) bool {
-	if now.Sub(h.at) > reportLife {
+// isNewer reports whether a report is newer than the last. A lower incarnation is accepted once the old one is silent: it is a
+// time of day, and the clock may have been set back.
+func (h *holder) isNewer(now time.Time, r *Report) bool {
+	if now.Sub(h.lastReport) > reportTTL {
 		return true
 	}
 	return r.Incarnation > h.incarnation || r.Incarnation == h.incarnation && r.Seq > h.seq
 }
 
-func (h *holder) take(now time.Time, r *Report) {
+func (h *holder) apply(now time.Time, r *Report) {
 	if r.Incarnation != h.incarnation {
 		h.grants = nil
 		h.outcomes = make(map[string]Outcomes)
 	}
-	h.incarnation, h.seq, h.at = r.Incarnation, r.Seq, now
-	h.addr, h.runs, h.held = r.Addr, r.Runs, r.Held
-	h.settle(now, r.Seen)
+	h.incarnation, h.seq, h.lastReport = r.Incarnation, r.Seq, now
+	h.addr, h.runs, h.copies = r.ReplyAddr, r.Runs, r.Copies
+	h.dropGrants(now, r.LastGrant)
 }
 
-// settle drops the grants that the report contains, or that the instance has and no longer uses.
-func (h *holder) settle(now time.Time, seen uint64) {
-	told := make(map[uint64]bool, len(h.runs)+len(h.held))
+// dropGrants drops the grants that the report contains, that the instance received but no longer uses, or that have expired.
+func (h *holder) dropGrants(now time.Time, lastGrant uint64) {
+	reported := make(map[uint64]bool, len(h.runs)+len(h.copies))
 	for _, r := range h.runs {
-		told[r.ID] = true
+		reported[r.ID] = true
 	}
-	for _, m := range h.held {
-		told[m.Run] = true
+	for _, m := range h.copies {
+		reported[m.Run] = true
 	}
 	kept := h.grants[:0]
 	for _, g := range h.grants {
-		used := g.serial <= seen && now.Sub(g.at) > enterTime
-		if !told[g.run] && !used && now.Sub(g.at) < grantLife {
+		used := g.serial <= lastGrant && now.Sub(g.at) > runStartDelay
+		if !reported[g.run] && !used && now.Sub(g.at) < grantTTL {
 			kept = append(kept, g)
 		}
 	}
 	h.grants = kept
 }
 
-// loads adds up what the instance has on each engine.
+// loads sums the instance's load on each engine.
 func (h *holder) loads() (map[string]fleet.Load, map[string][]fleet.Size) {
 	loads, sizes := make(map[string]fleet.Load), make(map[string][]fleet.Size)
 	add := func(target string, l fleet.Load, s fleet.Size) {
@@ -145,10 +145,10 @@
 		sizes[target] = append(sizes[target], s)
 	}
 	for _, r := range h.runs {
-		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Now: r.Tokens, Left: r.Left})
+		add(r.Target, fleet.Load{Runs: 1, Tokens: r.Tokens + r.Expected, Unread: r.Unread}, fleet.Size{Held: r.Tokens, Remaining: r.Remaining})
 	}
-	for _, m := range h.held {
-		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Now: m.Tokens})
+	for _, m := range h.copies {
+		add(m.Target, fleet.Load{Tokens: m.Tokens}, fleet.Size{Held: m.Tokens})
 	}
 	for _, g := range h.grants {
 		add(g.target, g.load, g.size)
@@ -156,39 +156,39 @@
 	return loads, sizes
 }
 
-// bounded cuts what a report claims to what can be.
-func (r *Report) bounded() {
+// clamp limits the values of a report to a plausible range.
+func (r *Report) clamp() {
 	for i := range r.Runs {
 		m := &r.Runs[i]
-		m.Tokens, m.Expected = bound(m.Tokens), bound(m.Expected)
-		m.Unread, m.Left = bound(m.Unread), bound(m.Left)
+		m.Tokens, m.Expected = clampTokens(m.Tokens), clampTokens(m.Expected)
+		m.Unread, m.Remaining = clampTokens(m.Unread), clampTokens(m.Remaining)
 	}
-	for i := range r.Held {
-		r.Held[i].Tokens = bound(r.Held[i].Tokens)
+	for i := range r.Copies {
+		r.Copies[i].Tokens = clampTokens(r.Copies[i].Tokens)
 	}
 }
 
-func bound(n int) int { return min(max(n, 0), tokensMax) }
+func clampTokens(n int) int { return min(max(n, 0), maxTokens) }
 
-// moving is the run as plans of moves see it.
-func (r Run) moving() moveplan.Run {
-	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Unread: r.Unread > 0}
+// toPlan converts the run for the move planner.
+func (r Run) toPlan() moveplan.Run {
+	return moveplan.Run{ID: r.ID, From: r.Target, Tokens: r.Tokens, Expected: r.Expected, Prefilling: r.Unread > 0}
 }
 
-// ByShard sorts what an instance has by shards, as of tells them. What is on no shard's engines is left out.
-func ByShard(of func(engine string) *Shard, runs []Run, held []Held) map[string]Report {
+// ByShard groups an instance's runs and copies by shard. Those on engines without a shard are left out.
+func ByShard(shardOf func(engine string) *Shard, runs []Run, copies []Copy) map[string]Report {
 	out := make(map[string]Report)
 	for _, r := range runs {
-		if s := of(r.Target); s != nil {
+		if s := shardOf(r.Target); s != nil {
 			rep := out[s.Key]
 			rep.Runs = append(rep.Runs, r)
 			out[s.Key] = rep
 		}
 	}
-	for _, h := range held {
-		if s := of(h.Target); s != nil {
+	for _, h := range copies {
+		if s := shardOf(h.Target); s != nil {
 			rep := out[s.Key]
-			rep.Held = append(rep.Held, h)
+			rep.Copies = append(rep.Copies, h)
 			out[s.Key] = rep
 		}
 	}
--- a/lib/owner/wait.go
+++ b/lib/owner/wait.go
@@ -7,105 +7,105 @@
 	"anvilwick.example/anvilwick/lib/admit"
 )
 
-type waiting struct {
-	Ask
-	shard *Shard
-	heard time.Time
-	turn  time.Time // the order in which those that wait are looked at
+type waitingRequest struct {
+	PlaceRequest
+	shard    *Shard
+	lastSeen time.Time
+	order    time.Time // position in the queue
 }
 
-// largeShare is how many of its aims a stream that takes all of an engine's memory goes before a small one that stops waiting at the
-// same time.
-const largeShare = 0.5
+// largeHeadStart is the head start in the queue, as a share of its latency objective, of a stream that takes all of an engine's memory over
+// a small one that stops waiting at the same time.
+const largeHeadStart = 0.5
 
-// turnOf is a stream's place in the order: when it stops waiting, large ones sooner. A stream that can still begin in time goes before
-// one that has come back, until that would be refused again.
+// orderOf returns a stream's position in the queue: the time at which it stops waiting, earlier for large streams. Streams that can still
+// start in time go before a retried one, until that would be rejected again.
 //
-// Load pattern: memory is short, and small streams fit into what frees up at once while a large one needs what two runs leave.
-// Looked at in the order of their ends alone, it finds its room taken at each look until its wait is over.
-func (b *Book) turnOf(s *admit.Stream) time.Time {
-	due := s.Due()
-	memory := b.fleet.Memory(s.Need.Service)
+// When memory is short, small streams fit at once into what is released, while a large one needs the memory of two runs. Ordered
+// by deadline alone, a large stream would find its capacity taken each time until its wait is over.
+func (l *Ledger) orderOf(s *admit.Stream) time.Time {
+	due := s.WaitDeadline()
+	memory := l.fleet.Memory(s.Need.Service)
 	if memory <= 0 {
 		return due
 	}
-	part := min(1, float64(s.Need.Peak.Now)/float64(memory))
-	return due.Add(-time.Duration(largeShare * part * float64(s.Aim)))
+	part := min(1, float64(s.Need.Peak.Held)/float64(memory))
+	return due.Add(-time.Duration(largeHeadStart * part * float64(s.Objective)))
 }
 
-// hasNoTurn reports whether a stream that would wait can't begin before its wait is over: all engines of its shard have limits, and those that
-// wait before it use up what they take.
+// cannotStartInTime reports whether a stream that would wait can't start before its wait is over: all engines of its shard have rate
+// limits, and the requests that wait ahead of it use them up.
 //
-// Load pattern: a whole service is in need and more streams come than it takes. Each that waits in vain could have come back sooner.
-func (b *Book) hasNoTurn(now time.Time, s *Shard, a *Ask) bool {
-	perSecond, limited := b.fleet.LimitsOf(s.Engines())
-	if !limited || a.Mode != Admit {
+// When a whole service is overloaded, more streams arrive than it accepts. A stream that waits in vain could have been retried sooner.
+func (l *Ledger) cannotStartInTime(now time.Time, s *Shard, req *PlaceRequest) bool {
+	perSecond, limited := l.fleet.TotalLimit(s.Engines())
+	if !limited || req.Mode != Admit {
 		return false
 	}
-	turn, before := b.turnOf(&a.Stream), 0
-	for _, w := range b.asks {
-		if w.shard.Key == s.Key && !w.turn.After(turn) {
-			before++
+	order, ahead := l.orderOf(&req.Stream), 0
+	for _, w := range l.waiting {
+		if w.shard.Key == s.Key && !w.order.After(order) {
+			ahead++
 		}
 	}
-	return float64(before+1) > perSecond*a.Stream.Due().Sub(now).Seconds()
+	return float64(ahead+1) > perSecond*req.Stream.WaitDeadline().Sub(now).Seconds()
 }
 
-// wait puts an ask among those that wait, in their order.
-func (b *Book) wait(w *waiting) {
-	w.turn = b.turnOf(&w.Stream)
-	at, _ := slices.BinarySearchFunc(b.asks, w.turn, func(x *waiting, turn time.Time) int { return x.turn.Compare(turn) })
-	for at < len(b.asks) && b.asks[at].turn.Equal(w.turn) {
+// enqueue inserts a request into the queue.
+func (l *Ledger) enqueue(w *waitingRequest) {
+	w.order = l.orderOf(&w.Stream)
+	at, _ := slices.BinarySearchFunc(l.waiting, w.order, func(x *waitingRequest, order time.Time) int { return x.order.Compare(order) })
+	for at < len(l.waiting) && l.waiting[at].order.Equal(w.order) {
 		at++
 	}
-	b.asks = slices.Insert(b.asks, at, w)
+	l.waiting = slices.Insert(l.waiting, at, w)
 }
 
-// Waits reports whether asks wait.
-func (b *Book) Waits() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.asks) > 0
+// HasWaiting reports whether requests wait.
+func (l *Ledger) HasWaiting() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.waiting) > 0
 }
 
-// Step decides what it can of the asks that wait, in their order, and returns the answers.
+// DecideWaiting decides the waiting requests that it can, in order, and returns the answers.
 //
-// For the first of each shard that still wait the roomiest engines are kept. Without that, small streams take what frees up
-// as it frees up, and a large prompt, which needs the room of two at one engine, is turned away.
-func (b *Book) Step(now time.Time) []Answer {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	clear(b.kept)
+// For the first requests of each shard that still wait, the engines with the most free memory are reserved. Otherwise small streams take
+// memory as soon as it is released, and a large prompt, which needs the memory of two at one engine, is rejected.
+func (l *Ledger) DecideWaiting(now time.Time) []Answer {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	clear(l.reserved)
 	var out []Answer
-	b.asks = slices.DeleteFunc(b.asks, func(w *waiting) bool {
-		if now.Sub(w.heard) > askLife {
+	l.waiting = slices.DeleteFunc(l.waiting, func(w *waitingRequest) bool {
+		if now.Sub(w.lastSeen) > requestTTL {
 			return true
 		}
-		answer, ok := b.decide(now, w.shard, &w.Ask)
+		answer, ok := l.decide(now, w.shard, &w.PlaceRequest)
 		switch {
 		case ok:
 			out = append(out, answer)
 		default:
-			b.keep(w.shard)
+			l.reserveEngine(w.shard)
 		}
 		return ok
 	})
 	return out
 }
 
-// drop forgets an ask that waits.
-func (b *Book) drop(k Key) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.asks = slices.DeleteFunc(b.asks, func(w *waiting) bool { return w.Key == k })
+// dropWaiting removes a waiting request.
+func (l *Ledger) dropWaiting(k Key) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.waiting = slices.DeleteFunc(l.waiting, func(w *waitingRequest) bool { return w.Key == k })
 }
 
-// waitingFor is how many tokens of engine memory the asks want that wait for a shard.
-func (b *Book) waitingFor(shard string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// waitingTokens returns the tokens of engine memory that requests waiting for a shard need.
+func (l *Ledger) waitingTokens(shard string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	sum := 0
-	for _, w := range b.asks {
+	for _, w := range l.waiting {
 		if w.shard.Key == shard {
 			sum += w.Stream.Need.Tokens
 		}
@@ -113,41 +113,41 @@
 	return sum
 }
 
-// waitingNow lists the asks that wait, with their shards.
-func (b *Book) waitingNow() []waiting {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]waiting, len(b.asks))
-	for i, w := range b.asks {
+// waitingRequests lists the waiting requests.
+func (l *Ledger) waitingRequests() []waitingRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make([]waitingRequest, len(l.waiting))
+	for i, w := range l.waiting {
 		out[i] = *w
 	}
 	return out
 }
 
-// Knows reports whether an ask has been decided here or waits here.
-func (b *Book) Knows(k Key) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, done := b.done[k]
-	return done || slices.ContainsFunc(b.asks, func(w *waiting) bool { return w.Key == k })
+// Knows reports whether a request has been decided here or waits here.
+func (l *Ledger) Knows(k Key) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, done := l.answers[k]
+	return done || slices.ContainsFunc(l.waiting, func(w *waitingRequest) bool { return w.Key == k })
 }
 
-// keepPer is how many engines of a shard there are for each that is kept: more serve large prompts sooner and others later.
-const keepPer = 16
+// enginesPerReserved is the number of a shard's engines for each reserved one: more reservations serve large prompts sooner, others later.
+const enginesPerReserved = 16
 
-// keep keeps the roomiest engine that is left for a stream that waits, if its shard may have one more kept.
-func (b *Book) keep(s *Shard) {
-	kept := b.kept[s.Key]
-	if len(kept) >= max(1, len(s.Engines())/keepPer) {
+// reserveEngine reserves the engine with the most free memory for a waiting request, if the shard may have one more reserved.
+func (l *Ledger) reserveEngine(s *Shard) {
+	reserved := l.reserved[s.Key]
+	if len(reserved) >= max(1, len(s.Engines())/enginesPerReserved) {
 		return
 	}
-	id := b.fleet.Roomiest(s.Engines(), kept)
+	id := l.fleet.EngineWithMostFree(s.Engines(), reserved)
 	if id == "" {
 		return
 	}
-	if kept == nil {
-		kept = make(map[string]bool)
-		b.kept[s.Key] = kept
+	if reserved == nil {
+		reserved = make(map[string]bool)
+		l.reserved[s.Key] = reserved
 	}
-	kept[id] = true
+	reserved[id] = true
 }
--- a/lib/ownerlink/permits_test.go
+++ b/lib/ownerlink/permits_test.go
@@ -12,8 +12,9 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// agreed waits until all members take the first in rank for the owner: until its beats come, each that ranks takes itself for it.
-func agreed(t *testing.T, members map[string]*member, s *owner.Shard) {
+// awaitAgreement waits until all members consider the first candidate the owner: before its heartbeats arrive, each candidate considers
+// itself the owner.
+func awaitAgreement(t *testing.T, members map[string]*member, s *owner.Shard) {
 	t.Helper()
 	for name, m := range members {
 		eventually(t, func() bool {
@@ -23,7 +24,7 @@
 	}
 }
 
-// limitedSite is a site before two plain targets, of which the first names a limit.
+// limitedSite returns a site with two plain targets, of which the first states a limit.
 func limitedSite(t *testing.T, running ...string) (map[string]*member, fleet.Info, *owner.Shard) {
 	t.Helper()
 	members, _ := site(t, 1, running...)
@@ -39,37 +40,37 @@
 		m.Fleet.Apply(time.Now(), plain, nil, 0)
 		m.SetLayout(layout)
 	}
-	return members, plain[0], layout.Owning(plain[0])
+	return members, plain[0], layout.PermitShard(plain[0])
 }
 
-func hear(m *member, t fleet.Info, perSecond float64) bool {
+func receiveLimit(m *member, t fleet.Info, perSecond float64) bool {
 	now := time.Now()
-	w := fleet.LimitWord{Limit: fleet.Limit{On: true, PerSecond: perSecond}, Asked: now, Heard: now}
-	changed := m.Fleet.TakeLimit(t.ID, w)
-	m.Limited(t, changed)
+	w := fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: perSecond}, RequestedAt: now, ReceivedAt: now}
+	changed := m.Fleet.ApplyLimit(t.ID, w)
+	m.ReportLimit(t, changed)
 	return changed
 }
 
-// One instance hears a limit. All others know of it before they send anything there, and of its end.
+// One instance receives a limit. All others learn of it, and of its end, without a request to the target.
 func TestAllAreToldOfALimitAndItsEnd(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
-	agreed(t, members, s)
+	awaitAgreement(t, members, s)
 	last := members[s.Ranked[2].Name]
-	must.True(t, hear(last, p1, 5))
+	must.True(t, receiveLimit(last, p1, 5))
 	for _, m := range members {
 		eventually(t, func() bool { return m.Fleet.LimitOf("p1").Limit == fleet.Limit{On: true, PerSecond: 5} })
 	}
 	time.Sleep(time.Millisecond)
 	now := time.Now()
-	must.True(t, last.Fleet.TakeLimit("p1", fleet.LimitWord{Asked: now, Heard: time.Now()}))
-	last.Limited(p1, true)
+	must.True(t, last.Fleet.ApplyLimit("p1", fleet.LimitNotice{RequestedAt: now, ReceivedAt: time.Now()}))
+	last.ReportLimit(p1, true)
 	for _, m := range members {
 		eventually(t, func() bool { return !m.Fleet.LimitOf("p1").On })
 	}
 }
 
-// All three instances ask for as many permits as they can: together they get what the target takes. When the owner is gone the next in
-// rank gives them.
+// All instances request as many permits as they can: together they get what the target accepts. When the owner is gone, the next
+// candidate grants them.
 func TestPermitsOfAllInstancesAreWithinALimit(t *testing.T) {
 	for name, running := range map[string][]int{"all": {0, 1, 2}, "owner gone": {1, 2}} {
 		t.Run(name, func(t *testing.T) {
@@ -79,13 +80,13 @@
 				members[s.Ranked[i].Name].start(t)
 			}
 			for _, i := range running {
-				hear(members[s.Ranked[i].Name], p1, 10)
+				receiveLimit(members[s.Ranked[i].Name], p1, 10)
 			}
 			given := 0
 			for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 				for _, i := range running {
-					p, err := members[s.Ranked[i].Name].Permit(t.Context(), p1, false)
-					if err == nil && p.Given {
+					p, err := members[s.Ranked[i].Name].RequestPermit(t.Context(), p1, false)
+					if err == nil && p.Granted {
 						given++
 					}
 				}
@@ -95,17 +96,17 @@
 	}
 }
 
-// An owner that was just started knows of no limit. It learns of it from those who ask.
-func TestOwnerLearnsOfALimitFromAsks(t *testing.T) {
+// An owner that has just started knows no limit. It learns of it from permit requests.
+func TestOwnerLearnsLimitFromPermitRequests(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	now := time.Now()
 	asker := members[s.Ranked[1].Name]
-	asker.Fleet.TakeLimit("p1", fleet.LimitWord{Limit: fleet.Limit{On: true, PerSecond: 1}, Asked: now, Heard: now})
+	asker.Fleet.ApplyLimit("p1", fleet.LimitNotice{Limit: fleet.Limit{On: true, PerSecond: 1}, RequestedAt: now, ReceivedAt: now})
 	given := 0
 	for range 10 {
-		p, err := asker.Permit(t.Context(), p1, false)
+		p, err := asker.RequestPermit(t.Context(), p1, false)
 		must.NoError(t, err)
-		if p.Given {
+		if p.Granted {
 			given++
 		}
 	}
@@ -113,11 +114,11 @@
 	must.True(t, members[s.Ranked[0].Name].Fleet.LimitOf("p1").On)
 }
 
-// Senseless words of limits change nothing, and nothing breaks.
-func TestBadLimitsAreLeftOut(t *testing.T) {
+// Invalid limits change nothing and cause no failure.
+func TestInvalidLimitsAreIgnored(t *testing.T) {
 	members, p1, _ := limitedSite(t, "a")
 	m := members["a"]
-	hear(m, p1, 5)
+	receiveLimit(m, p1, 5)
 	for _, w := range []*ownerpb.LimitWord{
 		nil,
 		{},
@@ -127,7 +128,7 @@
 		{Target: "p1", On: true, PerSecond: math.Inf(1)},
 		{Target: "p1", AskedAgoUs: math.MaxUint64, HeardAgoUs: math.MaxUint64},
 	} {
-		d := m.own()
+		d := m.newDatagram()
 		d.Instance = "b"
 		d.Body = &ownerpb.Datagram_Limits{Limits: &ownerpb.Limits{Words: []*ownerpb.LimitWord{w}}}
 		m.handle(d)
@@ -135,7 +136,7 @@
 		m.handle(d)
 		must.Eq(t, fleet.Limit{On: true, PerSecond: 5}, m.Fleet.LimitOf("p1").Limit)
 	}
-	d := m.own()
+	d := m.newDatagram()
 	d.Instance = "b"
 	d.Body = &ownerpb.Datagram_Limits{}
 	m.handle(d)
@@ -143,21 +144,21 @@
 	m.handle(d)
 }
 
-// One instance hears from a plain target that it leaves. The others, which may not hear it for long, are told.
+// A plain target tells one instance that it leaves. The others, which may send it nothing for long, are informed.
 func TestAllAreToldOfATargetThatSaysItLeaves(t *testing.T) {
 	for rank := range 3 {
 		members, p1, s := limitedSite(t, "a", "b", "c")
-		agreed(t, members, s)
-		members[s.Ranked[rank].Name].TellLeft(p1)
+		awaitAgreement(t, members, s)
+		members[s.Ranked[rank].Name].NotifyLeaving(p1)
 		for i := range 3 {
 			if i == rank {
-				continue // it knows
+				continue // it sent the announcement
 			}
 			select {
 			case id := <-members[s.Ranked[i].Name].left:
 				must.Eq(t, "p1", id)
 			case <-time.After(5 * time.Second):
-				t.Fatal("not told")
+				t.Fatal("instance was not informed of the leaving target")
 			}
 		}
 	}
--- a/lib/ownerlink/report.go
+++ b/lib/ownerlink/report.go
@@ -9,19 +9,19 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// outcomesTold is how long a target's outcomes are reported after the last: until a lost report has been made up for.
-const outcomesTold = 4 * owner.ReportEvery
+// outcomesReportedFor is how long a target's outcomes are reported after the last: long enough to make up for a lost report.
+const outcomesReportedFor = 4 * owner.ReportInterval
 
-// reportedTo is how many of a shard's candidates are told what instances have there: the owner, and the one that takes over.
-const reportedTo = 2
+// reportedCandidates is the number of a shard's candidates that receive reports: the owner, and the one that takes over.
+const reportedCandidates = 2
 
 type outcomes struct {
 	owner.Outcomes
 	changed time.Time
 }
 
-// Outcome counts how a request of this instance ended at a target.
-func (l *Link) Outcome(target string, o fleet.Outcome) {
+// RecordOutcome counts the result of this instance's request to a target.
+func (l *Link) RecordOutcome(target string, o fleet.Outcome) {
 	if l.shardOf(target) == nil {
 		return
 	}
@@ -45,32 +45,32 @@
 	c.changed = time.Now()
 }
 
-// Reading notes how long a first event took after tokens of prompts were believed to be read before it.
-func (l *Link) Reading(r owner.Reading) {
+// RecordPrefill records a prefill sample for the next report.
+func (l *Link) RecordPrefill(r owner.PrefillSample) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.readings) < readingsMax {
-		l.readings = append(l.readings, r)
+	if len(l.prefillSamples) < maxPrefillSamples {
+		l.prefillSamples = append(l.prefillSamples, r)
 	}
 }
 
-// readingsMax bounds the readings of one report.
-const readingsMax = 32
+// maxPrefillSamples bounds the samples in one report.
+const maxPrefillSamples = 32
 
-// shardOf returns the shard that an engine is in; nil when there is none.
+// shardOf returns the shard of an engine; nil when there is none.
 func (l *Link) shardOf(engine string) *owner.Shard {
 	t, known := l.Fleet.Info(engine)
 	if !known {
 		return nil
 	}
-	return l.layout.Load().Of(t)
+	return l.layout.Load().ShardOf(t)
 }
 
-// Owned lists the engines that this instance decides for.
-func (l *Link) Owned() []string {
+// OwnedEngines lists the engines of the shards that this instance is the acting owner of.
+func (l *Link) OwnedEngines() []string {
 	var out []string
 	now := time.Now()
-	for _, s := range l.layout.Load().RankedBy(l.Self.Name) {
+	for _, s := range l.layout.Load().CandidateShards(l.Self.Name) {
 		if _, other := l.otherOwner(now, s); !other {
 			out = append(out, s.Engines()...)
 		}
@@ -78,17 +78,17 @@
 	return out
 }
 
-// reports returns what this instance has on each shard now.
+// reports returns this instance's current report for each shard.
 func (l *Link) reports() map[string]owner.Report {
 	out := l.Gather(l.shardOf)
 	now := time.Now()
-	part := l.Part()
+	part := l.HasPartialList()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastID++
 	for target, c := range l.outcomes {
 		s := l.shardOf(target)
-		if s == nil || now.Sub(c.changed) > outcomesTold {
+		if s == nil || now.Sub(c.changed) > outcomesReportedFor {
 			delete(l.outcomes, target)
 			continue
 		}
@@ -103,59 +103,59 @@
 	return out
 }
 
-// takeReadings returns the readings of services since the last call.
-func (l *Link) takeReadings() []owner.Reading {
+// takePrefillSamples returns the samples since the last call.
+func (l *Link) takePrefillSamples() []owner.PrefillSample {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := l.readings
-	l.readings = nil
+	out := l.prefillSamples
+	l.prefillSamples = nil
 	return out
 }
 
-// report tells owners what this instance has, when it changes and every owner.ReportEvery. What has nothing on a shard says
-// so once and is silent.
-func (l *Link) report(ctx context.Context) {
-	t := time.NewTicker(owner.ReportEvery)
+// reportLoop sends reports to owners on changes and every owner.ReportInterval. An instance that has nothing left on a shard reports
+// that once and is silent from then on.
+func (l *Link) reportLoop(ctx context.Context) {
+	t := time.NewTicker(owner.ReportInterval)
 	defer t.Stop()
-	told := make(map[string]bool)
+	reported := make(map[string]bool)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			l.Desk.Tick(time.Now())
-		case <-l.wake:
-			time.Sleep(reportGap)
+			l.Coordinator.Tick(time.Now())
+		case <-l.reportDue:
+			time.Sleep(reportDelayMin)
 		}
-		l.tell(told)
+		l.sendReports(reported)
 	}
 }
 
-// tell sends a report for each shard that this instance has something on, or had when it last told.
-func (l *Link) tell(told map[string]bool) {
+// sendReports sends a report for each shard that this instance has something on, or had in the last report.
+func (l *Link) sendReports(reported map[string]bool) {
 	if at := l.changedAt.Swap(nil); at != nil {
 		reportDelay.Update(time.Since(*at).Seconds())
 	}
 	reports := l.reports()
-	for key := range told {
+	for key := range reported {
 		if _, ok := reports[key]; !ok {
 			reports[key] = owner.Report{Shard: key, Instance: l.Self.Name, Incarnation: l.Incarnation, Seq: l.nextID()}
 		}
 	}
-	clear(told)
+	clear(reported)
 	layout := l.layout.Load()
-	readings := l.takeReadings()
+	samples := l.takePrefillSamples()
 	for key, r := range reports {
-		if len(r.Runs)+len(r.Held)+len(r.Outcomes) > 0 {
-			told[key] = true
+		if len(r.Runs)+len(r.Copies)+len(r.Outcomes) > 0 {
+			reported[key] = true
 		}
 		s := layout.Shard(key)
 		if s == nil {
 			continue
 		}
-		for _, m := range readings {
+		for _, m := range samples {
 			if m.Service == s.Service {
-				r.Readings = append(r.Readings, m)
+				r.PrefillSamples = append(r.PrefillSamples, m)
 			}
 		}
 		l.sendReport(s, r)
@@ -170,31 +170,31 @@
 }
 
 func (l *Link) sendReport(s *owner.Shard, r owner.Report) {
-	for _, to := range s.Ranked[:min(reportedTo, len(s.Ranked))] {
+	for _, to := range s.Ranked[:min(reportedCandidates, len(s.Ranked))] {
 		if to.Name == l.Self.Name {
-			l.Desk.Report(time.Now(), r)
+			l.Coordinator.Report(time.Now(), r)
 			continue
 		}
-		d := l.own()
+		d := l.newDatagram()
 		body := l.encodeReport(&r, to.Name)
 		d.Body = &ownerpb.Datagram_Report{Report: body}
-		fit(d, body)
+		truncateReport(d, body)
 		l.send(to.Addr, d)
 	}
 }
 
-// encodeReport adds what the receiver has granted.
+// encodeReport adds the newest grant received from the receiver.
 func (l *Link) encodeReport(r *owner.Report, to string) *ownerpb.Report {
 	l.mu.Lock()
-	r.Seen = l.seen[to]
+	r.LastGrant = l.lastGrants[to]
 	l.mu.Unlock()
 	return encodeReport(r)
 }
 
-// TellBlames tells all instances of contents that killed targets. Deaths are rare, and until all know, each may send
+// BroadcastBlames sends contents that killed targets to all instances. Such deaths are rare, and until all know, each may send
 // such a content to another target.
-func (l *Link) TellBlames(blames []*ownerpb.Blame) {
-	d := l.own()
+func (l *Link) BroadcastBlames(blames []*ownerpb.Blame) {
+	d := l.newDatagram()
 	d.Body = &ownerpb.Datagram_Blames{Blames: &ownerpb.Blames{Blames: blames}}
-	l.tellAll(d)
+	l.broadcast(d)
 }
--- a/lib/ownerlink/wire_test.go
+++ b/lib/ownerlink/wire_test.go
@@ -13,26 +13,27 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// An ask is passed on to an owner that has room. What decides there is all that was known here: a part that is lost on the way,
-// as that the caller came back, would have the stream refused a second time.
-func TestAskArrivesWhole(t *testing.T) {
+// A request is forwarded to an owner with capacity, which must decide on the same data: if a field such as IsRetry were lost on the
+// way, the stream would be rejected a second time.
+func TestPlaceRequestRoundTrip(t *testing.T) {
 	now := time.Now()
-	sent := owner.Ask{
-		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, Addr: "127.0.0.1:1", Run: 11, Mode: owner.Room, Backup: 13, Hops: 2, Print: 17,
+	sent := owner.PlaceRequest{
+		Key: owner.Key{Instance: "i", Incarnation: 7, ID: 9}, ReplyAddr: "127.0.0.1:1", Run: 11, Mode: owner.MustFit,
+		Backup: 13, Hops: 2, Fingerprint: 17,
 		Stream: admit.Stream{
-			Arrived: now.Add(-40 * time.Millisecond), Aim: time.Second, Keeps: 2 * time.Second, Back: true,
+			Arrived: now.Add(-40 * time.Millisecond), Objective: time.Second, MaxRetryAfter: 2 * time.Second, IsRetry: true,
 			Need: fleet.Need{
-				Service: "s", Tokens: 19, Unread: 23, Near: "z", Peak: fleet.Size{Now: 29, Left: 31},
-				Without: map[string]bool{"e": true},
+				Service: "s", Tokens: 19, Unread: 23, PreferredDomain: "z", Peak: fleet.Size{Held: 29, Remaining: 31},
+				Exclude: map[string]bool{"e": true},
 			},
 		},
 	}
 	b, err := proto.Marshal(&ownerpb.Datagram{
-		Instance: sent.Instance, Incarnation: sent.Incarnation, Addr: sent.Addr,
-		Body: &ownerpb.Datagram_Ask{Ask: encodeAsk(&sent, "shard", now)},
+		Instance: sent.Instance, Incarnation: sent.Incarnation, Addr: sent.ReplyAddr,
+		Body: &ownerpb.Datagram_Ask{Ask: encodePlaceRequest(&sent, "shard", now)},
 	})
 	must.NoError(t, err)
 	var d ownerpb.Datagram
 	must.NoError(t, proto.Unmarshal(b, &d))
-	must.Eq(t, sent, decodeAsk(&d, now))
+	must.Eq(t, sent, decodePlaceRequest(&d, now))
 }
--- a/lib/pick/pick_test.go
+++ b/lib/pick/pick_test.go
@@ -37,9 +37,9 @@
 	return out
 }
 
-// What callers see with reports five seconds old: the target that looked idle is not overrun, for each call that was
-// sent since counts.
-func TestOwnCallsCorrectLaggingReports(t *testing.T) {
+// With reports five seconds old, the target that looked idle is not overloaded, since each call sent since the report is
+// counted.
+func TestLocalCallsCorrectStaleReports(t *testing.T) {
 	tab := table(t0, 0, 4, 4, 4)
 	rng := rand.New(rand.NewPCG(1, 1))
 	sent := make(map[string]int)
@@ -47,31 +47,31 @@
 		now := t0.Add(time.Duration(i) * 100 * time.Millisecond)
 		name, ok := tab.Pick(now, rng, pick.Query{})
 		must.True(t, ok)
-		tab.Sent(now, name)
+		tab.CallStarted(now, name)
 		sent[name]++
 	}
 	must.Between(t, 10, sent["t0"], 16)
 	must.Between(t, 7, sent["t1"], 13)
 }
 
-// A report that is older than the call does not hide the call; one that is younger has counted it.
-func TestReportAgeDecidesWhatItHasSeen(t *testing.T) {
+// A report older than a call does not include it; a younger one does.
+func TestReportAgeDecidesWhichCallsItIncludes(t *testing.T) {
 	tab := table(t0, 0, 3)
 	for range 4 {
-		tab.Sent(t0.Add(time.Second), "t0")
+		tab.CallStarted(t0.Add(time.Second), "t0")
 	}
 	now := t0.Add(2 * time.Second)
 	tab.Report(now, "t0", pick.Report{Running: 0, Capacity: 10, Age: 1500 * time.Millisecond})
 	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t1"]) // 0 reported + 4 sent since, against 3
 	for range 4 {
-		tab.Done(now, "t0")
+		tab.CallDone(now, "t0")
 	}
 	now = now.Add(time.Second)
 	tab.Report(now, "t0", pick.Report{Running: 1, Capacity: 10})
 	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t0"])
 }
 
-func TestPrefersOwnDomainUnlessMarkedlyWorse(t *testing.T) {
+func TestPrefersLocalDomainUnlessMuchMoreLoaded(t *testing.T) {
 	tab := table(t0, 4, 3, 4, 3)
 	got := picks(tab, t0, pick.Query{FailureDomain: "d0"}, 50)
 	must.Eq(t, 50, got["t0"]+got["t2"])
@@ -80,8 +80,8 @@
 	must.Eq(t, 50, got["t1"]+got["t3"])
 }
 
-// What callers see when targets leave, drain, fail or have an open breaker: no call goes there; with none left there is
-// no answer rather than a bad one.
+// No call goes to targets that leave, drain, failed or have an open circuit breaker; if none is left, Pick returns
+// none rather than an unusable one.
 func TestNeverPicksUnusableTargets(t *testing.T) {
 	tab := table(t0, 0, 0, 0, 0)
 	tab.SetTargets([]pick.Target{{Name: "t0", Draining: true}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}})
@@ -92,12 +92,12 @@
 	must.Eq(t, map[string]int{"t3": 20}, picks(tab, t0, q, 20))
 }
 
-// A frozen report must not draw calls for ever: when it is stale, own calls alone count.
-func TestStaleReportIsNotBelieved(t *testing.T) {
+// A target whose reports have stopped must not attract calls for ever: once the report is stale, only local calls count.
+func TestStaleReportIsIgnored(t *testing.T) {
 	tab := table(t0, 0, 9)
 	now := t0.Add(pick.DefaultConfig.StaleAfter + time.Second)
 	for range 2 {
-		tab.Sent(now, "t0")
+		tab.CallStarted(now, "t0")
 	}
 	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t1"])
 }
@@ -110,13 +110,13 @@
 	targets.Report(now, "dispatch-1", pick.Report{Running: 7, Capacity: 8})
 	targets.Report(now, "dispatch-2", pick.Report{Running: 2, Capacity: 8})
 	name, _ := targets.Pick(now, rand.New(rand.NewPCG(1, 1)), pick.Query{FailureDomain: "leith-hall"})
-	targets.Sent(now, name)
+	targets.CallStarted(now, name)
 	fmt.Println(name)
 	// Output: dispatch-2
 }
 
-// A target turns this instance away for a stated time. It gets no call until then, also when there is no other.
-func TestTargetThatTurnsAwayIsLeftAloneForItsTime(t *testing.T) {
+// A target rejects this instance for a stated time. It gets no call until then, even if there is no other target.
+func TestPausedTargetGetsNoCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tab := table(now, 0, 5)
 	busy := picks(tab, now, pick.Query{}, 50)
@@ -126,13 +126,13 @@
 			idle = name
 		}
 	}
-	tab.Rest(idle, now.Add(2*time.Second))
-	tab.Rest(idle, now.Add(time.Second))
+	tab.PauseUntil(idle, now.Add(2*time.Second))
+	tab.PauseUntil(idle, now.Add(time.Second))
 	must.MapNotContainsKey(t, picks(tab, now.Add(1900*time.Millisecond), pick.Query{}, 50), idle)
 	must.MapContainsKey(t, picks(tab, now.Add(2*time.Second), pick.Query{}, 50), idle)
 	one := table(now, 0)
 	for name := range picks(one, now, pick.Query{}, 1) {
-		one.Rest(name, now.Add(time.Second))
+		one.PauseUntil(name, now.Add(time.Second))
 	}
 	must.MapEmpty(t, picks(one, now, pick.Query{}, 5))
 }
--- a/lib/shard/shard_test.go
+++ b/lib/shard/shard_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func TestSplitHoldsEachTargetOnceWithinTheLimit(t *testing.T) {
+func TestSplitAssignsEachTargetOnceWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := names("t", rapid.IntRange(0, 300).Draw(t, "targets"))
 		limit := rapid.IntRange(1, 40).Draw(t, "limit")
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestSplitDependsOnTheSetAlone(t *testing.T) {
+func TestSplitIsIndependentOfOrder(t *testing.T) {
 	targets := names("t", 200)
 	want := Split("svc", targets, 32)
 	rand.New(rand.NewPCG(1, 1)).Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
@@ -56,11 +56,11 @@
 	must.Len(t, 2, Split("svc", names("t", 33), 32))
 }
 
-func moved(a, b []Shard) int {
+func countMoved(a, b []Shard) int {
 	n := 0
 	for _, s := range a {
 		for _, target := range s.Targets {
-			if id, ok := Of(b, target); ok && id != s.ID {
+			if id, ok := Find(b, target); ok && id != s.ID {
 				n++
 			}
 		}
@@ -68,15 +68,15 @@
 	return n
 }
 
-// Targets come and go all day at the letter's size. If one of them moved many others between shards, owners would
-// forget what they learned and every queue would be rebuilt.
+// At the design size targets are added and removed all day. If one of them moved many others between shards, owners would
+// lose what they learned and every queue would be rebuilt.
 func TestSplitIsStableUnderChanges(t *testing.T) {
 	targets := names("t", 3000)
 	before := Split("svc", targets, 32)
 	worst := 0
 	for i := range 100 {
 		without := slices.Concat(targets[:i*30], targets[i*30+1:])
-		worst = max(worst, moved(before, Split("svc", without, 32)))
+		worst = max(worst, countMoved(before, Split("svc", without, 32)))
 	}
 	t.Logf("targets=3000 shards=%d worst moved by one target less: %d", len(before), worst)
 	must.LessEq(t, 100, worst)
@@ -89,8 +89,8 @@
 	return ids
 }
 
-// At the letter's size no entry may own, and poll, many times its part, and an entry that is lost must not set all the
-// others moving.
+// At the design size no entry may own, and poll, many times the mean, and the loss of an entry must not move the shards of
+// all others.
 func TestAssignIsEvenAndMovesLittle(t *testing.T) {
 	ms := members(430)
 	ids := idsOf(Split("svc", names("t", 12000), 32))
