--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// PrefillRates returns what is learnt of how fast prompts are read.
+// PrefillRates returns the prefill rates learnt from streams.
 func (g *Gateway) PrefillRates() *admit.PrefillRates { return g.placer.Prefill }
 
 // Table returns the table in force, or nil before the first.
