--- a/lib/control/control_test.go
+++ b/lib/control/control_test.go
@@ -66,7 +66,7 @@
 		Instance: instance,
 		Down: func(m *meshpb.LocalDown) {
 			if m.GetSettings() != nil {
-				held.Learn(m.GetSettings(), "control")
+				held.Receive(m.GetSettings(), "control")
 			}
 			down <- m
 		},
@@ -75,7 +75,7 @@
 	}
 	n.Handle(meshpb.StreamKind_STREAM_LOCAL, srv.Handle)
 	for _, body := range had {
-		held.Learn(body, "peer")
+		held.Receive(body, "peer")
 	}
 	go func() { _ = n.Serve(ln) }()
 	return addrs[0], down
--- a/lib/gateway/gateway_test.go
+++ b/lib/gateway/gateway_test.go
@@ -30,9 +30,9 @@
 		Routes: []routes.Route{{
 			Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Second, MaxAttempts: 2, Split: []routes.Share{{Service: "s"}},
 		}},
-		Services:   []routes.Service{{Name: "s"}},
-		Workspaces: []routes.Workspace{{Name: "w", Keys: []string{"k"}}},
-		Keyed:      true,
+		Services:    []routes.Service{{Name: "s"}},
+		Workspaces:  []routes.Workspace{{Name: "w", Keys: []string{"k"}}},
+		KeyRequired: true,
 	})
 	must.NoError(t, err)
 	return tab
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -49,9 +49,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.outputTokens == 0 {
-		return max(minSilence, time.Duration(firstShare*float64(r.c.route.Aim)))
+		return max(minSilence, time.Duration(firstShare*float64(r.c.route.LatencyObjective)))
 	}
-	return max(minSilence, stallFactor*r.c.route.GapAim)
+	return max(minSilence, stallFactor*r.c.route.GapObjective)
 }
 
 // check closes the connection if the target is unreachable, and otherwise schedules the next check.
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -134,8 +134,8 @@
 		return
 	}
 	specs := make(map[string]fleet.Spec)
-	table.Services(func(s *routes.Service) {
-		spec := fleet.Spec{ConnCap: s.MaxConns, ColdFor: s.ColdFor, ColdRate: s.ColdRate}
+	table.EachService(func(s *routes.Service) {
+		spec := fleet.Spec{ConnCap: s.MaxConns, ColdFor: s.WarmupTime, ColdRate: s.WarmupRate}
 		if s.Engine != nil {
 			spec.KVTokens = s.Engine.KVTokens
 		}
