--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -126,7 +126,7 @@
 	site  Site
 	fleet *fleet.Fleet
 	gate  *gateway.Gateway
-	share *retry.Share
+	share *retry.InstanceBudget
 	link  *ownerlink.Link
 
 	shards *shards
@@ -161,7 +161,7 @@
 	p.fleet.SetRegions(cfg.Regions)
 	p.fleet.SetSenders(p.maySendAlone)
 	p.newReplicas()
-	p.share = retry.NewShare(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
+	p.share = retry.NewInstanceBudget(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
 	p.gate = gateway.New(gateway.Config{
 		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.share,
 		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.leftByAnswer,
