--- a/lib/gatewayproc/era_test.go
+++ b/lib/gatewayproc/era_test.go
@@ -19,29 +19,29 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// history is a store of some tables, of which one call takes answerTime. It can be away and come back from a copy.
-type history struct {
-	mu      sync.Mutex
-	at      feed.Position
-	tables  map[string]map[string]feed.Row
-	log     map[string][]feed.Row
-	away    bool
-	changed chan struct{}
-	calls   int
-	rows    int // sent
+// fakeStore is a store of tables whose calls take answerTime. It can become unavailable and be restored from a backup.
+type fakeStore struct {
+	mu          sync.Mutex
+	at          feed.Position
+	tables      map[string]map[string]feed.Row
+	log         map[string][]feed.Row
+	unavailable bool
+	changed     chan struct{}
+	calls       int
+	rows        int // returned
 }
 
-// answerTime is how long an answer of the store takes.
+// answerTime is the duration of one call to the store.
 const answerTime = 4 * time.Millisecond
 
-func newHistory() *history {
-	return &history{
+func newFakeStore() *fakeStore {
+	return &fakeStore{
 		at: feed.Position{Era: 1}, tables: make(map[string]map[string]feed.Row), log: make(map[string][]feed.Row),
 		changed: make(chan struct{}),
 	}
 }
 
-func (h *history) put(table, key string, value []byte) {
+func (h *fakeStore) put(table, key string, value []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at.Version++
@@ -51,36 +51,36 @@
 	}
 	h.tables[table][key] = row
 	h.log[table] = append(h.log[table], row)
-	h.wake()
+	h.notify()
 }
 
-func (h *history) wake() {
+func (h *fakeStore) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// comesBack takes the store away and brings it back as it was some versions before, by rows that were not written since.
-func (h *history) comesBack(away time.Duration, lost int64) {
+// restore makes the store unavailable, then restores it as it was lost versions before. It keeps only rows, not their changes since.
+func (h *fakeStore) restore(outage time.Duration, lost int64) {
 	h.mu.Lock()
-	h.away = true
-	h.wake()
+	h.unavailable = true
+	h.notify()
 	h.mu.Unlock()
-	time.Sleep(away)
+	time.Sleep(outage)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.away = false
+	h.unavailable = false
 	h.at = feed.Position{Era: h.at.Era + 1, Version: h.at.Version - lost}
 	h.log = make(map[string][]feed.Row)
 	h.calls, h.rows = 0, 0
 }
 
-// table is a table of a history, as one instance reads it.
+// table is a table of a history as a feed source.
 type table struct {
-	h    *history
+	h    *fakeStore
 	name string
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
 func (t table) Snapshot(ctx context.Context) (feed.Page, error) {
 	time.Sleep(answerTime)
@@ -88,8 +88,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls++
-	if h.away {
-		return feed.Page{}, errAway
+	if h.unavailable {
+		return feed.Page{}, errUnavailable
 	}
 	page := feed.Page{Era: h.at.Era, Version: h.at.Version}
 	for _, row := range h.tables[t.name] {
@@ -124,8 +124,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.away:
-		return feed.Page{}, nil, errAway
+	case h.unavailable:
+		return feed.Page{}, nil, errUnavailable
 	case after > h.at.Version:
 		return feed.Page{}, nil, feed.ErrHistoryGone
 	}
@@ -139,13 +139,13 @@
 	return page, h.changed, nil
 }
 
-// network joins nodes by pipes within the test.
+// network connects the nodes of a test by pipes.
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]chan net.Conn
 }
 
-// listener accepts the pipes to one node.
+// listener accepts connections to one node.
 type listener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -183,21 +183,21 @@
 	if to == nil {
 		return nil, net.ErrClosed
 	}
-	own, theirs := net.Pipe()
-	to <- theirs
-	return own, nil
+	local, remote := net.Pipe()
+	to <- remote
+	return local, nil
 }
 
-// reading is an instance as far as it keeps tables.
-type reading struct {
+// replicator is the part of an instance that replicates tables.
+type replicator struct {
 	replicas map[string]*feed.Replica
-	track    *feedlink.Syncer
+	syncer   *feedlink.Syncer
 	node     *mesh.Node
 	mu       sync.Mutex
-	shown    map[string]time.Time // when each value was first shown
+	shown    map[string]time.Time // when each value was first applied
 }
 
-func (r *reading) show(u feed.Update) {
+func (r *replicator) record(u feed.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range u.Rows {
@@ -207,70 +207,70 @@
 	}
 }
 
-func (r *reading) saw(value string) (time.Time, bool) {
+func (r *replicator) shownAt(value string) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, ok := r.shown[value]
 	return at, ok
 }
 
-// readAll starts the reading of all instances of a site.
-func readAll(t *testing.T, ctx context.Context, work *sync.WaitGroup, h *history, list []owner.Instance) []*reading {
+// startReplicators starts the replication at all instances of a site.
+func startReplicators(t *testing.T, ctx context.Context, work *sync.WaitGroup, h *fakeStore, list []owner.Instance) []*replicator {
 	t.Helper()
 	n := &network{nodes: make(map[string]chan net.Conn)}
-	var out []*reading
+	var out []*replicator
 	for _, in := range list {
 		node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: in.Name, Incarnation: 1}, Plaintext: true, Dial: n.dial})
 		must.NoError(t, err)
-		r := &reading{node: node, shown: make(map[string]time.Time), replicas: make(map[string]*feed.Replica)}
-		place := placeAmong(in.Name, in.Domain, list)
+		r := &replicator{node: node, shown: make(map[string]time.Time), replicas: make(map[string]*feed.Replica)}
+		place := assignAmong(in.Name, in.Domain, list)
 		cfg := feedlink.Config{
 			Self: in.Name, MaxAge: maxAge, Node: node, Assignment: func() feedlink.Assignment { return place },
 			OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 		}
 		for _, name := range []string{settingsTable, targetsTable, instancesTable} {
-			r.replicas[name] = feed.NewReplica(r.show).WithRetention(feed.Retention{Period: keepSettings})
+			r.replicas[name] = feed.NewReplica(r.record).WithRetention(feed.Retention{Period: settingsRetention})
 			tab := feedlink.Table{Name: name, Source: table{h, name}, Replica: r.replicas[name], Options: feed.DefaultOptions, Critical: true}
 			if name == instancesTable {
 				tab.Options, tab.Critical = instanceOptions, false
 			}
 			cfg.Tables = append(cfg.Tables, tab)
 		}
-		r.track = feedlink.New(cfg)
-		feedlink.Serve(node, r.track)
+		r.syncer = feedlink.New(cfg)
+		feedlink.Serve(node, r.syncer)
 		ln := n.listen(in.Link)
 		work.Go(func() { _ = node.Serve(ln) })
-		work.Go(func() { r.track.Run(ctx) })
+		work.Go(func() { r.syncer.Run(ctx) })
 		out = append(out, r)
 	}
 	return out
 }
 
-// The store comes back from a copy, and settings and the leaving of a target are written right after, under versions below the held
-// ones. All instances have both within the time in which changes are to be in force, and the store is not asked by all at once.
+// The store is restored from a backup, and right after it settings and the leaving of a target are written under versions below those
+// that the replicas hold. All instances must have both within the propagation limit, and must not all call the store at once.
 func TestEraReachesAllInstances(t *testing.T) {
-	// All sizes share one bubble: timers that the links' library keeps for later belong to the bubble that made them.
+	// All sizes share one bubble: timers that the links' library keeps for later belong to the bubble that created them.
 	synctest.Test(t, func(t *testing.T) {
 		for _, size := range []struct{ instances, domains, targets int }{{7, 3, 12}, {70, 3, 63}, {295, 5, 3000}} {
 			for _, away := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
 				t.Logf("%d instances, %d targets, away %v", size.instances, size.targets, away)
-				eraReachesAll(t, siteOf(size.instances, size.domains), size.targets, away)
+				checkEraReachesAll(t, siteOf(size.instances, size.domains), size.targets, away)
 			}
 		}
 	})
 }
 
 const (
-	// inForce is the time in which a change is to be in force everywhere.
-	inForce = 2 * time.Second
-	// mostCalls is what the store may be asked in the five seconds after its return: a second's reads of a small site.
-	mostCalls = 2000
+	// propagationLimit is the time within which a change must be in force everywhere.
+	propagationLimit = 2 * time.Second
+	// maxCalls bounds the calls of the store in the five seconds after its return: one second's reads of a small site.
+	maxCalls = 2000
 )
 
-func eraReachesAll(t *testing.T, list []owner.Instance, targets int, away time.Duration) {
+func checkEraReachesAll(t *testing.T, list []owner.Instance, targets int, outage time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var work sync.WaitGroup
-	h := newHistory()
+	h := newFakeStore()
 	for i := range targets {
 		h.put(targetsTable, fmt.Sprint("t", i), bytes.Repeat([]byte{'a' + byte(i%20)}, 150))
 	}
@@ -278,7 +278,7 @@
 	for _, in := range list {
 		h.put(instancesTable, in.Name, []byte(in.Domain))
 	}
-	all := readAll(t, ctx, &work, h, list)
+	all := startReplicators(t, ctx, &work, h, list)
 	defer work.Wait()
 	defer func() {
 		cancel()
@@ -292,7 +292,7 @@
 	h.mu.Unlock()
 	h.put(targetsTable, "t0", []byte("ready"))
 	time.Sleep(time.Second)
-	h.comesBack(away, 300)
+	h.restore(outage, 300)
 	time.Sleep(200 * time.Millisecond)
 	written := time.Now()
 	h.put(settingsTable, "config", []byte("after"))
@@ -301,12 +301,12 @@
 	latest := time.Duration(0)
 	for _, r := range all {
 		for _, value := range []string{"after", "leaves"} {
-			at, ok := r.saw(value)
+			at, ok := r.shownAt(value)
 			must.True(t, ok, must.Sprint(value))
 			latest = max(latest, at.Sub(written))
 		}
 	}
 	t.Logf("last after %v, %d calls and %d rows in 5 s", latest, h.calls, h.rows)
-	must.Less(t, inForce, latest)
-	must.Less(t, mostCalls, h.calls)
+	must.Less(t, propagationLimit, latest)
+	must.Less(t, maxCalls, h.calls)
 }
--- a/lib/gatewayproc/evacuate.go
+++ b/lib/gatewayproc/evacuate.go
@@ -9,41 +9,41 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// evacuate puts in force what rows of the table of settings say of failure domains. They come with the settings, by the same way
-// and as fast, so an instance that knows any settings knows the evacuations that held with them.
+// evacuate applies the evacuations of failure domains found in rows of the settings table. They arrive with the settings, through the
+// same feed and as fast, so an instance that has any settings also has the evacuations that were in force with them.
 func (p *Process) evacuate(rows []feed.Row) {
 	for _, row := range rows {
 		domain, ok := p.site.Evacuated(row)
 		if !ok {
 			continue
 		}
-		at := log.Info()
+		ev := log.Info()
 		if p.cfg.Regions[domain] == "" {
-			// It is kept to all the same: targets may be listed there.
-			at = log.Warn().Bool("unknown_domain", true)
+			// Applied all the same: targets may be listed there.
+			ev = log.Warn().Bool("unknown_domain", true)
 		}
 		if row.Removed {
 			p.fleet.EndEvacuation(time.Now(), domain)
 		} else {
 			p.fleet.Evacuate(domain)
 		}
-		at.Str("event", "evacuation").Str("domain", domain).Bool("on", !row.Removed).Int64("version", row.Version).Msg("")
+		ev.Str("event", "evacuation").Str("domain", domain).Bool("on", !row.Removed).Int64("version", row.Version).Msg("")
 	}
 }
 
-// maySendAlone reports whether this instance is among the n that send to a target by their own choice while it has just started.
-// Lists of instances that differ for a moment add one or two.
-func (p *Process) maySendAlone(target string, n int) bool {
+// maySendDirectly reports whether this instance is among the n that may send to a just-started target without asking its owner. Lists of
+// instances that differ for a moment admit one or two more.
+func (p *Process) maySendDirectly(target string, n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := rendezvous.Hash(p.cfg.Instance)
 	key := rendezvous.Hash(target)
-	own := rendezvous.Rank(key, self)
-	before := 0
+	ownRank := rendezvous.Rank(key, self)
+	higher := 0
 	for name := range p.instances {
-		if name != p.cfg.Instance && rendezvous.Rank(key, rendezvous.Hash(name)) > own {
-			before++
+		if name != p.cfg.Instance && rendezvous.Rank(key, rendezvous.Hash(name)) > ownRank {
+			higher++
 		}
 	}
-	return before < n
+	return higher < n
 }
--- a/lib/gatewayproc/feedlog.go
+++ b/lib/gatewayproc/feedlog.go
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/logline"
 )
 
-// replica returns the replica of a table, which logs and counts what happens to it.
+// replica returns the replica of a table, with logging and metrics of its outages and eras.
 func (p *Process) replica(table string, apply func(feed.Update)) *feed.Replica {
 	eras := metrics.GetOrCreateCounter(fmt.Sprintf(`anvilwick_feed_eras_total{table=%q}`, table))
 	r := feed.NewReplica(func(u feed.Update) {
@@ -34,44 +34,44 @@
 	return r
 }
 
-// logEra tells that the store has come back from a copy, and what is held on to although the copy lacks it.
+// logEra logs that the store was restored from a backup, and what is retained although the backup lacks it.
 func logEra(table string, u feed.Update) {
-	at := log.Warn().Str("event", "feed_era").Str("feed", table).Str("before", u.Previous.String()).Str("now", u.Position().String())
-	at = at.Int("rows", len(u.Rows)).Int("kept_writes", u.RetainedCounts.Writes).Int("kept_rows", u.RetainedCounts.Rows)
-	at.Int("kept_removals", u.RetainedCounts.Removals).Msg("")
+	ev := log.Warn().Str("event", "feed_era").Str("feed", table).Str("before", u.Previous.String()).Str("now", u.Position().String())
+	ev = ev.Int("rows", len(u.Rows)).Int("kept_writes", u.RetainedCounts.Writes).Int("kept_rows", u.RetainedCounts.Rows)
+	ev.Int("kept_removals", u.RetainedCounts.Removals).Msg("")
 }
 
-// logRegained tells that a table is heard again after an outage.
+// logRegained logs that contact with a table is back after an outage.
 func logRegained(name string, u feed.Update) {
-	at := log.Info().Str("event", "feed_regained").Str("feed", name).Int64("silent_ms", u.Outage.Milliseconds())
-	at.Str("before", u.Previous.String()).Str("now", u.Position().String()).Bool("read_whole", u.Snapshot).Int("rows", len(u.Rows)).Msg("")
+	ev := log.Info().Str("event", "feed_regained").Str("feed", name).Int64("silent_ms", u.Outage.Milliseconds())
+	ev.Str("before", u.Previous.String()).Str("now", u.Position().String()).Bool("read_whole", u.Snapshot).Int("rows", len(u.Rows)).Msg("")
 }
 
-// targetsLogged bounds the lines about targets of one change of their list. Of more only the number is told: a site's start would
-// fill the log with a line a target.
+// targetsLogged bounds the log lines about targets per change of their list; for the rest only the count is logged. The start of a site
+// would otherwise fill the log with one line per target.
 const targetsLogged = 16
 
-// logTargets tells of targets that a change of the list names.
+// logTargets logs the targets named by a change of the list.
 func logTargets(level log.Level, event string, targets []fleet.Info) {
 	for _, t := range targets[:min(targetsLogged, len(targets))] {
-		at := log.DefaultLogger.WithLevel(level).Str("event", event).Str("target", t.ID).Str("service", t.Service).Str("addr", t.Addr)
-		at.Int64("born", t.Born).Msg("")
+		ev := log.DefaultLogger.WithLevel(level).Str("event", event).Str("target", t.ID).Str("service", t.Service).Str("addr", t.Addr)
+		ev.Int64("born", t.Born).Msg("")
 	}
 	if more := len(targets) - targetsLogged; more > 0 {
 		log.DefaultLogger.WithLevel(level).Str("event", event).Int("more", more).Msg("")
 	}
 }
 
-// feedFailed returns what is told of each table that is lost; an empty name stands for all.
-func (p *Process) feedFailed() func(table string, err error) {
+// feedErrorHandler returns the handler of feed errors, which logs them per table; an empty table name stands for all tables.
+func (p *Process) feedErrorHandler() func(table string, err error) {
 	logs := make(map[string]func(error))
 	for name, r := range p.replicas() {
-		logs[name] = lost(name, r)
+		logs[name] = feedLossLogger(name, r)
 	}
 	return func(table string, err error) {
-		for name, tell := range logs {
+		for name, logError := range logs {
 			if table == "" || table == name {
-				tell(err)
+				logError(err)
 			}
 		}
 		if table == "" || table == targetsTable {
@@ -81,28 +81,28 @@
 	}
 }
 
-// feedFrom logs from where the tables come.
-func (p *Process) feedFrom(instance string) {
+// logFeedSource logs a change of the source of the tables: a peer or the store.
+func (p *Process) logFeedSource(instance string) {
 	if instance == "" {
 		instance = "store"
 	}
-	at := p.place()
+	at := p.assignment()
 	log.Info().Str("event", "feed_source").Str("source", instance).Int("role", int(at.Role)).Int("rank", at.Rank).Msg("")
 }
 
-// lost logs that a feed was lost, once until it has been heard again: it is tried several times a second.
-func lost(name string, r *feed.Replica) func(error) {
+// feedLossLogger returns a function that logs the loss of a feed once per outage: the feed is retried several times a second.
+func feedLossLogger(name string, r *feed.Replica) func(error) {
 	var mu sync.Mutex
-	var told time.Time // the contact before the failure that was last logged
+	var loggedContact time.Time // last contact before the failure logged last
 	logged := false
 	return func(err error) {
 		contact := r.LastContact()
 		mu.Lock()
 		defer mu.Unlock()
-		if logged && contact.Equal(told) {
+		if logged && contact.Equal(loggedContact) {
 			return
 		}
-		logged, told = true, contact
+		logged, loggedContact = true, contact
 		logline.Cause(log.Warn().Str("event", "feed_failed").Str("feed", name), err)
 	}
 }
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -17,48 +17,50 @@
 	"anvilwick.example/anvilwick/lib/routes"
 )
 
-// linkKeepAlive is the period of the links' own pings.
+// linkKeepAlive is the keep-alive period of the mesh links.
 const linkKeepAlive = 5 * time.Second
 
-// linkBackoffMin and linkBackoffMax bound the pause before an instance is dialed again that did not answer: when all start at once, the
-// one that another waits for may start some tens of milliseconds later.
+// linkBackoffMin and linkBackoffMax bound the pause before an unreachable instance is dialed again. The minimum is small because, when
+// all instances start at once, the one being dialed may start some tens of milliseconds later.
 const (
 	linkBackoffMin = 40 * time.Millisecond
 	linkBackoffMax = time.Second
 )
 
-// Names of the tables towards peers.
+// Table names in the protocol between peers.
 const (
 	settingsTable  = "settings"
 	targetsTable   = "targets"
 	instancesTable = "instances"
 )
 
-// maxAge is the age of the last contact with the store at which a reader is doubted. Changes are to be in force within
-// two seconds, a reader's poll takes up to 0.7 s, and the way around it some tens of milliseconds.
+// maxAge is the age of the last contact with the store at which a reader is suspected. Changes must be in force within
+// two seconds; a reader's poll takes up to 0.7 s, and switching to another source some tens of milliseconds.
 const maxAge = 1300 * time.Millisecond
 
-// How long what a copy lacks is held on to, where the store has come back from one.
+// How long rows that a restored store lacks are retained.
 const (
-	// keepSettings is for operators to write evacuations again, or to take them back again.
-	keepSettings = 5 * time.Second
-	// keepInstances is for instances to find that their rows are missing, and to write them over registerSpread.
-	keepInstances = 10 * time.Second
+	// settingsRetention leaves operators time to write evacuations again, or to revoke them again.
+	settingsRetention = 5 * time.Second
+	// instancesRetention leaves instances time to notice that their rows are missing and to rewrite them, spread over registerSpread.
+	instancesRetention = 10 * time.Second
 )
 
 func (p *Process) newReplicas() {
-	p.feeds.settings = p.replica(settingsTable, p.applySettings).WithRetention(feed.Retention{Period: keepSettings, WriteSeq: p.site.CountSettings})
-	p.feeds.targets = p.replica(targetsTable, p.applyTargets).WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.CountTarget})
-	p.feeds.instances = p.replica(instancesTable, p.applyInstances).WithRetention(feed.Retention{Period: keepInstances})
+	p.feeds.settings = p.replica(settingsTable, p.applySettings).
+		WithRetention(feed.Retention{Period: settingsRetention, WriteSeq: p.site.CountSettings})
+	p.feeds.targets = p.replica(targetsTable, p.applyTargets).
+		WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.CountTarget})
+	p.feeds.instances = p.replica(instancesTable, p.applyInstances).WithRetention(feed.Retention{Period: instancesRetention})
 }
 
-// openLinks listens for peers and passes the replicas on to them.
+// openLinks listens for peers and serves the replicas to them.
 func (p *Process) openLinks() error {
 	node, err := mesh.New(mesh.Options{
-		Self: mesh.Identity{Instance: p.cfg.Instance, Incarnation: p.born},
-		// The platform's network is the instances' own, and it hands out no certificates.
+		Self: mesh.Identity{Instance: p.cfg.Instance, Incarnation: p.incarnation},
+		// The platform's network carries only instances, and the platform issues no certificates.
 		Plaintext: true,
-		// What goes over a link that matters has beats of its own.
+		// The protocols whose liveness matters have their own heartbeats.
 		KeepAlive:  linkKeepAlive,
 		BackoffMin: linkBackoffMin, BackoffMax: linkBackoffMax,
 		Dial: p.cfg.Network.Dial,
@@ -67,17 +69,17 @@
 		return fmt.Errorf("gatewayproc: links: %w", err)
 	}
 	p.node = node
-	p.track = feedlink.New(feedlink.Config{
+	p.syncer = feedlink.New(feedlink.Config{
 		Self: p.cfg.Instance, Domain: p.cfg.Domain,
 		Tables: []feedlink.Table{
 			{Name: settingsTable, Source: p.site.Settings, Replica: p.feeds.settings, Options: feed.DefaultOptions, Critical: true},
 			{Name: targetsTable, Source: p.site.Targets, Replica: p.feeds.targets, Options: feed.DefaultOptions, Critical: true, Partitioner: p},
 			{Name: instancesTable, Source: p.site.Instances, Replica: p.feeds.instances, Options: instanceOptions},
 		},
-		MaxAge: maxAge, Node: node, Assignment: p.place, OnSourceError: p.feedFailed(), OnSourceChange: p.feedFrom,
-		Ranks: p.ranksOf, ApplyRanks: p.takeRanks, WriteRows: p.writeRows, OnBroadcast: p.link.ReceiveBroadcast,
+		MaxAge: maxAge, Node: node, Assignment: p.assignment, OnSourceError: p.feedErrorHandler(), OnSourceChange: p.logFeedSource,
+		Ranks: p.ranksOf, ApplyRanks: p.applyRanks, WriteRows: p.writeRows, OnBroadcast: p.link.ReceiveBroadcast,
 	})
-	feedlink.Serve(node, p.track)
+	feedlink.Serve(node, p.syncer)
 	listen := p.cfg.Network.Listen
 	if listen == nil {
 		listen = func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -94,22 +96,22 @@
 	return nil
 }
 
-// replicas are the followed tables by name.
+// replicas returns the replicated tables by name.
 func (p *Process) replicas() map[string]*feed.Replica {
 	return map[string]*feed.Replica{
 		settingsTable: p.feeds.settings, targetsTable: p.feeds.targets, instancesTable: p.feeds.instances,
 	}
 }
 
-// follow starts the feeds and the housekeeping.
-func (p *Process) follow(ctx context.Context) {
+// startFeeds starts the feeds and the background work.
+func (p *Process) startFeeds(ctx context.Context) {
 	if !p.cfg.First {
 		p.start(func() { p.join(ctx) })
 	}
-	p.start(func() { p.track.Run(ctx) })
-	p.start(func() { p.beListed(ctx) })
+	p.start(func() { p.syncer.Run(ctx) })
+	p.start(func() { p.keepRegistered(ctx) })
 	p.start(func() { p.link.Run(ctx) })
-	p.start(func() { p.tellBlames(ctx) })
+	p.start(func() { p.broadcastBlames(ctx) })
 	p.start(func() { p.tick(ctx) })
 	p.start(func() { p.watchEngines(ctx) })
 }
@@ -149,7 +151,7 @@
 
 func (p *Process) applyTargets(u feed.Update) {
 	if u.Initial || u.Snapshot {
-		p.holdsPart(u.Partial)
+		p.setPartial(u.Partial)
 	}
 	var entries []fleet.Info
 	var removed, lapsed, unreadable []string
@@ -180,11 +182,11 @@
 	p.changed(p.fleet.Apply(now, entries, removed, u.Outage))
 	p.changed(p.fleet.Drop(now, u.Dropped))
 	p.mu.Lock()
-	p.listed = true
+	p.targetsRead = true
 	p.mu.Unlock()
 }
 
-// changed acts on what the list shows.
+// changed reacts to a change of the list of targets.
 func (p *Process) changed(ch fleet.Change) {
 	logTargets(log.InfoLevel, "target_added", ch.Added)
 	logTargets(log.WarnLevel, "target_restarted", ch.Restarted)
@@ -193,16 +195,16 @@
 		p.gate.TargetRestarted(t)
 	}
 	p.link.NotifyRestarted(ch.Restarted)
-	p.divide(ch)
+	p.updatePartition(ch)
 	if len(ch.Leaving) > 0 {
 		p.link.PlanLeaving(ch.Leaving)
 		p.gate.MoveRuns(ch.Leaving)
 	}
 }
 
-// tick does the housekeeping.
+// tick runs the periodic housekeeping.
 func (p *Process) tick(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -212,15 +214,15 @@
 			p.changed(p.fleet.Tick(now))
 			p.site.Pool.Sweep(now)
 			if p.fleet.HasMissing() {
-				t.Reset(tickEvery)
+				t.Reset(tickInterval)
 			} else {
-				t.Reset(tickIdle)
+				t.Reset(tickIdleInterval)
 			}
 		}
 	}
 }
 
-// start runs f beside the others.
+// start runs f in a goroutine that is counted in p.work.
 func (p *Process) start(f func()) {
 	p.work.Add(1)
 	go func() {
--- a/lib/gatewayproc/idle.go
+++ b/lib/gatewayproc/idle.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// idleGuard closes callers' connections that were idle for as long as the settings in force allow. net/http's own limit
-// is fixed when its server is made, before settings are known and before they change.
+// idleGuard closes callers' connections that have been idle for the time set in the current settings. net/http's own limit
+// is fixed when its server is created, before settings are known and before they change.
 type idleGuard struct {
 	limit func() time.Duration
 
@@ -29,7 +29,7 @@
 		delete(g.timers, c)
 	}
 	if s == http.StateIdle {
-		// A request that crosses the close finds the connection closed before it was read, and may be sent again.
+		// A request that crosses the close was not read yet, and the caller may send it again.
 		g.timers[c] = time.AfterFunc(g.limit(), func() { _ = c.Close() })
 	}
 }
--- a/lib/gatewayproc/listed.go
+++ b/lib/gatewayproc/listed.go
@@ -12,56 +12,57 @@
 )
 
 const (
-	// registerTimeout bounds one try to write rows.
+	// registerTimeout bounds one attempt to write rows.
 	registerTimeout = 800 * time.Millisecond
-	// registerAgain is how long a row that was handed on may stay unseen: the list comes late.
-	registerAgain = 4 * time.Second
-	// handedOn is how often an instance hands its row on before it writes it itself.
-	handedOn = 2
+	// registerRetry is how long a forwarded row may be missing from the list, which lags, before it is forwarded again.
+	registerRetry = 4 * time.Second
+	// forwardTries is the number of times that an instance forwards its row before it writes the row itself.
+	forwardTries = 2
 )
 
-// self is this instance as others see it.
+// self returns the row of this instance as other instances see it.
 func (p *Process) self() owner.Instance {
 	return owner.Instance{
 		Name: p.cfg.Instance, Domain: p.cfg.Domain, Addr: p.cfg.Peer, Link: p.cfg.Link, Capacity: p.capacity(),
 	}
 }
 
-// beListed sees to it that this instance's row is in the store: when it starts, unless it is started again where it was, and whenever
-// the store has come back from a copy without it. Others would else never tell it anything, or let it decide.
-func (p *Process) beListed(ctx context.Context) {
+// keepRegistered keeps this instance's row in the store. The row is written at the start, unless the same row is stored already, and
+// whenever the store was restored from a backup without it. Without the row other instances would neither notify this one nor let it
+// own shards.
+func (p *Process) keepRegistered(ctx context.Context) {
 	var row ownRow
-	ranks := make(map[string][]byte) // as written, by failure domain
+	ranks := make(map[string][]byte) // as last written, by failure domain
 	for {
 		changed := p.feeds.instances.Changed()
 		if p.mustRegister(&row) {
-			p.haveRowWritten(ctx, row.tries >= handedOn)
+			p.submitRow(ctx, row.tries >= forwardTries)
 			row = ownRow{written: time.Now(), tries: row.tries + 1}
 		}
-		if p.track.ReadsStore() {
+		if p.syncer.ReadsStore() {
 			p.removeGhosts(ctx)
-			p.keepRanks(ctx, ranks)
+			p.updateRanks(ctx, ranks)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-time.After(registerAgain):
+		case <-time.After(registerRetry):
 		}
 	}
 }
 
-// ownRow is what this process knows of its own row.
+// ownRow is the registration state of this instance's row.
 type ownRow struct {
-	written time.Time // zero: it has not had it written
-	seen    bool      // the store had it since
-	tries   int       // to have it written
+	written time.Time // last attempt; zero: none yet
+	seen    bool      // in the store since that attempt
+	tries   int       // attempts so far
 }
 
-// mustRegister looks whether the store lacks this instance's row, and notes in own that it was seen. What a row says that this process
-// has not written is looked at, too: the instance may be started again elsewhere.
+// mustRegister reports whether the store lacks this instance's row, and notes in own that the row was seen. A row that this process has
+// not written is compared with the current one, since the instance may have been restarted elsewhere.
 func (p *Process) mustRegister(own *ownRow) bool {
-	if _, known := p.feeds.instances.Version(); !known || p.stops() {
+	if _, known := p.feeds.instances.Version(); !known || p.stopping() {
 		return false
 	}
 	row, ok := p.feeds.instances.Stored(p.cfg.Instance)
@@ -74,68 +75,68 @@
 		own.seen = true
 		return false
 	}
-	return own.written.IsZero() || own.seen || time.Since(own.written) > registerAgain
+	return own.written.IsZero() || own.seen || time.Since(own.written) > registerRetry
 }
 
-func (p *Process) stops() bool {
+func (p *Process) stopping() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stopped
 }
 
-// haveRowWritten has this instance's row written by the one that reads the store for all, or writes it itself: while builds are mixed, that
-// one may not know of the rows of others.
-func (p *Process) haveRowWritten(ctx context.Context, itself bool) {
+// submitRow forwards this instance's row to the reader of the store, or writes the row itself: during a rolling upgrade the reader
+// may not know how to forward rows of others.
+func (p *Process) submitRow(ctx context.Context, direct bool) {
 	row, err := p.site.EncodeInstance(p.self())
 	switch {
 	case err != nil:
 		logline.Cause(log.Error().Str("event", "register_failed"), err)
-	case itself:
+	case direct:
 		p.writeRows(ctx, []feed.Row{row})
 	default:
-		p.track.EnqueueWrite(row)
+		p.syncer.EnqueueWrite(row)
 	}
 }
 
-// writeRows writes the rows of instances that have handed them on. What fails they hand on again.
+// writeRows writes rows forwarded by instances. If the write fails, the instances forward them again.
 func (p *Process) writeRows(ctx context.Context, rows []feed.Row) {
-	try, cancel := context.WithTimeout(ctx, registerTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	err := p.site.Register(try, rows)
-	at := log.Info().Str("event", "registered").Int("rows", len(rows))
+	err := p.site.Register(callCtx, rows)
+	ev := log.Info().Str("event", "registered").Int("rows", len(rows))
 	if err != nil {
-		at = log.Warn().Str("event", "register_failed").Int("rows", len(rows))
+		ev = log.Warn().Str("event", "register_failed").Int("rows", len(rows))
 	}
-	logline.Cause(at, err)
+	logline.Cause(ev, err)
 }
 
-// anyVersion stands for a row as it is.
+// anyVersion makes Unregister remove a row at any version.
 const anyVersion = 0
 
-// removeGhosts takes rows away of instances that had been removed, and that a copy of the store has again: nobody else would, and
-// the others would ask those instances in vain for good. One that has written its row meanwhile keeps it.
+// removeGhosts removes the rows of removed instances that reappeared when the store was restored from a backup. Nobody else would remove
+// them, and the other instances would query those instances in vain for good. A row that was written since is kept.
 func (p *Process) removeGhosts(ctx context.Context) {
 	for _, row := range p.feeds.instances.Resurrected() {
 		if row.Key == p.cfg.Instance {
 			continue
 		}
-		try, cancel := context.WithTimeout(ctx, registerTimeout)
-		err := p.site.Unregister(try, row.Key, row.Version)
+		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
+		err := p.site.Unregister(callCtx, row.Key, row.Version)
 		cancel()
-		at := log.Info().Str("event", "ghost_removed").Str("instance", row.Key).Int64("version", row.Version)
+		ev := log.Info().Str("event", "ghost_removed").Str("instance", row.Key).Int64("version", row.Version)
 		if err != nil {
-			logline.Cause(at, err)
+			logline.Cause(ev, err)
 			continue
 		}
-		at.Msg("")
+		ev.Msg("")
 	}
 }
 
-// unregister takes the row away. One that stays makes others ask in vain now and then.
+// unregister removes this instance's row. A row that stays costs other instances a failed query now and then.
 func (p *Process) unregister(ctx context.Context) {
-	try, cancel := context.WithTimeout(ctx, registerTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	if err := p.site.Unregister(try, p.cfg.Instance, anyVersion); err != nil {
+	if err := p.site.Unregister(callCtx, p.cfg.Instance, anyVersion); err != nil {
 		logline.Cause(log.Warn().Str("event", "unregister_failed"), err)
 	}
 }
--- a/lib/gatewayproc/member.go
+++ b/lib/gatewayproc/member.go
@@ -7,7 +7,7 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// Member is an instance that takes part in the site and serves no callers, for measurements of what instances cost each other.
+// Member is an instance that takes part in the site without serving callers, to measure the traffic between instances.
 type Member struct{ p *Process }
 
 // Join starts a Member, which works until ctx is done.
@@ -16,38 +16,38 @@
 	if err != nil {
 		return nil, err
 	}
-	p.follow(ctx)
+	p.startFeeds(ctx)
 	return &Member{p}, nil
 }
 
-// Close ends the links of a Member whose context is done, and waits for its work to end.
+// Close closes the links of a Member whose context is done and waits for its goroutines.
 func (m *Member) Close() {
 	m.p.node.Close()
 	m.p.work.Wait()
 }
 
-// Known is what a Member knows.
+// Known is a snapshot of a Member's state.
 type Known struct {
 	Settings  int64 // version in force; 0: none
 	Targets   int   // rows held
 	Instances int
-	Part      bool // it holds a part of the targets
+	Part      bool // it holds a subset of the targets
 	Role      feedlink.Role
-	Owns      int // engines that it decides for
+	Owns      int // engines in the shards that it owns
 }
 
-// Known tells what the Member knows now.
+// Known returns the Member's current state.
 func (m *Member) Known() Known {
 	return Known{
 		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Part: m.p.feeds.targets.Partial(),
-		Role: m.p.place().Role, Owns: len(m.p.link.OwnedEngines()),
+		Role: m.p.assignment().Role, Owns: len(m.p.link.OwnedEngines()),
 	}
 }
 
-// Takes reports whether a target takes requests, as far as the Member knows; one that it does not hold takes none of its own choice.
+// Takes reports whether a target accepts requests, as far as the Member knows. It never sends to targets that it does not hold by itself.
 func (m *Member) Takes(target string) bool { return !m.p.fleet.IsLeaving(target) }
 
-// Place asks for an engine, as for a stream.
+// Place requests a placement on an engine, as for a stream.
 func (m *Member) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
 	return m.p.link.Place(ctx, a)
 }
--- a/lib/gatewayproc/parts.go
+++ b/lib/gatewayproc/parts.go
@@ -17,51 +17,52 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// An instance that only follows needs few targets of a large site: the engines of the shards that it ranks to own, and of one that it
-// asks first and falls back on when no owner answers; the plain targets, which it chooses itself, or some of very many. What it does
-// not hold it is told by owners, with each engine that they choose for it.
+// On a large site a follower needs only some of the targets: the engines of the shards that it is a candidate to own, those of its home
+// shard, which it asks first and falls back on when no owner answers, and the plain targets, among which it chooses itself, or a subset
+// of them where there are very many. Owners describe any other engine together with the placement on it.
 const (
-	// wholeMost is the number of targets up to which each instance holds all; with fewer than wholeLeast it does so again.
-	wholeMost  = 1024
-	wholeLeast = 768
-	// plainMost is the number of a plain service's targets up to which each instance holds all of them.
-	plainMost = 128
-	// plainPart is about how many targets of a failure domain an instance holds of a plain service that has more.
-	plainPart = 64
-	// plainDomains is of how many failure domains.
+	// fullListMax is the number of targets up to which every instance holds all of them; below fullListMin it does so again.
+	fullListMax = 1024
+	fullListMin = 768
+	// plainFullMax is the number of targets of a plain service up to which every instance holds all of them.
+	plainFullMax = 128
+	// plainPartSize is roughly how many targets per failure domain an instance holds of a plain service with more than plainFullMax.
+	plainPartSize = 64
+	// plainDomains is the number of failure domains from which they are taken.
 	plainDomains = 3
 )
 
-// wholeFor is how long an instance that holds all targets goes on doing so once it neither reads nor relays. While all instances of a
-// site start, each list of them names others, and those that follow it by the list before are told nothing any more.
-const wholeFor = 5 * time.Second
+// fullListLinger is how long an instance goes on holding all targets after it stopped reading or relaying. While all instances of a
+// site start, successive lists of instances select different relays, and followers that still use the previous list would get no more
+// updates.
+const fullListLinger = 5 * time.Second
 
-// WantsSubset implements feedlink.Parts: those that read or relay pass all targets on.
+// WantsSubset implements feedlink.Partitioner. Readers and relays forward all targets, so they need all.
 func (p *Process) WantsSubset() bool {
 	now := time.Now()
-	if p.place().Role != feedlink.RoleFollower {
-		p.passedOn.Store(&now)
+	if p.assignment().Role != feedlink.RoleFollower {
+		p.lastForwarding.Store(&now)
 		return false
 	}
 	if _, known := p.feeds.targets.Version(); !known || p.feeds.targets.Partial() {
 		return true
 	}
-	at := p.passedOn.Load()
-	return at == nil || now.Sub(*at) > wholeFor
+	at := p.lastForwarding.Load()
+	return at == nil || now.Sub(*at) > fullListLinger
 }
 
-// SubsetFor implements feedlink.Parts.
+// SubsetFor implements feedlink.Partitioner.
 func (p *Process) SubsetFor(instance, domain string) *feedlink.Subset {
-	if !p.divides() {
+	if !p.usesSubsets() {
 		return nil
 	}
-	n := needOf(p.fleet, p.shards.layout(), instance, domain)
-	return &feedlink.Subset{ID: n.name(), Contains: n.has}
+	n := subsetFor(p.fleet, p.shards.layout(), instance, domain)
+	return &feedlink.Subset{ID: n.id(), Contains: n.contains}
 }
 
-// needOf is what an instance needs of the targets of a layout.
-func needOf(f *fleet.Fleet, layout *owner.Layout, instance, domain string) *need {
-	n := &need{fleet: f, layout: layout, shards: make(map[*owner.Shard]bool), plain: make(map[string]map[string]part)}
+// subsetFor returns the targets of a layout that an instance needs.
+func subsetFor(f *fleet.Fleet, layout *owner.Layout, instance, domain string) *targetSubset {
+	n := &targetSubset{fleet: f, layout: layout, shards: make(map[*owner.Shard]bool), plain: make(map[string]map[string]part)}
 	for _, s := range layout.CandidateShards(instance) {
 		n.shards[s] = true
 	}
@@ -69,45 +70,45 @@
 		n.shards[layout.HomeShard(service, domain, instance)] = true
 	}
 	for service := range layout.Plain() {
-		if ready := f.Ready(service); sum(ready) > plainMost {
+		if ready := f.Ready(service); sum(ready) > plainFullMax {
 			n.plain[service] = partOf(instance, domain, ready)
 		}
 	}
 	return n
 }
 
-// divides reports whether there are so many targets that most instances hold a part. Around the bound it stays as it was: whoever
-// changes between both is sent all that it needs anew.
-func (p *Process) divides() bool {
+// usesSubsets reports whether the site has so many targets that most instances hold a subset. Between the two bounds the answer stays the
+// same, since an instance that switches is sent all of its rows anew.
+func (p *Process) usesSubsets() bool {
 	n := p.feeds.targets.Len()
 	switch {
-	case n > wholeMost:
-		p.divided.Store(true)
-	case n < wholeLeast:
-		p.divided.Store(false)
+	case n > fullListMax:
+		p.subsetsInUse.Store(true)
+	case n < fullListMin:
+		p.subsetsInUse.Store(false)
 	}
-	return p.divided.Load()
+	return p.subsetsInUse.Load()
 }
 
-// need is what an instance needs of the targets.
-type need struct {
+// targetSubset selects the targets that an instance needs.
+type targetSubset struct {
 	fleet  *fleet.Fleet
 	layout *owner.Layout
 	shards map[*owner.Shard]bool
 	plain  map[string]map[string]part // of plain services with many targets, by failure domain
 }
 
-// part is one of several parts, by the hash of a target's name.
+// part is one of several equal parts of the targets, by the hash of the target's ID.
 type part struct{ index, of uint64 }
 
-// partOf is the part of a plain service's targets, ready in some failure domains, that an instance holds.
+// partOf returns, by failure domain, the part of a plain service's targets that an instance holds. ready counts them by failure domain.
 func partOf(instance, domain string, ready map[string]int) map[string]part {
-	own := rendezvous.Hash(instance)
+	hash := rendezvous.Hash(instance)
 	domains := slices.SortedFunc(maps.Keys(ready), func(a, b string) int {
 		if order := owner.CompareTrueFirst(a == domain, b == domain); order != 0 {
 			return order
 		}
-		if rendezvous.Rank(own, rendezvous.Hash(a)) > rendezvous.Rank(own, rendezvous.Hash(b)) {
+		if rendezvous.Rank(hash, rendezvous.Hash(a)) > rendezvous.Rank(hash, rendezvous.Hash(b)) {
 			return -1
 		}
 		return 1
@@ -115,10 +116,10 @@
 	out := make(map[string]part)
 	for _, d := range domains[:min(plainDomains, len(domains))] {
 		of := uint64(1)
-		for of*plainPart < uint64(ready[d]) {
+		for of*plainPartSize < uint64(ready[d]) {
 			of *= 2
 		}
-		out[d] = part{index: own % of, of: of}
+		out[d] = part{index: hash % of, of: of}
 	}
 	return out
 }
@@ -131,8 +132,8 @@
 	return n
 }
 
-// name differs whenever something else is needed.
-func (n *need) name() string {
+// id identifies the subset: it differs whenever the selection differs.
+func (n *targetSubset) id() string {
 	var keys []string
 	for s := range n.shards {
 		keys = append(keys, s.Key)
@@ -146,8 +147,8 @@
 	return "part " + strings.Join(keys, ",")
 }
 
-// has reports whether a row is needed. One of a target that is not known can't be told from another and is passed on.
-func (n *need) has(row feed.Row) bool {
+// contains reports whether a row is needed. The service of an unknown target is not known either, so its row is always forwarded.
+func (n *targetSubset) contains(row feed.Row) bool {
 	t, known := n.fleet.Info(row.Key)
 	if !known {
 		return true
@@ -163,7 +164,7 @@
 	return held && rendezvous.Hash(t.ID)%p.of == p.index
 }
 
-// Digest implements feedlink.Parts.
+// Digest implements feedlink.Partitioner.
 func (p *Process) Digest() []byte {
 	out := new(ownerpb.Division)
 	division := p.shards.layout().Division()
@@ -181,20 +182,20 @@
 	return b
 }
 
-// shardsMost bounds the shards of a failure domain that are believed.
-const shardsMost = 1 << 12
+// maxShardsPerDomain is the largest number of shards of a failure domain that is accepted from a peer.
+const maxShardsPerDomain = 1 << 12
 
-// ApplyDigest implements feedlink.Parts.
+// ApplyDigest implements feedlink.Partitioner.
 func (p *Process) ApplyDigest(b []byte) error {
-	var told ownerpb.Division
-	if err := proto.Unmarshal(b, &told); err != nil {
+	var msg ownerpb.Division
+	if err := proto.Unmarshal(b, &msg); err != nil {
 		return fmt.Errorf("gatewayproc: division of engines: %w", err)
 	}
-	division := make(owner.Division, len(told.Services))
-	for _, s := range told.Services {
+	division := make(owner.Division, len(msg.Services))
+	for _, s := range msg.Services {
 		domains := make(map[string]int, len(s.Domains))
 		for _, d := range s.Domains {
-			if d.Shards > 0 && d.Shards <= shardsMost {
+			if d.Shards > 0 && d.Shards <= maxShardsPerDomain {
 				domains[d.Domain] = int(d.Shards)
 			}
 		}
@@ -204,10 +205,10 @@
 	return nil
 }
 
-// holdsPart notes whether this instance holds a part of the targets.
-func (p *Process) holdsPart(part bool) {
-	p.fleet.SetPartial(part)
-	if !part {
+// setPartial records whether this instance holds a subset of the targets.
+func (p *Process) setPartial(partial bool) {
+	p.fleet.SetPartial(partial)
+	if !partial {
 		p.shards.setDivision(nil)
 	}
 }
--- a/lib/gatewayproc/parts_test.go
+++ b/lib/gatewayproc/parts_test.go
@@ -12,15 +12,15 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// divided is what instances need of a site with engines and plain targets, in equal parts, in five failure domains.
-type divided struct {
+// dividedSite is a site of engines and plain targets, spread evenly over five failure domains.
+type dividedSite struct {
 	fleet  *fleet.Fleet
 	layout *owner.Layout
 	rows   []feed.Row
 }
 
-func divide(engines, plain, instances int) *divided {
-	d := &divided{fleet: fleet.New("z0")}
+func newDividedSite(engines, plain, instances int) *dividedSite {
+	d := &dividedSite{fleet: fleet.New("z0")}
 	d.fleet.SetSpecs(map[string]fleet.Spec{"llm": {KVTokens: 1000}, "plain": {}})
 	var list []fleet.Info
 	for i := range engines + plain {
@@ -38,12 +38,12 @@
 	return d
 }
 
-// held lists what an instance needs, by service.
-func (d *divided) held(instance, domain string) map[string][]string {
-	n := needOf(d.fleet, d.layout, instance, domain)
+// needed returns the targets that an instance needs, by service.
+func (d *dividedSite) needed(instance, domain string) map[string][]string {
+	n := subsetFor(d.fleet, d.layout, instance, domain)
 	out := make(map[string][]string)
 	for _, row := range d.rows {
-		if n.has(row) {
+		if n.contains(row) {
 			t, _ := d.fleet.Info(row.Key)
 			out[t.Service] = append(out[t.Service], t.ID)
 		}
@@ -51,15 +51,15 @@
 	return out
 }
 
-// What a plain follower holds does not grow with the site; together they hold every target, and each has some of its own domain.
-func TestPartsDoNotGrowWithTheSite(t *testing.T) {
+// What a follower holds must not grow with the site. Together the followers hold every target, and each holds some of every service.
+func TestSubsetsDoNotGrowWithTheSite(t *testing.T) {
 	for _, size := range []struct{ engines, plain, instances int }{{2_400, 100, 250}, {9_600, 400, 1_000}, {19_200, 800, 2_000}} {
-		d := divide(size.engines, size.plain, size.instances)
+		d := newDividedSite(size.engines, size.plain, size.instances)
 		most := 0
 		known := make(map[string]bool)
 		step := max(1, size.instances/500)
-		for i := 15; i < size.instances; i += step { // the first are strong, and own shards
-			held := d.held(fmt.Sprint("i", i), fmt.Sprint("z", i%5))
+		for i := 15; i < size.instances; i += step { // the first 15 are large and own shards
+			held := d.needed(fmt.Sprint("i", i), fmt.Sprint("z", i%5))
 			must.Positive(t, len(held["llm"]))
 			must.Positive(t, len(held["plain"]))
 			most = max(most, len(held["llm"])+len(held["plain"]))
@@ -77,11 +77,11 @@
 	}
 }
 
-// An instance that ranks to own shards holds all of their engines.
+// A candidate owner of a shard holds all of the shard's engines.
 func TestOwnersHoldTheirShards(t *testing.T) {
-	d := divide(9_600, 400, 1_000)
+	d := newDividedSite(9_600, 400, 1_000)
 	held := make(map[string]bool)
-	for _, id := range d.held("i0", "z0")["llm"] {
+	for _, id := range d.needed("i0", "z0")["llm"] {
 		held[id] = true
 	}
 	ranked := d.layout.CandidateShards("i0")
@@ -93,14 +93,14 @@
 	}
 }
 
-// A target that the one which passes the list on does not know yet is passed on to all: whoever needs it must not miss it.
-func TestUnknownTargetsArePassedOn(t *testing.T) {
-	d := divide(2_400, 100, 250)
-	must.True(t, needOf(d.fleet, d.layout, "i20", "z0").has(feed.Row{Key: "nobody"}))
+// A target that the relay does not know yet is forwarded to every instance, since it may be needed there.
+func TestUnknownTargetsAreForwarded(t *testing.T) {
+	d := newDividedSite(2_400, 100, 250)
+	must.True(t, subsetFor(d.fleet, d.layout, "i20", "z0").contains(feed.Row{Key: "nobody"}))
 }
 
-// A division that was told by a peer is believed as far as it can be.
-func TestBadDigestIsLeftOut(t *testing.T) {
+// A malformed division from a peer is rejected.
+func TestBadDigestIsRejected(t *testing.T) {
 	p := &Process{}
 	must.Error(t, p.ApplyDigest([]byte{0xff, 1, 2}))
 }
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/ownerlink"
 )
 
-// instanceOptions follow the instances: they change seldom, and late news of one costs only worse choices.
+// instanceOptions are the feed options of the instances table. It changes seldom, and late updates only degrade placements.
 var instanceOptions = feed.Options{
 	Wait: 5 * time.Second, Timeout: time.Second, Retry: 200 * time.Millisecond, RetryMax: 2 * time.Second,
 	MinInterval: 500 * time.Millisecond,
@@ -21,7 +21,7 @@
 
 func (p *Process) applyInstances(u feed.Update) {
 	if len(u.Rows) == 0 && !u.Initial {
-		return // it was heard again, and says nothing new
+		return // contact without changes
 	}
 	p.mu.Lock()
 	for _, row := range u.Rows {
@@ -38,17 +38,17 @@
 	}
 	n := max(1, len(p.instances))
 	p.mu.Unlock()
-	p.share.SetInstances(n)
+	p.retryBudget.SetInstances(n)
 	p.fleet.SetShare(1 / float64(n))
 	log.Info().Str("event", "instances").Int("n", n).Msg("")
 	list := p.listedInstances()
-	place := placeOf(p.self(), list, p.cfg.Seeds)
-	p.placed.Store(&place)
+	place := assignByList(p.self(), list, p.cfg.Seeds)
+	p.assigned.Store(&place)
 	p.rankInstances(list)
 }
 
-// listedInstances lists the instances. This one is among them only while its row says where it is: others would ask it
-// nothing, or somewhere else.
+// listedInstances returns the known instances. This one is included only while its stored row has its current addresses: otherwise
+// other instances send their requests elsewhere or not at all.
 func (p *Process) listedInstances() []owner.Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	return out
 }
 
-// rankInstances works out anew what each instance ranks for.
+// rankInstances recomputes the ranks of all instances after a change of their list.
 func (p *Process) rankInstances(instances []owner.Instance) {
 	if len(instances) == 0 {
 		instances = append(instances, p.self())
@@ -73,8 +73,8 @@
 	p.shards.setInstances(instances)
 }
 
-// openOwners listens for what other instances tell and ask.
-func (p *Process) openOwners() error {
+// openOwnerLink listens for datagrams of other instances: notifications and placement requests.
+func (p *Process) openOwnerLink() error {
 	var conn ownerlink.PacketConn
 	if listen := p.cfg.Network.Packet; listen != nil {
 		var err error
@@ -83,18 +83,18 @@
 		}
 	}
 	link, err := ownerlink.New(ownerlink.Config{
-		Self: p.self(), Incarnation: p.born, Fleet: p.fleet, Conn: conn,
+		Self: p.self(), Incarnation: p.incarnation, Fleet: p.fleet, Conn: conn,
 		Coordinator: owner.NewCoordinator(p.cfg.Instance, p.fleet, p.gate.PrefillRates(), time.Now()),
 		Gather: func(shardOf func(string) *owner.Shard) map[string]owner.Report {
 			return owner.ByShard(shardOf, p.gate.Runs(), p.gate.HeldMemory())
 		},
 		MoveLink: p.gate.MoveLink,
-		OnLeft:   p.left,
+		OnLeft:   p.markLeaving,
 
 		OnRestarted:    func(id string, born int64) { p.changed(p.fleet.MarkRestarted(time.Now(), id, born)) },
 		OnGranted:      func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
 		HasPartialList: p.feeds.targets.Partial,
-		Broadcast:      func(b []byte) { p.track.Broadcast(b) },
+		Broadcast:      func(b []byte) { p.syncer.Broadcast(b) },
 		OnBlames:       p.gate.MergeBlames,
 		OnSuspected: func(target string, permille uint32) {
 			log.Warn().Str("event", "target_suspected").Str("target", target).Uint32("failing_permille", permille).Msg("")
@@ -112,37 +112,37 @@
 	return nil
 }
 
-// left takes in that a life of a target was seen to leave, and reports whether that is news.
-func (p *Process) left(id string, born int64) bool {
+// markLeaving records that an incarnation of a target is leaving, and reports whether that was not known before.
+func (p *Process) markLeaving(id string, born int64) bool {
 	ch := p.fleet.MarkLeaving(time.Now(), id, born)
 	p.changed(ch)
 	return len(ch.Leaving) > 0
 }
 
-// leftByAnswer takes in that a target has said so in an answer to this instance, which others have from nobody else while the store is
-// away.
-func (p *Process) leftByAnswer(t fleet.Info) {
-	if p.left(t.ID, t.Born) {
+// onTargetLeaving records that a target has announced its leaving in a response to this instance, and notifies the other instances: while
+// the store is unavailable they have no other source.
+func (p *Process) onTargetLeaving(t fleet.Info) {
+	if p.markLeaving(t.ID, t.Born) {
 		p.link.NotifyLeaving(t)
 	}
 }
 
 const (
-	// blamesGap is the least time between two tellings of blames: an engine that dies had several runs.
-	blamesGap = 100 * time.Millisecond
-	// blamesAgain is when blames are told a second time, for datagrams that were lost.
-	blamesAgain = 300 * time.Millisecond
+	// blamesDelay is the minimum time between two broadcasts of blames. It collects the runs of an engine that dies, which are several.
+	blamesDelay = 100 * time.Millisecond
+	// blamesRepeatDelay is the pause before the blames are sent a second time, in case datagrams were lost.
+	blamesRepeatDelay = 300 * time.Millisecond
 )
 
-// tellBlames tells all instances of contents that were on targets which died.
-func (p *Process) tellBlames(ctx context.Context) {
+// broadcastBlames broadcasts to all instances which request contents were on targets that died.
+func (p *Process) broadcastBlames(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.gate.BlamesChanged():
 		}
-		for _, pause := range []time.Duration{blamesGap, blamesAgain} {
+		for _, pause := range []time.Duration{blamesDelay, blamesRepeatDelay} {
 			select {
 			case <-ctx.Done():
 				return
@@ -155,10 +155,10 @@
 	}
 }
 
-// capacityUnit makes the smallest instances' capacity a number that still compares.
+// capacityUnit scales capacities so that those of the smallest instances are still distinct as integers.
 const capacityUnit = 100
 
-// capacity is what this instance can carry for others.
+// capacity returns how much work this instance can do for others, from its link and its share of a processor.
 func (p *Process) capacity() uint32 {
 	return uint32(max(1, capacityUnit*p.cfg.LinkMbps*p.cfg.CPUShare))
 }
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -32,7 +32,7 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// Config is what the instance is told at its start.
+// Config is the configuration of an instance at its start.
 type Config struct {
 	Instance string
 	Domain   string            // failure domain
@@ -43,56 +43,57 @@
 	Link     string            // address for other instances' streams
 	LinkBind string            // where to listen for them; empty: at Link
 	Metrics  string            // address for metrics, at /metrics; empty: none
-	Seeds    []string          // links of some instances, which may be stale
+	Seeds    []string          // link addresses of some instances, which may be stale
 	First    bool              // the site starts for the first time
-	MemoryMB int               // over which the process is killed
+	MemoryMB int               // limit at which the process is killed
 	LinkMbps float64
 	CPUShare float64 // of a core
 
 	Grace time.Duration // from SIGTERM to the kill
 
-	Network Network // by which other instances are reached
+	Network Network // connects to other instances
 
-	// All instances together may repeat RepeatRatio of a service's requests and RepeatFloor more in each RepeatWindow.
+	// All instances together may retry RepeatRatio of a service's requests, plus RepeatFloor, in each RepeatWindow.
 	RepeatRatio  float64
 	RepeatFloor  float64
 	RepeatWindow time.Duration
 }
 
-// Network is what an instance reaches others by. What is nil is the machine's own.
+// Network opens the connections between instances. Nil functions stand for the network of the machine.
 type Network struct {
 	Listen func(addr string) (net.Listener, error)
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Packet func(addr string) (ownerlink.PacketConn, error)
 }
 
-// Site is where the instance runs: what is spoken there.
+// Site adapts the gateway to the platform that it runs on: tables, engines and encodings.
 type Site struct {
 	Names   gateway.Names
 	Pool    *wirehttp.Pool
 	Engines gateway.Engines
-	// HearEngines sets who is told of each answer to the calls of Engines.
+	// HearEngines sets the hook that is called with each response to a call of Engines.
 	HearEngines func(gateway.ResponseHook)
 
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
-	// CountSettings and CountTarget return the writer's own count of a row, which goes on when the store comes back from a copy.
+	// CountSettings and CountTarget return the writer's own sequence number of a row, which continues when the store is restored from
+	// a backup.
 	CountSettings, CountTarget func(feed.Row) (feed.WriteSeq, bool)
-	// Evacuated returns the failure domain that a row of the table of settings evacuates while it is there.
+	// Evacuated returns the failure domain that a row of the settings table evacuates as long as it exists.
 	Evacuated    func(feed.Row) (domain string, ok bool)
 	Targets      feed.Source
 	DecodeTarget func(feed.Row) (fleet.Info, error)
 
-	// Instances is the table in which each instance stands with the addresses at which others reach it.
+	// Instances is the table of the instances and the addresses at which others reach them.
 	Instances      feed.Source
 	DecodeInstance func(feed.Row) (owner.Instance, error)
 	EncodeInstance func(owner.Instance) (feed.Row, error)
 	// Register writes rows of instances, at most 100.
 	Register func(context.Context, []feed.Row) error
-	// Unregister takes an instance's row away: of any version, or only as it was written at one.
+	// Unregister removes an instance's row: at any version, or only if it is still at the given one.
 	Unregister func(ctx context.Context, instance string, version int64) error
 
-	// ReadRanks and WriteRanks keep a small row for each failure domain: who reads and relays there.
+	// ReadRanks and WriteRanks access a small row per failure domain that names its readers and relays.
 	ReadRanks  func(ctx context.Context, domain string) ([]byte, error)
 	WriteRanks func(ctx context.Context, rows map[string][]byte) error
 
@@ -101,73 +102,73 @@
 }
 
 const (
-	// defaultIdle holds where settings state no limit or are not known yet; maxIdle is net/http's own bound, over any.
+	// defaultIdle applies where settings state no limit or are not known yet; maxIdle is net/http's own limit, above any setting.
 	defaultIdle = 20 * time.Second
 	maxIdle     = 10 * time.Minute
-	// defaultHeader bounds reading the head of a request.
-	defaultHeader = 5 * time.Second
+	// defaultHeaderTimeout bounds reading the head of a request.
+	defaultHeaderTimeout = 5 * time.Second
 	// maxHeader is net/http's bound on a request's head, in bytes.
 	maxHeader = 64 << 10
-	// tickEvery is the period of housekeeping while entries of targets are missing; tickIdle otherwise.
-	tickEvery = 200 * time.Millisecond
-	tickIdle  = time.Second
-	// outOfRotation is how long after SIGTERM the balancer may still send new connections: it asks once a second and
-	// takes an instance out after two misses.
+	// tickInterval is the housekeeping period while entries of targets are missing; tickIdleInterval the period otherwise.
+	tickInterval     = 200 * time.Millisecond
+	tickIdleInterval = time.Second
+	// outOfRotation is how long after SIGTERM the balancer may still send new connections: it checks once a second and
+	// takes an instance out of rotation after two failed checks.
 	outOfRotation = 2500 * time.Millisecond
-	// cutMargin is how long before the kill open answers are broken off.
-	cutMargin = 300 * time.Millisecond
-	// memoryShare is the part of the memory limit at which the garbage collector works harder.
+	// abortMargin is how long before the kill open responses are aborted.
+	abortMargin = 300 * time.Millisecond
+	// memoryShare is the part of MemoryMB that is set as the garbage collector's soft memory limit.
 	memoryShare = 0.6
 )
 
 // Process is a running instance.
 type Process struct {
-	cfg   Config
-	site  Site
-	fleet *fleet.Fleet
-	gate  *gateway.Gateway
-	share *retry.InstanceBudget
-	link  *ownerlink.Link
+	cfg         Config
+	site        Site
+	fleet       *fleet.Fleet
+	gate        *gateway.Gateway
+	retryBudget *retry.InstanceBudget
+	link        *ownerlink.Link
 
-	shards *shards
-	born   uint64 // incarnation
-	node   *mesh.Node
-	feeds  struct{ settings, targets, instances *feed.Replica }
-	track  *feedlink.Syncer
+	shards      *shards
+	incarnation uint64 // incarnation
+	node        *mesh.Node
+	feeds       struct{ settings, targets, instances *feed.Replica }
+	syncer      *feedlink.Syncer
 
 	front, ready *http.Server
 	cancel       context.CancelFunc
 	work         sync.WaitGroup
 
-	era        atomic.Int64              // of the store's history that the settings were last read in
-	listFailed atomic.Pointer[time.Time] // when a call for the list of targets last failed
-	placed     atomic.Pointer[feedlink.Assignment]
-	passedOn   atomic.Pointer[time.Time] // when this instance last read or relayed
-	divided    atomic.Bool               // most instances hold a part of the targets
+	era            atomic.Int64              // era of the store in which the settings were last read
+	listFailed     atomic.Pointer[time.Time] // when a call for the list of targets last failed
+	assigned       atomic.Pointer[feedlink.Assignment]
+	lastForwarding atomic.Pointer[time.Time] // when this instance last read or relayed
+	subsetsInUse   atomic.Bool               // most instances hold a subset of the targets
 
-	mu        sync.Mutex
-	instances map[string]owner.Instance // as listed
-	listed    bool                      // the list of targets was read
-	refused   refusedEntries
-	stopped   bool
+	mu          sync.Mutex
+	instances   map[string]owner.Instance // as listed
+	targetsRead bool                      // the list of targets was read
+	refused     refusedEntries
+	stopped     bool
 }
 
-// newProcess returns an instance that listens for others and does nothing yet.
+// newProcess returns an instance that listens for peers; its feeds are not started yet.
 func newProcess(cfg Config, site Site) (*Process, error) {
 	p := &Process{
 		cfg: cfg, site: site, fleet: fleet.New(cfg.Domain),
-		instances: make(map[string]owner.Instance), born: uint64(time.Now().UnixNano()),
+		instances: make(map[string]owner.Instance), incarnation: uint64(time.Now().UnixNano()),
 	}
 	p.fleet.SetRegions(cfg.Regions)
-	p.fleet.SetSenders(p.maySendAlone)
+	p.fleet.SetSenders(p.maySendDirectly)
 	p.newReplicas()
-	p.share = retry.NewInstanceBudget(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
+	p.retryBudget = retry.NewInstanceBudget(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
 	p.gate = gateway.New(gateway.Config{
-		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.share,
-		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.leftByAnswer,
+		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.retryBudget,
+		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.onTargetLeaving,
 	})
 	site.HearEngines(p.gate.ReadNotices)
-	if err := p.openOwners(); err != nil {
+	if err := p.openOwnerLink(); err != nil {
 		return nil, fmt.Errorf("gatewayproc: peers: %w", err)
 	}
 	if err := p.openLinks(); err != nil {
@@ -189,7 +190,7 @@
 	work, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	defer cancel()
-	// Callers come as soon as this instance says that it is ready, so it listens for them first.
+	// Callers connect as soon as this instance reports ready, so their listener is opened first.
 	ln, err := net.Listen("tcp", cfg.Front)
 	if err != nil {
 		return fmt.Errorf("gatewayproc: callers: %w", err)
@@ -200,8 +201,8 @@
 	if err := p.serveMetrics(); err != nil {
 		return err
 	}
-	p.follow(work)
-	p.start(func() { p.reloads(work) })
+	p.startFeeds(work)
+	p.start(func() { p.reloadOnHangup(work) })
 	failed := make(chan error, 1)
 	go func() { failed <- p.serveFront(ln) }()
 	select {
@@ -219,13 +220,13 @@
 	return 0
 }
 
-// serveReady answers the balancer: 200 while this instance can serve and is to go on serving.
+// serveReady serves the balancer's readiness checks: 200 while this instance can serve and is not stopping.
 func (p *Process) serveReady() error {
 	ln, err := net.Listen("tcp", p.cfg.Ready)
 	if err != nil {
 		return fmt.Errorf("gatewayproc: readiness: %w", err)
 	}
-	p.ready = &http.Server{Handler: http.HandlerFunc(p.answerReady), ReadHeaderTimeout: defaultHeader}
+	p.ready = &http.Server{Handler: http.HandlerFunc(p.answerReady), ReadHeaderTimeout: defaultHeaderTimeout}
 	go func() {
 		if err := p.ready.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			logline.Cause(log.Error().Str("event", "ready_listener_failed"), err)
@@ -245,7 +246,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: defaultHeader}
+	srv := &http.Server{Handler: mux, ReadHeaderTimeout: defaultHeaderTimeout}
 	go func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			logline.Cause(log.Error().Str("event", "metrics_listener_failed"), err)
@@ -257,7 +258,7 @@
 func (p *Process) answerReady(w http.ResponseWriter, _ *http.Request) {
 	status := http.StatusServiceUnavailable
 	p.mu.Lock()
-	if p.listed && !p.stopped && p.gate.Table() != nil {
+	if p.targetsRead && !p.stopped && p.gate.Table() != nil {
 		status = http.StatusOK
 	}
 	p.mu.Unlock()
@@ -275,7 +276,7 @@
 	})
 	p.mu.Lock()
 	p.front = &http.Server{
-		Handler: p.gate, ConnState: guard.state, ReadHeaderTimeout: defaultHeader, IdleTimeout: maxIdle, MaxHeaderBytes: maxHeader,
+		Handler: p.gate, ConnState: guard.state, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: maxIdle, MaxHeaderBytes: maxHeader,
 	}
 	front := p.front
 	p.mu.Unlock()
@@ -292,7 +293,7 @@
 	return def
 }
 
-// stop takes the instance out of rotation, lets open answers end, and breaks off what is left just before the kill.
+// stop takes the instance out of rotation, lets open responses end, and aborts the rest just before the kill.
 func (p *Process) stop() error {
 	start := time.Now()
 	log.Info().Str("event", "stop").Str("instance", p.cfg.Instance).Msg("")
@@ -300,14 +301,14 @@
 	p.stopped = true
 	front := p.front
 	p.mu.Unlock()
-	p.gate.Stop(start.Add(p.cfg.Grace - cutMargin))
-	// Others look for another owner and another reader now, while this one still answers them.
+	p.gate.Stop(start.Add(p.cfg.Grace - abortMargin))
+	// Other instances switch to another owner and another reader now, while this one still answers.
 	p.link.Coordinator.Leave()
 	p.start(func() { p.unregister(context.Background()) })
 	time.Sleep(min(outOfRotation, p.cfg.Grace/2))
-	cut := time.AfterFunc(p.cfg.Grace-time.Since(start)-cutMargin, p.gate.AbortOpen)
-	defer cut.Stop()
-	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Grace-time.Since(start)-cutMargin/2)
+	abort := time.AfterFunc(p.cfg.Grace-time.Since(start)-abortMargin, p.gate.AbortOpen)
+	defer abort.Stop()
+	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Grace-time.Since(start)-abortMargin/2)
 	defer cancel()
 	var err error
 	if front != nil {
@@ -316,14 +317,14 @@
 	p.cancel()
 	log.Info().Str("event", "stopped").Int64("after_ms", time.Since(start).Milliseconds()).Msg("")
 	if err != nil {
-		return fmt.Errorf("gatewayproc: answers were cut at the stop limit: %w", err)
+		return fmt.Errorf("gatewayproc: shutdown: open responses aborted at the end of the grace period: %w", err)
 	}
 	return nil
 }
 
-// reloads takes in changed settings after SIGHUP, which would otherwise end the process. Addresses stay: they are the
-// listeners' for as long as the process lives.
-func (p *Process) reloads(ctx context.Context) {
+// reloadOnHangup reads the settings again on each SIGHUP, which would otherwise end the process. Changed addresses are ignored: the
+// listeners are open for the life of the process.
+func (p *Process) reloadOnHangup(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -338,7 +339,7 @@
 			logline.Cause(log.Error().Str("event", "reload_refused"), err)
 			continue
 		}
-		p.share.SetBound(cfg.RepeatRatio, cfg.RepeatFloor)
+		p.retryBudget.SetBound(cfg.RepeatRatio, cfg.RepeatFloor)
 		p.fleet.SetRegions(cfg.Regions)
 		log.Info().Str("event", "reload").Str("instance", cfg.Instance).Msg("")
 	}
--- a/lib/gatewayproc/ranks.go
+++ b/lib/gatewayproc/ranks.go
@@ -13,22 +13,23 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// The one that reads the store keeps a row there for each failure domain: who reads and who relays. One that starts finds its place by it
-// with one small call.
+// The reader of the store keeps a small row there for each failure domain, which names the readers and the relays. A starting instance
+// finds its assignment with one small call.
 //
-// Load pattern: all instances of a large site start again at once. Each that reads the list of all of them to find its place has a
-// thousand rows sent, a million together; told by a seed, it waits until seeds have started and read the list.
+// Load pattern: all instances of a large site restart at once. If each of them read the list of instances to find its assignment, the
+// store would send a thousand rows to each, a million in total; with seeds alone, each would wait until a seed has started and read
+// the list.
 
 const (
-	// joinTimeout bounds the call for the ranks at the start.
+	// joinTimeout bounds one call for the ranks at the start.
 	joinTimeout = 300 * time.Millisecond
-	// joinTries and joinSpread bound the tries, and the pause before each: the store takes so many new connections at once, and the one that
-	// is to read for all must not be turned away with a thousand others.
+	// joinTries bounds the attempts, and joinSpread the random pause before each: the store accepts only so many new connections at
+	// once, and the instance that is to read for all must not be rejected along with a thousand others.
 	joinTries  = 6
 	joinSpread = 100 * time.Millisecond
 )
 
-// join finds this instance's place by the ranks that the store has, beside the seeds that may tell it sooner.
+// join finds this instance's assignment from the ranks in the store, while seeds are queried in parallel and may answer sooner.
 func (p *Process) join(ctx context.Context) {
 	for range joinTries {
 		select {
@@ -36,29 +37,29 @@
 			return
 		case <-time.After(rand.N(joinSpread)):
 		}
-		if p.placed.Load() != nil || p.readRanks(ctx) {
+		if p.assigned.Load() != nil || p.readRanks(ctx) {
 			return
 		}
 	}
 }
 
-// readRanks makes one call for the ranks, and reports whether the store has answered.
+// readRanks makes one call for the ranks and reports whether the store answered.
 func (p *Process) readRanks(ctx context.Context) bool {
-	try, cancel := context.WithTimeout(ctx, joinTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	b, err := p.site.ReadRanks(try, p.cfg.Domain)
+	b, err := p.site.ReadRanks(callCtx, p.cfg.Domain)
 	if err != nil {
 		logline.Cause(log.Info().Str("event", "join_failed"), err)
 		return false
 	}
-	p.takeRanks(b)
+	p.applyRanks(b)
 	return true
 }
 
-// takeRanks takes in what the store or a peer says of who reads and relays, and reports whether this instance knows its place by it. The
-// list of instances goes before it.
-func (p *Process) takeRanks(b []byte) bool {
-	if p.placed.Load() != nil {
+// applyRanks derives this instance's assignment from ranks read from the store or a peer, and reports whether the assignment is known.
+// An assignment from the list of instances takes precedence.
+func (p *Process) applyRanks(b []byte) bool {
+	if p.assigned.Load() != nil {
 		return true
 	}
 	var r ranks
@@ -66,12 +67,12 @@
 		return false
 	}
 	r.Serving = min(max(1, r.Serving), len(r.Relays))
-	at := r.place(p.cfg.Instance)
+	at := r.assign(p.cfg.Instance)
 	at.Readers = withSeeds(at.Readers, p.cfg.Link, p.cfg.Seeds)
-	return p.placed.CompareAndSwap(nil, &at)
+	return p.assigned.CompareAndSwap(nil, &at)
 }
 
-// ranksOf says who reads and relays in a failure domain by the list of instances; nil while there is none.
+// ranksOf returns the encoded ranks of a failure domain by the list of instances; nil while there is no list.
 func (p *Process) ranksOf(domain string) []byte {
 	list := p.listedInstances()
 	if len(list) == 0 {
@@ -83,13 +84,13 @@
 func encodeRanks(c *owner.Candidates, domain string) []byte {
 	b, err := json.Marshal(ranksIn(c, domain))
 	if err != nil {
-		return nil // it holds strings and numbers only
+		return nil // unreachable: strings and numbers only
 	}
 	return b
 }
 
-// keepRanks writes the ranks of failure domains in which they have changed.
-func (p *Process) keepRanks(ctx context.Context, written map[string][]byte) {
+// updateRanks writes the ranks of the failure domains whose ranks have changed.
+func (p *Process) updateRanks(ctx context.Context, written map[string][]byte) {
 	list := p.listedInstances()
 	if len(list) == 0 {
 		return
@@ -104,9 +105,9 @@
 	if len(changed) == 0 {
 		return
 	}
-	try, cancel := context.WithTimeout(ctx, registerTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	if err := p.site.WriteRanks(try, changed); err != nil {
+	if err := p.site.WriteRanks(callCtx, changed); err != nil {
 		logline.Cause(log.Warn().Str("event", "ranks_not_written"), err)
 		return
 	}
--- a/lib/gatewayproc/ranks_test.go
+++ b/lib/gatewayproc/ranks_test.go
@@ -13,9 +13,9 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// All machines of a site lose power. Each instance finds its place by one small row as it would by the list of all: the one that reads
-// for all begins at once, and nobody waits for seeds that start later.
-func TestPlaceByRanksIsThatByTheList(t *testing.T) {
+// All machines of a site lose power and restart. The assignment derived from the small ranks row must equal the one derived from the full
+// list, so that the reader starts at once and nobody waits for seeds that start later.
+func TestAssignmentByRanksEqualsThatByList(t *testing.T) {
 	for _, n := range []int{3, 20, 295, 985} {
 		list := siteOf(n, 5)
 		rows := make(map[string][]byte)
@@ -31,40 +31,40 @@
 			p.instances[in.Name] = in
 		}
 		written := make(map[string][]byte)
-		p.keepRanks(t.Context(), written)
+		p.updateRanks(t.Context(), written)
 		for _, in := range list {
 			starts := &Process{cfg: Config{Instance: in.Name, Domain: in.Domain}}
 			starts.site.ReadRanks = func(_ context.Context, domain string) ([]byte, error) { return rows[domain], nil }
 			must.True(t, starts.readRanks(t.Context()))
-			want := placeAmong(in.Name, in.Domain, list)
-			want.RemoteRelays = nil // these come with the list
-			must.Eq(t, want, starts.place())
+			want := assignAmong(in.Name, in.Domain, list)
+			want.RemoteRelays = nil // filled from the list
+			must.Eq(t, want, starts.assignment())
 		}
 		p.site.WriteRanks = func(context.Context, map[string][]byte) error { return errors.New("nothing has changed") }
-		p.keepRanks(t.Context(), written)
+		p.updateRanks(t.Context(), written)
 	}
 }
 
-// The row is missing, was cut, or says nothing of use, or the store does not answer: seeds are asked.
-func TestBadRanksAreLeftOut(t *testing.T) {
+// When the row is missing, truncated or useless, or the store does not answer, the seeds are used.
+func TestBadRanksFallBackToSeeds(t *testing.T) {
 	seeds := []string{"a:1", "b:1"}
 	for _, row := range []string{"", "{", "[]", "{}", `{"readers":[{"Name":"x"}]}`, `{"relays":[{"Name":"x"}],"serving":9}`} {
 		p := &Process{cfg: Config{Instance: "me", Link: "me:1", Domain: "z", Seeds: seeds}}
 		p.site.ReadRanks = func(context.Context, string) ([]byte, error) { return []byte(row), nil }
 		p.readRanks(t.Context())
-		must.True(t, p.place().Bootstrap, must.Sprint(row))
+		must.True(t, p.assignment().Bootstrap, must.Sprint(row))
 	}
 	p := &Process{cfg: Config{Instance: "me", Link: "me:1", Seeds: seeds}}
 	p.site.ReadRanks = func(context.Context, string) ([]byte, error) { return nil, errors.New("away") }
 	must.False(t, p.readRanks(t.Context()))
-	must.True(t, p.place().Bootstrap)
-	must.True(t, p.takeRanks([]byte(`{"readers":[{"Name":"x","Link":"x:1"}],"relays":[{"Name":"y","Link":"y:1"}],"serving":-5}`)))
-	must.Eq(t, feedlink.RoleFollower, p.place().Role)
+	must.True(t, p.assignment().Bootstrap)
+	must.True(t, p.applyRanks([]byte(`{"readers":[{"Name":"x","Link":"x:1"}],"relays":[{"Name":"y","Link":"y:1"}],"serving":-5}`)))
+	must.Eq(t, feedlink.RoleFollower, p.assignment().Role)
 }
 
-// A thousand instances start at once, and the store turns many calls away. One that was turned away asks again: it may be the one that all
+// A thousand instances start at once, and the store rejects many calls. A rejected instance must retry: it may be the reader that all
 // others wait for.
-func TestRanksAreAskedForAgain(t *testing.T) {
+func TestReadingRanksIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
 		p := &Process{cfg: Config{Instance: "me"}}
@@ -77,7 +77,7 @@
 		start := time.Now()
 		p.join(t.Context())
 		must.Eq(t, 3, calls)
-		must.Eq(t, feedlink.RoleReader, p.place().Role)
+		must.Eq(t, feedlink.RoleReader, p.assignment().Role)
 		must.LessEq(t, 3*joinSpread, time.Since(start))
 	})
 }
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -12,7 +12,7 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// siteOf has n instances in some failure domains, three large ones in each.
+// siteOf returns n instances spread over some failure domains, three large ones in each.
 func siteOf(n, domains int) []owner.Instance {
 	out := make([]owner.Instance, n)
 	for i := range out {
@@ -25,14 +25,14 @@
 	return out
 }
 
-// One instance reads the store, one in each failure domain has it from there, the others from that. Each finds the same
-// ones by itself, asks few, and may read itself in the end.
-func TestOneReadsAndOneADomainRelays(t *testing.T) {
+// One instance reads the store, one in each failure domain gets the tables from it, the others from that relay. All instances must
+// agree on these without coordination, have few sources, and have the store as a fallback.
+func TestOneReaderAndOneRelayPerDomain(t *testing.T) {
 	list := siteOf(295, 5)
 	firsts := make(map[feedlink.Role]map[string]bool)
 	roles := make(map[feedlink.Role]int)
 	for _, in := range list {
-		at := placeAmong(in.Name, in.Domain, list)
+		at := assignAmong(in.Name, in.Domain, list)
 		roles[at.Role]++
 		if firsts[at.Role] == nil {
 			firsts[at.Role] = make(map[string]bool)
@@ -49,12 +49,12 @@
 	must.MapLen(t, 5, firsts[feedlink.RoleFollower])
 }
 
-// Those that read or relay know who relays elsewhere, for when nobody near has the store's word. The others, who are many, ask
-// only those near.
-func TestOnlyReadersAndRelaysLookElsewhere(t *testing.T) {
+// Readers and relays know relays in other failure domains, for when nobody nearby is in contact with the store. Followers, who are
+// many, must query only nearby instances.
+func TestOnlyReadersAndRelaysHaveRemoteRelays(t *testing.T) {
 	list := siteOf(295, 5)
 	for _, in := range list {
-		at := placeAmong(in.Name, in.Domain, list)
+		at := assignAmong(in.Name, in.Domain, list)
 		if at.Role == feedlink.RoleFollower {
 			must.SliceEmpty(t, at.RemoteRelays)
 			continue
@@ -67,49 +67,49 @@
 	}
 }
 
-// On a small site each instance ranks for something, and the first in rank reads.
+// On a small site every instance is a reader candidate, and only the first reads the store.
 func TestSmallSitesHaveAReader(t *testing.T) {
 	list := siteOf(2, 2)
 	reads := 0
 	for _, in := range list {
-		at := placeAmong(in.Name, in.Domain, list)
+		at := assignAmong(in.Name, in.Domain, list)
 		must.Eq(t, feedlink.RoleReader, at.Role)
 		if at.Readers[0].Addr == "" {
 			reads++
 		}
 	}
 	must.Eq(t, 1, reads)
-	alone := placeAmong("me", "z", nil)
+	alone := assignAmong("me", "z", nil)
 	must.Eq(t, []mesh.Peer{{}}, alone.Readers)
 }
 
-// An instance knows of no other than its seeds yet. One that is a seed reads; the others ask the seeds, and read the store
-// themselves in the end.
+// Before the first list an instance knows only the seeds. A seed reads the store; other instances follow the seeds, with the store
+// as the last fallback.
 func TestSeedsReadBeforeTheListIsKnown(t *testing.T) {
 	seeds := []string{"a:1", "b:1"}
-	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Readers: []mesh.Peer{{}}}, placeBySeeds("b:1", seeds))
-	other := placeBySeeds("c:1", seeds)
+	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Readers: []mesh.Peer{{}}}, assignBySeeds("b:1", seeds))
+	other := assignBySeeds("c:1", seeds)
 	must.True(t, other.Bootstrap)
 	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Readers)
-	must.Eq(t, []mesh.Peer{{}}, placeBySeeds("c:1", nil).Readers)
+	must.Eq(t, []mesh.Peer{{}}, assignBySeeds("c:1", nil).Readers)
 }
 
-// The list names nobody else, or names a seed already: seeds that are missing come last, each once, this instance left out.
-func TestSeedsComeLast(t *testing.T) {
+// Seeds that are not among the readers are appended, each once and without this instance itself.
+func TestSeedsAreAppendedLast(t *testing.T) {
 	got := withSeeds([]mesh.Peer{{}, {Instance: "a", Addr: "a:1"}}, "me:1", []string{"a:1", "me:1", "b:1"})
 	must.Eq(t, []mesh.Peer{{}, {Instance: "a", Addr: "a:1"}, {Addr: "b:1"}}, got)
 }
 
-// A site's instances start in one moment, and the list that each reads is empty. Each took itself for the only one, read all
-// tables from the store, and the store had thousands of calls. Only the seeds read; the others follow them, then those that
-// are listed first, and rank themselves once their own row is there.
+// All instances of a new site start at once with an empty list. Each took itself for the only one and read all tables, which cost
+// the store thousands of calls. Only the seeds may read; the others follow the seeds, then the instances listed first, and take
+// part in the ranking once their own rows are listed.
 func TestOnlySeedsReadAtTheFirstStart(t *testing.T) {
 	list := siteOf(295, 5)
 	seeds := []string{list[200].Link, list[201].Link, list[202].Link}
 	reading := 0
 	firsts := make(map[string]int)
 	for _, in := range list {
-		at := placeOf(in, nil, seeds)
+		at := assignByList(in, nil, seeds)
 		if at.Role == feedlink.RoleReader {
 			reading++
 			continue
@@ -121,18 +121,18 @@
 	}
 	must.Eq(t, len(seeds), reading)
 	for _, seed := range seeds {
-		must.Less(t, 3*len(list)/5, firsts[seed]) // one alone would send all tables to all
+		must.Less(t, 3*len(list)/5, firsts[seed]) // a single seed would send all tables to everyone
 	}
 
 	early := list[:2]
-	at := placeOf(list[100], early, seeds)
+	at := assignByList(list[100], early, seeds)
 	must.Eq(t, feedlink.RoleFollower, at.Role)
 	must.SliceContains(t, []string{"i0", "i1"}, at.Readers[0].Instance)
-	must.Eq(t, feedlink.RoleReader, placeOf(list[0], early, seeds).Role)
+	must.Eq(t, feedlink.RoleReader, assignByList(list[0], early, seeds).Role)
 }
 
-// A single instance without seeds reads by itself.
-func TestAloneAtTheFirstStart(t *testing.T) {
-	at := placeOf(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
+// A single instance without seeds reads the store itself.
+func TestSingleInstanceWithoutSeedsReadsTheStore(t *testing.T) {
+	at := assignByList(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
 	must.Eq(t, []mesh.Peer{{}}, at.Readers)
 }
--- a/lib/gatewayproc/refused.go
+++ b/lib/gatewayproc/refused.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// refusedMax bounds the entries that are remembered; beyond it they are logged each time that they change.
+// refusedMax bounds the entries that are remembered; beyond it an entry is logged each time it changes.
 const refusedMax = 1024
 
-// refusedEntries remembers the entries of the list of targets that can't be read, so that each is logged once until it
-// can: a writer that repeats a bad entry every second would fill the log.
+// refusedEntries remembers the unreadable entries of the list of targets, so that each is logged once until it is readable
+// again: a writer that repeats a bad entry every second would fill the log.
 type refusedEntries struct {
 	mu  sync.Mutex
 	ids map[string]bool
 }
 
-// first reports whether an entry was readable before.
+// first records an unreadable entry and reports whether it was readable before.
 func (r *refusedEntries) first(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lib/gatewayproc/reload_test.go
+++ b/lib/gatewayproc/reload_test.go
@@ -15,15 +15,15 @@
 	"anvilwick.example/anvilwick/lib/retry"
 )
 
-// Operators change the settings file and send SIGHUP. Left to the runtime the signal ends the process, with every
-// stream on it. Here the file is read again and its bounds hold from then on; a file that can't be read changes nothing.
-func TestHangupReloadsAndDoesNotEndTheProcess(t *testing.T) {
+// Operators change the settings file and send SIGHUP, whose default action would end the process with all of its streams. The
+// file must be read again and its bounds apply from then on; an unreadable file changes nothing.
+func TestHangupReloadsSettings(t *testing.T) {
 	answers := make(chan struct {
 		cfg Config
 		err error
 	}, 2)
 	read := make(chan struct{}, 2)
-	p := &Process{fleet: fleet.New("z"), share: retry.NewInstanceBudget(0, 10, 10*time.Second)}
+	p := &Process{fleet: fleet.New("z"), retryBudget: retry.NewInstanceBudget(0, 10, 10*time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.site.Reload = func() (Config, error) {
 		select {
@@ -35,12 +35,12 @@
 		}
 	}
 	caught := make(chan os.Signal, 1)
-	signal.Notify(caught, syscall.SIGHUP) // so that one which comes too early does not end this test
+	signal.Notify(caught, syscall.SIGHUP) // so that a signal sent too early does not end this test
 	defer signal.Stop(caught)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.reloads(ctx)
+		p.reloadOnHangup(ctx)
 	}()
 	defer func() {
 		cancel()
@@ -61,10 +61,10 @@
 		}
 	}
 	hangup(Config{}, errors.New("no such file"))
-	must.Eq(t, 7, p.share.Remaining(time.Now(), "s"))
+	must.Eq(t, 7, p.retryBudget.Remaining(time.Now(), "s"))
 	hangup(Config{RepeatFloor: 100}, nil)
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && p.share.Remaining(time.Now(), "s") != 70; {
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && p.retryBudget.Remaining(time.Now(), "s") != 70; {
 		time.Sleep(time.Millisecond)
 	}
-	must.Eq(t, 70, p.share.Remaining(time.Now(), "s"))
+	must.Eq(t, 70, p.retryBudget.Remaining(time.Now(), "s"))
 }
--- a/lib/gatewayproc/shards.go
+++ b/lib/gatewayproc/shards.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/ownerlink"
 )
 
-// shards keeps the division of engines among owners up to date, and in force at the link.
+// shards keeps the partition of the engines among owners up to date, and the resulting layout in force at the link.
 type shards struct {
 	link *ownerlink.Link
 
@@ -23,14 +23,14 @@
 	return &shards{link: link, partition: owner.NewPartition()}
 }
 
-// setInstances replaces the instances that may own engines.
+// setInstances replaces the instances that may own shards.
 func (s *shards) setInstances(list []owner.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.link.SetLayout(s.partition.SetInstances(list))
 }
 
-// setServices replaces the services; ready lists the engines that take requests, and is asked for only if that changes anything.
+// setServices replaces the services. ready lists the engines that accept requests; it is called only if the services have changed.
 func (s *shards) setServices(engines, plain []string, ready func() []fleet.Info) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,24 +41,24 @@
 	s.link.SetLayout(s.partition.SetServices(engines, plain, ready()))
 }
 
-// setDivision takes in how one divides the engines that knows all of them; nil: this instance does.
-func (s *shards) setDivision(told owner.Division) {
+// setDivision sets the division of the engines into shards, as computed by a peer that knows all engines; nil: compute it here.
+func (s *shards) setDivision(division owner.Division) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link.SetLayout(s.partition.SetDivision(told))
+	s.link.SetLayout(s.partition.SetDivision(division))
 }
 
 // layout returns the layout in force.
 func (s *shards) layout() *owner.Layout { return s.partition.Layout() }
 
-// update takes in engines that have come and gone.
+// update applies added and removed engines.
 func (s *shards) update(added, removed []fleet.Info) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.link.SetLayout(s.partition.Update(added, removed))
 }
 
-// setServices divides the engines anew if services have come or gone.
+// setServices recomputes the partition if services were added or removed.
 func (p *Process) setServices(specs map[string]fleet.Spec) {
 	var engines, plain []string
 	for _, service := range slices.Sorted(maps.Keys(specs)) {
@@ -71,8 +71,8 @@
 	p.shards.setServices(engines, plain, func() []fleet.Info { return p.fleet.Engines(fleet.Ready) })
 }
 
-// divide takes in what has changed in the list of targets.
-func (p *Process) divide(ch fleet.Change) {
+// updatePartition applies a change of the list of targets to the partition.
+func (p *Process) updatePartition(ch fleet.Change) {
 	if len(ch.Added)+len(ch.Restarted)+len(ch.Leaving)+len(ch.Dropped) > 0 {
 		p.shards.update(slices.Concat(ch.Added, ch.Restarted), slices.Concat(ch.Leaving, ch.Dropped))
 	}
--- a/lib/gatewayproc/watch.go
+++ b/lib/gatewayproc/watch.go
@@ -11,43 +11,43 @@
 )
 
 const (
-	// watchEvery is the period of asking engines while the list of targets is out of reach: an engine leaves within two
-	// seconds of its notice, and a move takes a good part of them.
-	watchEvery = 300 * time.Millisecond
-	// watchIdle is how often an instance that owns no engines looks whether it does now.
-	watchIdle = time.Second
-	// listSilent is the age of the list from which engines are asked, when no call for it has failed yet: over the time of
-	// one long poll and a page passed on.
-	listSilent = 1100 * time.Millisecond
-	// watchLimited is the period of asking an engine that has named a limit, which the questions use up, too.
-	watchLimited = time.Second
-	// reportTimeout bounds one question.
+	// watchInterval is the polling period of engines while the list of targets is unavailable: an engine leaves within two
+	// seconds of its notice, and a move takes a good part of that time.
+	watchInterval = 300 * time.Millisecond
+	// watchIdleInterval is how often an instance that owns no engines checks whether it does now.
+	watchIdleInterval = time.Second
+	// listStaleAfter is the age of the list from which engines are polled even if no call for the list has failed yet: longer
+	// than one long poll and the relaying of its page.
+	listStaleAfter = 1100 * time.Millisecond
+	// watchLimitedInterval is the polling period of an engine with a rate limit, since polls count against the limit.
+	watchLimitedInterval = time.Second
+	// reportTimeout bounds one poll.
 	reportTimeout = 300 * time.Millisecond
-	// idleAsked bounds the engines without runs that are asked in one period. A stream that is sent to one that leaves is told so, and
-	// an owner of hundreds would ask thousands a second.
-	idleAsked = 64
+	// idlePolled bounds the engines without runs that are polled in one period. A stream sent to a leaving engine is told so in the
+	// response, and an owner of hundreds of engines would poll thousands a second.
+	idlePolled = 64
 )
 
-// askRound goes round the engines without runs.
-type askRound struct{ at int }
+// idleRound is a round robin over the engines without runs.
+type idleRound struct{ pos int }
 
-// next returns the engines to ask now: all that have runs, which are lost with them, and some others.
-func (r *askRound) next(busy, idle []string) []string {
-	n := min(idleAsked, len(idle))
+// next returns the engines to poll now: all that have runs, which are lost if the engine leaves unnoticed, and some others.
+func (r *idleRound) next(busy, idle []string) []string {
+	n := min(idlePolled, len(idle))
 	for range n {
-		r.at++
-		busy = append(busy, idle[r.at%len(idle)])
+		r.pos++
+		busy = append(busy, idle[r.pos%len(idle)])
 	}
 	return busy
 }
 
-// watchEngines asks engines themselves whether they leave, while the list can't tell. Each is asked by the owner of its
-// shard, which tells those that have runs there: questions delay an engine's work and are paid for.
+// watchEngines polls engines for their leaving while the list of targets is unavailable. Each engine is polled only by the owner of its
+// shard, which notifies the instances with runs there: polls delay an engine's work and count against its limits.
 func (p *Process) watchEngines(ctx context.Context) {
-	t := time.NewTicker(watchEvery)
+	t := time.NewTicker(watchInterval)
 	defer t.Stop()
-	asked := make(map[string]time.Time) // engines with a limit
-	var round askRound
+	polled := make(map[string]time.Time) // engines with a limit
+	var round idleRound
 	for {
 		select {
 		case <-ctx.Done():
@@ -56,53 +56,53 @@
 		}
 		owned := p.link.OwnedEngines()
 		if len(owned) == 0 {
-			t.Reset(watchIdle)
+			t.Reset(watchIdleInterval)
 			continue
 		}
-		t.Reset(watchEvery)
-		if !p.listAway() {
-			clear(asked)
+		t.Reset(watchInterval)
+		if !p.listUnavailable() {
+			clear(polled)
 			continue
 		}
 		now := time.Now()
 		for _, id := range round.next(p.fleet.SplitBusy(owned)) {
-			if e, known := p.fleet.Info(id); known && !p.fleet.IsLeaving(id) && p.mayAsk(now, id, asked) {
-				go p.ask(ctx, e)
+			if e, known := p.fleet.Info(id); known && !p.fleet.IsLeaving(id) && p.mayPoll(now, id, polled) {
+				go p.pollEngine(ctx, e)
 			}
 		}
 	}
 }
 
-// mayAsk reports whether an engine may be asked now. One that rests is not, and one that has named a limit is asked less often, and within its limit.
-func (p *Process) mayAsk(now time.Time, engine string, asked map[string]time.Time) bool {
+// mayPoll reports whether an engine may be polled now: not while it is in backoff, and less often and within its limit if it has one.
+func (p *Process) mayPoll(now time.Time, engine string, polled map[string]time.Time) bool {
 	if p.fleet.InBackoff(now, engine) {
 		return false
 	}
 	if !p.fleet.LimitOf(engine).On {
 		return true
 	}
-	if now.Sub(asked[engine]) < watchLimited {
+	if now.Sub(polled[engine]) < watchLimitedInterval {
 		return false
 	}
 	permit, _ := p.fleet.Permit(now, engine, p.cfg.Instance, false)
 	if permit.Granted {
-		asked[engine] = now
+		polled[engine] = now
 	}
 	return permit.Granted
 }
 
-// listLost reports whether a call for the list has failed and none has succeeded since, here or at the reader.
+// listLost reports whether a call for the list has failed and none has succeeded since, at this instance or at its reader.
 func (p *Process) listLost() bool {
 	failed := p.listFailed.Load()
 	return failed != nil && failed.After(p.feeds.targets.LastContact())
 }
 
-// listAway reports whether the list of targets can't be relied on: it is old, or lost.
-func (p *Process) listAway() bool {
-	return time.Since(p.feeds.targets.LastContact()) >= listSilent || p.listLost() || p.track.StoreLost()
+// listUnavailable reports whether the list of targets is unreliable: it is old, or its feed is lost.
+func (p *Process) listUnavailable() bool {
+	return time.Since(p.feeds.targets.LastContact()) >= listStaleAfter || p.listLost() || p.syncer.StoreLost()
 }
 
-func (p *Process) ask(ctx context.Context, e fleet.Info) {
+func (p *Process) pollEngine(ctx context.Context, e fleet.Info) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := p.site.Engines.Report(ctx, e)
