--- a/lib/control/settings.go
+++ b/lib/control/settings.go
@@ -27,7 +27,7 @@
 func (p *Process) hear(m *meshpb.LocalUp) {
 	p.tables.hear(m)
 	if st := m.GetStatus(); st != nil {
-		p.sync.Notice(map[string]uint64{p.opts.Instance: st.GetSettingsRevision()})
+		p.sync.SetPeerRevisions(map[string]uint64{p.opts.Instance: st.GetSettingsRevision()})
 	}
 }
 
--- a/lib/ctl/apply.go
+++ b/lib/ctl/apply.go
@@ -96,13 +96,13 @@
 
 func (g *globals) apply(ctx context.Context, c *platform.Client, d *document, f applyFlags) error {
 	rec, err := settingsync.Commit(ctx, c, settingsync.Change{
-		Text:     d.text,
-		File:     d.name,
-		Base:     d.stamp,
-		Operator: f.operator,
-		Note:     f.note,
-		From:     f.from,
-		Time:     time.Now(),
+		Text:       d.text,
+		File:       d.name,
+		Base:       d.stamp,
+		Operator:   f.operator,
+		Note:       f.note,
+		CopiedFrom: f.from,
+		Time:       time.Now(),
 	})
 	var conflict *settingsync.Conflict
 	if errors.As(err, &conflict) {
--- a/lib/ctl/ctl.go
+++ b/lib/ctl/ctl.go
@@ -143,7 +143,7 @@
 }
 
 func exitCode(err error) int {
-	var refusal *settings.Refusal
+	var refusal *settings.ValidationError
 	var conflict *settingsync.Conflict
 	switch {
 	case err == nil:
--- a/lib/ctl/inspect.go
+++ b/lib/ctl/inspect.go
@@ -37,7 +37,7 @@
 
 func (g *globals) validate(name string) error {
 	_, err := g.readDocument(name)
-	var refusal *settings.Refusal
+	var refusal *settings.ValidationError
 	if errors.As(err, &refusal) {
 		for _, p := range refusal.Problems {
 			fmt.Fprintln(g.Out, p)
@@ -190,8 +190,8 @@
 
 func noteOf(r settingsync.Record) string {
 	note := strings.Join(strings.Fields(r.Note), " ")
-	if r.From > 0 {
-		note = strings.TrimSpace(fmt.Sprintf("(content of revision %d) %s", r.From, note))
+	if r.CopiedFrom > 0 {
+		note = strings.TrimSpace(fmt.Sprintf("(content of revision %d) %s", r.CopiedFrom, note))
 	}
 	return note
 }
--- a/lib/entry/accept.go
+++ b/lib/entry/accept.go
@@ -67,7 +67,7 @@
 		rq.class = rq.workspace.Classes[0]
 		return nil
 	}
-	if !rq.workspace.MayName(rq.class) {
+	if !rq.workspace.MayUseClass(rq.class) {
 		class := rq.class
 		rq.class = ""
 		return result.New(result.Forbidden, "class %q", class)
@@ -77,7 +77,7 @@
 
 // policy returns the policy for a service, or an error if the workspace may not use the service.
 func (rq *request) policy(svc *settings.Service) (*settings.Policy, *result.Error) {
-	if !rq.workspace.MayUse(svc.Name) {
+	if !rq.workspace.MayUseService(svc.Name) {
 		return nil, result.New(result.Forbidden, "service %q", svc.Name)
 	}
 	return rq.view.snapshot.Policy(svc.Name, rq.workspace.Name, rq.class), nil
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -74,7 +74,7 @@
 func (l *Link) HandleDown(m *meshpb.LocalDown) {
 	switch m := m.GetMsg().(type) {
 	case *meshpb.LocalDown_Settings:
-		l.opts.Sync.Learn(m.Settings, sourceControl)
+		l.opts.Sync.Receive(m.Settings, sourceControl)
 		l.drainsOnce.Do(func() { close(l.drainsReceived) })
 	case *meshpb.LocalDown_View:
 		if l.opts.View != nil {
--- a/lib/entrylink/entrylink_test.go
+++ b/lib/entrylink/entrylink_test.go
@@ -95,7 +95,7 @@
 		defer func() { cancel(); synctest.Wait() }()
 		go sy.Run(ctx)
 		go l.Run(ctx)
-		sy.Learn(settingsMsg(1, text).GetSettings(), "peer")
+		sy.Receive(settingsMsg(1, text).GetSettings(), "peer")
 		time.Sleep(time.Second)
 		synctest.Wait()
 		must.SliceEmpty(t, applied)
@@ -115,7 +115,7 @@
 func TestEntryServesWithoutControlProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, inForce := run(t)
-		l.opts.Sync.Learn(settingsMsg(1, text).GetSettings(), "peer")
+		l.opts.Sync.Receive(settingsMsg(1, text).GetSettings(), "peer")
 		must.NotNil(t, inForce())
 	})
 }
--- a/lib/entryproc/assemble.go
+++ b/lib/entryproc/assemble.go
@@ -47,7 +47,7 @@
 
 func (p *Process) limitConfig() limit.Config {
 	if p.links == nil {
-		return limit.AloneConfig()
+		return limit.SingleInstanceConfig()
 	}
 	return limit.DefaultConfig
 }
@@ -106,10 +106,10 @@
 	}
 	if p.links != nil {
 		opts.Records = record.New(ctx, record.Options{
-			Self: mesh.Identity{Instance: p.cfg.Instance, Incarnation: p.cfg.Incarnation},
-			Node: p.links.node,
-			View: p.links.members.View,
-			Lost: func(g ids.Generation) { p.server.StopSuperseded(g) },
+			Self:         mesh.Identity{Instance: p.cfg.Instance, Incarnation: p.cfg.Incarnation},
+			Node:         p.links.node,
+			View:         p.links.members.View,
+			OnSuperseded: func(g ids.Generation) { p.server.StopSuperseded(g) },
 		})
 	}
 }
--- a/lib/entryproc/links.go
+++ b/lib/entryproc/links.go
@@ -121,7 +121,7 @@
 func (l *links) forgetDropped(names []string) {
 	for _, name := range l.listed {
 		if !slices.Contains(names, name) {
-			l.limits.Forget(name)
+			l.limits.MarkDead(name)
 		}
 	}
 	l.listed = names
@@ -147,7 +147,7 @@
 // in force or not: peers of another version may read what it can't. An instance that finds itself replaced, after a long pause, takes no more
 // work: its successor has its place, and what is in progress here may still end.
 func (l *links) exchangeOnce() {
-	l.sync.Notice(l.members.SettingsRevisions())
+	l.sync.SetPeerRevisions(l.members.SettingsRevisions())
 	l.members.SetLocal(l.sync.Offer().GetRevision(), l.decider.host.Digests())
 	if l.members.View().Replaced {
 		l.server.RejectNew()
--- a/lib/entryproc/links_test.go
+++ b/lib/entryproc/links_test.go
@@ -68,9 +68,9 @@
 	list(all[0], all)
 	text, err := os.ReadFile(settingsFile(t, "127.0.0.1:1"))
 	must.NoError(t, err)
-	all[0].links.sync.Learn(&meshpb.SettingsBody{Revision: 1, Yaml: text}, "control")
+	all[0].links.sync.Receive(&meshpb.SettingsBody{Revision: 1, Yaml: text}, "control")
 	until(t, "revision 1", func() bool { return all[1].links.sync.Status().InForce == 1 })
-	all[0].links.sync.Learn(&meshpb.SettingsBody{Revision: 2, Yaml: append(text, "moods: {}\n"...)}, "control")
+	all[0].links.sync.Receive(&meshpb.SettingsBody{Revision: 2, Yaml: append(text, "moods: {}\n"...)}, "control")
 	until(t, "revision 2", func() bool { return all[1].links.sync.Status().Seen == 2 })
 	must.Eq(t, 1, all[1].links.sync.Status().InForce)
 }
@@ -84,7 +84,7 @@
 	must.NoError(t, err)
 	times := "failure_domains: [govan-depot], heartbeat_interval: 50ms, progress_interval: 70ms, tick_interval: 30ms, shard_targets: 3}"
 	text = []byte(strings.Replace(string(text), "failure_domains: [govan-depot]}", times, 1))
-	all[0].links.sync.Learn(&meshpb.SettingsBody{Revision: 1, Yaml: text}, "control")
+	all[0].links.sync.Receive(&meshpb.SettingsBody{Revision: 1, Yaml: text}, "control")
 	until(t, "settings", func() bool { return all[0].server.Revision() == 1 && all[1].server.Revision() == 1 })
 	site := siteOf(all[0].server.Snapshot())
 	must.Eq(t, 70*time.Millisecond, site.ProgressEvery)
--- a/lib/gateway/backup.go
+++ b/lib/gateway/backup.go
@@ -21,7 +21,7 @@
 // wantsBackup reports whether the run needs a backup, which holds for a run that can't be repeated from its prompt. Only a
 // backup survives the crash of the run's engine, or a termination notice too short for a move.
 func (r *run) wantsBackup() bool {
-	return r.c.engine != nil && r.c.engine.Backups && !r.c.route.MayRepeat() && r.g.Names.Backup != ""
+	return r.c.engine != nil && r.c.engine.SupportsBackups && !r.c.route.MayRepeat() && r.g.Names.Backup != ""
 }
 
 // chooseBackup selects an engine for the run's backup: the one that the owner found along with the run's engine, or one
--- a/lib/gateway/call.go
+++ b/lib/gateway/call.go
@@ -82,8 +82,8 @@
 		return c, &refusal{status: http.StatusNotFound, reason: "no_route"}
 	}
 	c.priority = c.route.Priority
-	if t.Keyed && !c.route.Public {
-		holder := t.Holder(r.Header.Get(g.Names.Key))
+	if t.KeyRequired && !c.route.Public {
+		holder := t.WorkspaceForKey(r.Header.Get(g.Names.Key))
 		if holder == nil {
 			return c, &refusal{status: http.StatusUnauthorized, reason: "no_key"}
 		}
@@ -95,7 +95,7 @@
 	if ref := g.readBody(w, r, c, t.Limits.BodyBytes); ref != nil {
 		return c, ref
 	}
-	c.service = c.route.Choose(rand.Float64())
+	c.service = c.route.PickService(rand.Float64())
 	c.engine = t.Service(c.service).Engine
 	g.readHeaders(r, c)
 	return c, g.checkPoison(c)
--- a/lib/gateway/gateway_test.go
+++ b/lib/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 }
 
 func newTestGateway() *Gateway {
-	return New(Config{Names: testNames, Fleet: fleet.New("z"), Pool: wirehttp.NewPool(nil), Budget: retry.NewShare(0.2, 50, 10*time.Second)})
+	return New(Config{Names: testNames, Fleet: fleet.New("z"), Pool: wirehttp.NewPool(nil), Budget: retry.NewInstanceBudget(0.2, 50, 10*time.Second)})
 }
 
 func testTable(t *testing.T, version int64) *routes.Table {
@@ -30,9 +30,9 @@
 		Routes: []routes.Route{{
 			Name: "r", Host: "h", Prefix: "/", Kind: routes.Idempotent, Timeout: time.Second, MaxAttempts: 2, Split: []routes.Share{{Service: "s"}},
 		}},
-		Services:   []routes.Service{{Name: "s"}},
-		Workspaces: []routes.Workspace{{Name: "w", Keys: []string{"k"}}},
-		Keyed:      true,
+		Services:    []routes.Service{{Name: "s"}},
+		Workspaces:  []routes.Workspace{{Name: "w", Keys: []string{"k"}}},
+		KeyRequired: true,
 	})
 	must.NoError(t, err)
 	return tab
--- a/lib/gateway/metrics.go
+++ b/lib/gateway/metrics.go
@@ -48,10 +48,10 @@
 
 // ExportBudget registers gauges of the remaining retry budget of each service.
 func (g *Gateway) ExportBudget(t *routes.Table) {
-	t.Services(func(s *routes.Service) {
+	t.EachService(func(s *routes.Service) {
 		name := s.Name
 		metrics.GetOrCreateGauge(fmt.Sprintf("anvilwick_gateway_repeats_left{service=%q}", name), func() float64 {
-			return g.Budget.Left(time.Now(), name)
+			return g.Budget.Remaining(time.Now(), name)
 		})
 	})
 }
--- a/lib/gateway/move.go
+++ b/lib/gateway/move.go
@@ -52,7 +52,7 @@
 		byService[target.Service] = append(byService[target.Service], target)
 	}
 	for name, leaving := range byService {
-		if svc := t.Service(name); svc != nil && svc.Engine != nil && svc.Engine.Moves {
+		if svc := t.Service(name); svc != nil && svc.Engine != nil && svc.Engine.SupportsMoves {
 			g.moveServiceRuns(svc, leaving)
 		}
 	}
@@ -128,7 +128,7 @@
 		return moveplan.Link{}, false
 	}
 	svc := t.Service(service)
-	if svc == nil || svc.Engine == nil || !svc.Engine.Moves {
+	if svc == nil || svc.Engine == nil || !svc.Engine.SupportsMoves {
 		return moveplan.Link{}, false
 	}
 	return linkOf(svc.Engine), true
--- a/lib/gateway/run.go
+++ b/lib/gateway/run.go
@@ -59,7 +59,7 @@
 	r.mu.Unlock()
 	r.g.runs.add(target.ID, r)
 	r.g.notifyOwners()
-	if r.c.engine != nil && r.c.engine.Moves && !r.staysOnLeaving() && r.g.Fleet.IsLeaving(target.ID) {
+	if r.c.engine != nil && r.c.engine.SupportsMoves && !r.staysOnLeaving() && r.g.Fleet.IsLeaving(target.ID) {
 		go r.g.move(r, target, time.Now(), moveplan.Step{})
 	}
 }
@@ -117,7 +117,7 @@
 	if r.c.engine == nil {
 		return
 	}
-	tokens := events * max(1, r.c.engine.Stride)
+	tokens := events * max(1, r.c.engine.TokensPerEvent)
 	r.mu.Lock()
 	r.outputTokens += tokens
 	by := fleet.Load{Tokens: min(tokens, max(0, r.outputTokens-r.c.output/2)), Unread: -r.load.Unread}
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -49,9 +49,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.outputTokens == 0 {
-		return max(minSilence, time.Duration(firstShare*float64(r.c.route.Aim)))
+		return max(minSilence, time.Duration(firstShare*float64(r.c.route.LatencyObjective)))
 	}
-	return max(minSilence, stallFactor*r.c.route.GapAim)
+	return max(minSilence, stallFactor*r.c.route.GapObjective)
 }
 
 // check closes the connection if the target is unreachable, and otherwise schedules the next check.
@@ -64,7 +64,7 @@
 		return
 	}
 	left := w.r.silenceLimit() - now.Sub(w.r.lastContactAt())
-	if left <= 0 && !alive && w.r.g.Budget.Left(now, w.r.c.service) >= 1 {
+	if left <= 0 && !alive && w.r.g.Budget.Remaining(now, w.r.c.service) >= 1 {
 		w.r.g.Log.TargetSilent(w.r.c.entry(), w.target, now.Sub(w.r.lastContactAt()))
 		w.conn.Close()
 		return
--- a/lib/record/bench_test.go
+++ b/lib/record/bench_test.go
@@ -24,14 +24,14 @@
 	for prompt.Len() < 6000 {
 		fmt.Fprintf(&prompt, "%s ", vocabulary[words.IntN(len(vocabulary))])
 	}
-	k := &Keeper{opts: Options{Self: mesh.Identity{Instance: "entry-govan-1", Incarnation: 1 << 60}}}
+	k := &Replicator{opts: Options{Self: mesh.Identity{Instance: "entry-govan-1", Incarnation: 1 << 60}}}
 	p := &peer{k: k, to: member.Member{Instance: "entry-govan-2"}, have: map[key]int{}}
 	id := keyOf("glasgow-planning", "extraction-1")
 	var all, request, text int
 	for range b.N {
 		all, request, text = 0, 0, 0
 		clear(p.have)
-		st := newStore(DefaultMaxBytes, DefaultExpire)
+		st := newStore(DefaultMaxBytes, DefaultRetention)
 		var rec *meshpb.Record
 		for from := 0; from < tokens; from += each {
 			inc0 := toProto(benchRecord(prompt.String(), from, each), id, from, k.opts.Self)
--- a/lib/record/get.go
+++ b/lib/record/get.go
@@ -17,7 +17,7 @@
 const retryRunning = time.Second
 
 // Get implements entry.Records.
-func (k *Keeper) Get(ctx context.Context, workspace, idempotencyKey string) (*entry.Record, *result.Error) {
+func (k *Replicator) Get(ctx context.Context, workspace, idempotencyKey string) (*entry.Record, *result.Error) {
 	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout)
 	defer cancel()
 	best := k.find(ctx, keyOf(workspace, idempotencyKey))
@@ -42,7 +42,7 @@
 
 // find asks everyone who may hold the record and takes the most advanced answer. One of those asked may be the dead
 // entry itself, behind a link that hangs; half of the time is left to find out about the owner.
-func (k *Keeper) find(ctx context.Context, id key) *meshpb.Record {
+func (k *Replicator) find(ctx context.Context, id key) *meshpb.Record {
 	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout/2)
 	defer cancel()
 	asked := searched(ranked(id, k.opts.View().Workers()))
@@ -70,7 +70,7 @@
 	return a.GetFinished() && !b.GetFinished()
 }
 
-func (k *Keeper) ask(ctx context.Context, m member.Member, id key) *meshpb.Record {
+func (k *Replicator) ask(ctx context.Context, m member.Member, id key) *meshpb.Record {
 	if m.Instance == k.opts.Self.Instance {
 		return k.store.get(time.Now(), id)
 	}
@@ -90,7 +90,7 @@
 
 // ownerGone reports whether the entry that runs the generation is known to be dead, replaced or cut off. A caller whose
 // connection broke comes back before any heartbeat is missed, so an address that refuses counts as well.
-func (k *Keeper) ownerGone(ctx context.Context, rec *meshpb.Record) bool {
+func (k *Replicator) ownerGone(ctx context.Context, rec *meshpb.Record) bool {
 	m, ok := k.opts.View().Get(rec.GetOwner())
 	switch {
 	case !ok, m.State == member.Dead, m.Incarnation > rec.GetOwnerIncarnation():
--- a/lib/record/keeper.go
+++ b/lib/record/keeper.go
@@ -14,26 +14,26 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxBytes = 16 << 20
-	DefaultExpire   = 5 * time.Minute
-	DefaultTimeout  = time.Second
+	DefaultMaxBytes  = 16 << 20
+	DefaultRetention = 5 * time.Minute
+	DefaultTimeout   = time.Second
 )
 
 // Options of a Keeper. Zero fields take the defaults.
 type Options struct {
-	Self     mesh.Identity
-	Node     *mesh.Node
-	View     func() *member.View
-	MaxBytes int           // of records kept for others, and again of own ones
-	Expire   time.Duration // of a record that nobody changed
-	Timeout  time.Duration // of one exchange with a peer
-	// Lost is told a generation that runs here and that another entry has gone on with. It may be told more than once.
-	Lost func(ids.Generation)
+	Self      mesh.Identity
+	Node      *mesh.Node
+	View      func() *member.View
+	MaxBytes  int           // of records kept for others, and again of own ones
+	Retention time.Duration // of a record that nobody changed
+	Timeout   time.Duration // of one exchange with a peer
+	// OnSuperseded is told a generation that runs here and that another entry has gone on with. It may be told more than once.
+	OnSuperseded func(ids.Generation)
 }
 
-// Keeper puts records of this entry's generations with peers, keeps those of peers, and finds them again. It implements
+// Replicator puts records of this entry's generations with peers, keeps those of peers, and finds them again. It implements
 // entry.Records.
-type Keeper struct {
+type Replicator struct {
 	opts  Options
 	ctx   context.Context
 	store *store
@@ -44,7 +44,7 @@
 	peers map[string]*peer // by instance
 }
 
-var _ entry.Records = (*Keeper)(nil)
+var _ entry.Records = (*Replicator)(nil)
 
 // own is a record of a generation that runs here. The peers may change, so the whole is kept until it is over.
 type own struct {
@@ -55,23 +55,23 @@
 }
 
 // New returns a Keeper that lives until ctx is done, and serves records on o.Node.
-func New(ctx context.Context, o Options) *Keeper {
+func New(ctx context.Context, o Options) *Replicator {
 	if o.MaxBytes <= 0 {
 		o.MaxBytes = DefaultMaxBytes
 	}
-	if o.Expire <= 0 {
-		o.Expire = DefaultExpire
+	if o.Retention <= 0 {
+		o.Retention = DefaultRetention
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = DefaultTimeout
 	}
-	if o.Lost == nil {
-		o.Lost = func(ids.Generation) {}
+	if o.OnSuperseded == nil {
+		o.OnSuperseded = func(ids.Generation) {}
 	}
-	k := &Keeper{
+	k := &Replicator{
 		opts:  o,
 		ctx:   ctx,
-		store: newStore(o.MaxBytes, o.Expire),
+		store: newStore(o.MaxBytes, o.Retention),
 		own:   make(map[key]*own),
 		peers: make(map[string]*peer),
 	}
@@ -80,7 +80,7 @@
 }
 
 // Put implements entry.Records.
-func (k *Keeper) Put(rec *entry.Record, from int) {
+func (k *Replicator) Put(rec *entry.Record, from int) {
 	id := keyOf(rec.Subject.Workspace, rec.Key)
 	inc := toProto(rec, id, from, k.opts.Self)
 	if inc.Request = nil; !k.has(id, inc.GetGeneration()) {
@@ -108,7 +108,7 @@
 }
 
 // has reports whether the request of a generation is kept here.
-func (k *Keeper) has(id key, generation []byte) bool {
+func (k *Replicator) has(id key, generation []byte) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	o := k.own[id]
@@ -116,10 +116,10 @@
 }
 
 // makeRoom drops own records that are over or old, when all of them hold too much. The caller holds mu.
-func (k *Keeper) makeRoom() {
+func (k *Replicator) makeRoom() {
 	now := time.Now()
 	for id, o := range k.own {
-		old := now.Sub(o.changed) > k.opts.Expire
+		old := now.Sub(o.changed) > k.opts.Retention
 		settled := o.rec.GetFinished() && now.Sub(o.changed) > settleTime
 		if old || settled || k.bytes > k.opts.MaxBytes {
 			k.drop(id, o)
@@ -130,7 +130,7 @@
 // settleTime is how long a finished record is kept here so that both peers get its end.
 const settleTime = 10 * time.Second
 
-func (k *Keeper) drop(id key, o *own) {
+func (k *Replicator) drop(id key, o *own) {
 	delete(k.own, id)
 	k.bytes -= o.size
 	o.dropped = true
@@ -141,7 +141,7 @@
 }
 
 // peerOf returns the sender to a member. The caller holds mu.
-func (k *Keeper) peerOf(m member.Member) *peer {
+func (k *Replicator) peerOf(m member.Member) *peer {
 	p := k.peers[m.Instance]
 	if p != nil && p.to.Incarnation == m.Incarnation && p.to.MeshAddr == m.MeshAddr {
 		return p
@@ -155,7 +155,7 @@
 }
 
 // serve answers one peer's puts and gets.
-func (k *Keeper) serve(_ context.Context, s *mesh.Stream) {
+func (k *Replicator) serve(_ context.Context, s *mesh.Stream) {
 	for {
 		var req meshpb.RecordRequest
 		if err := s.Read(&req); err != nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-func (k *Keeper) answer(req *meshpb.RecordRequest) *meshpb.RecordReply {
+func (k *Replicator) answer(req *meshpb.RecordRequest) *meshpb.RecordReply {
 	switch m := req.GetMsg().(type) {
 	case *meshpb.RecordRequest_Put:
 		if k.newer(m.Put) {
@@ -184,7 +184,7 @@
 
 // newer reports whether this entry itself runs a later attempt of a generation that a peer records. Is the peer's the
 // later one, then this entry was frozen or cut off, and the peer has taken the generation over: it must not run on.
-func (k *Keeper) newer(inc *meshpb.Record) bool {
+func (k *Replicator) newer(inc *meshpb.Record) bool {
 	id := key{inc.GetWorkspace(), inc.GetKeyHash()}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -201,9 +201,9 @@
 }
 
 // lose drops an own record that another entry has gone on with. The caller holds mu.
-func (k *Keeper) lose(id key, o *own) {
+func (k *Replicator) lose(id key, o *own) {
 	k.drop(id, o)
 	if g, err := ids.FromBytes(o.rec.GetGeneration()); err == nil {
-		go k.opts.Lost(g)
+		go k.opts.OnSuperseded(g)
 	}
 }
--- a/lib/record/keeper_test.go
+++ b/lib/record/keeper_test.go
@@ -28,7 +28,7 @@
 }
 
 type proc struct {
-	*Keeper
+	*Replicator
 	lost chan ids.Generation
 	self member.Member
 	stop func()
@@ -46,12 +46,12 @@
 	ln, err := net.Listen("tcp", addr)
 	must.NoError(c.t, err)
 	id := mesh.Identity{Instance: name, Incarnation: 1}
-	node, err := mesh.New(mesh.Options{Self: id, Plain: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
+	node, err := mesh.New(mesh.Options{Self: id, Plaintext: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
 	must.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &proc{self: member.Member{Instance: name, Incarnation: 1, FailureDomain: fmt.Sprint("d", domain%3), MeshAddr: ln.Addr().String()}}
 	p.lost = make(chan ids.Generation, 16)
-	p.Keeper = New(ctx, Options{Self: id, Node: node, View: c.current, Lost: func(g ids.Generation) { p.lost <- g }})
+	p.Replicator = New(ctx, Options{Self: id, Node: node, View: c.current, OnSuperseded: func(g ids.Generation) { p.lost <- g }})
 	go node.Serve(ln)
 	p.stop = sync.OnceFunc(func() {
 		cancel()
--- a/lib/record/peer.go
+++ b/lib/record/peer.go
@@ -17,7 +17,7 @@
 
 // peer sends records to one member on its own goroutine. Keeper.mu guards wanted, have and closed.
 type peer struct {
-	k      *Keeper
+	k      *Replicator
 	to     member.Member
 	kick   chan struct{}
 	wanted map[key]bool
@@ -26,7 +26,7 @@
 	stream *mesh.Stream
 }
 
-func newPeer(k *Keeper, to member.Member) *peer {
+func newPeer(k *Replicator, to member.Member) *peer {
 	p := &peer{k: k, to: to, kick: make(chan struct{}, 1), wanted: make(map[key]bool), have: make(map[key]int)}
 	go p.run()
 	return p
@@ -135,10 +135,10 @@
 }
 
 // next returns one wanted increment for the peer, or nil.
-func (k *Keeper) next(p *peer) (id key, inc *meshpb.Record, closed bool) {
+func (k *Replicator) next(p *peer) (id key, inc *meshpb.Record, closed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if m, ok := k.opts.View().Get(p.to.Instance); !ok || !m.TakesWork() {
+	if m, ok := k.opts.View().Get(p.to.Instance); !ok || !m.AcceptsWork() {
 		clear(p.wanted) // the next Put chooses another peer
 	}
 	for id := range p.wanted {
@@ -174,7 +174,7 @@
 }
 
 // sent notes the answer to an increment. A peer that lost the record, or never had its start, is sent the whole.
-func (k *Keeper) sent(p *peer, id key, inc *meshpb.Record, reply *meshpb.RecordReply, err error) {
+func (k *Replicator) sent(p *peer, id key, inc *meshpb.Record, reply *meshpb.RecordReply, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	o := k.own[id]
@@ -197,7 +197,7 @@
 }
 
 // forgetIdle drops a sender without work.
-func (k *Keeper) forgetIdle(p *peer) bool {
+func (k *Replicator) forgetIdle(p *peer) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(p.wanted) > 0 {
--- a/lib/record/store_test.go
+++ b/lib/record/store_test.go
@@ -121,7 +121,7 @@
 // A peer has lost a record, or never had it, when the next tokens come without what stays the same. Kept by itself, the
 // increment would be given out as the record of an entry that is gone, and with other content than its caller's.
 func TestBareIncrementIsNotKeptAlone(t *testing.T) {
-	s := newStore(DefaultMaxBytes, DefaultExpire)
+	s := newStore(DefaultMaxBytes, DefaultRetention)
 	now := time.Now()
 	id := keyOf("w", "k")
 	whole := toProto(recordOf("k", "a"), id, 0, mesh.Identity{Instance: "e", Incarnation: 7})
--- a/lib/routes/routes.go
+++ b/lib/routes/routes.go
@@ -42,8 +42,8 @@
 	Name, Host, Prefix string
 	Kind               Kind
 	Timeout            time.Duration // longest time to an answer; 0: none
-	Aim                time.Duration // time to an answer, or to a stream's first event, of full worth
-	GapAim             time.Duration // longest pause in a stream of full worth
+	LatencyObjective   time.Duration // time to an answer, or to a stream's first event, of full worth
+	GapObjective       time.Duration // longest pause in a stream of full worth
 	Priority           int           // 0 is the most urgent
 	MaxAttempts        int           // targets that one attempt of the caller may be sent to
 	Public             bool          // no key is asked for
@@ -60,14 +60,14 @@
 
 // Engine is what a service's model engines can do.
 type Engine struct {
-	Slots      int
-	KVTokens   int // tokens that fit into an engine's memory
-	KVBytes    float64
-	LinkMbps   float64
-	Moves      bool // runs can be copied to another engine
-	Backups    bool // runs can be copied while they grow
-	Stride     int  // tokens in an event
-	HandleLife time.Duration
+	Slots           int
+	KVTokens        int // tokens that fit into an engine's memory
+	KVBytes         float64
+	LinkMbps        float64
+	SupportsMoves   bool // runs can be copied to another engine
+	SupportsBackups bool // runs can be copied while they grow
+	TokensPerEvent  int  // tokens in an event
+	HandleTTL       time.Duration
 }
 
 // Service is a set of targets.
@@ -75,8 +75,8 @@
 	Name       string
 	HealthPath string
 	MaxConns   int           // connections a target accepts from all instances together
-	ColdFor    time.Duration // a target is slow for so long after it starts
-	ColdRate   float64       // requests a second that it takes meanwhile, from all instances together; 0: as many as ever
+	WarmupTime time.Duration // a target is slow for so long after it starts
+	WarmupRate float64       // requests a second that it takes meanwhile, from all instances together; 0: as many as ever
 	Engine     *Engine
 }
 
@@ -96,29 +96,29 @@
 
 // Revision is one state of the settings as written.
 type Revision struct {
-	Version    int64
-	Routes     []Route
-	Services   []Service
-	Workspaces []Workspace
-	Keyed      bool // requests need a key, even when no workspace is left
-	Limits     Limits
+	Version     int64
+	Routes      []Route
+	Services    []Service
+	Workspaces  []Workspace
+	KeyRequired bool // requests need a key, even when no workspace is left
+	Limits      Limits
 }
 
 // Table answers look-ups in one revision.
 type Table struct {
-	Version  int64
-	Limits   Limits
-	Keyed    bool
-	hosts    map[string][]*Route // longest prefix first
-	keys     map[string]*Workspace
-	names    map[string]*Workspace
-	services map[string]*Service
+	Version     int64
+	Limits      Limits
+	KeyRequired bool
+	hosts       map[string][]*Route // longest prefix first
+	keys        map[string]*Workspace
+	names       map[string]*Workspace
+	services    map[string]*Service
 }
 
 // NewTable indexes a revision. It refuses one that could route a request wrongly.
 func NewTable(rev *Revision) (*Table, error) {
 	t := &Table{
-		Version: rev.Version, Limits: rev.Limits, Keyed: rev.Keyed,
+		Version: rev.Version, Limits: rev.Limits, KeyRequired: rev.KeyRequired,
 		hosts: make(map[string][]*Route), keys: make(map[string]*Workspace),
 		names: make(map[string]*Workspace), services: make(map[string]*Service),
 	}
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// Holder returns the workspace that holds a key, nil when none does.
-func (t *Table) Holder(key string) *Workspace { return t.keys[key] }
+// WorkspaceForKey returns the workspace that holds a key, nil when none does.
+func (t *Table) WorkspaceForKey(key string) *Workspace { return t.keys[key] }
 
 // Regions returns where a workspace's requests on a route may run. Where both name regions, both bind: the result is not nil then,
 // but may be empty. nil: anywhere.
@@ -198,15 +198,15 @@
 // Service returns a service by name, nil when there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services calls f for each service.
-func (t *Table) Services(f func(*Service)) {
+// EachService calls f for each service.
+func (t *Table) EachService(f func(*Service)) {
 	for _, s := range t.services {
 		f(s)
 	}
 }
 
-// Choose picks the service of a request by the route's split; u is uniform in [0, 1).
-func (r *Route) Choose(u float64) string {
+// PickService picks the service of a request by the route's split; u is uniform in [0, 1).
+func (r *Route) PickService(u float64) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += s.Weight
--- a/lib/routes/routes_test.go
+++ b/lib/routes/routes_test.go
@@ -14,9 +14,9 @@
 			{Name: "short", Host: "h", Prefix: "/a/", Kind: Idempotent, Split: []Share{{Service: "s", Weight: 1}}},
 			{Name: "long", Host: "h", Prefix: "/a/b/", Kind: Stream, Resumable: true, Split: []Share{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
 		},
-		Services:   []Service{{Name: "s"}, {Name: "t"}},
-		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}},
-		Keyed:      true,
+		Services:    []Service{{Name: "s"}, {Name: "t"}},
+		Workspaces:  []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}},
+		KeyRequired: true,
 	})
 	must.NoError(t, err)
 	return tab
@@ -37,21 +37,21 @@
 
 func TestKeysAndServices(t *testing.T) {
 	tab := table(t)
-	must.Eq(t, "w", tab.Holder("k2").Name)
-	must.Nil(t, tab.Holder(""))
-	must.Nil(t, tab.Holder("k3"))
+	must.Eq(t, "w", tab.WorkspaceForKey("k2").Name)
+	must.Nil(t, tab.WorkspaceForKey(""))
+	must.Nil(t, tab.WorkspaceForKey("k3"))
 	must.NotNil(t, tab.Service("t"))
 	must.Nil(t, tab.Service("u"))
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
 	r := table(t).Match("h", "/a/b/x")
-	must.Eq(t, "s", r.Choose(0))
-	must.Eq(t, "s", r.Choose(0.89))
-	must.Eq(t, "t", r.Choose(0.91))
-	must.Eq(t, "t", r.Choose(0.999999))
+	must.Eq(t, "s", r.PickService(0))
+	must.Eq(t, "s", r.PickService(0.89))
+	must.Eq(t, "t", r.PickService(0.91))
+	must.Eq(t, "t", r.PickService(0.999999))
 	r.Split = []Share{{Service: "s"}, {Service: "t"}}
-	must.Eq(t, "s", r.Choose(0.5))
+	must.Eq(t, "s", r.PickService(0.5))
 }
 
 func TestMayRepeatFollowsTheKind(t *testing.T) {
--- a/lib/settings/fuzz_test.go
+++ b/lib/settings/fuzz_test.go
@@ -35,7 +35,7 @@
 
 func checkRefusal(t *testing.T, err error) {
 	t.Helper()
-	var r *Refusal
+	var r *ValidationError
 	must.True(t, errors.As(err, &r))
 	must.SliceNotEmpty(t, r.Problems)
 	for _, p := range r.Problems {
--- a/lib/settings/problem.go
+++ b/lib/settings/problem.go
@@ -35,14 +35,14 @@
 	return b.String()
 }
 
-// Refusal lists why a settings file was refused. Nothing of a refused file is used.
-type Refusal struct {
+// ValidationError lists why a settings file was refused. Nothing of a refused file is used.
+type ValidationError struct {
 	Problems []Problem
 	More     int // problems left out of the list
 }
 
 // Error returns the first problem, and how many follow, on one line.
-func (r *Refusal) Error() string {
+func (r *ValidationError) Error() string {
 	rest := len(r.Problems) + r.More - 1
 	if rest == 0 {
 		return r.Problems[0].String()
@@ -69,5 +69,5 @@
 	if len(c.problems) == 0 {
 		return nil
 	}
-	return &Refusal{Problems: c.problems, More: c.more}
+	return &ValidationError{Problems: c.problems, More: c.more}
 }
--- a/lib/settings/settings_test.go
+++ b/lib/settings/settings_test.go
@@ -164,7 +164,7 @@
 
 func problemsOf(t *testing.T, err error) string {
 	t.Helper()
-	var r *Refusal
+	var r *ValidationError
 	must.True(t, errors.As(err, &r))
 	var lines []string
 	for _, p := range r.Problems {
--- a/lib/settings/snapshot.go
+++ b/lib/settings/snapshot.go
@@ -180,10 +180,10 @@
 	})
 }
 
-// MayUse reports whether the workspace may use a service.
-func (w *Workspace) MayUse(service string) bool {
+// MayUseService reports whether the workspace may use a service.
+func (w *Workspace) MayUseService(service string) bool {
 	return len(w.Services) == 0 || slices.Contains(w.Services, service)
 }
 
-// MayName reports whether the workspace may name a class.
-func (w *Workspace) MayName(class string) bool { return slices.Contains(w.Classes, class) }
+// MayUseClass reports whether the workspace may name a class.
+func (w *Workspace) MayUseClass(class string) bool { return slices.Contains(w.Classes, class) }
--- a/lib/settingsync/commit.go
+++ b/lib/settingsync/commit.go
@@ -26,13 +26,13 @@
 
 // Change is what an operator wants committed.
 type Change struct {
-	Text     []byte
-	File     string // named by refusals
-	Base     uint64 // revision that the change was made from; 0: there is none yet
-	Operator string
-	Note     string
-	From     uint64    // earlier revision that Text is taken from; 0: none
-	Time     time.Time // now, by the operator's clock
+	Text       []byte
+	File       string // named by refusals
+	Base       uint64 // revision that the change was made from; 0: there is none yet
+	Operator   string
+	Note       string
+	CopiedFrom uint64    // earlier revision that Text is taken from; 0: none
+	Time       time.Time // now, by the operator's clock
 }
 
 // Commit checks a change and commits it as the revision after Base. It returns the record once it is committed.
@@ -133,19 +133,19 @@
 func newRecord(ctx context.Context, t Table, c Change, head Head) (*Record, error) {
 	next := head.next(t.Era())
 	rec := &Record{
-		Revision: next,
-		Before:   head.Revision,
-		Whole:    next,
-		OpID:     ids.New().String(),
-		Operator: clip(c.Operator, maxNote),
-		Time:     c.Time.UTC().Round(time.Millisecond),
-		Note:     clip(c.Note, maxNote),
-		From:     c.From,
-		Digest:   Digest(c.Text),
+		Revision:     next,
+		Previous:     head.Revision,
+		FullRevision: next,
+		OpID:         ids.New().String(),
+		Operator:     clip(c.Operator, maxNote),
+		Time:         c.Time.UTC().Round(time.Millisecond),
+		Note:         clip(c.Note, maxNote),
+		CopiedFrom:   c.CopiedFrom,
+		Digest:       Digest(c.Text),
 	}
 	base := baseFor(ctx, t, head, rec.Revision)
 	if base.text != nil {
-		rec.Whole = base.revision
+		rec.FullRevision = base.revision
 	}
 	body, err := pack(c.Text, base.text)
 	rec.Body = body
@@ -155,10 +155,10 @@
 // baseFor returns the text to write a difference from; none when it is time for a whole text, or when the base can't
 // be read: a whole text is always correct.
 func baseFor(ctx context.Context, t Table, head Head, next uint64) baseText {
-	if head.Whole == 0 || next-head.Whole >= wholeEvery {
+	if head.FullRevision == 0 || next-head.FullRevision >= wholeEvery {
 		return baseText{}
 	}
-	base, err := readWhole(ctx, t, head.Whole)
+	base, err := readWhole(ctx, t, head.FullRevision)
 	if err != nil {
 		return baseText{}
 	}
@@ -173,7 +173,7 @@
 }
 
 func commitTxn(rec *Record, head platformapi.Item, era uint64) (platformapi.Txn, error) {
-	headValue, err := json.Marshal(Head{Revision: rec.Revision, Whole: rec.Whole, Digest: rec.Digest, Era: era})
+	headValue, err := json.Marshal(Head{Revision: rec.Revision, FullRevision: rec.FullRevision, Digest: rec.Digest, Era: era})
 	if err != nil {
 		return platformapi.Txn{}, err
 	}
@@ -240,15 +240,15 @@
 		}
 		rec.Body = nil
 		out = append(out, *rec)
-		r = rec.before()
+		r = rec.previous()
 	}
 	return out, nil
 }
 
-// before is the number of the revision that a record follows.
-func (r *Record) before() uint64 {
-	if r.Before > 0 {
-		return r.Before
+// previous is the number of the revision that a record follows.
+func (r *Record) previous() uint64 {
+	if r.Previous > 0 {
+		return r.Previous
 	}
 	return r.Revision - 1
 }
--- a/lib/settingsync/commit_test.go
+++ b/lib/settingsync/commit_test.go
@@ -26,7 +26,7 @@
 		text, rec, err := ReadText(t.Context(), table, 2)
 		must.NoError(t, err)
 		must.Eq(t, string(tree(1)), string(text))
-		must.Eq(t, 1, rec.Whole)
+		must.Eq(t, 1, rec.FullRevision)
 		newest, err := Newest(t.Context(), table)
 		must.NoError(t, err)
 		must.Eq(t, 3, newest)
@@ -40,7 +40,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, table := newTable(standin.Config{})
 		_, err := Commit(t.Context(), table, change(0, []byte("site: {colour: red}")))
-		var refusal *settings.Refusal
+		var refusal *settings.ValidationError
 		must.True(t, errors.As(err, &refusal))
 		_, found := s.Item(platformapi.KeySettingsHead)
 		must.False(t, found)
@@ -149,13 +149,13 @@
 		old, _, err := ReadText(t.Context(), table, 1)
 		must.NoError(t, err)
 		c := change(2, old)
-		c.From = 1
+		c.CopiedFrom = 1
 		rec, err := Commit(t.Context(), table, c)
 		must.NoError(t, err)
 		must.Eq(t, 3, rec.Revision)
 		text, rec, err := ReadText(t.Context(), table, 3)
 		must.NoError(t, err)
-		must.Eq(t, 1, rec.From)
+		must.Eq(t, 1, rec.CopiedFrom)
 		must.Eq(t, string(tree(1)), string(text))
 	})
 }
@@ -174,7 +174,7 @@
 			text, rec, err := ReadText(t.Context(), table, n+1)
 			must.NoError(t, err)
 			must.Eq(t, string(tree(int(n))), string(text))
-			if rec.Whole == rec.Revision {
+			if rec.FullRevision == rec.Revision {
 				wholes++
 			}
 		}
@@ -185,7 +185,7 @@
 func TestRecordThatDoesNotMatchItsDigestIsMalformed(t *testing.T) {
 	body, err := pack(tree(1), nil)
 	must.NoError(t, err)
-	rec := Record{Revision: 1, Whole: 1, Digest: Digest(tree(2)), Body: body}
+	rec := Record{Revision: 1, FullRevision: 1, Digest: Digest(tree(2)), Body: body}
 	_, err = rec.text(nil)
 	must.True(t, errorx.IsOfType(err, Malformed))
 }
--- a/lib/settingsync/fuzz_test.go
+++ b/lib/settingsync/fuzz_test.go
@@ -15,7 +15,7 @@
 	for _, base := range [][]byte{nil, tree(1)} {
 		body, err := pack(tree(2), base)
 		must.NoError(f, err)
-		value, err := json.Marshal(Record{Revision: 2, Whole: 1, Digest: Digest(tree(2)), Body: body})
+		value, err := json.Marshal(Record{Revision: 2, FullRevision: 1, Digest: Digest(tree(2)), Body: body})
 		must.NoError(f, err)
 		f.Add(value)
 	}
--- a/lib/settingsync/help_test.go
+++ b/lib/settingsync/help_test.go
@@ -97,7 +97,7 @@
 			}
 		}
 		f.mu.Unlock()
-		s.Notice(revisions)
+		s.SetPeerRevisions(revisions)
 	}
 }
 
--- a/lib/settingsync/peers.go
+++ b/lib/settingsync/peers.go
@@ -18,8 +18,8 @@
 	behind    time.Time // when a peer was first ahead since the last revision learnt; zero: none is
 }
 
-// Notice tells which revisions the peers have, by instance, as their heartbeats say. Instances left out are forgotten.
-func (s *Sync) Notice(revisions map[string]uint64) {
+// SetPeerRevisions tells which revisions the peers have, by instance, as their heartbeats say. Instances left out are forgotten.
+func (s *Sync) SetPeerRevisions(revisions map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers.revisions = maps.Clone(revisions)
@@ -127,14 +127,14 @@
 	return highest > 0 && highest <= s.seen.revision, s.heard
 }
 
-// Conversation is one stream between two instances.
-type Conversation interface {
+// OfferStream is one stream between two instances.
+type OfferStream interface {
 	Read(*meshpb.SettingsOffer) error
 	Write(*meshpb.SettingsBody) error
 }
 
 // Serve answers the offers of one peer until the stream ends.
-func (s *Sync) Serve(c Conversation) error {
+func (s *Sync) Serve(c OfferStream) error {
 	for {
 		var offer meshpb.SettingsOffer
 		if err := c.Read(&offer); err != nil {
--- a/lib/settingsync/record.go
+++ b/lib/settingsync/record.go
@@ -38,10 +38,10 @@
 
 // Head names the newest revision.
 type Head struct {
-	Revision uint64 `json:"revision"`
-	Whole    uint64 `json:"whole"` // newest revision whose text was written whole
-	Digest   string `json:"digest"`
-	Era      uint64 `json:"era,omitempty"` // of the table, as the one who committed it knew it; 0: the first
+	Revision     uint64 `json:"revision"`
+	FullRevision uint64 `json:"whole"` // newest revision whose text was written whole
+	Digest       string `json:"digest"`
+	Era          uint64 `json:"era,omitempty"` // of the table, as the one who committed it knew it; 0: the first
 }
 
 // outlived reports whether the head was written before the table came back from a copy: revisions after it may be lost, and in
@@ -62,16 +62,16 @@
 
 // Record is one committed revision.
 type Record struct {
-	Revision uint64    `json:"revision"`
-	Before   uint64    `json:"before,omitempty"` // the revision that it follows; 0: the number before its own
-	Whole    uint64    `json:"whole"`            // Body is a difference from this revision's text; Revision itself: Body is whole
-	OpID     string    `json:"op_id"`
-	Operator string    `json:"operator"`
-	Time     time.Time `json:"time"` // by the operator's clock
-	Note     string    `json:"note,omitempty"`
-	From     uint64    `json:"from,omitempty"` // earlier revision that it rolled forward to
-	Digest   string    `json:"digest"`         // of the text
-	Body     []byte    `json:"body"`           // compressed
+	Revision     uint64    `json:"revision"`
+	Previous     uint64    `json:"before,omitempty"` // the revision that it follows; 0: the number before its own
+	FullRevision uint64    `json:"whole"`            // Body is a difference from this revision's text; Revision itself: Body is whole
+	OpID         string    `json:"op_id"`
+	Operator     string    `json:"operator"`
+	Time         time.Time `json:"time"` // by the operator's clock
+	Note         string    `json:"note,omitempty"`
+	CopiedFrom   uint64    `json:"from,omitempty"` // earlier revision that it rolled forward to
+	Digest       string    `json:"digest"`         // of the text
+	Body         []byte    `json:"body"`           // compressed
 }
 
 // Digest returns the SHA-256 of a text in hexadecimal digits.
@@ -143,8 +143,8 @@
 	if err != nil {
 		return nil, held, nil, err
 	}
-	if rec.Whole != revision && rec.Whole != held.revision {
-		held, err = readWhole(ctx, t, rec.Whole)
+	if rec.FullRevision != revision && rec.FullRevision != held.revision {
+		held, err = readWhole(ctx, t, rec.FullRevision)
 		if err != nil {
 			return nil, held, nil, err
 		}
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, held, nil, err
 	}
-	if rec.Whole == revision {
+	if rec.FullRevision == revision {
 		held = baseText{revision, text}
 	}
 	return text, held, rec, nil
@@ -164,7 +164,7 @@
 	if err != nil {
 		return baseText{}, err
 	}
-	if rec.Whole != revision {
+	if rec.FullRevision != revision {
 		return baseText{}, Malformed.New("revision %d is not whole", revision)
 	}
 	text, err := rec.text(nil)
@@ -173,7 +173,7 @@
 
 // text unpacks the record's text and proves it by its digest.
 func (r *Record) text(base []byte) ([]byte, error) {
-	if r.Whole == r.Revision {
+	if r.FullRevision == r.Revision {
 		base = nil
 	}
 	text, err := unpack(r.Body, base)
--- a/lib/settingsync/swap.go
+++ b/lib/settingsync/swap.go
@@ -55,7 +55,7 @@
 	logInForce(c)
 }
 
-func build(c candidate) (*Held, error) {
+func build(c candidate) (*Active, error) {
 	tree, err := settings.Parse(c.text, "revision")
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Held{Snapshot: snap, Tree: tree}, nil
+	return &Active{Snapshot: snap, Tree: tree}, nil
 }
 
 func (s *Sync) refuse(c candidate, err error) {
--- a/lib/settingsync/sync.go
+++ b/lib/settingsync/sync.go
@@ -59,18 +59,18 @@
 	}
 }
 
-// Held is a revision in force.
-type Held struct {
+// Active is a revision in force.
+type Active struct {
 	Snapshot *settings.Snapshot
 	Tree     *settings.Tree
 }
 
 // Status is what operators are shown.
 type Status struct {
-	InForce uint64 // 0: none yet
-	Seen    uint64 // highest revision known; over InForce while it is being swapped in, or when it was refused
-	Source  string // where Seen was learnt
-	Refused string // why Seen is not in force, when this program can't read it
+	InForce  uint64 // 0: none yet
+	Seen     uint64 // highest revision known; over InForce while it is being swapped in, or when it was refused
+	Source   string // where Seen was learnt
+	Rejected string // why Seen is not in force, when this program can't read it
 }
 
 // candidate is a revision that was learnt.
@@ -87,7 +87,7 @@
 
 	mu      sync.Mutex
 	seen    candidate
-	held    *Held
+	held    *Active
 	refused string
 	updated chan struct{} // closed at the next swap
 	learnt  chan struct{} // closed when what Newest returns changes
@@ -130,7 +130,7 @@
 }
 
 // Current returns what is in force; nil before the first revision.
-func (s *Sync) Current() *Held {
+func (s *Sync) Current() *Active {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held
@@ -147,7 +147,7 @@
 func (s *Sync) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Status{Seen: s.seen.revision, Source: s.seen.source, Refused: s.refused}
+	st := Status{Seen: s.seen.revision, Source: s.seen.source, Rejected: s.refused}
 	if s.held != nil {
 		st.InForce = s.held.Snapshot.Revision
 	}
@@ -190,9 +190,9 @@
 	return &meshpb.SettingsBody{Revision: s.seen.revision, Yaml: s.seen.text}
 }
 
-// Learn takes a revision from the control process, which has it from the table. It keeps the body's bytes. Revisions
+// Receive takes a revision from the control process, which has it from the table. It keeps the body's bytes. Revisions
 // not over the highest one seen are ignored; it reports whether this one was taken. Run brings it into force.
-func (s *Sync) Learn(body *meshpb.SettingsBody, source string) bool {
+func (s *Sync) Receive(body *meshpb.SettingsBody, source string) bool {
 	s.hearTable()
 	return s.learnBody(body, source)
 }
