--- a/lib/limit/bench_test.go
+++ b/lib/limit/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// bigNode is an instance of a site of the size that is aimed at: 430 instances, 480 workspaces of three classes, all in
-// use here.
+// bigNode returns an instance of a site of the target size: 430 instances and 480 workspaces with three classes, all in use
+// here.
 func bigNode(b *testing.B) (*Node, []Key) {
 	b.Helper()
 	n := NewNode(simBase, DefaultConfig, "entry-000", 1, func(Key) Limit { return Limit{Concurrency: 1000} })
@@ -36,7 +36,7 @@
 	}
 }
 
-func BenchmarkAsk430(b *testing.B) {
+func BenchmarkRequestMore430(b *testing.B) {
 	n, keys := bigNode(b)
 	now := simBase
 	for i := 0; b.Loop(); i++ {
--- a/lib/limit/client.go
+++ b/lib/limit/client.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// Verdict is the answer to one request for admission.
+// Verdict is the result of one admission request.
 type Verdict uint8
 
-// Verdicts.
+// The verdicts.
 const (
 	Admitted Verdict = iota + 1 // Release must be called when the request ends
-	Refused                     // answer the caller now
-	Pending                     // the holder may lend more: send Ask, wait for its answer, acquire again
+	Refused                     // reject the request now
+	Pending                     // the holder may lend more: send RequestMore, wait for the answer, acquire again
 )
 
-// Answer is a Verdict with, for Refused, the time after which a caller may expect to be admitted.
+// Answer is a Verdict and, for Refused, the estimated time until the caller could be admitted.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
 
-// client admits requests of its instance under the shares it borrowed.
+// client admits requests of its instance under the shares that it has borrowed.
 type client struct {
 	cfg    Config
 	clock  clock
 	limits LimitFunc
-	keys   map[Key]*ownKey
-}
-
-// ownKey is one key at one client.
-type ownKey struct {
-	inUse  int
-	slots  int
-	until  time.Time // end of slots
-	tokens []lentTokens
-	ack    uint64
-	asked  time.Time // last Up that named it; zero: none
-	open   time.Time // first Up that named it since the last share; zero: none
-	told   time.Time // last share that came; zero: none
-	sent   Demand    // as last sent
-	due    bool      // must go into the next Up
-
-	satisfied   bool // the last share was all that was wanted
+	keys   map[Key]*clientKey
+}
+
+// clientKey is the client's state for one key.
+type clientKey struct {
+	inUse        int
+	slots        int
+	slotsExpire  time.Time // when slots expires
+	tokens       []borrowedTokens
+	ack          uint64
+	lastSentAt   time.Time // when the last Up with this key was sent; zero: never
+	pendingSince time.Time // when the first Up with this key since the last share was sent; zero: none
+	lastShareAt  time.Time // when the last share arrived; zero: never
+	lastDemand   Demand    // last demand sent
+	sendDue      bool      // must be included in the next Up
+
+	satisfied   bool // the last share covered the whole demand
 	floorTokens float64
 	floorFilled time.Time
 	meter       meter
 }
 
-type lentTokens struct {
-	n     int
-	until time.Time
+type borrowedTokens struct {
+	n       int
+	expires time.Time
 }
 
 func newClient(now time.Time, cfg Config, epoch uint64, limits LimitFunc) *client {
-	return &client{cfg: cfg, clock: clock{epoch, now}, limits: limits, keys: make(map[Key]*ownKey)}
+	return &client{cfg: cfg, clock: clock{epoch, now}, limits: limits, keys: make(map[Key]*clientKey)}
 }
 
-func (c *client) key(now time.Time, key Key) *ownKey {
+func (c *client) key(now time.Time, key Key) *clientKey {
 	k := c.keys[key]
 	if k == nil {
-		k = &ownKey{floorFilled: now, meter: meter{rolled: now}}
+		k = &clientKey{floorFilled: now, meter: meter{windowStart: now}}
 		c.keys[key] = k
 	}
 	return k
 }
 
-// acquire decides on one request. Nothing waits here.
+// acquire decides on one request without blocking.
 func (c *client) acquire(now time.Time, key Key) Answer {
 	lim := c.limits(key)
 	k := c.key(now, key)
@@ -77,25 +77,26 @@
 		k.meter.admit(k.inUse)
 		return Answer{Verdict: Admitted}
 	}
-	k.due = true
+	k.sendDue = true
 	k.meter.unmet++
-	if k.mayGrow(now, c.cfg) {
+	if k.mayBorrowMore(now, c.cfg) {
 		return Answer{Verdict: Pending}
 	}
 	k.meter.arrivals++
 	return Answer{Verdict: Refused, RetryAfter: k.retryAfter(c.cfg, slotFree)}
 }
 
-// mayGrow reports whether asking the holder may help: it gave all that was wanted when it was last asked, or was asked
-// just now. A holder that gave less has no more, and one that does not answer is not waited for again and again.
-func (k *ownKey) mayGrow(now time.Time, cfg Config) bool {
-	if k.open.IsZero() {
-		return k.satisfied || now.Sub(k.told) > cfg.TTL
+// mayBorrowMore reports whether requesting more from the holder may help: the last share covered the whole demand, or a request
+// was sent less than HolderTimeout ago. A holder that lent less has no more to lend, and a holder that does not answer must
+// not delay every request.
+func (k *clientKey) mayBorrowMore(now time.Time, cfg Config) bool {
+	if k.pendingSince.IsZero() {
+		return k.satisfied || now.Sub(k.lastShareAt) > cfg.TTL
 	}
-	return now.Sub(k.open) < cfg.HolderTimeout
+	return now.Sub(k.pendingSince) < cfg.HolderTimeout
 }
 
-// release ends a request that was admitted.
+// release ends an admitted request.
 func (c *client) release(key Key) {
 	k := c.keys[key]
 	if k == nil || k.inUse == 0 {
@@ -105,24 +106,24 @@
 	k.meter.released++
 }
 
-func (c *client) slotFree(now time.Time, key Key, k *ownKey) bool {
+func (c *client) slotFree(now time.Time, key Key, k *clientKey) bool {
 	lim := c.limits(key)
-	return lim.Concurrency <= 0 || k.inUse < k.allowed(now)+c.cfg.floorSlots(lim)
+	return lim.Concurrency <= 0 || k.inUse < k.borrowedSlots(now)+c.cfg.floorSlots(lim)
 }
 
-// allowed is the borrowed part of what may be in progress.
-func (k *ownKey) allowed(now time.Time) int {
-	if now.Before(k.until) {
+// borrowedSlots is the borrowed part of the concurrency limit.
+func (k *clientKey) borrowedSlots(now time.Time) int {
+	if now.Before(k.slotsExpire) {
 		return k.slots
 	}
 	return 0
 }
 
-// refresh drops ended tokens and fills the floor's bucket.
-func (k *ownKey) refresh(now time.Time, cfg Config, lim Limit) {
+// refresh drops expired tokens and refills the floor's token bucket.
+func (k *clientKey) refresh(now time.Time, cfg Config, lim Limit) {
 	kept := k.tokens[:0]
 	for _, t := range k.tokens {
-		if now.Before(t.until) && t.n > 0 {
+		if now.Before(t.expires) && t.n > 0 {
 			kept = append(kept, t)
 		}
 	}
@@ -134,7 +135,7 @@
 	k.floorFilled = now
 }
 
-func (k *ownKey) takeToken() bool {
+func (k *clientKey) takeToken() bool {
 	for i := range k.tokens {
 		if k.tokens[i].n > 0 {
 			k.tokens[i].n--
@@ -148,7 +149,7 @@
 	return false
 }
 
-func (k *ownKey) tokensInHand() int {
+func (k *clientKey) tokensHeld() int {
 	n := 0
 	for _, t := range k.tokens {
 		n += t.n
@@ -156,26 +157,26 @@
 	return n
 }
 
-// retryAfter estimates when a caller that is refused now would be admitted: the callers refused lately come back too,
-// and are served at the rate at which this instance admits.
-func (k *ownKey) retryAfter(cfg Config, slotFree bool) time.Duration {
-	drain := k.meter.releaseRate
+// retryAfter estimates when a caller refused now would be admitted. Recently refused callers are expected to retry too, and
+// all of them are served at the rate at which this instance admits requests.
+func (k *clientKey) retryAfter(cfg Config, slotFree bool) time.Duration {
+	rate := k.meter.releaseRate
 	if slotFree {
-		drain = k.meter.admitRate
+		rate = k.meter.admitRate
 	}
-	waiting := float64(k.meter.waiting() + 1)
-	if drain <= 0 {
+	contenders := float64(k.meter.recentlyRejected() + 1)
+	if rate <= 0 {
 		return maxRetryAfter / 6
 	}
-	d := time.Duration(waiting / drain * float64(time.Second))
+	d := time.Duration(contenders / rate * float64(time.Second))
 	return min(max(d, cfg.Interval), maxRetryAfter)
 }
 
-// maxRetryAfter bounds what a caller is told; by then shares have moved anyway.
+// maxRetryAfter bounds the retry delay that callers are given; shares have been redistributed by then.
 const maxRetryAfter = 30 * time.Second
 
-// demand works out what the client asks of the holder now.
-func (c *client) demand(now time.Time, key Key, k *ownKey) Demand {
+// demand computes the client's current demand for a key.
+func (c *client) demand(now time.Time, key Key, k *clientKey) Demand {
 	lim := c.limits(key)
 	k.refresh(now, c.cfg, lim)
 	k.meter.roll(now, c.cfg.Interval, k.inUse)
@@ -187,62 +188,62 @@
 	}
 	if lim.RatePerSecond > 0 {
 		d.Rate = math.Round(k.meter.arrivalRate*10) / 10
-		want := k.meter.arrivalRate*tokenHorizon(c.cfg).Seconds() + float64(k.meter.waiting())
-		d.Tokens = max(0, int(math.Ceil(want))-k.tokensInHand())
+		want := k.meter.arrivalRate*tokenHorizon(c.cfg).Seconds() + float64(k.meter.recentlyRejected())
+		d.Tokens = max(0, int(math.Ceil(want))-k.tokensHeld())
 	}
 	return d
 }
 
-// tokenHorizon is how far ahead tokens are borrowed: until the answer to the next Up, with one Up lost.
+// tokenHorizon is how far ahead tokens are borrowed: until the answer to the next Up, allowing for one lost Up.
 func tokenHorizon(cfg Config) time.Duration { return 2 * cfg.Interval }
 
-// apply takes in a share of the holder.
-func (c *client) apply(now time.Time, key Key, s Share, sent time.Time) {
+// applyShare accepts a share from the holder.
+func (c *client) applyShare(now time.Time, key Key, s Share, sent time.Time) {
 	k := c.keys[key]
-	until := sent.Add(c.cfg.TTL)
+	expires := sent.Add(c.cfg.TTL)
 	if k == nil || s.Seq <= k.ack {
 		return
 	}
-	k.due = k.due || s.Slots < k.slots // the holder lends it on once it knows that we dropped it
-	k.satisfied = s.Slots >= k.sent.Slots && s.Tokens >= k.sent.Tokens
+	k.sendDue = k.sendDue || s.Slots < k.slots // the holder can lend the difference once it knows that this client dropped it
+	k.satisfied = s.Slots >= k.lastDemand.Slots && s.Tokens >= k.lastDemand.Tokens
 	k.ack = s.Seq
-	k.told = now
-	k.open = time.Time{}
+	k.lastShareAt = now
+	k.pendingSince = time.Time{}
 	k.slots = s.Slots
-	k.until = until
+	k.slotsExpire = expires
 	if s.Tokens > 0 {
-		k.tokens = append(k.tokens, lentTokens{n: s.Tokens, until: until})
+		k.tokens = append(k.tokens, borrowedTokens{n: s.Tokens, expires: expires})
 	}
 }
 
-// needsSending reports whether the holder should hear of a key again.
-func (k *ownKey) needsSending(now time.Time, cfg Config, d Demand) bool {
-	if k.due || d.Tokens > 0 {
+// needsUpdate reports whether the next Up must include the key.
+func (k *clientKey) needsUpdate(now time.Time, cfg Config, d Demand) bool {
+	if k.sendDue || d.Tokens > 0 {
 		return true
 	}
-	if d.InUse == 0 && d.Slots == 0 && d.Rate == 0 && k.sent.Slots == 0 && k.sent.Rate == 0 {
+	if d.InUse == 0 && d.Slots == 0 && d.Rate == 0 && k.lastDemand.Slots == 0 && k.lastDemand.Rate == 0 {
 		return false
 	}
-	if now.Sub(k.asked) >= cfg.TTL/2 {
+	if now.Sub(k.lastSentAt) >= cfg.TTL/2 {
 		return true
 	}
-	more, less := d.Slots-k.sent.Slots, k.sent.Slots-d.Slots
-	share := k.sent.Slots / changeShare
-	return more > max(1, share) || less > max(smallLess, share)
+	increase, decrease := d.Slots-k.lastDemand.Slots, k.lastDemand.Slots-d.Slots
+	threshold := k.lastDemand.Slots / changeDivisor
+	return increase > max(1, threshold) || decrease > max(minDecrease, threshold)
 }
 
-// A change of demand under one part in changeShare waits for the next renewal. So does a small decrease, or quiet keys
-// would be told of at the start and at the end of each request.
+// An increase or decrease of demand by less than 1/changeDivisor is sent with the next renewal only. So is a decrease of up to
+// minDecrease: lightly used keys would otherwise cause a message at the start and the end of each request.
 const (
-	changeShare = 8
-	smallLess   = 4
+	changeDivisor = 8
+	minDecrease   = 4
 )
 
-// sweep forgets keys that have been idle for so long that nothing is lent on them.
+// sweep removes keys that have been idle long enough that nothing is lent on them.
 func (c *client) sweep(now time.Time) {
 	for key, k := range c.keys {
-		idle := k.inUse == 0 && k.allowed(now) == 0 && k.meter.quiet()
-		if idle && now.Sub(k.asked) > 2*c.cfg.TTL {
+		idle := k.inUse == 0 && k.borrowedSlots(now) == 0 && k.meter.idle()
+		if idle && now.Sub(k.lastSentAt) > 2*c.cfg.TTL {
 			delete(c.keys, key)
 		}
 	}
--- a/lib/limit/example_test.go
+++ b/lib/limit/example_test.go
@@ -7,7 +7,7 @@
 	"anvilwick.example/anvilwick/lib/limit"
 )
 
-// Two instances hold a workspace to four requests in progress. The messages go over whatever link there is.
+// Two instances limit a workspace to four requests in progress. The transport is up to the caller.
 func Example() {
 	cfg := limit.DefaultConfig
 	now := time.Unix(0, 0)
@@ -22,7 +22,7 @@
 			nodes[from].HandleDown(now, o.To, down)
 		}
 	}
-	for range 20 { // the wait of a new holder
+	for range 20 { // until a new holder may lend
 		now = now.Add(cfg.Interval)
 		for name, n := range nodes {
 			for _, o := range n.Tick(now) {
@@ -34,7 +34,7 @@
 	for i := range 6 {
 		name := fmt.Sprint("entry-", i%2+1)
 		a := nodes[name].Acquire(now, key)
-		if a.Verdict == limit.Pending { // ask the holder for more, and try again
+		if a.Verdict == limit.Pending { // request more from the holder, and try again
 			if o, ok := nodes[name].RequestMore(now, key); ok {
 				send(name, o)
 			}
--- a/lib/limit/holder.go
+++ b/lib/limit/holder.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// holder lends shares of the keys that its instance holds.
+// holder lends shares of the keys that this instance holds.
 type holder struct {
-	cfg    Config
-	self   string
-	clock  clock
-	limits LimitFunc
-	views  *history
-	peers  map[string]*peer
-	keys   map[Key]*heldKey
-	gone   map[string]uint64 // epochs of processes known to be dead
+	cfg        Config
+	self       string
+	clock      clock
+	limits     LimitFunc
+	views      *history
+	peers      map[string]*peer
+	keys       map[Key]*heldKey
+	deadEpochs map[string]uint64 // last epochs of processes known to be dead, by instance
 }
 
-// clock makes stamps of one process.
+// clock creates the stamps of one process.
 type clock struct {
 	epoch uint64
 	start time.Time
@@ -27,62 +27,62 @@
 	return Stamp{Epoch: c.epoch, Nanos: int64(now.Sub(c.start)) + 1}
 }
 
-// at turns an echo of an own stamp back into a time. The zero time stands for none.
-func (c clock) at(s Stamp) time.Time {
+// timeOf converts an echo of this process's own stamp to a time. The zero time means that there is none.
+func (c clock) timeOf(s Stamp) time.Time {
 	if s.Epoch != c.epoch || s.Nanos <= 0 {
 		return time.Time{}
 	}
 	return c.start.Add(time.Duration(s.Nanos - 1))
 }
 
-// peer is what a holder knows of a member.
+// peer is the holder's state for one member.
 type peer struct {
-	last  Stamp
-	asOf  time.Time // the last message was sent at this time or later
-	views []uint64
-	full  time.Time // the last Full message was sent at this time or later
-	whole uint64    // digest of the view under which it named every key
+	last       Stamp
+	asOf       time.Time // lower bound on when the last message was sent
+	views      []uint64
+	fullAsOf   time.Time // lower bound on when the last Full message was sent
+	fullDigest uint64    // digest of the view under which the last Full message named every key
 }
 
 type heldKey struct {
-	seq     uint64
-	tokens  float64
-	filled  time.Time // when tokens was brought up to date; zero: not lending
-	clients map[string]*borrower
+	seq        uint64
+	tokens     float64   // available in the bucket
+	refilledAt time.Time // when tokens was last updated; zero: not lending
+	clients    map[string]*borrower
 }
 
 func newHolder(now time.Time, cfg Config, self string, epoch uint64, views *history, limits LimitFunc) *holder {
 	return &holder{
 		cfg: cfg, self: self, clock: clock{epoch, now}, limits: limits, views: views,
-		peers: make(map[string]*peer), keys: make(map[Key]*heldKey), gone: make(map[string]uint64),
+		peers: make(map[string]*peer), keys: make(map[Key]*heldKey), deadEpochs: make(map[string]uint64),
 	}
 }
 
-// forget takes in that an instance's process is known to be gone, and its requests in progress with it. Messages of that
-// process that are still under way change nothing.
-func (h *holder) forget(instance string) {
-	h.gone[instance] = 0
+// markDead records that an instance's process is known to be dead, and its requests in progress with it. Messages of that
+// process that are still in flight are ignored.
+func (h *holder) markDead(instance string) {
+	h.deadEpochs[instance] = 0
 	if p := h.peers[instance]; p != nil {
-		h.gone[instance] = p.last.Epoch
+		h.deadEpochs[instance] = p.last.Epoch
 	}
-	h.drop(instance)
+	h.removeClient(instance)
 }
 
-func (h *holder) drop(instance string) {
+func (h *holder) removeClient(instance string) {
 	delete(h.peers, instance)
 	for _, k := range h.keys {
 		delete(k.clients, instance)
 	}
 }
 
-// handle answers an Up of client from; ok is false when it is late or repeated.
+// handle answers an Up from a client; ok is false when the Up is out of order or a duplicate.
 func (h *holder) handle(now time.Time, from string, up Up) (down Down, ok bool) {
-	if dead, ok := h.gone[from]; ok && up.Stamp.Epoch <= dead {
+	if dead, ok := h.deadEpochs[from]; ok && up.Stamp.Epoch <= dead {
 		return Down{}, false
 	}
 	p := h.peers[from]
 	if p != nil && up.Stamp.Epoch > p.last.Epoch {
-		h.drop(from)
+		h.removeClient(from)
 		p = nil
 	}
 	if p == nil {
@@ -92,8 +92,8 @@
 	if up.Stamp.Epoch < p.last.Epoch || up.Stamp.Nanos <= p.last.Nanos {
 		return Down{}, false
 	}
-	delete(h.gone, from)
-	h.note(p, up)
+	delete(h.deadEpochs, from)
+	h.recordUp(p, up)
 	down = Down{Stamp: h.clock.stamp(now), Echo: up.Stamp, WantFull: h.wantFull(now, p)}
 	for _, d := range up.Demands {
 		if s, lent := h.lend(now, from, p.asOf, d); lent {
@@ -103,38 +103,39 @@
 	return down, true
 }
 
-// note dates an Up by the stamp that it echoes, never by its receipt.
+// recordUp dates an Up by the stamp that it echoes, never by its receipt.
 //
-// Failure: an Up waits in a frozen link while its sender moves on to another holder. Dated by receipt, it would keep
-// this holder lending beside the new one.
-func (h *holder) note(p *peer, up Up) {
+// Failure: an Up is delayed in a stalled connection while its sender switches to another holder. Dated by receipt, it would
+// let this holder keep lending alongside the new one.
+func (h *holder) recordUp(p *peer, up Up) {
 	p.last = up.Stamp
 	p.views = up.Views
-	p.asOf = h.clock.at(up.Echo)
+	p.asOf = h.clock.timeOf(up.Echo)
 	if up.Full && len(up.Views) > 0 {
-		p.full, p.whole = p.asOf, up.Views[0]
+		p.fullAsOf, p.fullDigest = p.asOf, up.Views[0]
 	}
 }
 
-// took returns when old holders' shares of a key ended that this holder has held since.
-func (h *holder) took(since time.Time) time.Time {
+// handoverEnd returns when the shares lent by previous holders of a key expire, given that this holder has held it since then.
+func (h *holder) handoverEnd(since time.Time) time.Time {
 	if since.Before(h.clock.start) {
 		since = h.clock.start
 	}
 	return since.Add(h.cfg.HandoverDelay())
 }
 
-// wantFull asks for a Full message sent under the current view, after the change to it was waited out.
+// wantFull reports whether to request a Full message: one sent under the current view, after HandoverDelay has passed since
+// the view changed.
 func (h *holder) wantFull(now time.Time, p *peer) bool {
-	took := h.took(h.views.changed())
+	handover := h.handoverEnd(h.views.currentSince())
 	cur := h.views.current()
-	return cur != nil && !now.Before(took) && (p.full.Before(took) || p.whole != cur.digest)
+	return cur != nil && !now.Before(handover) && (p.fullAsOf.Before(handover) || p.fullDigest != cur.digest)
 }
 
-// lending reports whether key may be lent on a message that was sent at asOf or later.
-func (h *holder) lending(now, asOf time.Time, key Key) bool {
+// mayLend reports whether key may be lent in answer to a message that was sent at asOf or later.
+func (h *holder) mayLend(now, asOf time.Time, key Key) bool {
 	since, held := h.views.heldSince(h.self, key)
-	if !held || asOf.Before(h.took(since)) {
+	if !held || asOf.Before(h.handoverEnd(since)) {
 		return false
 	}
 	cur := h.views.current()
@@ -149,21 +150,21 @@
 
 func (h *holder) supports(now time.Time, member string, key Key) bool {
 	p := h.peers[member]
-	return p != nil && now.Sub(p.asOf) < h.cfg.SupportTTL && h.views.agree(h.self, key, p.views)
+	return p != nil && now.Sub(p.asOf) < h.cfg.SupportTTL && h.views.heldInAll(h.self, key, p.views)
 }
 
-// accounted reports whether every member has told what it has in progress after old shares ended, or has been silent
-// for too long to wait for. A member that takes another for the holder did not tell this one of the key. Former members
-// count too: an instance that is leaving has requests in progress long after it has left the list.
-func (h *holder) accounted(now time.Time, key Key) bool {
+// allReported reports whether every member has reported its requests in progress after the previous holder's shares expired, or
+// has been silent for OrphanTimeout. A report sent under a view with another holder does not cover this key. Former members
+// count too: an instance that is draining has requests in progress long after it has left the list.
+func (h *holder) allReported(now time.Time, key Key) bool {
 	since, _ := h.views.heldSince(h.self, key)
-	took := h.took(since)
-	if now.Sub(took) >= h.cfg.OrphanTimeout {
+	handover := h.handoverEnd(since)
+	if now.Sub(handover) >= h.cfg.OrphanTimeout {
 		return true
 	}
 	for _, v := range h.views.views {
 		for _, m := range v.members {
-			if !h.told(m, key, took) {
+			if !h.reported(m, key, handover) {
 				return false
 			}
 		}
@@ -171,28 +172,28 @@
 	return true
 }
 
-func (h *holder) told(member string, key Key, took time.Time) bool {
-	if _, dead := h.gone[member]; dead {
+func (h *holder) reported(member string, key Key, handover time.Time) bool {
+	if _, dead := h.deadEpochs[member]; dead {
 		return true
 	}
 	p := h.peers[member]
-	return p != nil && !p.full.Before(took) && h.views.agree(h.self, key, []uint64{p.whole})
+	return p != nil && !p.fullAsOf.Before(handover) && h.views.heldInAll(h.self, key, []uint64{p.fullDigest})
 }
 
-// lend works out the share of one client.
+// lend computes the share of one client.
 func (h *holder) lend(now time.Time, from string, asOf time.Time, d Demand) (Share, bool) {
 	k := h.key(d.Key)
 	b := k.borrower(now, from)
-	b.update(now, asOf, d)
-	if !h.lending(now, asOf, d.Key) {
-		k.filled = time.Time{}
+	b.applyDemand(now, asOf, d)
+	if !h.mayLend(now, asOf, d.Key) {
+		k.refilledAt = time.Time{}
 		return Share{}, false
 	}
 	k.expire(now, h.cfg)
 	lim := h.limits(d.Key)
 	k.seq = max(k.seq, d.Ack) + 1
-	s := Share{Key: d.Key, Seq: k.seq, Slots: h.slots(now, k, from, lim), Tokens: h.tokens(now, k, b, lim)}
-	b.loans = append(b.loans, loan{seq: s.Seq, slots: s.Slots, until: now.Add(h.cfg.lent())})
+	s := Share{Key: d.Key, Seq: k.seq, Slots: h.slotShare(now, k, from, lim), Tokens: h.tokenShare(now, k, b, lim)}
+	b.loans = append(b.loans, loan{seq: s.Seq, slots: s.Slots, expires: now.Add(h.cfg.loanTTL())})
 	return s, true
 }
 
@@ -205,80 +206,81 @@
 	return k
 }
 
-// sweep drops keys without clients.
+// sweep removes keys without clients.
 func (h *holder) sweep(now time.Time) {
 	for key, k := range h.keys {
 		k.expire(now, h.cfg)
-		if len(k.clients) == 0 && now.Sub(k.filled) > burstWindow {
+		if len(k.clients) == 0 && now.Sub(k.refilledAt) > burstWindow {
 			delete(h.keys, key)
 		}
 	}
 }
 
-// slots is the new share of a client: what it wants, at most its fair part, at most what is committed nowhere else.
-func (h *holder) slots(now time.Time, k *heldKey, from string, lim Limit) int {
+// slotShare is the new share of a client: its demand, capped by its fair share and by what is not committed to other clients.
+func (h *holder) slotShare(now time.Time, k *heldKey, from string, lim Limit) int {
 	if lim.Concurrency <= 0 {
 		return 0
 	}
 	lendable := h.cfg.lendableSlots(lim)
 	free := lendable
-	wants := make(map[string]int, len(k.clients))
+	demands := make(map[string]int, len(k.clients))
 	for id, b := range k.clients {
-		wants[id] = b.want(now, h.cfg)
+		demands[id] = b.demanded(now, h.cfg)
 		if id != from {
 			free -= b.committed()
 		}
 	}
 	b := k.clients[from]
 	want := b.demand.Slots
-	if !h.accounted(now, b.demand.Key) {
+	if !h.allReported(now, b.demand.Key) {
 		want = min(want, b.demand.InUse)
 	}
-	fair := fairSlots(wants, lendable, from, rotation(now, h.clock.start))
+	fair := fairSlots(demands, lendable, from, rotationRound(now, h.clock.start))
 	return max(0, min(want, fair, free))
 }
 
-// rotateEvery is how often the odd slots of a limit move on, so that with fewer slots than clients each has its turn.
-const rotateEvery = 2 * time.Second
+// rotationInterval is how often the remainder slots of a limit rotate: with fewer slots than clients, each client gets a turn.
+const rotationInterval = 2 * time.Second
 
-func rotation(now, start time.Time) uint64 { return uint64(now.Sub(start) / rotateEvery) }
+func rotationRound(now, start time.Time) uint64 { return uint64(now.Sub(start) / rotationInterval) }
 
-// fairSlots is the max-min fair part of one client, in whole slots.
-func fairSlots(wants map[string]int, total int, of string, round uint64) int {
-	list := make([]float64, 0, len(wants))
-	for _, w := range wants {
-		list = append(list, float64(w))
+// fairSlots is the max-min fair share of one client, in whole slots.
+func fairSlots(demands map[string]int, total int, client string, round uint64) int {
+	values := make([]float64, 0, len(demands))
+	for _, w := range demands {
+		values = append(values, float64(w))
 	}
-	level, scarce := waterLevel(list, float64(total))
+	level, scarce := waterLevel(values, float64(total))
 	if !scarce {
-		return wants[of]
+		return demands[client]
 	}
 	base := int(level)
-	odd := total
-	for _, w := range wants {
-		odd -= min(w, base)
+	remainder := total
+	for _, w := range demands {
+		remainder -= min(w, base)
 	}
-	if wants[of] <= base {
-		return wants[of]
+	if demands[client] <= base {
+		return demands[client]
 	}
 	ahead := 0
-	mine := rank(of, round)
-	for id, w := range wants {
-		if w > base && rank(id, round) > mine {
+	ownRank := rank(client, round)
+	for id, w := range demands {
+		if w > base && rank(id, round) > ownRank {
 			ahead++
 		}
 	}
-	if ahead < odd {
+	if ahead < remainder {
 		return base + 1
 	}
 	return base
 }
 
-// waterLevel returns the level at which the sum of min(want, level) is total. It is not scarce when all wants fit.
-func waterLevel(wants []float64, total float64) (level float64, scarce bool) {
-	slices.Sort(wants)
-	for i, w := range wants {
-		each := total / float64(len(wants)-i)
+// waterLevel returns the max-min fair (water-filling) level, at which the sum of min(want, level) equals total. scarce is
+// false when all demands fit.
+func waterLevel(demands []float64, total float64) (level float64, scarce bool) {
+	slices.Sort(demands)
+	for i, w := range demands {
+		each := total / float64(len(demands)-i)
 		if w > each {
 			return each, true
 		}
--- a/lib/limit/meter.go
+++ b/lib/limit/meter.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// meter measures the demand for one key at one client, over windows of at least a given length.
+// meter measures the demand for one key at one client, over windows of a minimum length.
 type meter struct {
-	rolled                              time.Time
-	arrivals, admitted, released, unmet int // in this window
-	peak                                int // of requests in progress, in this window
-	lastPeak, lastUnmet                 int
-	arrivalRate, admitRate, releaseRate float64 // a second, smoothed
+	windowStart                         time.Time
+	arrivals, admitted, released, unmet int     // in the current window
+	peak                                int     // maximum requests in progress in the current window
+	lastPeak, lastUnmet                 int     // of the previous window
+	arrivalRate, admitRate, releaseRate float64 // per second, smoothed
 }
 
-// smoothing is the time constant of the rates.
-const smoothing = time.Second
+// rateTimeConstant is the time constant of the rates' exponential smoothing.
+const rateTimeConstant = time.Second
 
-// headroomShare: one part in so many is wanted beyond the peak, so that a request more needs no asking.
-const headroomShare = 4
+// headroomDivisor: the demand exceeds the peak by 1/headroomDivisor, so that one more request need not wait for the holder.
+const headroomDivisor = 4
 
 func (m *meter) admit(inUse int) {
 	m.arrivals++
@@ -26,45 +26,45 @@
 	m.peak = max(m.peak, inUse)
 }
 
-// roll closes the window when it is long enough.
+// roll closes the current window when it is at least window long.
 func (m *meter) roll(now time.Time, window time.Duration, inUse int) {
-	dt := now.Sub(m.rolled)
+	dt := now.Sub(m.windowStart)
 	if dt < window {
 		return
 	}
-	alpha := 1 - math.Exp(-dt.Seconds()/smoothing.Seconds())
+	alpha := 1 - math.Exp(-dt.Seconds()/rateTimeConstant.Seconds())
 	m.arrivalRate = smooth(m.arrivalRate, alpha, m.arrivals, dt)
 	m.admitRate = smooth(m.admitRate, alpha, m.admitted, dt)
 	m.releaseRate = smooth(m.releaseRate, alpha, m.released, dt)
 	m.lastPeak, m.lastUnmet = m.peak, m.unmet
 	m.arrivals, m.admitted, m.released, m.unmet = 0, 0, 0, 0
 	m.peak = inUse
-	m.rolled = now
+	m.windowStart = now
 }
 
-// negligible is a rate that counts as none.
-const negligible = 0.05
+// minRate is the rate, per second, below which a rate is treated as zero.
+const minRate = 0.05
 
 func smooth(rate, alpha float64, n int, dt time.Duration) float64 {
 	rate += alpha * (float64(n)/dt.Seconds() - rate)
-	if rate < negligible && n == 0 {
+	if rate < minRate && n == 0 {
 		return 0
 	}
 	return rate
 }
 
-// waiting is how many were turned away lately.
-func (m *meter) waiting() int { return max(m.unmet, m.lastUnmet) }
+// recentlyRejected is the number of recently rejected requests.
+func (m *meter) recentlyRejected() int { return max(m.unmet, m.lastUnmet) }
 
-// slotsWanted is the peak that this client would have had without a limit, with headroom while work arrives.
+// slotsWanted is the estimated peak concurrency without a limit, plus headroom while requests arrive.
 func (m *meter) slotsWanted(inUse int) int {
-	n := max(m.peak, m.lastPeak, inUse) + m.waiting()
+	n := max(m.peak, m.lastPeak, inUse) + m.recentlyRejected()
 	if n == 0 {
 		return 0
 	}
-	return n + max(1, n/headroomShare)
+	return n + max(1, n/headroomDivisor)
 }
 
-func (m *meter) quiet() bool {
-	return m.arrivalRate == 0 && m.arrivals == 0 && m.waiting() == 0
+func (m *meter) idle() bool {
+	return m.arrivalRate == 0 && m.arrivals == 0 && m.recentlyRejected() == 0
 }
--- a/lib/limit/node.go
+++ b/lib/limit/node.go
@@ -6,70 +6,71 @@
 	"time"
 )
 
-// Node is the client and the holder of one instance. It is not safe for concurrent use; Service is.
+// Node combines the client and the holder of one instance. It is not safe for concurrent use; Service is.
 type Node struct {
-	cfg    Config
-	self   string
-	views  history
-	client *client
-	holder *holder
-	links  map[string]*nodeLink
-	swept  time.Time
-	last   Stamp // of the last Up
+	cfg       Config
+	self      string
+	views     history
+	client    *client
+	holder    *holder
+	links     map[string]*holderLink
+	lastSweep time.Time
+	lastStamp Stamp // of the last Up sent
 }
 
-// nodeLink is what a client keeps of one holder.
-type nodeLink struct {
-	echo     Stamp
-	sent     time.Time
-	wantFull bool
+// holderLink is the client's state for one holder.
+type holderLink struct {
+	echo       Stamp
+	lastSentAt time.Time
+	wantFull   bool
 }
 
-// Outgoing is a message to send; it may be lost.
+// Outgoing is a message to send. Delivery is not required.
 type Outgoing struct {
 	To string
 	Up Up
 }
 
-// NewNode returns a Node that neither lends nor supports a holder before WaitOut has passed: what an earlier process
-// of the same instance promised is not known. Epoch is the process's incarnation and grows with each restart.
+// NewNode returns a Node that neither lends nor supports a holder until HandoverDelay has passed, because it does not know
+// what an earlier process of the same instance lent or supported. epoch is the process's incarnation; it increases with each
+// restart.
 func NewNode(now time.Time, cfg Config, self string, epoch uint64, limits LimitFunc) *Node {
-	n := &Node{cfg: cfg, self: self, links: make(map[string]*nodeLink), swept: now}
+	n := &Node{cfg: cfg, self: self, links: make(map[string]*holderLink), lastSweep: now}
 	n.client = newClient(now, cfg, epoch, limits)
 	n.holder = newHolder(now, cfg, self, epoch, &n.views, limits)
 	return n
 }
 
-// SetView replaces the members. They come from the platform's instance list, not from who answers: an instance that
-// can reach nobody must not think itself a majority of one. Two views in force at the same time must share a majority;
-// views that differ by one member always do.
+// SetView replaces the members. They must come from the platform's instance list, not from which instances respond: an
+// instance that can reach nobody must not consider itself a majority of one. Two views in force at the same time must have a
+// common majority; views that differ by one member always do.
 func (n *Node) SetView(now time.Time, members []string) {
 	if !n.views.set(now, members) {
 		return
 	}
 	for _, m := range members {
-		delete(n.holder.gone, m)
+		delete(n.holder.deadEpochs, m)
 	}
 	for _, k := range n.client.keys {
-		k.due, k.open = true, time.Time{}
+		k.sendDue, k.pendingSince = true, time.Time{}
 	}
 }
 
-// MarkDead tells that an instance's process is known to be gone, and its requests in progress with it. Without it, a new
-// holder of its keys lends no more than is in progress until OrphanHold has passed. A view that names it again takes it
-// back.
+// MarkDead reports that an instance's process is known to be dead, and its requests in progress with it. Without it, a new
+// holder of its keys lends no more than is in progress until OrphanTimeout has passed. A later view that includes the
+// instance reverts it.
 func (n *Node) MarkDead(instance string) {
-	n.holder.forget(instance)
+	n.holder.markDead(instance)
 	delete(n.links, instance)
 }
 
-// Ready reports whether this process has a view and has waited out its predecessor. A later change of view does not make
-// it unready.
+// Ready reports whether this process has a view and HandoverDelay has passed since it started. A later view change does not
+// make it unready.
 func (n *Node) Ready(now time.Time) bool {
 	return n.views.current() != nil && now.Sub(n.holder.clock.start) >= n.cfg.HandoverDelay()
 }
 
-// Acquire decides on one request. Pending is only given when this instance is not itself the holder.
+// Acquire decides on one request. It returns Pending only when another instance is the holder.
 func (n *Node) Acquire(now time.Time, key Key) Answer {
 	a := n.client.acquire(now, key)
 	if a.Verdict != Pending || n.holderOf(key) != n.self {
@@ -82,7 +83,7 @@
 	return a
 }
 
-// Refuse ends a Pending request whose answer did not come in time.
+// Refuse ends a Pending request whose answer did not arrive in time.
 func (n *Node) Refuse(now time.Time, key Key) Answer {
 	k := n.client.key(now, key)
 	k.meter.arrivals++
@@ -90,78 +91,78 @@
 	return Answer{Verdict: Refused, RetryAfter: k.retryAfter(n.cfg, slotFree)}
 }
 
-// Release ends a request that was admitted.
+// Release ends an admitted request.
 func (n *Node) Release(key Key) { n.client.release(key) }
 
-// RequestMore returns the message that asks key's holder for more at once; ok is false when there is no holder to ask.
+// RequestMore returns a message that requests more from key's holder at once; ok is false when there is no remote holder.
 func (n *Node) RequestMore(now time.Time, key Key) (out Outgoing, ok bool) {
 	to := n.holderOf(key)
 	if to == "" || to == n.self {
 		return Outgoing{}, false
 	}
-	return Outgoing{To: to, Up: n.up(now, to, []Key{key}, false)}, true
+	return Outgoing{To: to, Up: n.buildUp(now, to, []Key{key}, false)}, true
 }
 
-// Tick exchanges with the own holder and returns the messages that are due to others. Call it each Interval.
+// Tick exchanges messages with the local holder and returns those due to remote holders. Call it each Interval.
 func (n *Node) Tick(now time.Time) []Outgoing {
 	cur := n.views.current()
 	if cur == nil {
 		return nil
 	}
 	n.sweep(now)
-	held := n.keysByHolder()
-	n.exchangeLocally(now, held[n.self], true)
+	byHolder := n.keysByHolder()
+	n.exchangeLocally(now, byHolder[n.self], true)
 	var out []Outgoing
 	for _, m := range cur.members {
 		if m == n.self {
 			continue
 		}
-		if len(held[m]) == 0 && !n.supportDue(now, m) {
+		if len(byHolder[m]) == 0 && !n.supportDue(now, m) {
 			continue
 		}
-		up := n.up(now, m, held[m], true)
+		up := n.buildUp(now, m, byHolder[m], true)
 		if len(up.Demands) > 0 || n.supportDue(now, m) {
 			out = append(out, Outgoing{To: m, Up: up})
 		}
 	}
 	for _, o := range out {
-		n.link(o.To).sent = now
+		n.link(o.To).lastSentAt = now
 	}
 	return out
 }
 
-// keysByHolder groups the client's keys, in order.
+// keysByHolder groups the client's keys by holder, in key order.
 func (n *Node) keysByHolder() map[string][]Key {
-	held := make(map[string][]Key)
+	byHolder := make(map[string][]Key)
 	for key := range n.client.keys {
 		to := n.holderOf(key)
-		held[to] = append(held[to], key)
+		byHolder[to] = append(byHolder[to], key)
 	}
-	for _, keys := range held {
+	for _, keys := range byHolder {
 		slices.SortFunc(keys, compareKeys)
 	}
-	return held
+	return byHolder
 }
 
 func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Class, b.Class))
 }
 
-// supportParts: support is renewed so many times within its life.
-const supportParts = 3
+// supportRenewals is how often support is renewed within SupportTTL.
+const supportRenewals = 3
 
 func (n *Node) supportDue(now time.Time, to string) bool {
 	l := n.link(to)
-	return l.wantFull || now.Sub(l.sent) >= n.cfg.SupportTTL/supportParts
+	return l.wantFull || now.Sub(l.lastSentAt) >= n.cfg.SupportTTL/supportRenewals
 }
 
-// HandleUp answers a client; ok is false when the message is late.
+// HandleUp answers a client; ok is false when the message is out of order or a duplicate.
 func (n *Node) HandleUp(now time.Time, from string, up Up) (Down, bool) {
 	return n.holder.handle(now, from, up)
 }
 
-// HandleDown takes in a holder's answer. Shares from an instance that is not the key's holder in the current view are
-// dropped.
+// HandleDown processes a holder's answer. Shares from an instance that is not the key's holder in the current view are
+// ignored.
 func (n *Node) HandleDown(now time.Time, from string, d Down) {
 	l := n.link(from)
 	if d.Stamp.Epoch < l.echo.Epoch || d.Stamp.Epoch == l.echo.Epoch && d.Stamp.Nanos < l.echo.Nanos {
@@ -169,13 +170,13 @@
 	}
 	l.echo = d.Stamp
 	l.wantFull = d.WantFull
-	sent := n.client.clock.at(d.Echo)
+	sent := n.client.clock.timeOf(d.Echo)
 	if sent.IsZero() {
 		return
 	}
 	for _, s := range d.Shares {
 		if n.holderOf(s.Key) == from {
-			n.client.apply(now, s.Key, s, sent)
+			n.client.applyShare(now, s.Key, s, sent)
 		}
 	}
 }
@@ -187,28 +188,28 @@
 	return ""
 }
 
-func (n *Node) link(to string) *nodeLink {
+func (n *Node) link(to string) *holderLink {
 	l := n.links[to]
 	if l == nil {
-		l = &nodeLink{}
+		l = &holderLink{}
 		n.links[to] = l
 	}
 	return l
 }
 
-// exchangeLocally is Up and Down between the own client and the own holder.
+// exchangeLocally runs one exchange of Up and Down between this instance's client and holder.
 func (n *Node) exchangeLocally(now time.Time, keys []Key, all bool) {
 	l := n.link(n.self)
 	l.echo = n.holder.clock.stamp(now)
-	up := n.up(now, n.self, keys, all)
+	up := n.buildUp(now, n.self, keys, all)
 	if d, ok := n.holder.handle(now, n.self, up); ok {
 		n.HandleDown(now, n.self, d)
 	}
 }
 
-// up builds the message to one holder, of keys that it holds; all tells that there are no others. A key goes into it
-// when the holder should hear of it.
-func (n *Node) up(now time.Time, to string, keys []Key, all bool) Up {
+// buildUp builds the message to one holder about keys that it holds; all means that keys has every such key. A key is included
+// when its demand is due to be sent.
+func (n *Node) buildUp(now time.Time, to string, keys []Key, all bool) Up {
 	l := n.link(to)
 	up := Up{
 		Stamp: n.nextStamp(now), Echo: l.echo,
@@ -217,31 +218,31 @@
 	for _, key := range keys {
 		k := n.client.key(now, key)
 		d := n.client.demand(now, key, k)
-		if !up.Full && !k.needsSending(now, n.cfg, d) {
+		if !up.Full && !k.needsUpdate(now, n.cfg, d) {
 			continue
 		}
-		k.due, k.asked, k.sent = false, now, d
-		if k.open.IsZero() {
-			k.open = now
+		k.sendDue, k.lastSentAt, k.lastDemand = false, now, d
+		if k.pendingSince.IsZero() {
+			k.pendingSince = now
 		}
 		up.Demands = append(up.Demands, d)
 	}
 	return up
 }
 
-// nextStamp is now, or just after the last stamp: receivers drop a message that is not newer than the last.
+// nextStamp returns the stamp of now, or just after the last stamp: receivers drop a message that is not newer than the last.
 func (n *Node) nextStamp(now time.Time) Stamp {
 	s := n.client.clock.stamp(now)
-	s.Nanos = max(s.Nanos, n.last.Nanos+1)
-	n.last = s
+	s.Nanos = max(s.Nanos, n.lastStamp.Nanos+1)
+	n.lastStamp = s
 	return s
 }
 
 func (n *Node) sweep(now time.Time) {
-	if now.Sub(n.swept) < n.cfg.OrphanTimeout {
+	if now.Sub(n.lastSweep) < n.cfg.OrphanTimeout {
 		return
 	}
-	n.swept = now
+	n.lastSweep = now
 	n.client.sweep(now)
 	n.holder.sweep(now)
 }
--- a/lib/limit/service.go
+++ b/lib/limit/service.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// SendFunc sends an Up without blocking; it may drop it.
+// SendFunc sends an Up without blocking. It may drop the message.
 type SendFunc func(to string, up Up)
 
-// Service runs a Node in real time and is safe for concurrent use. Its owner calls Run, and hands over what arrives
-// from other instances.
+// Service runs a Node in real time and is safe for concurrent use. The caller runs Run and passes in messages received from
+// other instances.
 type Service struct {
-	mu      sync.Mutex
-	node    *Node
-	cfg     Config
-	send    SendFunc
-	answers chan struct{} // closed and replaced when a Down arrived
-	asking  map[string]time.Time
+	mu              sync.Mutex
+	node            *Node
+	cfg             Config
+	send            SendFunc
+	answers         chan struct{} // closed and replaced when a Down arrives
+	pendingRequests map[string]time.Time
 }
 
 // NewService returns a Service for the instance self.
 func NewService(cfg Config, self string, epoch uint64, limits LimitFunc, send SendFunc) *Service {
 	return &Service{
 		node: NewNode(time.Now(), cfg, self, epoch, limits), cfg: cfg, send: send,
-		answers: make(chan struct{}), asking: make(map[string]time.Time),
+		answers: make(chan struct{}), pendingRequests: make(map[string]time.Time),
 	}
 }
 
-// Run ticks until ctx ends.
+// Run calls Node.Tick each Interval until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	t := time.NewTicker(s.cfg.Interval)
 	defer t.Stop()
@@ -51,50 +51,51 @@
 	}
 }
 
-// SetView is Node.SetView.
+// SetView calls Node.SetView.
 func (s *Service) SetView(members []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.SetView(time.Now(), members)
 }
 
-// MarkDead is Node.Forget.
+// MarkDead calls Node.MarkDead.
 func (s *Service) MarkDead(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.MarkDead(instance)
 }
 
-// Ready is Node.Ready.
+// Ready calls Node.Ready.
 func (s *Service) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node.Ready(time.Now())
 }
 
-// HandleUp is Node.HandleUp.
+// HandleUp calls Node.HandleUp.
 func (s *Service) HandleUp(from string, up Up) (Down, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.node.HandleUp(time.Now(), from, up)
 }
 
-// HandleDown is Node.HandleDown; it wakes those who wait for the answer.
+// HandleDown calls Node.HandleDown and wakes the requests that wait for the answer.
 func (s *Service) HandleDown(from string, d Down) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.HandleDown(time.Now(), from, d)
-	delete(s.asking, from)
+	delete(s.pendingRequests, from)
 	close(s.answers)
 	s.answers = make(chan struct{})
 }
 
-// Acquire admits or refuses one request. It waits only for a holder that may have more to lend, and never longer than
-// AskWait: a holder that takes longer is taken to be gone, and the request is refused at once. After Admitted, Release must be called when the request ends.
+// Acquire admits or refuses one request. It waits only for a holder that may have more to lend, and at most HolderTimeout: a
+// holder that takes longer is considered unavailable, and the request is refused. After Admitted, Release must be called when
+// the request ends.
 func (s *Service) Acquire(ctx context.Context, key Key) Answer {
 	deadline := time.Now().Add(s.cfg.HolderTimeout)
 	for {
-		a, answers := s.try(key)
+		a, answers := s.attempt(key)
 		if a.Verdict != Pending {
 			return a
 		}
@@ -104,8 +105,8 @@
 	}
 }
 
-// try makes one attempt, and asks the holder unless an earlier question is still open.
-func (s *Service) try(key Key) (Answer, <-chan struct{}) {
+// attempt makes one attempt, and sends a request to the holder unless an earlier one is still unanswered.
+func (s *Service) attempt(key Key) (Answer, <-chan struct{}) {
 	s.mu.Lock()
 	now := time.Now()
 	a := s.node.Acquire(now, key)
@@ -114,7 +115,7 @@
 		s.mu.Unlock()
 		return a, answers
 	}
-	out, ok := s.ask(now, key)
+	out, ok := s.requestMore(now, key)
 	s.mu.Unlock()
 	if ok {
 		s.send(out.To, out.Up)
@@ -122,14 +123,14 @@
 	return a, answers
 }
 
-func (s *Service) ask(now time.Time, key Key) (Outgoing, bool) {
+func (s *Service) requestMore(now time.Time, key Key) (Outgoing, bool) {
 	to := s.node.holderOf(key)
-	if since, open := s.asking[to]; open && now.Sub(since) < s.cfg.HolderTimeout {
+	if since, open := s.pendingRequests[to]; open && now.Sub(since) < s.cfg.HolderTimeout {
 		return Outgoing{}, false
 	}
 	out, ok := s.node.RequestMore(now, key)
 	if ok {
-		s.asking[to] = now
+		s.pendingRequests[to] = now
 	}
 	return out, ok
 }
@@ -140,7 +141,7 @@
 	return s.node.Refuse(time.Now(), key)
 }
 
-// Release ends a request that was admitted.
+// Release ends an admitted request.
 func (s *Service) Release(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lib/limit/view.go
+++ b/lib/limit/view.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is one set of members, with the holder of each key looked up so far.
+// view is one set of members, with a cache of the holders looked up so far.
 type view struct {
 	members []string
 	digest  uint64
@@ -26,16 +26,16 @@
 	return v
 }
 
-// holder returns the member that holds key: the one with the highest hash of member and key.
+// holder returns the holder of key: the member with the highest hash of member and key.
 func (v *view) holder(key Key) string {
 	if h, ok := v.holders[key]; ok {
 		return h
 	}
 	var best string
-	var top uint64
+	var bestWeight uint64
 	for _, m := range v.members {
-		if w := weight(m, key); best == "" || w > top {
-			best, top = m, w
+		if w := weight(m, key); best == "" || w > bestWeight {
+			best, bestWeight = m, w
 		}
 	}
 	if len(v.holders) >= maxHolderCache {
@@ -45,7 +45,7 @@
 	return best
 }
 
-// maxHolderCache bounds a view's memory when callers invent keys.
+// maxHolderCache bounds a view's memory when callers use arbitrary keys.
 const maxHolderCache = 1 << 14
 
 func weight(member string, key Key) uint64 {
@@ -60,34 +60,34 @@
 
 func (v *view) majority() int { return len(v.members)/2 + 1 }
 
-// history holds the views of the last WaitOut and those known of longer, the newest last.
+// history holds the views of the last HandoverDelay, and older ones up to maxViews, newest last.
 type history struct {
-	views []dated
+	views []datedView
 }
 
-type dated struct {
+type datedView struct {
 	*view
 	since time.Time
 }
 
-// maxViews bounds the history; a peer with an older view gives no support until it catches up.
+// maxViews bounds the history. A peer with an older view gives no support until it catches up.
 const maxViews = 16
 
-// set makes members the current view. It reports whether that changed anything.
+// set makes members the current view. It reports whether the view changed.
 func (h *history) set(now time.Time, members []string) bool {
 	v := newView(members)
 	if cur := h.current(); cur != nil && cur.digest == v.digest {
 		return false
 	}
-	h.views = append(h.views, dated{view: v, since: now})
+	h.views = append(h.views, datedView{view: v, since: now})
 	if len(h.views) > maxViews {
 		h.views = slices.Delete(h.views, 0, 1)
 	}
 	return true
 }
 
-// changed returns when the current view was set; the zero time without one.
-func (h *history) changed() time.Time {
+// currentSince returns when the current view was set; the zero time when there is no view.
+func (h *history) currentSince() time.Time {
 	if len(h.views) == 0 {
 		return time.Time{}
 	}
@@ -101,8 +101,8 @@
 	return h.views[len(h.views)-1].view
 }
 
-// recent returns the digests of views in force after cut, the newest first; none when the history does not reach back
-// to cut, as after a restart: what this process supported before is not known then.
+// recent returns the digests of the views in force after cut, newest first. It returns none when the history does not reach
+// back to cut, as after a restart: what this process supported before is then unknown.
 func (h *history) recent(cut time.Time) []uint64 {
 	var digests []uint64
 	for i := len(h.views) - 1; i >= 0; i-- {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// agree reports whether self holds key in every one of the views named. Unknown views don't agree.
-func (h *history) agree(self string, key Key, digests []uint64) bool {
+// heldInAll reports whether self holds key in every view of digests. An unknown view counts as disagreement.
+func (h *history) heldInAll(self string, key Key, digests []uint64) bool {
 	for _, d := range digests {
 		v := h.find(d)
 		if v == nil || v.holder(key) != self {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// heldSince returns since when self has held key without a break; ok is false when it doesn't now.
+// heldSince returns the time since when self has held key without interruption; ok is false when it does not hold key now.
 func (h *history) heldSince(self string, key Key) (since time.Time, ok bool) {
 	for i := len(h.views) - 1; i >= 0; i-- {
 		if h.views[i].holder(key) != self {
