--- a/lib/guardlink/bench_test.go
+++ b/lib/guardlink/bench_test.go
@@ -12,9 +12,9 @@
 	"anvilwick.example/anvilwick/lib/limit"
 )
 
-// BenchmarkLimitTraffic measures what limits cost on the wire: entries in one process over real sockets, keys in use at
-// every entry, twenty requests a second an entry of half a second each. Run it with -benchtime=1x. A node's figure counts
-// bytes both ways, the yamux pings of its links included; with keys=0 it is what support of holders and pings cost.
+// BenchmarkLimitTraffic measures the bytes that limits cost on the network: entries in one process over real sockets, with
+// keys in use at every entry, twenty requests per second and entry, half a second each. Run it with -benchtime=1x. A node's
+// figure counts both directions and the yamux pings of its links; with keys=0 it is the cost of holder support and pings.
 func BenchmarkLimitTraffic(b *testing.B) {
 	for _, c := range []struct{ entries, keys int }{{2, 30}, {4, 30}, {8, 30}, {16, 30}, {8, 0}, {16, 0}, {8, 120}} {
 		b.Run(fmt.Sprintf("entries=%d/keys=%d", c.entries, c.keys), func(b *testing.B) {
@@ -60,7 +60,7 @@
 	return sum
 }
 
-// request makes requests until ctx is done.
+// request sends requests until ctx is done.
 func (p *process) request(ctx context.Context, seed uint64, keys int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for ctx.Err() == nil {
@@ -72,26 +72,26 @@
 	}
 }
 
-// BenchmarkFollowDemand measures how long it takes until nine tenths of a limit of 64 have moved from one of eight
-// entries to another, when all requests (of 300 ms) move at once. Run it with -benchtime=5x.
+// BenchmarkFollowDemand measures how long it takes until nine tenths of a limit of 64 have moved from one of eight entries to
+// another, when all requests (300 ms each) switch at once. Run it with -benchtime=5x.
 func BenchmarkFollowDemand(b *testing.B) {
 	procs := startAll(b, 8, limit.DefaultConfig)
 	time.Sleep(2 * limit.DefaultConfig.HandoverDelay())
-	at := 0
-	procs[at].saturate(b, 64)
-	took := time.Duration(0)
+	current := 0
+	procs[current].saturate(b, 64)
+	total := time.Duration(0)
 	for b.Loop() {
 		start := time.Now()
-		at = (at + 3) % len(procs)
-		procs[at].saturate(b, 58)
-		took += time.Since(start)
-		procs[at].saturate(b, 64)
+		current = (current + 3) % len(procs)
+		procs[current].saturate(b, 58)
+		total += time.Since(start)
+		procs[current].saturate(b, 64)
 	}
-	b.ReportMetric(float64(took.Milliseconds())/float64(b.N), "ms/move")
+	b.ReportMetric(float64(total.Milliseconds())/float64(b.N), "ms/move")
 	b.ReportMetric(0, "ns/op")
 }
 
-// saturate makes more requests than are let in, until so many are in progress.
+// saturate sends more requests than are admitted, until want are in progress.
 func (p *process) saturate(b *testing.B, want int64) {
 	b.Helper()
 	var inProgress atomic.Int64
--- a/lib/guardlink/link.go
+++ b/lib/guardlink/link.go
@@ -1,7 +1,7 @@
-// Package guardlink carries, between entries, the messages of lib/limit and lib/poison over the mesh.
+// Package guardlink exchanges the messages of lib/limit and lib/poison between entries, over the mesh.
 //
-// Every message may be lost, and none waits: limits repeat theirs each interval, and a peer that may have missed news of
-// poison is told all of it again, which changes nothing where it was known.
+// Any message may be lost, and senders never wait for delivery: limit messages are repeated each interval, and after a failed
+// write all poison records are sent to the peer again, which changes nothing for those that it already has.
 package guardlink
 
 import (
@@ -18,14 +18,14 @@
 )
 
 const (
-	queueLen     = 64               // messages waiting for one peer; more are dropped
-	openTimeout  = time.Second      // to open a stream
-	idleTimeout  = 30 * time.Second // a stream without a message is closed
-	newsInterval = time.Second
-	newsPeers    = 8 // peers that news of poison are sent to in one round; they pass it on
+	queueLen       = 64               // messages queued for one peer; more are dropped
+	openTimeout    = time.Second      // to open a stream
+	idleTimeout    = 30 * time.Second // a stream without messages for this long is closed
+	updateInterval = time.Second
+	gossipPeers    = 8 // peers that poison records are sent to in one round; they forward them
 )
 
-// Options of a Link.
+// Options holds the dependencies of a Link.
 type Options struct {
 	Node   *mesh.Node
 	View   func() *member.View
@@ -33,7 +33,7 @@
 	Poison *poison.Table
 }
 
-// Link is one entry's side of the exchange.
+// Link is one entry's end of the message exchange.
 type Link struct {
 	opts Options
 	ctx  context.Context
@@ -42,75 +42,76 @@
 	peers map[mesh.Identity]*peer
 }
 
-// peer is what goes out to one life of another entry.
+// peer is the sending side towards one incarnation of another entry.
 type peer struct {
-	member member.Member
-	queue  chan *meshpb.GuardMessage
-	gone   chan struct{} // closed when this life of the entry is over
-	lost   atomic.Bool   // a message did not get through
-	told   uint64        // poison news up to here were sent
+	member      member.Member
+	queue       chan *meshpb.GuardMessage
+	closed      chan struct{} // closed when this incarnation has ended
+	writeFailed atomic.Bool   // a message was not sent
+	sentSeq     uint64        // sequence number up to which poison records were sent
 }
 
-// New returns a Link and serves its streams on the node. It lives until ctx is done; Run must be started.
+// New returns a Link and registers its stream handler on the node. The Link works until ctx is done. Run must be started.
 func New(ctx context.Context, o Options) *Link {
 	l := &Link{opts: o, ctx: ctx, peers: make(map[mesh.Identity]*peer)}
 	o.Node.Handle(meshpb.StreamKind_STREAM_GUARD, l.serve)
 	return l
 }
 
-// SendUp passes on a message of the limits; it is their limit.SendFunc.
+// SendUp queues a message of the limits for another entry. It implements limit.SendFunc.
 func (l *Link) SendUp(to string, up limit.Up) {
 	m, ok := l.opts.View().Get(to)
 	if !ok {
 		return
 	}
-	l.peer(m).send(upToProto(up))
+	l.peer(m).enqueue(upToProto(up))
 }
 
-// Run sends news of poison at once, and again where they were lost, until the Link ends. It forgets peers that have gone.
+// Run sends new poison records at once, and all of them again after a failed write, until the Link ends. It also removes peers
+// that have left.
 func (l *Link) Run() {
-	t := time.NewTicker(newsInterval)
+	t := time.NewTicker(updateInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
 		case <-l.opts.Poison.Updates():
-			l.round()
+			l.sendRecords()
 		case <-t.C:
-			l.round()
+			l.sendRecords()
 		}
 	}
 }
 
-func (l *Link) round() {
+func (l *Link) sendRecords() {
 	view := l.opts.View()
-	for _, m := range nextPeers(view, newsPeers) {
+	for _, m := range successors(view, gossipPeers) {
 		p := l.peer(m)
-		if p.lost.Swap(false) {
-			p.told = 0
+		if p.writeFailed.Swap(false) {
+			p.sentSeq = 0
 		}
-		recs, seq := l.opts.Poison.Since(time.Now(), p.told)
-		if len(recs) == 0 || p.send(newsToProto(recs)) {
-			p.told = seq
+		recs, seq := l.opts.Poison.Since(time.Now(), p.sentSeq)
+		if len(recs) == 0 || p.enqueue(recordsToProto(recs)) {
+			p.sentSeq = seq
 		}
 	}
-	l.forget(view)
+	l.removePeers(view)
 }
 
-// nextPeers returns up to n members that take work, in the order in which they follow this instance. News reach the
-// others through them.
-func nextPeers(view *member.View, n int) []member.Member {
+// successors returns up to n members that accept requests, namely the successors of this instance in ring order. They forward
+// poison records to the others.
+func successors(view *member.View, n int) []member.Member {
 	workers := view.Workers()
-	at := 0
+	first := 0
 	for i, m := range workers {
 		if m.Instance <= view.Self.Instance {
-			at = i + 1
+			first = i + 1
 		}
 	}
 	var out []member.Member
 	for i := range workers {
-		m := workers[(at+i)%len(workers)]
+		m := workers[(first+i)%len(workers)]
 		if m.Instance != view.Self.Instance && len(out) < n {
 			out = append(out, m)
 		}
@@ -128,27 +129,27 @@
 	id := identity(m)
 	p, ok := l.peers[id]
 	if !ok {
-		p = &peer{member: m, queue: make(chan *meshpb.GuardMessage, queueLen), gone: make(chan struct{})}
+		p = &peer{member: m, queue: make(chan *meshpb.GuardMessage, queueLen), closed: make(chan struct{})}
 		l.peers[id] = p
-		go l.write(p)
+		go l.writeLoop(p)
 	}
 	return p
 }
 
-// forget drops peers that are no member any more, or were replaced.
-func (l *Link) forget(view *member.View) {
+// removePeers removes peers that are no longer members, or whose incarnation was replaced.
+func (l *Link) removePeers(view *member.View) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, p := range l.peers {
 		if m, ok := view.Get(id.Instance); !ok || m.Incarnation != id.Incarnation || m.State == member.Dead {
-			close(p.gone)
+			close(p.closed)
 			delete(l.peers, id)
 		}
 	}
 }
 
-// send queues a message, or drops it when the peer is slow or gone.
-func (p *peer) send(m *meshpb.GuardMessage) bool {
+// enqueue queues a message. It drops the message when the peer's queue is full.
+func (p *peer) enqueue(m *meshpb.GuardMessage) bool {
 	select {
 	case p.queue <- m:
 		return true
@@ -157,8 +158,8 @@
 	}
 }
 
-// write sends what is queued for one peer, on a stream that is opened when it is needed.
-func (l *Link) write(p *peer) {
+// writeLoop sends the messages queued for one peer, on a stream that it opens on demand.
+func (l *Link) writeLoop(p *peer) {
 	var s *mesh.Stream
 	defer func() { closeStream(s) }()
 	idle := time.NewTimer(idleTimeout)
@@ -170,20 +171,20 @@
 		case <-idle.C:
 			closeStream(s)
 			s = nil
-		case <-p.gone:
+		case <-p.closed:
 			return
 		case m := <-p.queue:
 			idle.Reset(idleTimeout)
-			s = l.writeOne(p, s, m)
+			s = l.writeMessage(p, s, m)
 			if s == nil {
-				p.lost.Store(true)
+				p.writeFailed.Store(true)
 			}
 		}
 	}
 }
 
-// writeOne sends m on s, or on a new stream; it returns the stream that stands, or nil.
-func (l *Link) writeOne(p *peer, s *mesh.Stream, m *meshpb.GuardMessage) *mesh.Stream {
+// writeMessage sends m on s, or on a new stream if s is nil. It returns the open stream, or nil after a failure.
+func (l *Link) writeMessage(p *peer, s *mesh.Stream, m *meshpb.GuardMessage) *mesh.Stream {
 	if s == nil {
 		ctx, cancel := context.WithTimeout(l.ctx, openTimeout)
 		defer cancel()
@@ -192,7 +193,7 @@
 		if err != nil {
 			return nil
 		}
-		go l.read(s)
+		go l.readLoop(s)
 	}
 	if s.Write(m) != nil {
 		closeStream(s)
@@ -207,8 +208,8 @@
 	}
 }
 
-// read takes the peer's answers on a stream that this side opened.
-func (l *Link) read(s *mesh.Stream) {
+// readLoop processes the peer's answers on a stream that this side opened.
+func (l *Link) readLoop(s *mesh.Stream) {
 	for {
 		var m meshpb.GuardMessage
 		if s.Read(&m) != nil {
@@ -221,7 +222,7 @@
 	}
 }
 
-// serve takes a peer's messages on a stream that it opened.
+// serve processes a peer's messages on a stream that the peer opened.
 func (l *Link) serve(_ context.Context, s *mesh.Stream) {
 	from := s.Peer().Instance
 	for {
@@ -229,8 +230,8 @@
 		if s.Read(&m) != nil {
 			return
 		}
-		if news := m.GetPoison(); news != nil {
-			l.opts.Poison.Merge(time.Now(), newsFromProto(news))
+		if records := m.GetPoison(); records != nil {
+			l.opts.Poison.Merge(time.Now(), recordsFromProto(records))
 		}
 		up := m.GetUp()
 		if up == nil {
--- a/lib/guardlink/link_test.go
+++ b/lib/guardlink/link_test.go
@@ -16,8 +16,8 @@
 	"anvilwick.example/anvilwick/lib/poison"
 )
 
-// entries is a site of entries with a fixed membership.
-type entries struct {
+// site is a site of entries whose members are all alive.
+type site struct {
 	mu   sync.Mutex
 	view []member.Member
 }
@@ -30,7 +30,7 @@
 	node   *mesh.Node
 }
 
-func (e *entries) viewOf(self member.Member) func() *member.View {
+func (e *site) viewOf(self member.Member) func() *member.View {
 	return func() *member.View {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -43,10 +43,10 @@
 	OrphanTimeout: time.Second, FloorFraction: 0.25, MaxInstances: 4,
 }
 
-// wideKey has a limit of 64, all other keys of 8.
+// wideKey has a limit of 64; all other keys have 8.
 var wideKey = limit.Key{Workspace: "planner-llm/wide", Class: "batch"}
 
-func (e *entries) start(t testing.TB, name string, cfg limit.Config) *process {
+func (e *site) start(t testing.TB, name string, cfg limit.Config) *process {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -76,7 +76,7 @@
 }
 
 func startAll(t testing.TB, n int, cfg limit.Config) []*process {
-	e := &entries{}
+	e := &site{}
 	var procs []*process
 	var names []string
 	for i := range n {
@@ -89,19 +89,19 @@
 	return procs
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("never came true: %s", what)
+	t.Fatalf("condition not met within 10 s: %s", condition)
 }
 
-// A limit of eight holds over three entries: together they admit eight at once, wherever the requests come, and never
-// nine. Without the messages each would stay at its floor.
-func TestLimitHoldsOverEntries(t *testing.T) {
+// Three entries enforce a limit of eight: together they admit exactly eight requests at a time, whichever entry the requests
+// reach. Without the messages each entry would stay at its floor.
+func TestLimitEnforcedAcrossEntries(t *testing.T) {
 	procs := startAll(t, 3, quickLimits)
 	key := limit.Key{Workspace: "planner-llm/glasgow-planning", Class: "urgent"}
 	admitted := 0
@@ -121,9 +121,9 @@
 	}
 }
 
-// Two engines die under the same content, each seen by another entry. Every entry must come to refuse it, also one that
-// saw neither death.
-func TestPoisonIsKnownEverywhere(t *testing.T) {
+// Two engines die while running the same content, and a different entry sees each death. Every entry must refuse the content
+// then, also an entry that saw neither death.
+func TestPoisonedContentRefusedByAllEntries(t *testing.T) {
 	procs := startAll(t, 3, quickLimits)
 	const content = 77
 	for i, target := range []string{"planner-1", "planner-2"} {
--- a/lib/guardlink/wire.go
+++ b/lib/guardlink/wire.go
@@ -84,7 +84,7 @@
 	return d
 }
 
-func newsToProto(recs []poison.Record) *meshpb.GuardMessage {
+func recordsToProto(recs []poison.Record) *meshpb.GuardMessage {
 	m := &meshpb.PoisonNews{}
 	for _, r := range recs {
 		m.Records = append(m.Records, &meshpb.PoisonRecord{
@@ -98,7 +98,7 @@
 	return &meshpb.GuardMessage{Msg: &meshpb.GuardMessage_Poison{Poison: m}}
 }
 
-func newsFromProto(m *meshpb.PoisonNews) []poison.Record {
+func recordsFromProto(m *meshpb.PoisonNews) []poison.Record {
 	recs := make([]poison.Record, 0, len(m.GetRecords()))
 	for _, r := range m.GetRecords() {
 		recs = append(recs, poison.Record{
--- a/lib/poison/gossip.go
+++ b/lib/poison/gossip.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Record is what instances tell each other: a content was aboard when an engine died, or a content finished. Age is
-// relative, so that clocks need not agree. Merging a Record twice, or from two tellers, changes nothing.
+// Record is what instances exchange: a content was running when an engine died, or a content finished. Age is relative, so clocks
+// need not agree. Merging is idempotent: a Record received twice, or from two peers, changes nothing.
 type Record struct {
 	Fingerprint uint64
 	Death       uint64 // of the engine; with LevelFinished, names the run that finished
-	Level       Level  // how strongly it was suspected before
-	Newest      bool   // it had just started
+	Level       Level  // suspicion before the death
+	Newest      bool   // the content had just started
 	Age         time.Duration
 }
 
-type logged struct {
+type logRecord struct {
 	seq         uint64
 	fingerprint uint64
 	death       uint64
@@ -24,29 +24,29 @@
 	newest      bool
 }
 
-// maxLog bounds what a new peer is told. Older records are lost to it, which costs one more death at worst.
-const maxLog = 1024
+// maxLogRecords bounds the records sent to a new peer. The peer misses older ones, which costs one more death at worst.
+const maxLogRecords = 1024
 
-func (t *Table) append(now time.Time, l logged) {
+func (t *Table) appendLog(now time.Time, l logRecord) {
 	t.seq++
 	l.seq = t.seq
 	t.log = append(t.log, l)
 	old := 0
-	for old < len(t.log) && (len(t.log)-old > maxLog || now.Sub(t.log[old].at) >= t.cfg.Window) {
+	for old < len(t.log) && (len(t.log)-old > maxLogRecords || now.Sub(t.log[old].at) >= t.cfg.Window) {
 		old++
 	}
 	t.log = slices.Delete(t.log, 0, old)
 	select {
-	case t.news <- struct{}{}:
+	case t.updates <- struct{}{}:
 	default:
 	}
 }
 
-// Updates has a value when there is something new to tell peers. They should hear of it within Config.Settle.
-func (t *Table) Updates() <-chan struct{} { return t.news }
+// Updates receives a value when there are new records to send to peers. They should get them within Config.SettleTime.
+func (t *Table) Updates() <-chan struct{} { return t.updates }
 
-// Since returns the records after seq, and the seq to ask with next time. Start from 0 for a peer that is new or has
-// restarted. What was merged is in it too, so that news crosses between instances that have no link.
+// Since returns the records after seq, and the seq to pass next time. Start from 0 for a peer that is new or has restarted. Merged
+// records are included, so that records propagate between instances without a direct link.
 func (t *Table) Since(now time.Time, seq uint64) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,36 +59,36 @@
 	return recs, t.seq
 }
 
-func (l logged) record(now time.Time) Record {
+func (l logRecord) record(now time.Time) Record {
 	return Record{Fingerprint: l.fingerprint, Death: l.death, Level: l.level, Newest: l.newest, Age: now.Sub(l.at)}
 }
 
-// Merge takes in records of a peer.
+// Merge applies records received from a peer.
 func (t *Table) Merge(now time.Time, recs []Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep(now)
 	for _, r := range recs {
-		t.merge(now, r)
+		t.mergeRecord(now, r)
 	}
 }
 
-func (t *Table) merge(now time.Time, r Record) {
+func (t *Table) mergeRecord(now time.Time, r Record) {
 	if r.Age >= t.cfg.Window || r.Level > LevelFinished {
 		return
 	}
-	l := logged{
+	l := logRecord{
 		fingerprint: r.Fingerprint, death: r.Death, level: r.Level, newest: r.Newest, at: now.Add(-max(0, r.Age)),
 	}
 	if r.Level == LevelFinished {
-		t.finish(now, l)
+		t.recordFinish(now, l)
 		return
 	}
-	t.record(now, l)
+	t.recordDeath(now, l)
 }
 
-// TargetsToAvoid lists the targets on which this instance runs another suspect that is suspected as strongly or more. A
-// suspect is not to be placed there: were the engine to die, its death would name neither.
+// TargetsToAvoid lists the targets on which this instance runs another content that is suspected as strongly or more. A suspect
+// should not be placed there: if the engine died, its death would not tell which of the two is to blame.
 func (t *Table) TargetsToAvoid(now time.Time, fingerprint uint64) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 	var targets []string
 	for target, runs := range t.running {
-		if t.hasRival(now, runs, fingerprint, level) {
+		if t.hasOtherSuspect(now, runs, fingerprint, level) {
 			targets = append(targets, target)
 		}
 	}
@@ -106,7 +106,7 @@
 	return targets
 }
 
-func (t *Table) hasRival(now time.Time, runs map[uint64]uint64, fingerprint uint64, level Level) bool {
+func (t *Table) hasOtherSuspect(now time.Time, runs map[uint64]uint64, fingerprint uint64, level Level) bool {
 	for _, f := range runs {
 		if f != fingerprint && t.level(now, f, 0) >= max(level, LevelStrong) {
 			return true
--- a/lib/poison/poison_test.go
+++ b/lib/poison/poison_test.go
@@ -23,8 +23,8 @@
 	return v
 }
 
-// What callers see: the request that kills its engines is refused with its own code after the second death, also under
-// another key. Those that ran beside it go on, finish, and are in good standing again.
+// A request that kills its engines is refused with its own code after the second death, also under another key. Contents that
+// ran beside it continue, finish, and are cleared.
 func TestSecondDeathPoisonsAndInnocentsAreCleared(t *testing.T) {
 	tab := poison.New(poison.DefaultConfig)
 	const bad, good, later = 1, 2, 3
@@ -34,24 +34,24 @@
 	must.Eq(t, poison.Suspect, verdict(tab, now, bad))
 	must.Eq(t, poison.Suspect, verdict(tab, now, good))
 
-	spared := tab.Started("engine-2", good)
-	must.Eq(t, []string{"engine-2"}, tab.TargetsToAvoid(now, bad)) // kept apart
+	innocent := tab.Started("engine-2", good)
+	must.Eq(t, []string{"engine-2"}, tab.TargetsToAvoid(now, bad)) // suspects are separated
 	tab.Started("engine-3", later)
 	now = now.Add(time.Second)
 	tab.TargetDied(now, tab.Started("engine-3", bad), 11)
 	must.Eq(t, poison.Settling, verdict(tab, now, bad))
 	now = now.Add(settled)
 	must.Eq(t, poison.Poisoned, verdict(tab, now, bad))
-	must.Eq(t, poison.Clean, verdict(tab, now, later)) // the suspect aboard is to blame, not the newcomer
+	must.Eq(t, poison.Clean, verdict(tab, now, later)) // the suspect is to blame, not the content seen for the first time
 
-	tab.Finished(now, spared)
+	tab.Finished(now, innocent)
 	must.Eq(t, poison.Clean, verdict(tab, now, good))
-	must.Eq(t, poison.Suspect, verdict(tab, now.Add(poison.DefaultConfig.RefusePeriod), bad)) // refused for a while only
+	must.Eq(t, poison.Suspect, verdict(tab, now.Add(poison.DefaultConfig.RefusePeriod), bad)) // the refusal expires
 }
 
-// What callers see when a target restarts quickly: the late news of its first death, told by each run that was aboard,
-// are not laid at what runs there by then, even the same content.
-func TestLateNewsOfOneDeathCountOnce(t *testing.T) {
+// A target restarts quickly, and each run on it reports the first death, some late. A late report must not blame the contents that
+// run there by then, even the same content.
+func TestLateReportsOfOneDeathCountOnce(t *testing.T) {
 	tab := poison.New(poison.DefaultConfig)
 	first, second := tab.Started("engine-1", 1), tab.Started("engine-1", 2)
 	tab.TargetDied(t0, first, 5)
@@ -62,9 +62,9 @@
 	must.Eq(t, poison.Suspect, verdict(tab, t0.Add(settled), 2))
 }
 
-// What callers see when the target restarts faster than its new incarnation is learnt: the second death under the old
-// number is a second death all the same, and the request is refused.
-func TestSecondDeathUnderUnlearntIncarnation(t *testing.T) {
+// A target restarts faster than its new incarnation is learnt. The second death reported under the old incarnation still counts
+// as a second death, and the request is refused.
+func TestSecondDeathCountsUnderStaleIncarnation(t *testing.T) {
 	tab := poison.New(poison.DefaultConfig)
 	for range 2 {
 		tab.TargetDied(t0, tab.Started("engine-1", 1), 5)
@@ -72,22 +72,21 @@
 	must.Eq(t, poison.Poisoned, verdict(tab, t0.Add(settled), 1))
 }
 
-// What callers see when two entries tell of the same death: it counts once. Each entry ran the content there, and each
-// hears of it from the other as well.
-func TestOneDeathCountsOnceWhoeverTells(t *testing.T) {
+// Two entries report the same death, which counts once. Each entry ran the content on the engine, and each receives the other's
+// report as well.
+func TestDeathReportedByTwoEntriesCountsOnce(t *testing.T) {
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	for _, tab := range []*poison.Table{a, b} {
 		tab.TargetDied(t0, tab.Started("engine-1", 7), 3)
 	}
-	now := exchange(t0.Add(50*time.Millisecond), a, b)
+	now := exchangeRecords(t0.Add(50*time.Millisecond), a, b)
 	must.Eq(t, poison.Suspect, verdict(a, now.Add(settled), 7))
 	must.Eq(t, poison.Suspect, verdict(b, now.Add(settled), 7))
 }
 
-// What callers see of a call that everybody makes, such as a status check, when a rack fails and two targets die with
-// it aboard: it is not refused. It finished a moment ago, and content that kills never does. The entry that saw it finish
-// tells the one that did not.
-func TestContentThatFinishedLatelyIsNotBlamed(t *testing.T) {
+// A rack fails and two targets die while running a call that everybody makes, such as a status check. The call is not refused: it
+// finished shortly before, and content that kills engines never does. The entry that saw it finish reports that to the other.
+func TestRecentlyFinishedContentIsNotBlamed(t *testing.T) {
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	const status = 9
 	a.Finished(t0, a.Started("dispatch-1", status))
@@ -99,67 +98,67 @@
 	}
 	must.Eq(t, poison.Clean, verdict(a, now, status))
 	must.Eq(t, poison.Settling, verdict(b, now, status))
-	now = exchange(now.Add(50*time.Millisecond), a, b)
+	now = exchangeRecords(now.Add(50*time.Millisecond), a, b)
 	must.Eq(t, poison.Clean, verdict(b, now, status))
 }
 
-// What callers see when a peer's news of a death come before one's own: a content aboard is no suspect by that very
-// death, so the others aboard are blamed like it.
-func TestDeathIsNoSuspicionBeforeItself(t *testing.T) {
+// A peer's report of a death arrives before this instance sees the death. That death must not make a content a suspect before
+// itself, so the other contents running on the engine get the same blame.
+func TestDeathDoesNotRaiseItsOwnSuspicionLevel(t *testing.T) {
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	inA, inB := a.Started("engine-1", 1), b.Started("engine-1", 1)
 	b.Started("engine-1", 2)
 	a.TargetDied(t0, inA, 3)
-	now := exchange(t0.Add(10*time.Millisecond), a, b)
+	now := exchangeRecords(t0.Add(10*time.Millisecond), a, b)
 	b.TargetDied(now, inB, 3)
 	must.Eq(t, poison.Suspect, verdict(b, now, 2))
 }
 
-// Parts of blame add up to the whole, in whatever order: a third thrice makes a second death.
-func TestPartsOfBlameAddUp(t *testing.T) {
+// Fractional blame adds up regardless of the order: three thirds make a second death.
+func TestFractionalBlameAddsUp(t *testing.T) {
 	cfg := poison.DefaultConfig
 	cfg.NewestSuspects = 3
 	for range 50 {
 		tab := poison.New(cfg)
-		for life := range uint64(4) {
+		for incarnation := range uint64(4) {
 			tab.Started("engine-1", 2)
 			tab.Started("engine-1", 3)
-			tab.TargetDied(t0, tab.Started("engine-1", 1), life)
+			tab.TargetDied(t0, tab.Started("engine-1", 1), incarnation)
 		}
 		must.Eq(t, poison.Poisoned, verdict(tab, t0.Add(settled), 1))
 	}
 }
 
-// What the caller sees who sends the request again through another entry after each death: the third time it is
-// refused, though each entry saw one death only.
+// A caller sends its request again through another entry after each death. The third time it is refused, although each entry saw
+// only one death.
 func TestDeathsAreCountedAcrossInstances(t *testing.T) {
 	a, b, c := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	a.TargetDied(t0, a.Started("engine-1", 7), 3)
-	now := exchange(t0.Add(100*time.Millisecond), a, b, c)
+	now := exchangeRecords(t0.Add(100*time.Millisecond), a, b, c)
 	b.TargetDied(now, b.Started("engine-2", 7), 9)
-	now = exchange(now.Add(100*time.Millisecond), a, b, c)
+	now = exchangeRecords(now.Add(100*time.Millisecond), a, b, c)
 	must.Eq(t, poison.Poisoned, verdict(c, now.Add(settled), 7))
 }
 
-// What an innocent caller sees when another entry's suspect shares its engine: entry a knows of its own generation only
-// and would refuse it for a second death, but b's news of the other suspect comes within Settle.
-func TestNewsOfOtherSuspectSpareTheInnocent(t *testing.T) {
+// Another entry's suspect shares the engine with an innocent content. Entry a knows only its own generation and would refuse it
+// for a second death, but b's report of the other suspect arrives within SettleTime.
+func TestReportOfOtherSuspectPreventsWrongRefusal(t *testing.T) {
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	inA, inB := a.Started("engine-1", 1), b.Started("engine-1", 2)
 	a.TargetDied(t0, inA, 3)
 	b.TargetDied(t0, inB, 3)
-	now := exchange(t0.Add(time.Second), a, b)
+	now := exchangeRecords(t0.Add(time.Second), a, b)
 	inA, inB = a.Started("engine-2", 1), b.Started("engine-2", 2)
 	a.TargetDied(now, inA, 4)
 	b.TargetDied(now, inB, 4)
 	must.Eq(t, poison.Settling, verdict(a, now, 1))
-	now = exchange(now.Add(100*time.Millisecond), a, b)
+	now = exchangeRecords(now.Add(100*time.Millisecond), a, b)
 	must.Eq(t, poison.Suspect, verdict(a, now.Add(settled), 1))
 }
 
-// A death in which many were aboard: the last started are kept away from all, the others need not be kept from each
-// other, or there would be no room for them.
-func TestOldGenerationsMayShareAnEngine(t *testing.T) {
+// Many contents run on an engine that dies: the last started ones are separated from all others. The others need not be separated
+// from each other, as there would not be enough capacity.
+func TestWeakSuspectsMayShareAnEngine(t *testing.T) {
 	tab := poison.New(poison.DefaultConfig)
 	var run poison.Run
 	for f := uint64(1); f <= 20; f++ {
@@ -172,8 +171,8 @@
 	must.Eq(t, []string{"engine-3"}, tab.TargetsToAvoid(t0, 2))
 }
 
-// exchange gives each table the news of all others, and returns the time.
-func exchange(now time.Time, tables ...*poison.Table) time.Time {
+// exchangeRecords merges each table's records into all others, and returns the time.
+func exchangeRecords(now time.Time, tables ...*poison.Table) time.Time {
 	for range 2 {
 		for i, from := range tables {
 			recs, _ := from.Since(now, 0)
@@ -187,15 +186,15 @@
 	return now
 }
 
-// Whatever the order, the repetition and the loss of first news, instances that have heard all agree, and no content is
-// poisoned that was not aboard at two deaths of engines, however many generations and instances tell of each.
+// In whatever order records arrive, repeated or lost at first, instances that have all records agree, and no content is poisoned
+// that was not running at two deaths, however many generations and instances report each.
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 5).Draw(t, "tables"))
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 5).Draw(t, "tables"))
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			w.step()
 		}
-		now := exchange(w.now, w.tables...).Add(settled)
+		now := exchangeRecords(w.now, w.tables...).Add(settled)
 		for f := range uint64(contents) {
 			want := verdict(w.tables[0], now, f)
 			if want == poison.Poisoned && w.deaths[f] < 2 {
@@ -212,38 +211,38 @@
 
 const contents, engines = 6, 3
 
-// world is some entries' tables and the engines that they send to.
-type world struct {
-	rng    *rand.Rand
-	now    time.Time
-	tables []*poison.Table
-	lives  [engines]uint64
-	aboard [engines][]aboard
-	late   []func() // deaths that are still to be told
-	deaths [contents]int
+// simulation is the tables of some entries, and the engines that they send to.
+type simulation struct {
+	rng          *rand.Rand
+	now          time.Time
+	tables       []*poison.Table
+	incarnations [engines]uint64
+	running      [engines][]activeRun
+	lateReports  []func() // reports of deaths that are still outstanding
+	deaths       [contents]int
 }
 
-type aboard struct {
+type activeRun struct {
 	table       *poison.Table
 	fingerprint uint64
 	run         poison.Run
 }
 
-func newWorld(seed uint64, n int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), now: t0}
+func newSimulation(seed uint64, n int) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), now: t0}
 	for range n {
 		w.tables = append(w.tables, poison.New(poison.DefaultConfig))
 	}
 	return w
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(10 * time.Millisecond)
 	tab, e := w.tables[w.rng.IntN(len(w.tables))], w.rng.IntN(engines)
 	switch w.rng.IntN(7) {
 	case 0, 1, 2:
 		f := w.rng.Uint64N(contents)
-		w.aboard[e] = append(w.aboard[e], aboard{tab, f, tab.Started(fmt.Sprint("engine-", e), f)})
+		w.running[e] = append(w.running[e], activeRun{tab, f, tab.Started(fmt.Sprint("engine-", e), f)})
 	case 3:
 		w.kill(e)
 	case 4:
@@ -251,47 +250,47 @@
 		w.rng.Shuffle(len(recs), func(i, j int) { recs[i], recs[j] = recs[j], recs[i] })
 		w.tables[w.rng.IntN(len(w.tables))].Merge(w.now, recs)
 	case 5:
-		w.tellLate()
+		w.reportLate()
 	case 6:
 		w.finishOne(e)
 	}
 }
 
-// kill ends an engine. Each instance tells for the first of its generations at once, for the others later.
-func (w *world) kill(e int) {
-	life := w.lives[e]
+// kill ends an engine. Each instance reports the death for the first of its generations at once, for the others later.
+func (w *simulation) kill(e int) {
+	incarnation := w.incarnations[e]
 	seen := make(map[uint64]bool)
-	told := make(map[*poison.Table]bool)
-	for _, a := range w.aboard[e] {
+	reported := make(map[*poison.Table]bool)
+	for _, a := range w.running[e] {
 		if !seen[a.fingerprint] {
 			w.deaths[a.fingerprint]++
 		}
 		seen[a.fingerprint] = true
-		tell := func() { a.table.TargetDied(w.now, a.run, life) }
-		if told[a.table] {
-			w.late = append(w.late, tell)
+		report := func() { a.table.TargetDied(w.now, a.run, incarnation) }
+		if reported[a.table] {
+			w.lateReports = append(w.lateReports, report)
 			continue
 		}
-		told[a.table] = true
-		tell()
+		reported[a.table] = true
+		report()
 	}
-	w.aboard[e] = nil
-	w.lives[e]++
+	w.running[e] = nil
+	w.incarnations[e]++
 }
 
-// finishOne lets the oldest run on an engine finish.
-func (w *world) finishOne(e int) {
-	if len(w.aboard[e]) > 0 {
-		a := w.aboard[e][0]
-		w.aboard[e] = w.aboard[e][1:]
+// finishOne finishes the oldest run on an engine.
+func (w *simulation) finishOne(e int) {
+	if len(w.running[e]) > 0 {
+		a := w.running[e][0]
+		w.running[e] = w.running[e][1:]
 		a.table.Finished(w.now, a.run)
 	}
 }
 
-func (w *world) tellLate() {
-	if len(w.late) > 0 {
-		w.late[0]()
-		w.late = w.late[1:]
+func (w *simulation) reportLate() {
+	if len(w.lateReports) > 0 {
+		w.lateReports[0]()
+		w.lateReports = w.lateReports[1:]
 	}
 }
 
@@ -312,7 +311,7 @@
 	must.Eq(t, 10, suspects)
 }
 
-// A content that killed two engines is refused, whichever key it comes under.
+// A content that killed two engines is refused, whichever key it is sent under.
 func Example() {
 	table := poison.New(poison.DefaultConfig)
 	now := time.Unix(0, 0)
--- a/lib/result/result.go
+++ b/lib/result/result.go
@@ -1,4 +1,4 @@
-// Package result defines the numbered result codes that callers see, with the outcome each one promises.
+// Package result defines the numbered result codes that callers see, and the outcome that each one guarantees.
 package result
 
 import (
@@ -10,17 +10,17 @@
 // Outcome is what a caller may conclude about its request.
 type Outcome uint8
 
-// The four outcomes. Every accepted request ends in exactly one of them.
+// The four outcomes. Every accepted request ends with exactly one of them.
 const (
 	Completed      Outcome = iota + 1 // the whole answer was delivered
-	NotRun                            // proved: no target executed any part of it
-	FailedRan                         // a target executed some of it, and no whole answer exists
-	OutcomeUnknown                    // a target may have executed it; nobody can prove which
+	NotRun                            // proven: no target executed any part of it
+	FailedRan                         // a target executed some of it, and there is no complete answer
+	OutcomeUnknown                    // a target may have executed it; that cannot be determined
 )
 
 var outcomeNames = [...]string{"", "completed", "refused, not run", "failed, was run", "outcome unknown"}
 
-// String returns the wording used in error bodies and docs.
+// String returns the text used in error bodies and docs.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -28,7 +28,7 @@
 	return "invalid outcome"
 }
 
-// Code is a stable number. Numbers are never reused; the thousands digit groups them by outcome.
+// Code is a stable number. Numbers are never reused; the thousands digit groups them by outcome and fault.
 type Code uint16
 
 // The result codes. docs/RESULT-CODES.md is tested against Table.
@@ -72,26 +72,26 @@
 	Unknown       Code = 5000
 	ClaimOrphan   Code = 5001
 	TargetSilent  Code = 5002
-	UnknownStream Code = 5003 // was 2008, "not run": of a stream that is kept nowhere that is not proved
+	UnknownStream Code = 5003 // was 2008 ("not run"), which is not proven for a stream that no instance keeps
 )
 
-// RetryAdvice says whether the caller may send the same request again.
+// RetryAdvice tells the caller whether it may send the same request again.
 type RetryAdvice uint8
 
-// Values of Again.
+// The values of RetryAdvice.
 const (
-	RetryNever        RetryAdvice = iota + 1 // asking again gives the same refusal
-	RetryLater                               // ask again after Retry-After
-	RetryWithKey                             // ask again only with the same Idempotency-Key
-	RetryIfIdempotent                        // ask again only if the call is idempotent
+	RetryNever        RetryAdvice = iota + 1 // a retry would be refused in the same way
+	RetryLater                               // retry after Retry-After
+	RetryWithKey                             // retry only with the same Idempotency-Key
+	RetryIfIdempotent                        // retry only if the call is idempotent
 )
 
-var againNames = [...]string{"", "no", "after Retry-After", "with the same Idempotency-Key", "only if idempotent"}
+var retryAdviceNames = [...]string{"", "no", "after Retry-After", "with the same Idempotency-Key", "only if idempotent"}
 
-// String returns the wording used in docs.
-func (a RetryAdvice) String() string { return againNames[a] }
+// String returns the text used in error bodies and docs.
+func (a RetryAdvice) String() string { return retryAdviceNames[a] }
 
-// Info is one row of the table.
+// Info is one row of Table.
 type Info struct {
 	Code        Code
 	Name        string
@@ -101,7 +101,7 @@
 	Text        string
 }
 
-// Table lists every code in ascending order.
+// Table lists all codes in ascending order.
 var Table = []Info{
 	{OK, "ok", http.StatusOK, Completed, RetryNever, "the answer is complete"},
 	{AnswerGone, "answer_gone", http.StatusGone, Completed, RetryNever, "the first request with this key completed; its answer is no longer kept"},
@@ -153,11 +153,11 @@
 	return byCode[Unknown]
 }
 
-// Error carries a code to the place that answers the caller.
+// Error carries a result code, with details, to the code that answers the caller.
 type Error struct {
 	Code       Code
-	Detail     string        // what was attempted, lower case, no secrets
-	RetryAfter time.Duration // 0 when the code's Again is not AgainLater
+	Detail     string        // what was attempted, in lower case; must not contain secrets
+	RetryAfter time.Duration // 0 unless the code's RetryAdvice is RetryLater
 	Cause      error
 }
 
--- a/lib/result/table_test.go
+++ b/lib/result/table_test.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/doctest"
 )
 
-var update = flag.Bool("update", false, "write the tables of docs anew")
+var update = flag.Bool("update", false, "rewrite the tables in docs")
 
 const codesPage = "../../docs/RESULT-CODES.md"
 
@@ -20,8 +20,8 @@
 	must.NoError(t, doctest.Keep(codesPage, "codes", want.Bytes(), *update))
 }
 
-// thousands is the outcome that each group of numbers promises.
-var thousands = map[Code]Outcome{1: Completed, 2: NotRun, 3: NotRun, 4: FailedRan, 5: OutcomeUnknown}
+// outcomeOfGroup maps each group of numbers to its outcome.
+var outcomeOfGroup = map[Code]Outcome{1: Completed, 2: NotRun, 3: NotRun, 4: FailedRan, 5: OutcomeUnknown}
 
 func TestTableIsConsistent(t *testing.T) {
 	var last Code
@@ -29,7 +29,7 @@
 	for _, in := range Table {
 		must.Greater(t, last, in.Code)
 		last = in.Code
-		must.Eq(t, thousands[in.Code/1000], in.Outcome, must.Sprint(in.Name))
+		must.Eq(t, outcomeOfGroup[in.Code/1000], in.Outcome, must.Sprint(in.Name))
 		must.False(t, names[in.Name], must.Sprint(in.Name))
 		names[in.Name] = true
 		must.NotEq(t, "", in.RetryAdvice.String())
@@ -38,8 +38,8 @@
 	}
 }
 
-// A caller that may have been run must never be told by a number to send it again as if it had not.
-func TestUnknownOutcomesAreNotAskedAgainFreely(t *testing.T) {
+// A code must never advise a plain retry of a request that may have run.
+func TestPlainRetryNeverAdvisedWhenRequestMayHaveRun(t *testing.T) {
 	for _, in := range Table {
 		if in.Outcome == OutcomeUnknown || in.Outcome == FailedRan {
 			must.NotEq(t, RetryLater, in.RetryAdvice, must.Sprint(in.Name))
--- a/lib/retry/after_test.go
+++ b/lib/retry/after_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// What targets write as a time to come back.
-func TestAfter(t *testing.T) {
+// Retry-After values as targets send them.
+func TestParseRetryAfter(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	date := func(d time.Duration) string { return now.Add(d).UTC().Format(http.TimeFormat) }
 	for _, c := range []struct {
--- a/lib/retry/budget.go
+++ b/lib/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry bounds how much work retries may add: a budget per workspace, bounded attempts, one retrying layer,
-// and the caller's deadline carried down to each attempt.
+// Package retry limits the load that retries add: a budget per workspace, a bounded number of attempts, a single retrying
+// layer, and the caller's deadline propagated to each attempt.
 package retry
 
 import (
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// BudgetConfig sizes the budgets. All workspaces share it; the ratio comes with each deposit.
+// BudgetConfig configures the budgets of all workspaces. The ratio is passed with each deposit.
 type BudgetConfig struct {
-	FloorPerSecond float64       // retries a second that a workspace may always make
-	Window         time.Duration // how much good traffic a budget remembers; bounds a burst of retries
-	Idle           time.Duration // a workspace without traffic for so long is forgotten
+	FloorPerSecond float64       // retries per second that a workspace may always make
+	Window         time.Duration // how long deposits count; bounds a burst of retries
+	Idle           time.Duration // a workspace without traffic for this long is removed
 }
 
-// DefaultBudgetConfig lets a quiet workspace retry once in two seconds.
+// DefaultBudgetConfig lets an idle workspace retry once in two seconds.
 var DefaultBudgetConfig = BudgetConfig{FloorPerSecond: 0.5, Window: 10 * time.Second, Idle: 10 * time.Minute}
 
-// Budgets holds a token bucket for each workspace. A first attempt deposits a fraction of a token, a retry takes a
-// whole one. It is safe for concurrent use.
+// Budgets holds one token bucket per workspace. A first attempt deposits a fraction of a token; a retry takes a whole one. It
+// is safe for concurrent use.
 //
-// Failure: targets slow down, every caller's request is sent twice, and the added load keeps them slow after the
-// cause has gone. Retries that are a fraction of first attempts can't multiply the load by more than 1+fraction.
+// Failure: targets slow down, every caller's request is sent twice, and the added load keeps the targets slow after the cause
+// is gone. Retries limited to a fraction of first attempts cannot multiply the load by more than 1+fraction.
 type Budgets struct {
 	cfg     BudgetConfig
 	mu      sync.Mutex
@@ -36,26 +36,26 @@
 	last     time.Time
 }
 
-// NewBudgets returns empty budgets.
+// NewBudgets returns a Budgets without workspaces.
 func NewBudgets(cfg BudgetConfig) *Budgets {
 	return &Budgets{cfg: cfg, buckets: make(map[string]*bucket)}
 }
 
-// Deposit records a first attempt of workspace. Ratio is the settings' retry budget, retries per first attempt.
+// Deposit records a first attempt of workspace. ratio is the retry budget from the settings, in retries per first attempt.
 func (b *Budgets) Deposit(now time.Time, workspace string, ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.at(now, workspace)
+	k := b.bucketOf(now, workspace)
 	k.deposits += ratio
 	k.tokens = min(k.tokens+ratio, b.capacity(k))
 }
 
-// Take spends one retry of workspace. It reports false when the budget is empty, with the time until the floor alone
-// fills it; 0 when there is no floor.
+// Take spends one retry of workspace. When the budget is empty it returns false and the time until the floor alone would refill
+// it, or 0 when there is no floor.
 func (b *Budgets) Take(now time.Time, workspace string) (bool, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.at(now, workspace)
+	k := b.bucketOf(now, workspace)
 	if k.tokens >= 1 {
 		k.tokens--
 		return true, 0
@@ -70,8 +70,8 @@
 // epsilon keeps rounding errors of the bucket from adding a millisecond.
 const epsilon = 1e-6
 
-// at returns the bucket of workspace, brought up to now.
-func (b *Budgets) at(now time.Time, workspace string) *bucket {
+// bucketOf returns the bucket of workspace, updated to now.
+func (b *Budgets) bucketOf(now time.Time, workspace string) *bucket {
 	b.sweep(now)
 	k := b.buckets[workspace]
 	if k == nil {
@@ -89,12 +89,12 @@
 	return k
 }
 
-// capacity is what a bucket may hold: recent deposits, and never less than one retry plus the floor's window.
+// capacity is the maximum of a bucket: recent deposits plus the floor over one window, or one retry if that is more.
 func (b *Budgets) capacity(k *bucket) float64 {
 	return k.deposits + max(1, b.cfg.FloorPerSecond*b.cfg.Window.Seconds())
 }
 
-// sweep forgets idle workspaces, so that names that never return don't hold memory.
+// sweep removes idle workspaces, so that names that are never used again do not hold memory.
 func (b *Budgets) sweep(now time.Time) {
 	if now.Sub(b.swept) < b.cfg.Idle {
 		return
--- a/lib/retry/plan.go
+++ b/lib/retry/plan.go
@@ -9,25 +9,25 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Plan is the retry state of one request. The zero Attempt means that nothing was sent yet.
+// Plan is the retry state of one request. Attempt is 0 until the first attempt starts.
 type Plan struct {
 	Workspace   string
-	MaxAttempts int           // attempts in all, the first included; under 1 counts as 1
+	MaxAttempts int           // total attempts, including the first; below 1 counts as 1
 	Deadline    time.Time     // zero: none
-	MinRun      time.Duration // shortest useful attempt; with less time left none is started
+	MinRun      time.Duration // shortest useful attempt; none is started with less time left
 	Attempt     int           // attempts started so far
 }
 
-// Backoff bounds the pause before a retry: full jitter over Base, doubled for each retry, at most Max.
+// Backoff configures the delay before a retry: full jitter over Base, doubled with each retry, up to Max.
 type Backoff struct {
 	Base time.Duration
 	Max  time.Duration
 }
 
-// DefaultBackoff suits links of about a millisecond.
+// DefaultBackoff suits network latencies of about a millisecond.
 var DefaultBackoff = Backoff{Base: 10 * time.Millisecond, Max: 500 * time.Millisecond}
 
-// Delay draws the pause before retry n (1 for the first retry).
+// Delay draws the delay before retry n (1 for the first retry).
 func (b Backoff) Delay(rng *rand.Rand, n int) time.Duration {
 	span := b.Base
 	for range n - 1 {
@@ -43,8 +43,8 @@
 	return time.Duration(rng.Int64N(int64(span)))
 }
 
-// Next starts the next attempt of p, or tells why there is none. A first attempt is never charged to the budget.
-// A refusal is to be answered at once.
+// Next starts the next attempt of p, or returns why there is none. A first attempt is never charged to the budget. The caller
+// should answer its client at once with a returned error.
 func (p *Plan) Next(now time.Time, budgets *Budgets) *result.Error {
 	if err := p.checkDeadline(now); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	return result.New(result.DeadlineTooNear, "%v left after %d attempts", p.Deadline.Sub(now), p.Attempt)
 }
 
-// Remaining is the time that an attempt started now may take, to be sent down with it; 0 means no deadline.
+// Remaining is the time budget of an attempt started now, to be sent with the attempt; 0 means no deadline.
 func (p *Plan) Remaining(now time.Time) time.Duration {
 	if p.Deadline.IsZero() {
 		return 0
@@ -81,14 +81,14 @@
 	return max(p.Deadline.Sub(now), time.Millisecond)
 }
 
-// ErrNested is returned by Enter inside another retrying layer.
-var ErrNested = errors.New("already inside a retrying layer")
+// ErrNested is returned by Enter when ctx already belongs to a retrying layer.
+var ErrNested = errors.New("retry: context already belongs to a retrying layer")
 
 type layerKey struct{}
 
-// Enter marks ctx as belonging to the one layer that retries.
+// Enter marks ctx as belonging to the single layer that retries.
 //
-// Failure: two layers of three attempts send nine requests for one. The inner layer sees the mark and makes a single
+// Failure: two layers with three attempts each send nine requests for one. The inner layer sees the mark and makes a single
 // attempt.
 func Enter(ctx context.Context) (context.Context, error) {
 	if ctx.Value(layerKey{}) != nil {
--- a/lib/retry/retry_test.go
+++ b/lib/retry/retry_test.go
@@ -15,8 +15,8 @@
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-// What callers see when every target fails: each request fails after its first attempt but for one in ten, so that
-// retries add a tenth to the load and not a multiple of it. The budget grows with first attempts only.
+// When every target fails, one request in ten is retried, so retries add a tenth to the load instead of multiplying it. The
+// budget grows with first attempts only.
 func TestBudgetBoundsAddedLoad(t *testing.T) {
 	b := retry.NewBudgets(retry.BudgetConfig{Window: 10 * time.Second, Idle: time.Minute})
 	retries := 0
@@ -31,7 +31,7 @@
 	must.Between(t, 990, retries, 1002)
 }
 
-func TestBudgetKeepsWorkspacesApart(t *testing.T) {
+func TestBudgetsAreSeparatePerWorkspace(t *testing.T) {
 	b := retry.NewBudgets(retry.DefaultBudgetConfig)
 	for range 100 {
 		b.Deposit(t0, "roads", 0.2)
@@ -43,7 +43,7 @@
 	must.True(t, ok)
 }
 
-func TestFloorLetsQuietWorkspaceRetry(t *testing.T) {
+func TestFloorAllowsIdleWorkspaceToRetry(t *testing.T) {
 	b := retry.NewBudgets(retry.DefaultBudgetConfig)
 	ok, _ := b.Take(t0, "roads")
 	must.True(t, ok)
@@ -81,7 +81,7 @@
 	must.ErrorIs(t, err, retry.ErrNested)
 }
 
-// One layer retries, within the workspace's budget and the caller's deadline.
+// A single layer retries, within the workspace's budget and the caller's deadline.
 func Example() {
 	budgets := retry.NewBudgets(retry.DefaultBudgetConfig)
 	now := time.Unix(0, 0)
--- a/lib/retry/share_test.go
+++ b/lib/retry/share_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// All instances together stay under ratio x requests + floor in every sliding window, although none asks another.
-func TestShareHoldsInEveryWindow(t *testing.T) {
+// All instances together stay within ratio x requests + floor in every sliding window, without coordination.
+func TestInstanceBudgetsStayWithinBoundInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		n := rapid.IntRange(1, 8).Draw(t, "instances")
-		shares := make([]*InstanceBudget, n)
-		for i := range shares {
-			shares[i] = NewInstanceBudget(0.2, 54, window)
-			shares[i].SetInstances(n)
+		budgets := make([]*InstanceBudget, n)
+		for i := range budgets {
+			budgets[i] = NewInstanceBudget(0.2, 54, window)
+			budgets[i].SetInstances(n)
 		}
 		type event struct {
 			at     time.Duration
@@ -26,7 +26,7 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond
-			s := shares[rapid.IntRange(0, n-1).Draw(t, "who")]
+			s := budgets[rapid.IntRange(0, n-1).Draw(t, "who")]
 			at := time.Unix(1000, 0).Add(now)
 			s.CountRequest(at, "svc")
 			events = append(events, event{now, false})
@@ -50,8 +50,8 @@
 	})
 }
 
-// Repeats that were sent whatever was left are made up for by later ones.
-func TestSpendIsCounted(t *testing.T) {
+// Forced repeats reduce the budget for later ones.
+func TestForcedRepeatsCountAgainstBudget(t *testing.T) {
 	s := NewInstanceBudget(0, 10, 10*time.Second)
 	now := time.Unix(1000, 0)
 	must.Eq(t, 7, s.Remaining(now, "svc"))
