--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -77,7 +77,7 @@
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
 	// CountSettings and CountTarget return the writer's own count of a row, which goes on when the store comes back from a copy.
-	CountSettings, CountTarget func(feed.Row) (feed.Count, bool)
+	CountSettings, CountTarget func(feed.Row) (feed.WriteSeq, bool)
 	// Evacuated returns the failure domain that a row of the table of settings evacuates while it is there.
 	Evacuated    func(feed.Row) (domain string, ok bool)
 	Targets      feed.Source
@@ -133,7 +133,7 @@
 	born   uint64 // incarnation
 	node   *mesh.Node
 	feeds  struct{ settings, targets, instances *feed.Replica }
-	track  *feedlink.Track
+	track  *feedlink.Syncer
 
 	front, ready *http.Server
 	cancel       context.CancelFunc
@@ -141,7 +141,7 @@
 
 	era        atomic.Int64              // of the store's history that the settings were last read in
 	listFailed atomic.Pointer[time.Time] // when a call for the list of targets last failed
-	placed     atomic.Pointer[feedlink.Place]
+	placed     atomic.Pointer[feedlink.Assignment]
 	passedOn   atomic.Pointer[time.Time] // when this instance last read or relayed
 	divided    atomic.Bool               // most instances hold a part of the targets
 
--- a/lib/guardlink/link_test.go
+++ b/lib/guardlink/link_test.go
@@ -51,7 +51,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	p := &process{self: member.Member{Instance: name, Incarnation: 1, MeshAddr: ln.Addr().String()}, poison: poison.New(poison.DefaultConfig)}
-	p.node, err = mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plain: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
+	p.node, err = mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plaintext: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
 	must.NoError(t, err)
 	e.mu.Lock()
 	e.view = append(e.view, p.self)
--- a/lib/record/peer.go
+++ b/lib/record/peer.go
@@ -138,7 +138,7 @@
 func (k *Replicator) next(p *peer) (id key, inc *meshpb.Record, closed bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if m, ok := k.opts.View().Get(p.to.Instance); !ok || !m.TakesWork() {
+	if m, ok := k.opts.View().Get(p.to.Instance); !ok || !m.AcceptsWork() {
 		clear(p.wanted) // the next Put chooses another peer
 	}
 	for id := range p.wanted {
