--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -48,9 +48,9 @@
 
 func (p *Process) newReplicas() {
 	p.feeds.settings = p.replica(settingsTable, p.applySettings).
-		WithRetention(feed.Retention{Period: settingsRetention, WriteSeq: p.site.CountSettings})
+		WithRetention(feed.Retention{Period: settingsRetention, WriteSeq: p.site.SettingsWriteSeq})
 	p.feeds.targets = p.replica(targetsTable, p.applyTargets).
-		WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.CountTarget})
+		WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.TargetWriteSeq})
 	p.feeds.instances = p.replica(instancesTable, p.applyInstances).WithRetention(feed.Retention{Period: instancesRetention})
 }
 
@@ -105,7 +105,7 @@
 
 // startFeeds starts the feeds and the background work.
 func (p *Process) startFeeds(ctx context.Context) {
-	if !p.cfg.First {
+	if !p.cfg.FirstStart {
 		p.start(func() { p.join(ctx) })
 	}
 	p.start(func() { p.syncer.Run(ctx) })
--- a/lib/gatewayproc/member.go
+++ b/lib/gatewayproc/member.go
@@ -28,24 +28,24 @@
 
 // Known is a snapshot of a Member's state.
 type Known struct {
-	Settings  int64 // version in force; 0: none
-	Targets   int   // rows held
-	Instances int
-	Part      bool // it holds a subset of the targets
-	Role      feedlink.Role
-	Owns      int // engines in the shards that it owns
+	Settings     int64 // version in force; 0: none
+	Targets      int   // rows held
+	Instances    int
+	Partial      bool // it holds a subset of the targets
+	Role         feedlink.Role
+	OwnedEngines int // engines in the shards that it owns
 }
 
 // Known returns the Member's current state.
 func (m *Member) Known() Known {
 	return Known{
-		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Part: m.p.feeds.targets.Partial(),
-		Role: m.p.assignment().Role, Owns: len(m.p.link.OwnedEngines()),
+		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Partial: m.p.feeds.targets.Partial(),
+		Role: m.p.assignment().Role, OwnedEngines: len(m.p.link.OwnedEngines()),
 	}
 }
 
-// Takes reports whether a target accepts requests, as far as the Member knows. It never sends to targets that it does not hold by itself.
-func (m *Member) Takes(target string) bool { return !m.p.fleet.IsLeaving(target) }
+// Accepts reports whether a target accepts requests, as far as the Member knows. It never sends to targets that it does not hold by itself.
+func (m *Member) Accepts(target string) bool { return !m.p.fleet.IsLeaving(target) }
 
 // Place requests a placement on an engine, as for a stream.
 func (m *Member) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -34,29 +34,29 @@
 
 // Config is the configuration of an instance at its start.
 type Config struct {
-	Instance string
-	Domain   string            // failure domain
-	Regions  map[string]string // region of each failure domain
-	Front    string            // address for callers
-	Ready    string            // address for the balancer's readiness checks
-	Peer     string            // address for other instances' datagrams
-	Link     string            // address for other instances' streams
-	LinkBind string            // where to listen for them; empty: at Link
-	Metrics  string            // address for metrics, at /metrics; empty: none
-	Seeds    []string          // link addresses of some instances, which may be stale
-	First    bool              // the site starts for the first time
-	MemoryMB int               // limit at which the process is killed
-	LinkMbps float64
-	CPUShare float64 // of a core
+	Instance   string
+	Domain     string            // failure domain
+	Regions    map[string]string // region of each failure domain
+	Front      string            // address for callers
+	Ready      string            // address for the balancer's readiness checks
+	Peer       string            // address for other instances' datagrams
+	Link       string            // address for other instances' streams
+	LinkBind   string            // where to listen for them; empty: at Link
+	Metrics    string            // address for metrics, at /metrics; empty: none
+	Seeds      []string          // link addresses of some instances, which may be stale
+	FirstStart bool              // the site starts for the first time
+	MemoryMB   int               // limit at which the process is killed
+	LinkMbps   float64
+	CPUShare   float64 // of a core
 
 	Grace time.Duration // from SIGTERM to the kill
 
 	Network Network // connects to other instances
 
 	// All instances together may retry RepeatRatio of a service's requests, plus RepeatFloor, in each RepeatWindow.
-	RepeatRatio  float64
-	RepeatFloor  float64
-	RepeatWindow time.Duration
+	RetryRatio  float64
+	RetryFloor  float64
+	RetryWindow time.Duration
 }
 
 // Network opens the connections between instances. Nil functions stand for the network of the machine.
@@ -71,14 +71,14 @@
 	Names   gateway.Names
 	Pool    *wirehttp.Pool
 	Engines gateway.Engines
-	// HearEngines sets the hook that is called with each response to a call of Engines.
-	HearEngines func(gateway.ResponseHook)
+	// SetResponseHook sets the hook that is called with each response to a call of Engines.
+	SetResponseHook func(gateway.ResponseHook)
 
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
-	// CountSettings and CountTarget return the writer's own sequence number of a row, which continues when the store is restored from
+	// SettingsWriteSeq and CountTarget return the writer's own sequence number of a row, which continues when the store is restored from
 	// a backup.
-	CountSettings, CountTarget func(feed.Row) (feed.WriteSeq, bool)
+	SettingsWriteSeq, TargetWriteSeq func(feed.Row) (feed.WriteSeq, bool)
 	// Evacuated returns the failure domain that a row of the settings table evacuates as long as it exists.
 	Evacuated    func(feed.Row) (domain string, ok bool)
 	Targets      feed.Source
@@ -162,12 +162,12 @@
 	p.fleet.SetRegions(cfg.Regions)
 	p.fleet.SetSenders(p.maySendDirectly)
 	p.newReplicas()
-	p.retryBudget = retry.NewInstanceBudget(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
+	p.retryBudget = retry.NewInstanceBudget(cfg.RetryRatio, cfg.RetryFloor, cfg.RetryWindow)
 	p.gate = gateway.New(gateway.Config{
 		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.retryBudget,
 		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.onTargetLeaving,
 	})
-	site.HearEngines(p.gate.ReadNotices)
+	site.SetResponseHook(p.gate.ReadNotices)
 	if err := p.openOwnerLink(); err != nil {
 		return nil, fmt.Errorf("gatewayproc: peers: %w", err)
 	}
@@ -339,7 +339,7 @@
 			logline.Cause(log.Error().Str("event", "reload_refused"), err)
 			continue
 		}
-		p.retryBudget.SetBound(cfg.RepeatRatio, cfg.RepeatFloor)
+		p.retryBudget.SetBound(cfg.RetryRatio, cfg.RetryFloor)
 		p.fleet.SetRegions(cfg.Regions)
 		log.Info().Str("event", "reload").Str("instance", cfg.Instance).Msg("")
 	}
