--- a/lib/ctl/apply.go
+++ b/lib/ctl/apply.go
@@ -16,7 +16,7 @@
 	"anvilwick.example/anvilwick/lib/settingsync"
 )
 
-// noBase means that -base was not given; 0 is the base of the first revision.
+// noBase means that -base was not given; 0 is a valid base, that of the first revision.
 const noBase = -1
 
 type applyFlags struct {
@@ -50,7 +50,7 @@
 		})
 }
 
-// operatorName is the login name; it may be empty.
+// operatorName returns the login name; it may be empty.
 func operatorName() string {
 	u, err := user.Current()
 	if err != nil {
@@ -59,7 +59,7 @@
 	return u.Username
 }
 
-// applySource reads what to commit; its stamp is the base.
+// applySource reads the document to commit, whose stamp is set to the base revision.
 func (g *globals) applySource(ctx context.Context, c *platform.Client, args []string, f applyFlags) (*document, error) {
 	var d *document
 	var err error
@@ -84,7 +84,7 @@
 	return d, nil
 }
 
-// rollForward reads an earlier revision, to be committed on top of the newest.
+// rollForward reads an earlier revision to commit it again on top of the newest.
 func (g *globals) rollForward(ctx context.Context, c *platform.Client, revision uint64) (*document, error) {
 	d, err := committed(ctx, c, revision)
 	if err != nil {
@@ -106,7 +106,7 @@
 	})
 	var conflict *settingsync.Conflict
 	if errors.As(err, &conflict) {
-		g.tellConflict(ctx, c, conflict)
+		g.printConflict(ctx, c, conflict)
 	}
 	if err != nil {
 		return err
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// tellConflict shows the second of two operators whose changes came between, and what they changed.
-func (g *globals) tellConflict(ctx context.Context, c *platform.Client, conflict *settingsync.Conflict) {
+// printConflict shows the operator the revisions committed since the base, and what they changed.
+func (g *globals) printConflict(ctx context.Context, c *platform.Client, conflict *settingsync.Conflict) {
 	for _, r := range conflict.Between {
 		fmt.Fprintf(g.Out, "revision %d by %s at %s: %s\n", r.Revision, r.Operator, r.Time.Format(time.RFC3339), strings.TrimSpace(noteOf(r)))
 	}
@@ -128,7 +128,7 @@
 	}
 	base, err := committed(ctx, c, conflict.Base)
 	if err != nil {
-		return // the diff is a help; the refusal stands without it
+		return // the diff is optional; the conflict is reported anyway
 	}
 	head, err := committed(ctx, c, conflict.Head)
 	if err != nil {
--- a/lib/ctl/ctl.go
+++ b/lib/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line, anvilwick-ctl: a tree of subcommands and the exit codes that they share.
+// Package ctl implements the operators' command line, anvilwick-ctl: a tree of subcommands with common exit codes.
 package ctl
 
 import (
@@ -25,10 +25,10 @@
 	ExitOK          = 0
 	ExitFailed      = 1 // any other failure
 	ExitUsage       = 2 // bad flags or arguments
-	ExitRefused     = 3 // the settings were refused; nothing was changed
-	ExitConflict    = 4 // another operator's change came between; nothing was changed
-	ExitUnknown     = 5 // the outcome of a change could not be settled
-	ExitUnavailable = 6 // the platform gives no answer; nothing was changed
+	ExitRefused     = 3 // the settings were rejected; nothing was changed
+	ExitConflict    = 4 // another operator committed first; nothing was changed
+	ExitUnknown     = 5 // the outcome of a change is unknown
+	ExitUnavailable = 6 // the platform is unavailable; nothing was changed
 	ExitDiffers     = 7 // settings diff found differences
 )
 
@@ -36,13 +36,13 @@
   0  done
   1  failed
   2  bad flags or arguments
-  3  the settings were refused; nothing was changed
-  4  another operator's change came between; nothing was changed
-  5  the outcome of a change could not be settled; ask again with "settings history"
-  6  the platform gives no answer; nothing was changed
+  3  the settings were rejected; nothing was changed
+  4  another operator committed first; nothing was changed
+  5  the outcome of a change is unknown; check "settings history"
+  6  the platform is unavailable; nothing was changed
   7  "settings diff" found differences`
 
-// envPrefix starts the names of environment variables: ANVILWICK_PLATFORM sets -platform.
+// envPrefix is the prefix of environment variables: ANVILWICK_PLATFORM sets -platform.
 const envPrefix = "ANVILWICK"
 
 // Streams are a command's standard streams.
@@ -52,13 +52,13 @@
 	Err io.Writer
 }
 
-// globals holds what every subcommand shares.
+// globals holds the state shared by all subcommands.
 type globals struct {
 	Streams
 	platform string
 	timeout  time.Duration
 	version  bool
-	help     bytes.Buffer // what the flag sets print
+	help     bytes.Buffer // output of the flag sets
 }
 
 var (
@@ -67,7 +67,7 @@
 	differs   = namespace.NewType("differs")
 )
 
-// Run runs one command and returns its exit code. An error is one line on Err.
+// Run runs one command and returns its exit code. An error is printed as one line on Err.
 func Run(ctx context.Context, args []string, std Streams) int {
 	g := &globals{Streams: std}
 	root := newRoot(g)
@@ -89,7 +89,7 @@
 	return g.report(err)
 }
 
-// flagSet returns an empty flag set. What it prints is kept: a bad flag is answered by one line and not by the help.
+// flagSet returns an empty flag set whose output is buffered: a bad flag is reported in one line, without the help text.
 func (g *globals) flagSet(name string) *flag.FlagSet {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(&g.help)
@@ -99,8 +99,8 @@
 func newRoot(g *globals) *ffcli.Command {
 	fs := g.flagSet("anvilwick-ctl")
 	fs.StringVar(&g.platform, "platform", "", "IP:port of the platform's table service")
-	fs.DurationVar(&g.timeout, "timeout", 30*time.Second, "longest time that a command may take")
-	fs.BoolVar(&g.version, "version", false, "print the version and end")
+	fs.DurationVar(&g.timeout, "timeout", 30*time.Second, "time limit of a command")
+	fs.BoolVar(&g.version, "version", false, "print the version and exit")
 	fs.String("config", "", "file with a flag and its value on each line")
 	return &ffcli.Command{
 		Name:        "anvilwick-ctl",
@@ -133,7 +133,7 @@
 	return info.Main.Version + " " + info.GoVersion
 }
 
-// report prints err on one line and returns its exit code.
+// report prints err as one line and returns its exit code.
 func (g *globals) report(err error) int {
 	code := exitCode(err)
 	if err != nil && code != ExitDiffers {
@@ -164,7 +164,7 @@
 	return ExitFailed
 }
 
-// message words an error without the name of its type, where that says no more than the message.
+// message returns the text of an error, without the name of its type if it has no cause.
 func message(err error) string {
 	if e := errorx.Cast(err); e != nil && e.Cause() == nil {
 		return e.Message()
@@ -172,7 +172,7 @@
 	return err.Error()
 }
 
-// table returns the client of the platform's table.
+// table returns a client of the platform's table.
 func (g *globals) table() (*platform.Client, error) {
 	if g.platform == "" {
 		return nil, usageErr.New("-platform is missing: give the IP:port of the platform's table service")
--- a/lib/ctl/ctl_test.go
+++ b/lib/ctl/ctl_test.go
@@ -26,7 +26,7 @@
 	return code, out.String(), errs.String()
 }
 
-// site is a stand-in of the platform with an operator's file beside it.
+// site is a stand-in platform with a directory for an operator's files.
 type site struct {
 	*standin.Listener
 	dir string
@@ -57,8 +57,8 @@
 	return file
 }
 
-// first commits the example as revision 1 and returns what show prints of it.
-func (s *site) first(t *testing.T) string {
+// applyFirst commits the example as revision 1 and returns the output of show.
+func (s *site) applyFirst(t *testing.T) string {
 	t.Helper()
 	code, out, errs := s.settings(t, "apply", "-base", "0", "-operator", "mairi", "-note", "first", example)
 	must.Eq(t, ExitOK, code, must.Sprint(errs))
@@ -70,7 +70,7 @@
 
 func TestChangeFromShowToHistory(t *testing.T) {
 	s := newSite(t)
-	shown := s.first(t)
+	shown := s.applyFirst(t)
 	original, err := os.ReadFile(example)
 	must.NoError(t, err)
 	must.Eq(t, "# revision: 1\n"+string(original), shown)
@@ -101,11 +101,11 @@
 	must.Eq(t, "# revision: 3\n"+string(original), out)
 }
 
-// Two operators edit revision 1; the second to apply would undo the first. It is told who came between and what that
-// changed, and nothing is written.
-func TestSecondOperatorIsTold(t *testing.T) {
+// Two operators edit revision 1; the second apply would undo the first. It must report who committed in between and what
+// changed, and write nothing.
+func TestApplyReportsConflict(t *testing.T) {
 	s := newSite(t)
-	shown := s.first(t)
+	shown := s.applyFirst(t)
 	aline := s.write(t, "aline.yaml", strings.Replace(shown, "power_cap: 48kW", "power_cap: 47kW", 1))
 	mairi := s.write(t, "mairi.yaml", strings.Replace(shown, "stall_floor: 2s", "stall_floor: 3s", 1))
 	code, _, _ := s.settings(t, "apply", "-operator", "aline", "-note", "new fuse", aline)
@@ -122,26 +122,26 @@
 	must.StrContains(t, out, "stall_floor: 2s")
 }
 
-// A file that doesn't say which revision it starts from could be an old copy: committed on top of the newest, it
-// would undo whatever came between.
-func TestApplyAsksForTheBase(t *testing.T) {
+// A file without a base revision could be an old copy: committed on top of the newest revision, it
+// would undo all changes in between.
+func TestApplyRequiresBase(t *testing.T) {
 	s := newSite(t)
 	code, _, errs := s.settings(t, "apply", example)
 	must.Eq(t, ExitUsage, code)
 	must.StrContains(t, errs, "does not say which revision it starts from")
 }
 
-func TestApplyOverLostAnswer(t *testing.T) {
+func TestApplyResolvesLostAnswer(t *testing.T) {
 	s := newSite(t)
 	s.SetFault(standin.Fault{Kind: standin.FaultLoseAnswer, Count: 1, WritesOnly: true})
-	s.first(t)
+	s.applyFirst(t)
 	_, out, _ := s.settings(t, "history")
 	must.Eq(t, 2, strings.Count(out, "\n"))
 }
 
-// The platform takes the change and answers after the operator's patience. To say that it failed would be a lie: it
-// takes effect. The command says that it doesn't know, and history tells later.
-func TestApplyWithoutAnAnswerInTime(t *testing.T) {
+// The platform executes the change but answers after the command's timeout. The change takes effect, so the command must
+// not report a failure: it reports an unknown outcome, and history shows the commit later.
+func TestApplyTimeoutIsUnknown(t *testing.T) {
 	s := newSite(t)
 	s.SetFault(standin.Fault{Kind: standin.FaultSlow, DelayMS: 1500, WritesOnly: true})
 	code, _, errs := run(t, "", "-platform", s.Addr(), "-timeout", "700ms", "settings", "apply", "-base", "0", example)
@@ -191,15 +191,15 @@
 		{"service.fencing", "enforced", "services.planner-llm"},
 		{"site.power_cap", "48kW", "site"},
 	} {
-		must.StrContains(t, squeeze(out), strings.Join(want, " "))
+		must.StrContains(t, collapseSpaces(out), strings.Join(want, " "))
 	}
 	code, _, errs = run(t, "", "settings", "explain", "-file", example, "planner-llm", "nobody", "overnight")
 	must.Eq(t, ExitUsage, code)
 	must.StrContains(t, errs, "has no such service, workspace or class")
 }
 
-// squeeze turns runs of spaces into one.
-func squeeze(s string) string {
+// collapseSpaces turns runs of spaces into one.
+func collapseSpaces(s string) string {
 	for strings.Contains(s, "  ") {
 		s = strings.ReplaceAll(s, "  ", " ")
 	}
@@ -247,7 +247,7 @@
 
 func TestPlatformFromEnvironment(t *testing.T) {
 	s := newSite(t)
-	s.first(t)
+	s.applyFirst(t)
 	t.Setenv("ANVILWICK_PLATFORM", s.Addr())
 	code, out, errs := run(t, "", "settings", "history")
 	must.Eq(t, ExitOK, code, must.Sprint(errs))
--- a/lib/ctl/explain.go
+++ b/lib/ctl/explain.go
@@ -13,7 +13,8 @@
 )
 
 func newExplainRequest(g *globals) *ffcli.Command {
-	return g.leaf("explain", "REQUEST-ID [FILE ...]", "Put the log lines of one request into a timeline; logs come from the files or standard input.",
+	return g.leaf("explain", "REQUEST-ID [FILE ...]",
+		"Print the log lines of one request as a timeline; logs are read from the files or standard input.",
 		func(*flag.FlagSet) {},
 		func(_ context.Context, args []string) error {
 			if len(args) == 0 {
@@ -27,7 +28,7 @@
 		})
 }
 
-// logs reads the files one after another, or standard input when there are none.
+// logs returns the concatenation of the files, or standard input if there are none.
 func (g *globals) logs(paths []string) (io.Reader, func() error, error) {
 	if len(paths) == 0 {
 		return g.In, func() error { return nil }, nil
--- a/lib/ctl/file.go
+++ b/lib/ctl/file.go
@@ -13,20 +13,20 @@
 	"anvilwick.example/anvilwick/lib/settingsync"
 )
 
-// stampPrefix starts the first line of a file that "settings show" wrote. The stamp names the revision that an
-// operator's edit starts from; it is not part of the settings that are committed.
+// stampPrefix starts the first line of a file written by "settings show". The stamp is the revision that an
+// operator's edit is based on; it is not committed with the settings.
 const stampPrefix = "# revision: "
 
-// document is a settings file of an operator.
+// document is an operator's settings file.
 type document struct {
 	name    string
-	stamp   uint64 // revision of the stamp
+	stamp   uint64 // base revision, if stamped
 	stamped bool
 	text    []byte // without the stamp
 	tree    *settings.Tree
 }
 
-// readDocument reads and checks a file; "-" is standard input.
+// readDocument reads and validates a file; "-" is standard input.
 func (g *globals) readDocument(name string) (*document, error) {
 	raw, err := g.readFile(name)
 	if err != nil {
@@ -41,7 +41,7 @@
 		}
 		d.text, d.stamped = rest, true
 	}
-	// The whole file is parsed, stamp included, so that line numbers are those of the operator's editor.
+	// The whole file is parsed, including the stamp, so that line numbers match the file.
 	d.tree, err = settings.Parse(raw, name)
 	return d, err
 }
@@ -61,7 +61,7 @@
 
 func stampLine(revision uint64) []byte { return fmt.Appendf(nil, "%s%d\n", stampPrefix, revision) }
 
-// committed reads and checks a revision of the table; 0 means the newest. It returns nil when nothing was committed.
+// committed reads and validates a committed revision; 0 means the newest. It returns nil if nothing is committed.
 func committed(ctx context.Context, c *platform.Client, revision uint64) (*document, error) {
 	if revision == 0 {
 		var err error
@@ -78,7 +78,7 @@
 	return d, err
 }
 
-// printDiff prints what to gives differently from from, and reports whether anything does.
+// printDiff prints the differences between two documents and reports whether there are any.
 func (g *globals) printDiff(from, to *document) bool {
 	diffs := settings.Diff(from.tree, to.tree)
 	for _, d := range diffs {
--- a/lib/ctl/inspect.go
+++ b/lib/ctl/inspect.go
@@ -21,7 +21,7 @@
 const maxKeyInput = 4096
 
 func newValidate(g *globals) *ffcli.Command {
-	return g.leaf("validate", "FILE...", "Check settings files and list every fault.", nil, func(_ context.Context, args []string) error {
+	return g.leaf("validate", "FILE...", "Check settings files and list all problems.", nil, func(_ context.Context, args []string) error {
 		if len(args) == 0 {
 			return usageErr.New("settings validate: expected a FILE, or - for standard input")
 		}
@@ -122,10 +122,11 @@
 	var file string
 	var revision uint64
 	flags := func(fs *flag.FlagSet) {
-		fs.StringVar(&file, "file", "", "explain this file in place of a committed revision")
+		fs.StringVar(&file, "file", "", "explain this file instead of a committed revision")
 		fs.Uint64Var(&revision, "rev", 0, "revision; 0: the newest")
 	}
-	return g.leaf("explain", "[-file FILE | -rev N] SERVICE WORKSPACE CLASS", "Show every value in force there, and the node that it comes from.", flags,
+	return g.leaf("explain", "[-file FILE | -rev N] SERVICE WORKSPACE CLASS",
+		"Show every effective value and the settings node that sets it.", flags,
 		func(ctx context.Context, args []string) error {
 			if len(args) != 3 {
 				return usageErr.New("settings explain: expected SERVICE WORKSPACE CLASS")
@@ -168,7 +169,7 @@
 func newHistory(g *globals) *ffcli.Command {
 	var limit int
 	flags := func(fs *flag.FlagSet) {
-		fs.IntVar(&limit, "n", 20, "revisions to list at most")
+		fs.IntVar(&limit, "n", 20, "maximum number of revisions to list")
 	}
 	return g.leaf("history", "[-n N]", "List committed revisions, newest first.", flags, func(ctx context.Context, _ []string) error {
 		c, err := g.table()
@@ -197,17 +198,18 @@
 }
 
 func newHashKey(g *globals) *ffcli.Command {
-	return g.leaf("hash-key", "< KEY-FILE", "Print the hash of the workspace key on standard input, as settings hold it.", nil, func(context.Context, []string) error {
-		raw, err := io.ReadAll(io.LimitReader(g.In, maxKeyInput))
-		if err != nil {
-			return err
-		}
-		key := strings.TrimRight(string(raw), "\r\n")
-		if key == "" {
-			return usageErr.New("settings hash-key: expected a key on standard input")
-		}
-		sum := sha256.Sum256([]byte(key))
-		fmt.Fprintln(g.Out, "sha256:"+hex.EncodeToString(sum[:]))
-		return nil
-	})
+	return g.leaf("hash-key", "< KEY-FILE", "Print the hash of the workspace key on standard input, as used in settings.",
+		nil, func(context.Context, []string) error {
+			raw, err := io.ReadAll(io.LimitReader(g.In, maxKeyInput))
+			if err != nil {
+				return err
+			}
+			key := strings.TrimRight(string(raw), "\r\n")
+			if key == "" {
+				return usageErr.New("settings hash-key: expected a key on standard input")
+			}
+			sum := sha256.Sum256([]byte(key))
+			fmt.Fprintln(g.Out, "sha256:"+hex.EncodeToString(sum[:]))
+			return nil
+		})
 }
--- a/lib/ctl/ops.go
+++ b/lib/ctl/ops.go
@@ -17,13 +17,13 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// tokenEnv holds an operator's token when -token-file is not given. A flag would show it in the list of processes.
+// tokenEnv holds an operator's token if -token-file is not given. A flag value would be visible in the process list.
 const tokenEnv = "ANVILWICK_OPERATOR_TOKEN"
 
-// noAnswer is for processes that did not answer; what the others said was printed.
+// noAnswer is the error for processes that did not answer; the answers of the others are printed.
 var noAnswer = namespace.NewType("no_answer")
 
-// ops is what the subcommands share that ask processes.
+// ops is the part shared by the subcommands that query processes.
 type ops struct {
 	g         *globals
 	addrs     string
@@ -34,7 +34,7 @@
 	return []*ffcli.Command{newStatus(g), newTargets(g), newQueues(g), newDrain(g)}
 }
 
-// leaf returns a subcommand that asks processes.
+// leaf returns a subcommand that queries processes.
 func (o *ops) leaf(name, usage, help string, flags func(*flag.FlagSet), exec func(context.Context, []string) error) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(o.g.Err)
@@ -53,32 +53,32 @@
 	}
 }
 
-// answer is what one process said.
-type answer[T any] struct {
+// response is the response of one process.
+type response[T any] struct {
 	addr string
 	body T
 	err  error
 }
 
-// askAll asks every process at once and returns the answers in the order of -ops.
-func askAll[T any](ctx context.Context, o *ops, ask func(context.Context, *opsapi.Client) (T, error)) ([]answer[T], error) {
-	addrs, token, err := o.targets()
+// queryAll queries all processes concurrently and returns the answers in the order of -ops.
+func queryAll[T any](ctx context.Context, o *ops, query func(context.Context, *opsapi.Client) (T, error)) ([]response[T], error) {
+	addrs, token, err := o.addrsAndToken()
 	if err != nil {
 		return nil, err
 	}
-	out := make([]answer[T], len(addrs))
+	out := make([]response[T], len(addrs))
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
 		wg.Go(func() {
-			body, err := ask(ctx, opsapi.NewClient(addr, token))
-			out[i] = answer[T]{addr, body, err}
+			body, err := query(ctx, opsapi.NewClient(addr, token))
+			out[i] = response[T]{addr, body, err}
 		})
 	}
 	wg.Wait()
 	return out, nil
 }
 
-func (o *ops) targets() (addrs []string, token string, err error) {
+func (o *ops) addrsAndToken() (addrs []string, token string, err error) {
 	for addr := range strings.SplitSeq(o.addrs, ",") {
 		if addr = strings.TrimSpace(addr); addr == "" {
 			continue
@@ -106,8 +106,8 @@
 	return strings.TrimSpace(string(raw)), nil
 }
 
-// failures tells in one line which processes did not answer.
-func failures[T any](answers []answer[T]) error {
+// noAnswerError returns an error that lists the processes that did not answer, or nil.
+func noAnswerError[T any](answers []response[T]) error {
 	var failed []string
 	for _, a := range answers {
 		if a.err != nil {
@@ -124,21 +124,21 @@
 	o := &ops{g: g}
 	return o.leaf("status", "", "Show processes, the settings revision in force at each, leases and power.", nil,
 		func(ctx context.Context, _ []string) error {
-			answers, err := askAll(ctx, o, func(ctx context.Context, c *opsapi.Client) (opsapi.Status, error) { return c.Status(ctx) })
+			answers, err := queryAll(ctx, o, func(ctx context.Context, c *opsapi.Client) (opsapi.Status, error) { return c.Status(ctx) })
 			if err != nil {
 				return err
 			}
 			g.printProcesses(answers)
 			g.printMembers(answers)
 			g.printControl(answers)
-			return failures(answers)
+			return noAnswerError(answers)
 		})
 }
 
-func (g *globals) tab() *tabwriter.Writer { return tabwriter.NewWriter(g.Out, 0, 8, 2, ' ', 0) }
+func (g *globals) newTable() *tabwriter.Writer { return tabwriter.NewWriter(g.Out, 0, 8, 2, ' ', 0) }
 
-func (g *globals) printProcesses(answers []answer[opsapi.Status]) {
-	w := g.tab()
+func (g *globals) printProcesses(answers []response[opsapi.Status]) {
+	w := g.newTable()
 	fmt.Fprintln(w, "instance\trole\tfailure domain\trevision\tstreams\tqueued\tstopping\tstore\tlink\taddress")
 	for _, a := range answers {
 		if a.err != nil {
@@ -152,15 +152,15 @@
 	_ = w.Flush()
 }
 
-// printMembers shows the other instances as the first process sees them that knows any, with the revisions that their
-// heartbeats carry: an instance that lags or is cut off shows here even when it isn't asked.
-func (g *globals) printMembers(answers []answer[opsapi.Status]) {
+// printMembers shows the other instances as seen by the first process that knows any, with the revisions that their
+// heartbeats carry: an instance that lags or is cut off is shown even if it was not queried.
+func (g *globals) printMembers(answers []response[opsapi.Status]) {
 	for _, a := range answers {
 		if len(a.body.Members) == 0 {
 			continue
 		}
 		fmt.Fprintf(g.Out, "\ninstances as %s of %s sees them:\n", a.body.Role, a.body.Instance)
-		w := g.tab()
+		w := g.newTable()
 		fmt.Fprintln(w, "instance\tfailure domain\tstate\tnewest revision\tmesh address")
 		for _, m := range a.body.Members {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", m.Instance, dash(m.FailureDomain), m.State, revisionOf(a.body, m), dash(m.Addr))
@@ -180,14 +180,15 @@
 	return fmt.Sprint(m.SettingsRevision)
 }
 
-func (g *globals) printControl(answers []answer[opsapi.Status]) {
-	w := g.tab()
+func (g *globals) printControl(answers []response[opsapi.Status]) {
+	w := g.newTable()
 	for _, a := range answers {
 		for _, l := range a.body.Leases {
 			fmt.Fprintf(w, "lease %s\theld by %s\tfencing number %d\t%d ms left\n", l.Name, a.body.Instance, l.Fence, l.LeftMS)
 		}
 		for _, p := range a.body.Power {
-			fmt.Fprintf(w, "power of %s/%d\tat %s\t%.0f W\tfallback %.0f W, %d ms left\n", p.Service, p.Shard, a.body.Instance, p.Watts, p.FallbackWatts, p.LeftMS)
+			fmt.Fprintf(w, "power of %s/%d\tat %s\t%.0f W\tfallback %.0f W, %d ms left\n",
+				p.Service, p.Shard, a.body.Instance, p.Watts, p.FallbackWatts, p.LeftMS)
 		}
 	}
 	_ = w.Flush()
@@ -195,21 +196,21 @@
 
 func newTargets(g *globals) *ffcli.Command {
 	o := &ops{g: g}
-	return o.leaf("targets", "", "Show every target by the youngest report that any of the processes asked has.", nil,
+	return o.leaf("targets", "", "Show every target by the most recent report among the queried processes.", nil,
 		func(ctx context.Context, _ []string) error {
-			answers, err := askAll(ctx, o, func(ctx context.Context, c *opsapi.Client) ([]opsapi.Target, error) { return c.Targets(ctx) })
+			answers, err := queryAll(ctx, o, func(ctx context.Context, c *opsapi.Client) ([]opsapi.Target, error) { return c.Targets(ctx) })
 			if err != nil {
 				return err
 			}
 			if err := g.printTargets(mergeTargets(answers)); err != nil {
 				return err
 			}
-			return failures(answers)
+			return noAnswerError(answers)
 		})
 }
 
 func (g *globals) printTargets(targets []opsapi.Target) error {
-	w := g.tab()
+	w := g.newTable()
 	fmt.Fprintln(w, "service\ttarget\tstate\tfailure domain\taddress\trunning\twaiting\tmemory\twatts\tmodel\treport age")
 	for _, t := range targets {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d/%d\t%.0f\t%s\t%d ms\n",
@@ -227,13 +228,13 @@
 
 func newQueues(g *globals) *ffcli.Command {
 	o := &ops{g: g}
-	return o.leaf("queues", "", "Show the queues of every process asked.", nil,
+	return o.leaf("queues", "", "Show the queues of every queried process.", nil,
 		func(ctx context.Context, _ []string) error {
-			answers, err := askAll(ctx, o, func(ctx context.Context, c *opsapi.Client) ([]opsapi.Queue, error) { return c.Queues(ctx) })
+			answers, err := queryAll(ctx, o, func(ctx context.Context, c *opsapi.Client) ([]opsapi.Queue, error) { return c.Queues(ctx) })
 			if err != nil {
 				return err
 			}
-			w := g.tab()
+			w := g.newTable()
 			fmt.Fprintln(w, "address\tservice\tshard\tworkspace\tclass\tqueued\trunning\texpected wait")
 			for _, a := range answers {
 				for _, q := range a.body {
@@ -241,7 +242,7 @@
 						a.addr, q.Service, q.Shard, dash(q.Workspace), dash(q.Class), q.Queued, q.Running, q.WaitMS)
 				}
 			}
-			return errors.Join(w.Flush(), failures(answers))
+			return errors.Join(w.Flush(), noAnswerError(answers))
 		})
 }
 
@@ -250,10 +251,10 @@
 	r := opsapi.DrainRequest{}
 	var off bool
 	flags := func(fs *flag.FlagSet) {
-		fs.BoolVar(&off, "off", false, "end the drain: the target gets work again")
+		fs.BoolVar(&off, "off", false, "end the drain: the target receives requests again")
 		fs.StringVar(&r.Operator, "operator", operatorName(), "who, for other operators")
 	}
-	return o.leaf("drain", "[-off] TARGET", "Give a target nothing new; what runs there ends by itself. Ask control processes.", flags,
+	return o.leaf("drain", "[-off] TARGET", "Send no new requests to a target; those in progress finish. Use with control processes.", flags,
 		func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usageErr.New("drain: expected one TARGET")
@@ -263,10 +264,10 @@
 		})
 }
 
-// drain asks every process given: one that reaches the table is enough for all instances, and without the table each
-// that is asked still drains at its own entry.
+// drain sends the request to all processes given: one that reaches the table is enough for all instances, and without the table each
+// queried process still drains the target at its own entry.
 func (o *ops) drain(ctx context.Context, r opsapi.DrainRequest) error {
-	answers, err := askAll(ctx, o, func(ctx context.Context, c *opsapi.Client) (opsapi.DrainReply, error) { return c.Drain(ctx, r) })
+	answers, err := queryAll(ctx, o, func(ctx context.Context, c *opsapi.Client) (opsapi.DrainReply, error) { return c.Drain(ctx, r) })
 	if err != nil {
 		return err
 	}
@@ -282,7 +283,7 @@
 	if durable {
 		return nil
 	}
-	return noAnswer.New("the drain is not in the table: it holds only where applied=true")
+	return noAnswer.New("the drain is not in the table: it is in force only where applied=true")
 }
 
 func dash(s string) string {
@@ -292,9 +293,9 @@
 	return s
 }
 
-// mergeTargets joins the views of several processes: each entry hears of the targets that it owns and uses, so for each
-// target the youngest report counts, and a drain that any process knows of.
-func mergeTargets(answers []answer[[]opsapi.Target]) []opsapi.Target {
+// mergeTargets merges the views of several processes. Each entry has reports only of the targets that it owns and uses, so the
+// most recent report of a target counts, and a drain known to any process.
+func mergeTargets(answers []response[[]opsapi.Target]) []opsapi.Target {
 	best := map[string]opsapi.Target{}
 	draining := map[string]bool{}
 	var order []string
@@ -305,7 +306,7 @@
 				order = append(order, t.Name)
 			}
 			draining[t.Name] = draining[t.Name] || t.State == opsapi.TargetDraining
-			if !known || heard(t) && (!heard(old) || t.ReportAgeMS < old.ReportAgeMS) {
+			if !known || hasReport(t) && (!hasReport(old) || t.ReportAgeMS < old.ReportAgeMS) {
 				best[t.Name] = t
 			}
 		}
@@ -321,5 +322,5 @@
 	return out
 }
 
-// heard reports whether the process that told of t had a report of it.
-func heard(t opsapi.Target) bool { return t.ReportAgeMS > 0 || t.KVTotal > 0 || t.Running > 0 }
+// hasReport reports whether the process that listed t had a report of it.
+func hasReport(t opsapi.Target) bool { return t.ReportAgeMS > 0 || t.KVTotal > 0 || t.Running > 0 }
--- a/lib/ctl/ops_test.go
+++ b/lib/ctl/ops_test.go
@@ -50,13 +50,14 @@
 	a, b := opsServer(t, statusSource("i1", 5)), opsServer(t, statusSource("i2", 6))
 	code, out, _ := runOps(t, "status", "-ops", a+","+b)
 	must.Eq(t, ExitOK, code)
-	for _, want := range []string{`i1 +control +- +5 `, `i2 +control +- +6 `, `far +- +suspect +4`, `lease power +held by i2 +fencing number 17`} {
+	for _, want := range []string{`i1 +control +- +5 `, `i2 +control +- +6 `, `far +- +suspect +4`,
+		`lease power +held by i2 +fencing number 17`} {
 		must.RegexMatch(t, regexp.MustCompile(want), out)
 	}
 }
 
-// One of two processes is dead. What the other says must be shown all the same, and the exit code must tell.
-func TestStatusShowsTheRestWhenOneIsDead(t *testing.T) {
+// One of two processes is down. The status of the other must still be shown, and the exit code must report the failure.
+func TestStatusShowsOthersWhenOneIsDown(t *testing.T) {
 	a := opsServer(t, statusSource("i1", 5))
 	code, out, errs := runOps(t, "status", "-ops", a+",127.0.0.1:1")
 	must.Eq(t, ExitFailed, code)
@@ -65,14 +66,15 @@
 	must.StrContains(t, errs, "127.0.0.1:1")
 }
 
-// Each entry hears of the targets that it owns alone. Shown by one process, all others would look silent to an operator
-// who decides whether a target may be taken away.
-func TestTargetsAreMergedByTheYoungestReport(t *testing.T) {
+// Each entry has reports only of the targets that it owns. In the view of a single process all others would look silent to an operator
+// who decides whether a target may be removed.
+func TestTargetsAreMergedByMostRecentReport(t *testing.T) {
 	knows := func(list ...opsapi.Target) string {
 		return opsServer(t, opsapi.Source{Targets: func() []opsapi.Target { return list }})
 	}
 	a := knows(opsapi.Target{Name: "t1", State: "silent"}, opsapi.Target{Name: "t2", State: "live", ReportAgeMS: 900, Running: 1})
-	b := knows(opsapi.Target{Name: "t1", State: "live", ReportAgeMS: 50, Running: 7}, opsapi.Target{Name: "t2", State: "draining", ReportAgeMS: 30, Running: 4})
+	b := knows(opsapi.Target{Name: "t1", State: "live", ReportAgeMS: 50, Running: 7},
+		opsapi.Target{Name: "t2", State: "draining", ReportAgeMS: 30, Running: 4})
 	code, out, _ := runOps(t, "targets", "-ops", a+","+b)
 	must.Eq(t, ExitOK, code)
 	must.RegexMatch(t, regexp.MustCompile(`t1 +live .* 7 `), out)
@@ -87,7 +89,7 @@
 		Queues: func() []opsapi.Queue { return []opsapi.Queue{{Service: "s", Queued: 7}} },
 	})
 	code, out, _ := runOps(t, "targets", "-ops", "127.0.0.1:1,"+addr)
-	must.Eq(t, ExitFailed, code) // one did not answer; the rest is shown
+	must.Eq(t, ExitFailed, code) // one did not answer; the other is still shown
 	must.StrContains(t, out, "m@2")
 	code, out, _ = runOps(t, "queues", "-ops", addr)
 	must.Eq(t, ExitOK, code)
@@ -101,9 +103,9 @@
 	}}
 }
 
-// The table takes the drain through one of two processes: that is enough. Through none: the operator must not believe
-// that all instances heard of it.
-func TestDrainTellsWhetherAllInstancesHear(t *testing.T) {
+// The table accepts the drain through one of two processes, which is enough. If it accepts it through none, the operator must be told
+// that the drain does not reach all instances.
+func TestDrainReportsWhetherRecorded(t *testing.T) {
 	var got opsapi.DrainRequest
 	local := opsServer(t, drainSource(opsapi.DrainReply{Applied: true}, nil, &got))
 	durable := opsServer(t, drainSource(opsapi.DrainReply{Applied: true, Durable: true}, nil, &got))
--- a/lib/ctl/settings.go
+++ b/lib/ctl/settings.go
@@ -14,13 +14,13 @@
 		Name:       "settings",
 		ShortUsage: "anvilwick-ctl settings <subcommand> [flags] [arguments]",
 		ShortHelp:  "Check, compare, commit and explain settings.",
-		LongHelp: `A change goes like this:
+		LongHelp: `Workflow of a change:
   anvilwick-ctl -platform IP:port settings show > site.yaml     (its first line names the revision)
   edit site.yaml
   anvilwick-ctl -platform IP:port settings diff site.yaml
   anvilwick-ctl -platform IP:port settings apply -note "why" site.yaml
 
-apply commits only when nobody else committed meanwhile; otherwise it tells who did, shows what
+apply commits only if nobody else committed in the meantime; otherwise it shows who did and what
 changed, and writes nothing. Every key is described in docs/SETTINGS.md.`,
 		FlagSet: fs,
 		Subcommands: []*ffcli.Command{
@@ -35,7 +35,7 @@
 	}
 }
 
-// leaf returns a subcommand without subcommands of its own. Its flags may come from the environment too.
+// leaf returns a subcommand without subcommands of its own. Its flags can also be set in the environment.
 func (g *globals) leaf(name, usage, help string, flags func(*flag.FlagSet), exec func(context.Context, []string) error) *ffcli.Command {
 	fs := g.flagSet(name)
 	if flags != nil {
--- a/lib/entryproc/assemble.go
+++ b/lib/entryproc/assemble.go
@@ -18,7 +18,7 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// assemble makes the server and the parts behind it. The listeners are open, and nothing is served yet.
+// assemble creates the server and the parts behind it. The listeners are open already; nothing is served yet.
 func (p *Process) assemble(ctx context.Context) {
 	p.poison = poison.New(poison.DefaultConfig)
 	p.limits = limit.NewService(p.limitConfig(), p.cfg.Instance, p.cfg.Incarnation, limitsOf(p.snapshot), p.sendLimits)
@@ -35,12 +35,12 @@
 	}
 	p.addStores(ctx, &opts)
 	p.server = entry.New(opts)
-	sh, ok := d.(*shared)
+	mesh, ok := d.(*meshDecider)
 	if !ok {
 		p.limits.SetView([]string{p.cfg.Instance})
 		return
 	}
-	p.links.join(p.cfg, p.server, sh, p.limits)
+	p.links.join(p.cfg, p.server, mesh, p.limits)
 	p.guard = guardlink.New(ctx, guardlink.Options{Node: p.links.node, View: p.links.members.View, Limits: p.limits, Poison: p.poison})
 	go p.guard.Run()
 }
@@ -55,7 +55,7 @@
 // snapshot returns the settings in force, or nil.
 func (p *Process) snapshot() *settings.Snapshot { return p.server.Snapshot() }
 
-// sendLimits is the way of the limits' messages; alone there is nobody to send them to.
+// sendLimits sends a message of the limit service to another entry. Without links there is no other entry to send to.
 func (p *Process) sendLimits(to string, up limit.Up) {
 	if p.guard != nil {
 		p.guard.SendUp(to, up)
@@ -65,12 +65,12 @@
 func (p *Process) newDecider(ctx context.Context) decider {
 	newPolicy := p.cfg.newPolicy()
 	if p.links == nil {
-		return newAlone(ctx, newPolicy, p.onReport)
+		return newLocalDecider(ctx, newPolicy, p.onReport)
 	}
-	return newShared(ctx, p.cfg.Instance, p.links, newPolicy, p.onReport)
+	return newMeshDecider(ctx, p.cfg.Instance, p.links, newPolicy, p.onReport)
 }
 
-// onReport sees the load reports of the engines that this process decides for.
+// onReport handles the load reports of the engines that this process places requests on.
 func (p *Process) onReport(name string, rep *engineapi.LoadReport) {
 	p.server.NoteIncarnation(name, rep.Incarnation)
 	if p.links != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// onView takes up a revision of settings before requests are accepted under it.
+// onView returns the hook that applies a settings revision before requests are accepted under it.
 func (p *Process) onView(ctx context.Context, d decider) func(*settings.Snapshot, func(*settings.Service) []*target.Client) {
 	services := loadpoll.NewServices(ctx, func(service, name string, rep pick.Report) {
 		p.server.UpdateServiceLoad(service, name, rep)
@@ -88,17 +88,17 @@
 			p.links.members.SetInterval(snap.Site.HeartbeatInterval)
 		}
 		d.apply(snap, clients)
-		plain := make(map[string][]*target.Client)
+		plainTargets := make(map[string][]*target.Client)
 		for name, svc := range snap.Services {
 			if svc.Kind == settings.KindPlain {
-				plain[name] = clients(svc)
+				plainTargets[name] = clients(svc)
 			}
 		}
-		services.SetTargets(plain)
+		services.SetTargets(plainTargets)
 	}
 }
 
-// addStores adds what outlives this process: claims in the platform's table, records at peers.
+// addStores adds the state that outlives this process: claims in the platform's table and records at peers.
 func (p *Process) addStores(ctx context.Context, opts *entry.Options) {
 	if p.cfg.Platform != "" {
 		p.claims = newClaims(p.cfg, p.view, func() *entry.Server { return p.server })
@@ -114,7 +114,7 @@
 	}
 }
 
-// view returns the members as known here, or nil.
+// view returns the current membership view, or nil without links.
 func (p *Process) view() *member.View {
 	if p.links == nil {
 		return nil
--- a/lib/entryproc/claims.go
+++ b/lib/entryproc/claims.go
@@ -14,10 +14,10 @@
 
 const (
 	flushTimeout   = 10 * time.Second
-	budgetInterval = time.Second // between two looks at the members and settings that the store's budget hangs on
+	budgetInterval = time.Second // between updates of the store's budget from the members and the settings
 )
 
-// claims keeps this process's claims in the platform's table.
+// claims manages this process's claims in the platform's table.
 type claims struct {
 	store *platform.Client
 	table *claim.Table
@@ -33,16 +33,16 @@
 	})}
 }
 
-// run writes claims again that the table has lost, until ctx is done.
-func (c *claims) run(ctx context.Context) { c.table.Run(ctx) }
+// rewriteLost rewrites claims that the table has lost, until ctx is done.
+func (c *claims) rewriteLost(ctx context.Context) { c.table.Run(ctx) }
 
-// share keeps this process to its part of the site's budget at the platform until ctx is done. Without it every entry
-// would take the whole site's, and together they would be refused by the table when claims are needed most.
-func (c *claims) share(ctx context.Context, view func() *member.View, snapshot func() *settings.Snapshot) {
+// limitBudget limits this process to its share of the site's budget at the platform until ctx is done. Otherwise every entry
+// would use the budget of the whole site, and the table would reject their requests when claims are needed most.
+func (c *claims) limitBudget(ctx context.Context, view func() *member.View, snapshot func() *settings.Snapshot) {
 	t := time.NewTicker(budgetInterval)
 	defer t.Stop()
 	for {
-		c.store.SetLive(sharers(view()))
+		c.store.SetLive(countWriters(view()))
 		if snap := snapshot(); snap != nil {
 			c.store.SetSite(snap.Site.StoreWritesPerSec, snap.Site.StoreReadsPerSec)
 		}
@@ -54,8 +54,8 @@
 	}
 }
 
-// sharers counts the instances that may be using the platform: all that are not known dead, and at least this one.
-func sharers(view *member.View) int {
+// countWriters counts the instances that may be using the platform: all that are not known to be dead, and at least this one.
+func countWriters(view *member.View) int {
 	if view == nil {
 		return 1
 	}
@@ -68,7 +68,7 @@
 	return max(1, n)
 }
 
-// holderGone reports whether the process that holds a claim has ended, as far as is known here.
+// holderGone reports whether the process that holds a claim is known to have ended.
 func holderGone(view *member.View, self, h claim.Holder) bool {
 	if h.Instance == self.Instance {
 		return h.Incarnation != self.Incarnation
@@ -78,13 +78,13 @@
 	}
 	m, ok := view.Get(h.Instance)
 	if !ok {
-		return len(view.Members) > 1 // long forgotten; a process that knows only itself can't tell
+		return len(view.Members) > 1 // removed long ago; a process whose view has no other member can't tell
 	}
 	return m.State == member.Dead || m.Incarnation > h.Incarnation
 }
 
-// neverRan asks an engine to refuse a send from now on, and whether it ran. An engine that does not know the generation
-// proves nothing: it may have been replaced since it ran it. Plain services can't be asked.
+// neverRan makes an engine refuse a send from now on, and reports whether it is certain that the send did not run. An engine that
+// does not know the generation proves nothing: it may have been replaced after running it. Plain services can't be queried.
 func neverRan(ctx context.Context, server *entry.Server, s claim.PriorSend) bool {
 	snap := server.Snapshot()
 	g, err := ids.Parse(s.Generation)
@@ -109,7 +109,7 @@
 	return false
 }
 
-// flush waits until the outcomes of finished requests stand in the table.
+// flush waits until the outcomes of finished requests are written to the table.
 func (c *claims) flush() error {
 	if c == nil {
 		return nil
--- a/lib/entryproc/config.go
+++ b/lib/entryproc/config.go
@@ -10,23 +10,23 @@
 	"anvilwick.example/anvilwick/lib/procflags"
 )
 
-// Config is what the command line gives.
+// Config is the configuration from the command line.
 type Config struct {
 	Listen       string // callers' port, IP:port
 	OpsAddr      string // operators' port, IP:port
 	Instance     string // name of the instance
 	Domain       string // failure domain
-	Incarnation  uint64 // 0: milliseconds of the clock at start
-	SettingsFile string // settings to start with; empty: wait until they are pushed
+	Incarnation  uint64 // 0: start time in milliseconds
+	SettingsFile string // initial settings; empty: wait until a control process sends them
 	Platform     string // the platform's table, IP:port; empty: none, and keyed requests that are not idempotent are refused
 	MeshAddr     string // port for the other entries and the control process, IP:port; empty: none
-	MeshListen   string // where to listen when others reach it at MeshAddr by way of something between; empty: MeshAddr
+	MeshListen   string // listen address when others reach MeshAddr through a proxy or address translation; empty: MeshAddr
 	Links        procflags.Links
 	Operators    procflags.Operators
-	StopNotice   time.Duration // between the end of readiness and the first refusal
-	StopLimit    time.Duration // bound on waiting for requests in progress; 0: none
+	StopNotice   time.Duration // from the end of readiness until new requests are refused
+	StopLimit    time.Duration // longest wait for requests in progress; 0: unlimited
 	MaxStreams   int
-	Scheduler    string // who decides for a shard; all but SchedulerOwner are for experiments
+	Scheduler    string // scheduling policy of a shard; all but SchedulerOwner are for experiments
 	LogLevel     string
 }
 
@@ -36,17 +36,19 @@
 	fs.StringVar(&c.OpsAddr, "ops-addr", "127.0.0.1:8081", "operators' port, IP:port: health, readiness, metrics")
 	fs.StringVar(&c.Instance, "instance", "", "name of this instance")
 	fs.StringVar(&c.Domain, "failure-domain", "", "failure domain of this instance")
-	fs.Uint64Var(&c.Incarnation, "incarnation", 0, "number that grows when the instance is replaced; 0: from the clock")
+	fs.Uint64Var(&c.Incarnation, "incarnation", 0, "number that increases when the instance is replaced; 0: from the clock")
 	fs.StringVar(&c.SettingsFile, "settings", "", "settings file to start with; not needed with -mesh-addr")
-	fs.StringVar(&c.MeshAddr, "mesh-addr", "", "port for the other entries and the control process beside it, IP:port; empty: alone")
-	fs.StringVar(&c.MeshListen, "mesh-listen", "", "where to listen for -mesh-addr when something stands between, IP:port; empty: -mesh-addr")
+	fs.StringVar(&c.MeshAddr, "mesh-addr", "", "port for the other entries and the local control process, IP:port; empty: stand-alone")
+	fs.StringVar(&c.MeshListen, "mesh-listen", "", "listen address if -mesh-addr is reached through a proxy, IP:port; empty: -mesh-addr")
 	fs.StringVar(&c.Platform, "platform", "", "the platform, IP:port; empty: none, and keyed requests that are not idempotent are refused")
 	c.Links.Register(fs)
 	c.Operators.Register(fs)
-	fs.DurationVar(&c.StopNotice, "stop-notice", 3*time.Second, "after SIGTERM, time in which balancers see that it is not ready and requests are still taken")
-	fs.DurationVar(&c.StopLimit, "stop-limit", 0, "after SIGTERM, bound on waiting for requests in progress; 0: however long they run")
+	fs.DurationVar(&c.StopNotice, "stop-notice", 3*time.Second,
+		"after SIGTERM, time in which requests are still accepted while balancers notice")
+	fs.DurationVar(&c.StopLimit, "stop-limit", 0, "after SIGTERM, longest wait for requests in progress; 0: unlimited")
 	fs.IntVar(&c.MaxStreams, "max-streams", 4096, "requests in progress at most")
-	fs.StringVar(&c.Scheduler, "scheduler", SchedulerOwner, "who decides for a shard: owner; for experiments only: least-loaded or round-robin, which know nothing of memory to come")
+	fs.StringVar(&c.Scheduler, "scheduler", SchedulerOwner,
+		"policy of a shard: owner; for experiments only: least-loaded or round-robin, which ignore future memory use")
 	fs.StringVar(&c.LogLevel, "log-level", "info", "debug, info, warn or error")
 }
 
@@ -71,13 +73,13 @@
 	case c.Instance == "":
 		return errors.New("-instance: a name is needed")
 	case c.SettingsFile == "" && c.MeshAddr == "":
-		return errors.New("-settings: a file is needed, or -mesh-addr to be told by a control process")
+		return errors.New("-settings: a file is needed, or -mesh-addr to receive settings from a control process")
 	case c.newPolicy() == nil:
-		return fmt.Errorf("-scheduler: %q is none of owner, least-loaded, round-robin", c.Scheduler)
+		return fmt.Errorf("-scheduler: %q is not one of owner, least-loaded, round-robin", c.Scheduler)
 	case c.MaxStreams < 1:
 		return fmt.Errorf("-max-streams: %d is not positive", c.MaxStreams)
 	case c.StopNotice < 0 || c.StopLimit < 0:
-		return errors.New("-stop-notice and -stop-limit: a time can't be negative")
+		return errors.New("-stop-notice and -stop-limit: must not be negative")
 	}
 	return nil
 }
--- a/lib/entryproc/decider.go
+++ b/lib/entryproc/decider.go
@@ -21,28 +21,28 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// decider says where generations run.
+// decider places generations on targets.
 type decider interface {
 	placer.Placer
-	// apply takes up a revision of settings.
+	// apply applies a settings revision.
 	apply(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client)
 }
 
-// reportFunc sees each whole load report of an engine.
+// reportFunc is called with each full load report of an engine.
 type reportFunc func(name string, rep *engineapi.LoadReport)
 
-// Values of Config.Scheduler. The baselines are there to compare the owner with, in real processes: they don't keep
-// urgent work, fair shares or a moving power share the way that settings promise.
+// Values of Config.Scheduler. The baselines are for comparing the owner policy with others in real processes: they do not
+// honour the priorities, fair shares and power limits that the settings promise.
 const (
 	SchedulerOwner       = "owner"
 	SchedulerLeastLoaded = "least-loaded"
 	SchedulerRoundRobin  = "round-robin"
 )
 
-// policyFunc makes the policy of one shard of a service.
+// policyFunc creates the policy of one shard of a service.
 type policyFunc func(service string) sched.Policy
 
-// newPolicy returns the maker that Scheduler names, or nil; an empty name is the owner.
+// newPolicy returns the constructor selected by Scheduler, or nil if there is none; an empty name selects the owner policy.
 func (c *Config) newPolicy() policyFunc { return newPolicies[cmp.Or(c.Scheduler, SchedulerOwner)] }
 
 var newPolicies = map[string]policyFunc{
@@ -51,8 +51,8 @@
 	SchedulerRoundRobin:  func(string) sched.Policy { return baseline.NewRoundRobin() },
 }
 
-// alone decides in this process for every model service.
-type alone struct {
+// localDecider schedules all model services in this process.
+type localDecider struct {
 	*placer.Local
 	ctx      context.Context
 	onReport reportFunc
@@ -61,8 +61,8 @@
 	pollers map[string]*loadpoll.Poller
 }
 
-func newAlone(ctx context.Context, newPolicy policyFunc, onReport reportFunc) *alone {
-	return &alone{
+func newLocalDecider(ctx context.Context, newPolicy policyFunc, onReport reportFunc) *localDecider {
+	return &localDecider{
 		Local:    placer.NewLocal(ctx, newPolicy, placer.DefaultTick),
 		ctx:      ctx,
 		onReport: onReport,
@@ -70,7 +70,7 @@
 	}
 }
 
-func (d *alone) apply(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
+func (d *localDecider) apply(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	power := powerplan.FromSnapshot(snap)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (d *alone) poller(service string, feed placer.Feed) *loadpoll.Poller {
+func (d *localDecider) poller(service string, feed placer.Feed) *loadpoll.Poller {
 	p, ok := d.pollers[service]
 	if !ok {
 		p = loadpoll.New(d.ctx, feed, loadpoll.DefaultInterval)
@@ -102,7 +102,8 @@
 	return p
 }
 
-// setPower holds a service to the fallbacks of its shards: nobody divides the cap for an entry without links.
+// setPower limits a service to the sum of its shards' fallback shares: without links to a control process, no current share of the
+// power cap is assigned to the entry.
 func setPower(r *placer.Runner, shards map[uint32]schedlink.ShardPower) {
 	watts := math.Inf(1)
 	if len(shards) > 0 {
@@ -114,7 +115,7 @@
 	r.SetPower(watts, 0, watts)
 }
 
-// powerOf returns what a plan, which may be nil, says of the shards of a service.
+// powerOf returns the power limits of a service's shards in plan, which may be nil.
 func powerOf(plan *powerplan.Plan, service string) map[uint32]schedlink.ShardPower {
 	if plan == nil {
 		return nil
@@ -128,8 +129,8 @@
 	return out
 }
 
-// shared asks the owners of shards over the mesh, and decides for the shards that this process owns.
-type shared struct {
+// meshDecider requests placements from the owners of shards over the mesh, and schedules the shards that this process owns.
+type meshDecider struct {
 	*schedlink.Link
 	host     *schedlink.Host
 	onReport reportFunc
@@ -138,22 +139,22 @@
 	clients map[string]*target.Client
 }
 
-func newShared(ctx context.Context, instance string, l *links, newPolicy policyFunc, onReport reportFunc) *shared {
-	d := &shared{onReport: onReport, clients: make(map[string]*target.Client)}
+func newMeshDecider(ctx context.Context, instance string, l *links, newPolicy policyFunc, onReport reportFunc) *meshDecider {
+	d := &meshDecider{onReport: onReport, clients: make(map[string]*target.Client)}
 	d.host = schedlink.NewHost(ctx, schedlink.HostOptions{Self: instance, NewPolicy: newPolicy, Poll: d.poll})
 	d.Link = schedlink.NewLink(ctx, schedlink.LinkOptions{Self: instance, Node: l.node, Members: l.members, Host: d.host})
 	l.node.Handle(meshpb.StreamKind_STREAM_SCHED, d.host.Serve)
 	return d
 }
 
-// poll reads the engines of one shard that this process owns.
-func (d *shared) poll(ctx context.Context, _ string, feed placer.Feed) func([]string) {
+// poll polls the load of the engines of one shard that this process owns.
+func (d *meshDecider) poll(ctx context.Context, _ string, feed placer.Feed) func([]string) {
 	p := loadpoll.New(ctx, feed, loadpoll.DefaultInterval)
 	p.OnReport = d.onReport
-	return func(names []string) { p.SetTargets(d.named(names)) }
+	return func(names []string) { p.SetTargets(d.clientsOf(names)) }
 }
 
-func (d *shared) named(names []string) []*target.Client {
+func (d *meshDecider) clientsOf(names []string) []*target.Client {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]*target.Client, 0, len(names))
@@ -165,7 +166,7 @@
 	return out
 }
 
-func (d *shared) apply(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
+func (d *meshDecider) apply(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
 	site := siteOf(snap)
 	all := make(map[string]*target.Client)
 	for _, svc := range snap.Services {
@@ -182,7 +183,7 @@
 	d.Apply(site)
 }
 
-// siteOf is what links and owners need of a revision of settings.
+// siteOf returns the part of a settings revision that links and owners need.
 func siteOf(snap *settings.Snapshot) schedlink.Site {
 	site := schedlink.Site{
 		ShardTargets:  snap.Site.ShardTargets,
@@ -204,7 +205,7 @@
 	return site
 }
 
-func (d *shared) setPower(share *meshpb.PowerShare) {
+func (d *meshDecider) setPower(share *meshpb.PowerShare) {
 	valid := time.Duration(share.GetValidMs()) * time.Millisecond
 	d.host.SetPower(shard.ID{Service: share.GetService(), Index: share.GetShard()}, share.GetWatts(), valid)
 }
--- a/lib/entryproc/limiter.go
+++ b/lib/entryproc/limiter.go
@@ -10,17 +10,17 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// limiter holds workspaces and classes of each service to their limits over all entries.
+// limiter enforces the limits of workspaces and classes of each service across all entries.
 type limiter struct {
 	service *limit.Service
 }
 
-// limitKey joins service and workspace, since limits are set for a workspace within a service. Names hold no slash.
+// limitKey joins service and workspace into one key, since limits are per workspace within a service. Names contain no slash.
 func limitKey(s entry.Subject) limit.Key {
 	return limit.Key{Workspace: s.Service + "/" + s.Workspace, Class: s.Class}
 }
 
-// limitsOf resolves a key under the settings in force.
+// limitsOf resolves limit keys under the current settings.
 func limitsOf(snapshot func() *settings.Snapshot) limit.LimitFunc {
 	return func(k limit.Key) limit.Limit {
 		snap := snapshot()
@@ -29,7 +29,7 @@
 			return limit.Limit{}
 		}
 		p := snap.Policy(service, workspace, k.Class)
-		if p == nil { // another revision than the asker's: the service is unknown here
+		if p == nil { // the request was made under another revision: the service is unknown here
 			return limit.Limit{}
 		}
 		return limit.Limit{Concurrency: p.Concurrency, RatePerSecond: p.RatePerSecond}
--- a/lib/entryproc/links.go
+++ b/lib/entryproc/links.go
@@ -23,22 +23,22 @@
 	"anvilwick.example/anvilwick/lib/settingsync"
 )
 
-// links joins the entry to the other entries and to the control process beside it.
+// links connects the entry to the other entries and to the local control process.
 type links struct {
-	node    *mesh.Node
-	members *member.Runner
-	sync    *settingsync.Sync
-	control *entrylink.Link
-	local   *locallink.Server
-	server  *entry.Server
-	decider *shared
-	limits  *limit.Service
-	ln      net.Listener
-	listed  []string // instances that the platform's list named last
-	running sync.WaitGroup
+	node       *mesh.Node
+	members    *member.Runner
+	sync       *settingsync.Sync
+	control    *entrylink.Link
+	local      *locallink.Server
+	server     *entry.Server
+	decider    *meshDecider
+	limits     *limit.Service
+	ln         net.Listener
+	lastListed []string // instances in the platform's last list
+	work       sync.WaitGroup
 }
 
-// newLinks listens on the mesh port. Nothing is served before join and run.
+// newLinks listens on the mesh port. Nothing is served until join and run are called.
 func newLinks(cfg Config) (*links, error) {
 	opts, err := cfg.Links.Options()
 	if err != nil {
@@ -64,8 +64,8 @@
 	return l, nil
 }
 
-// join connects the links to the parts that they serve.
-func (l *links) join(cfg Config, server *entry.Server, d *shared, limits *limit.Service) {
+// join connects the links to the parts of the process that use them.
+func (l *links) join(cfg Config, server *entry.Server, d *meshDecider, limits *limit.Service) {
 	l.server, l.decider, l.limits = server, d, limits
 	l.sync = settingsync.New(settingsync.Config{Peers: peers{l}})
 	l.control = entrylink.New(entrylink.Options{
@@ -81,25 +81,25 @@
 	l.node.Handle(meshpb.StreamKind_STREAM_SETTINGS, l.serveSettings)
 }
 
-// report passes a load report on to the control process.
+// report forwards a load report to the control process.
 func (l *links) report(name string, rep *engineapi.LoadReport) { l.control.Report(name, rep) }
 
 // run serves until ctx is done.
 func (l *links) run(ctx context.Context) {
-	l.running.Go(func() {
+	l.work.Go(func() {
 		if err := l.node.Serve(l.ln); err != nil {
 			log.Error().Str("event", "mesh_listener_failed").Err(err).Msg("")
 		}
 	})
 	for _, work := range []func(context.Context){l.members.Run, l.sync.Run, l.control.Run, l.decider.Run, l.exchange} {
-		l.running.Go(func() { work(ctx) })
+		l.work.Go(func() { work(ctx) })
 	}
 }
 
-// close ends every link; run's context must be done.
+// close closes all links; run's context must be done.
 func (l *links) close() {
 	l.node.Close()
-	l.running.Wait()
+	l.work.Wait()
 }
 
 func (l *links) setInstances(v *meshpb.View) {
@@ -110,24 +110,24 @@
 		names = append(names, m.GetInstance())
 	}
 	l.members.SetInstances(list)
-	if len(names) > 0 { // an empty list is no news: this instance at least runs
+	if len(names) > 0 { // an empty list is invalid: this instance at least is running
 		l.limits.SetView(names)
-		l.forgetDropped(names)
+		l.markRemovedDead(names)
 	}
 }
 
-// forgetDropped tells the limits of instances that the platform's list no longer names, neither live nor leaving: their
-// processes are gone, and nobody need wait for news of their requests.
-func (l *links) forgetDropped(names []string) {
-	for _, name := range l.listed {
+// markRemovedDead marks as dead at the limit service the instances that the platform's list no longer contains, neither live nor
+// leaving: their processes are gone, and no update about their requests will come.
+func (l *links) markRemovedDead(names []string) {
+	for _, name := range l.lastListed {
 		if !slices.Contains(names, name) {
 			l.limits.MarkDead(name)
 		}
 	}
-	l.listed = names
+	l.lastListed = names
 }
 
-// exchangeInterval is how often what heartbeats carry is passed on, both ways.
+// exchangeInterval is how often data carried by heartbeats is exchanged with the member runner.
 const exchangeInterval = 250 * time.Millisecond
 
 func (l *links) exchange(ctx context.Context) {
@@ -143,9 +143,9 @@
 	}
 }
 
-// exchangeOnce passes revisions and digests on. Heartbeats name the highest revision that this process has the text of,
-// in force or not: peers of another version may read what it can't. An instance that finds itself replaced, after a long pause, takes no more
-// work: its successor has its place, and what is in progress here may still end.
+// exchangeOnce exchanges settings revisions and shard digests with the member runner. Heartbeats carry the highest revision whose
+// text this process has, even if it is not in force: peers of another version may be able to read it. An instance that was
+// replaced during a long pause rejects new requests: its successor serves in its place, and requests in progress may finish.
 func (l *links) exchangeOnce() {
 	l.sync.SetPeerRevisions(l.members.SettingsRevisions())
 	l.members.SetLocal(l.sync.Offer().GetRevision(), l.decider.host.Digests())
@@ -154,7 +154,7 @@
 	}
 }
 
-// peers fetches settings from other entries, for the time in which the platform's table can't be read.
+// peers fetches settings from other entries while the platform's table is unavailable.
 type peers struct{ *links }
 
 // FetchSettings implements settingsync.Peers.
@@ -168,7 +168,7 @@
 
 func (l *links) serveSettings(_ context.Context, st *mesh.Stream) { _ = l.sync.ServeStream(st) }
 
-// status is what the control process is told.
+// status returns the status that is reported to the control process.
 func (l *links) status(cfg Config) *meshpb.EntryStatus {
 	requests, generations := l.server.Counts()
 	st := &meshpb.EntryStatus{
@@ -184,8 +184,8 @@
 	return st
 }
 
-// describe adds to an operator's view what the links know.
-func (l *links) describe(st *opsapi.Status) {
+// fillStatus adds the state of the links to an operator's status.
+func (l *links) fillStatus(st *opsapi.Status) {
 	st.Link = "down"
 	if l.local.Linked() {
 		st.Link = "up"
--- a/lib/entryproc/ops.go
+++ b/lib/entryproc/ops.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// ready answers balancers: not ready before there are settings, and from the first moment of a planned stop.
+// ready answers readiness checks: not ready before the first settings and from the start of a planned stop.
 func (p *Process) ready() error {
 	switch {
 	case p.server.ShuttingDown():
@@ -48,12 +48,12 @@
 		Stopping:         p.server.ShuttingDown(),
 	}
 	if p.links != nil {
-		p.links.describe(&st)
+		p.links.fillStatus(&st)
 	}
 	return st
 }
 
-// targets shows what this entry acts on: the settings in force with drains laid over them.
+// targets returns the targets as this entry uses them, with the drains of the current settings applied.
 func (p *Process) targets() []opsapi.Target {
 	v := opsapi.TargetView{
 		Report:   func(string) (*meshpb.TargetReport, time.Duration) { return nil, 0 },
@@ -65,7 +65,7 @@
 	return opsapi.TargetsOf(p.server.Snapshot(), v)
 }
 
-// queues shows the shards that this entry owns.
+// queues returns the shards that this entry owns.
 func (p *Process) queues() []opsapi.Queue {
 	if p.links == nil {
 		return []opsapi.Queue{}
--- a/lib/entryproc/process.go
+++ b/lib/entryproc/process.go
@@ -22,7 +22,7 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-const closeTimeout = 10 * time.Second // for connections without a request, once every request has ended
+const closeTimeout = 10 * time.Second // for idle connections, after all requests have ended
 
 // Process is one entry process.
 type Process struct {
@@ -32,9 +32,9 @@
 	clients *target.Clients
 	limits  *limit.Service
 	poison  *poison.Table
-	guard   *guardlink.Link // nil: alone
-	claims  *claims         // nil: no platform
-	links   *links          // nil: alone
+	guard   *guardlink.Link // nil without links
+	claims  *claims         // nil without a platform
+	links   *links          // nil without a mesh address
 
 	hashes    []opsapi.Hash
 	callers   net.Listener
@@ -45,7 +45,7 @@
 	cancel    context.CancelFunc
 }
 
-// Start checks cfg, loads the settings, listens and serves. Nothing is left running when it returns an error.
+// Start checks cfg, loads the settings, listens and serves. If it returns an error, nothing is left running.
 func Start(cfg Config) (*Process, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -70,8 +70,8 @@
 	go p.server.Run(ctx)
 	go p.limits.Run(ctx)
 	if p.claims != nil {
-		go p.claims.share(ctx, p.view, p.server.Snapshot)
-		go p.claims.run(ctx)
+		go p.claims.limitBudget(ctx, p.view, p.server.Snapshot)
+		go p.claims.rewriteLost(ctx)
 	}
 	if p.links != nil {
 		p.links.run(ctx)
@@ -80,7 +80,7 @@
 	return p, nil
 }
 
-// loadSettings reads the file; without one the settings come from the control process.
+// loadSettings reads the settings file; without a file the settings come from the control process.
 func loadSettings(file string) (*settings.Snapshot, error) {
 	if file == "" {
 		return nil, nil
@@ -96,7 +96,7 @@
 	return tree.Resolve(1)
 }
 
-// listen opens every port, or none.
+// listen opens all ports; if one fails, it closes the others.
 func (p *Process) listen() (err error) {
 	defer func() {
 		if err != nil {
@@ -150,11 +150,12 @@
 // OpsAddr returns the address of the operators' port.
 func (p *Process) OpsAddr() string { return p.ops.Addr().String() }
 
-// Failed tells that a listener broke.
+// Failed receives the error of a listener that failed.
 func (p *Process) Failed() <-chan error { return p.failed }
 
-// Stop ends the process gracefully. First readiness ends, and balancers take the instance out while it still serves;
-// then new requests are refused, not run; then requests in progress end, however long they run; then it closes.
+// Stop ends the process gracefully. First readiness ends, and balancers take the instance out of rotation while it still serves;
+// then new requests are rejected without being run; then requests in progress finish, without a time limit unless StopLimit is
+// set; then it closes.
 func (p *Process) Stop() error {
 	log.Info().Str("event", "stopping").Msg("")
 	p.server.BeginShutdown()
--- a/lib/entryproc/process_test.go
+++ b/lib/entryproc/process_test.go
@@ -87,9 +87,9 @@
 	return resp.StatusCode
 }
 
-// SIGTERM while an answer is under way: readiness ends at once so that balancers leave, what they still send is served
-// meanwhile, the answer goes on to its [DONE], and only then does the process close its port.
-func TestStopLetsAnswersEnd(t *testing.T) {
+// SIGTERM while a response is streaming: readiness ends at once so that balancers stop sending, requests that still arrive are
+// served, the response continues to its [DONE], and only then does the process close its port.
+func TestStopWaitsForOpenResponses(t *testing.T) {
 	p, err := Start(config(settingsFile(t, startEngine(t).Addr())))
 	must.NoError(t, err)
 	must.Eq(t, http.StatusOK, status(t, p.OpsAddr(), "/readyz"))
@@ -113,15 +113,15 @@
 	must.Error(t, err)
 }
 
-// A class allows one request in progress. The second is refused at once with a time to come back; when the first has
-// ended there is room again.
+// A class allows one request in progress. The second is rejected at once with Retry-After; after the first has ended,
+// requests are admitted again.
 func TestLimitIsEnforced(t *testing.T) {
 	p, err := Start(config(settingsFile(t, startEngine(t).Addr())))
 	must.NoError(t, err)
 	t.Cleanup(func() { must.NoError(t, p.Stop()) })
 	var first *http.Response
 	for end := time.Now().Add(10 * time.Second); first == nil; time.Sleep(20 * time.Millisecond) {
-		must.True(t, time.Now().Before(end), must.Sprint("the limit's holder never lent its share"))
+		must.True(t, time.Now().Before(end), must.Sprint("the limit's coordinator never granted a share"))
 		if resp := post(t, p, "urgent", "question [len=200]"); resp.StatusCode == http.StatusOK {
 			first = resp
 		}
@@ -136,7 +136,7 @@
 	}
 }
 
-// Bad flags and settings are told in one line, and no port is left open.
+// Bad flags and settings are reported in one line, and no port is left open.
 func TestBadConfigStartsNothing(t *testing.T) {
 	good := settingsFile(t, "127.0.0.1:1")
 	bad := filepath.Join(t.TempDir(), "bad.yaml")
--- a/lib/fleetsim/cost.go
+++ b/lib/fleetsim/cost.go
@@ -8,67 +8,67 @@
 	"anvilwick.example/anvilwick/lib/ownerpb"
 )
 
-// cost counts what one instance sends and receives.
-type cost struct {
+// trafficMeter accounts the traffic of one instance.
+type trafficMeter struct {
 	mu  sync.Mutex
-	now figures
+	now traffic
 }
 
-// figures are sums since a start.
-type figures struct {
+// traffic are totals since the start.
+type traffic struct {
 	StreamOut, StreamIn int // bytes
 	PacketOut, PacketIn int // bytes
 	Packets             int // datagrams, both ways
-	Far                 int // bytes sent to other failure domains
-	Calls, Rows         int // of the store
+	RemoteOut           int // bytes sent to other failure domains
+	Calls, Rows         int // of the store: calls made, rows returned
 	Kinds               map[string]int
 }
 
-// far counts bytes that are sent to another failure domain.
-func (c *cost) far(n int) {
+// addRemote counts bytes sent to another failure domain.
+func (c *trafficMeter) addRemote(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now.Far += n + headers
+	c.now.RemoteOut += n + headerBytes
 }
 
-func (c *cost) stream(n int, out bool) {
+func (c *trafficMeter) addStream(n int, out bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if out {
-		c.now.StreamOut += n + headers
+		c.now.StreamOut += n + headerBytes
 	} else {
-		c.now.StreamIn += n + headers
+		c.now.StreamIn += n + headerBytes
 	}
 }
 
-func (c *cost) datagram(b []byte, out bool) {
+func (c *trafficMeter) addDatagram(b []byte, out bool) {
 	kind := kindOf(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now.Packets++
 	if out {
-		c.now.PacketOut += len(b) + headers
+		c.now.PacketOut += len(b) + headerBytes
 	} else {
-		c.now.PacketIn += len(b) + headers
+		c.now.PacketIn += len(b) + headerBytes
 	}
 	if c.now.Kinds == nil {
 		c.now.Kinds = make(map[string]int)
 	}
-	c.now.Kinds[kind] += len(b) + headers
+	c.now.Kinds[kind] += len(b) + headerBytes
 }
 
-func (c *cost) call(rows int) {
+func (c *trafficMeter) addCall(rows int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now.Calls++
 	c.now.Rows += rows
 }
 
-// bytes is all that is sent and received.
-func (f *figures) bytes() int { return f.StreamOut + f.StreamIn + f.PacketOut + f.PacketIn }
+// bytes returns all bytes sent and received.
+func (f *traffic) bytes() int { return f.StreamOut + f.StreamIn + f.PacketOut + f.PacketIn }
 
-// read returns the figures so far.
-func (c *cost) read() figures {
+// read returns the totals so far.
+func (c *trafficMeter) read() traffic {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.now
@@ -79,11 +79,11 @@
 	return out
 }
 
-// less returns the figures since an earlier reading.
-func (f figures) less(before figures) figures {
-	out := figures{
+// since returns the difference to an earlier reading.
+func (f traffic) since(before traffic) traffic {
+	out := traffic{
 		StreamOut: f.StreamOut - before.StreamOut, StreamIn: f.StreamIn - before.StreamIn, PacketOut: f.PacketOut - before.PacketOut,
-		PacketIn: f.PacketIn - before.PacketIn, Packets: f.Packets - before.Packets, Far: f.Far - before.Far, Calls: f.Calls - before.Calls,
+		PacketIn: f.PacketIn - before.PacketIn, Packets: f.Packets - before.Packets, RemoteOut: f.RemoteOut - before.RemoteOut, Calls: f.Calls - before.Calls,
 		Rows: f.Rows - before.Rows, Kinds: make(map[string]int),
 	}
 	for k, v := range f.Kinds {
@@ -92,7 +92,7 @@
 	return out
 }
 
-// kindOf names what a datagram is about, by the field that its body is in.
+// kindOf returns the kind of a datagram, by the name of its body field.
 func kindOf(b []byte) string {
 	var d ownerpb.Datagram
 	if proto.Unmarshal(b, &d) != nil || d.Body == nil {
--- a/lib/fleetsim/network.go
+++ b/lib/fleetsim/network.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// nearDelay and farDelay are the one-way delays within and between failure domains.
-	nearDelay = 100 * time.Microsecond
-	farDelay  = 1400 * time.Microsecond
-	// chunk is the most of a stream that is on its way at once, in bytes.
-	chunk = 16 << 10
-	// inbox bounds the datagrams that wait to be read at an instance.
-	inbox = 4096
-	// headers is what a datagram or segment takes on a link beside its bytes.
-	headers = 40
+	// localDelay and remoteDelay are the one-way delays within and between failure domains.
+	localDelay  = 100 * time.Microsecond
+	remoteDelay = 1400 * time.Microsecond
+	// maxInFlight is the maximum number of bytes of a stream in flight.
+	maxInFlight = 16 << 10
+	// receiveQueue is the capacity of an instance's receive queue, in datagrams.
+	receiveQueue = 4096
+	// headerBytes is the overhead of a datagram or segment on a link, in bytes.
+	headerBytes = 40
 )
 
-// network joins the instances. Each has a link of its own that its streams and datagrams share.
+// network connects the instances. Each has its own link, which its streams and datagrams share.
 type network struct {
 	mu        sync.Mutex
 	ends      map[string]*endpoint // by host
@@ -32,11 +32,11 @@
 	pipes     []net.Conn
 }
 
-// endpoint is an instance's end of the network.
+// endpoint is an instance's connection to the network.
 type endpoint struct {
 	domain   string
 	up, down link
-	cost     *cost
+	cost     *trafficMeter
 	dead     bool
 }
 
@@ -44,17 +44,17 @@
 type link struct {
 	mu         sync.Mutex
 	free       time.Time
-	bytePeriod time.Duration // of 1,024 bytes
+	bytePeriod time.Duration // transmission time of 1,024 bytes
 }
 
-// reserve returns when bytes that are ready at a time have passed.
+// reserve returns the time at which bytes that are ready at a given time have been transmitted.
 func (l *link) reserve(at time.Time, bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.Before(l.free) {
 		at = l.free
 	}
-	l.free = at.Add(time.Duration(bytes+headers) * l.bytePeriod / 1024)
+	l.free = at.Add(time.Duration(bytes+headerBytes) * l.bytePeriod / 1024)
 	return l.free
 }
 
@@ -62,7 +62,7 @@
 	return &network{ends: make(map[string]*endpoint), listeners: make(map[string]*listener), packets: make(map[string]*packets)}
 }
 
-func (n *network) add(host, domain string, mbps float64, c *cost) {
+func (n *network) add(host, domain string, mbps float64, c *trafficMeter) {
 	period := time.Duration(1024 * 8 / mbps * float64(time.Microsecond))
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,24 +76,24 @@
 	return n.ends[host]
 }
 
-// arrival reserves both links for bytes from one instance to another.
+// arrival reserves both links for a transfer and returns when it arrives.
 func arrival(from, to *endpoint, bytes int) time.Time {
-	delay := nearDelay
+	delay := localDelay
 	if from.domain != to.domain {
-		delay = farDelay
-		from.cost.far(bytes)
+		delay = remoteDelay
+		from.cost.addRemote(bytes)
 	}
 	return to.down.reserve(from.up.reserve(time.Now(), bytes).Add(delay), bytes)
 }
 
-// kill cuts an instance off for good; add makes another at its address.
+// kill disconnects an instance for good; add connects a new one at its address.
 func (n *network) kill(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ends[host].dead = true
 }
 
-// close ends all streams.
+// close closes all streams.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +103,7 @@
 	n.pipes = nil
 }
 
-// listener accepts the streams to one address.
+// listener accepts streams to one address.
 type listener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -127,14 +127,14 @@
 func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (n *network) listen(addr string) (net.Listener, error) {
-	l := &listener{conns: make(chan net.Conn, inbox), done: make(chan struct{})}
+	l := &listener{conns: make(chan net.Conn, receiveQueue), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listeners[addr] = l
 	return l, nil
 }
 
-// dialer returns what dials from a host.
+// dialer returns the dial function of a host.
 func (n *network) dialer(host string) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		n.mu.Lock()
@@ -145,19 +145,19 @@
 			return nil, net.ErrClosed
 		}
 		from := n.end(net.JoinHostPort(host, "0"))
-		own, far := net.Pipe()
-		theirs, near := net.Pipe()
+		local, localPeer := net.Pipe()
+		remote, remotePeer := net.Pipe()
 		n.mu.Lock()
-		n.pipes = append(n.pipes, far, near)
+		n.pipes = append(n.pipes, localPeer, remotePeer)
 		n.mu.Unlock()
-		go forward(from, to, near, far)
-		go forward(to, from, far, near)
+		go forward(from, to, remotePeer, localPeer)
+		go forward(to, from, localPeer, remotePeer)
 		select {
-		case l.conns <- theirs:
-			return own, nil
+		case l.conns <- remote:
+			return local, nil
 		case <-l.done:
-			_ = far.Close()
-			_ = near.Close()
+			_ = localPeer.Close()
+			_ = remotePeer.Close()
 			return nil, net.ErrClosed
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -165,20 +165,20 @@
 	}
 }
 
-// forward carries one direction of a stream: what is written at in comes out at out.
+// forward copies one direction of a stream with the delays of the network.
 func forward(from, to *endpoint, out, in net.Conn) {
 	defer func() {
 		_ = in.Close()
 		_ = out.Close()
 	}()
-	b := make([]byte, chunk)
+	b := make([]byte, maxInFlight)
 	for {
 		n, err := in.Read(b)
 		if err != nil || from.dead || to.dead {
 			return
 		}
-		from.cost.stream(n, true)
-		to.cost.stream(n, false)
+		from.cost.addStream(n, true)
+		to.cost.addStream(n, false)
 		time.Sleep(time.Until(arrival(from, to, n)))
 		if _, err := out.Write(b[:n]); err != nil {
 			return
@@ -186,7 +186,7 @@
 	}
 }
 
-// packets is an instance's end for datagrams.
+// packets is an instance's datagram socket.
 type packets struct {
 	n    *network
 	own  *endpoint
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &packets{n: n, own: n.end(addr), addr: at, in: make(chan []byte, inbox), done: make(chan struct{})}
+	p := &packets{n: n, own: n.end(addr), addr: at, in: make(chan []byte, receiveQueue), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.packets[addr] = p
@@ -221,7 +221,7 @@
 	p.n.mu.Lock()
 	at := p.n.packets[to.String()]
 	p.n.mu.Unlock()
-	p.own.cost.datagram(b, true)
+	p.own.cost.addDatagram(b, true)
 	if at == nil || at.own.dead || p.own.dead {
 		return len(b), nil
 	}
@@ -233,7 +233,7 @@
 func (p *packets) deliver(d []byte) {
 	select {
 	case p.in <- d:
-		p.own.cost.datagram(d, false)
+		p.own.cost.addDatagram(d, false)
 	default:
 	}
 }
--- a/lib/fleetsim/scenario.go
+++ b/lib/fleetsim/scenario.go
@@ -15,41 +15,41 @@
 	"anvilwick.example/anvilwick/lib/feedlink"
 )
 
-// Phase is what happens to the fleet for a while.
+// Phase is one phase of a scenario.
 type Phase struct {
 	Name string
 	Span time.Duration
-	// Act makes it happen and returns what all instances are to know by it; nil: nothing.
+	// act triggers the event of the phase and returns the check that an instance has received it; nil: no event.
 	act func(s *site) (known func(*member) bool)
 }
 
-// Result is what a phase showed.
+// Result is the outcome of a phase.
 type Result struct {
-	Phase  string
-	Span   time.Duration
-	Last   time.Duration // until all knew; negative: not within the phase
-	P99    time.Duration // until 99 in 100 did
-	Role   map[string]Load
-	Calls  int // of the store
-	Far    int // bytes a second between failure domains
-	Asked  int
-	Placed int
+	Phase       string
+	Span        time.Duration
+	Last        time.Duration // until all instances had the update; negative: not within the phase
+	P99         time.Duration // until 99 in 100 had it
+	Loads       map[string]Load
+	Calls       int // of the store
+	RemoteBytes int // bytes per second between failure domains
+	Requested   int
+	Placed      int
 }
 
-// Load is what instances of one role spend, per second.
+// Load is the state and the traffic of the instances of one role, per second.
 type Load struct {
 	Instances                int
-	Bytes, MostBytes         float64 // sent and received: on average, and by the busiest
-	WorstBytes               float64 // by the busiest in its worst second
+	Bytes, MostBytes         float64 // sent and received: mean, and by the busiest
+	WorstBytes               float64 // the busiest in its worst second
 	Datagrams, MostDatagrams float64
-	Targets, MostTargets     int            // rows held
-	Kinds                    map[string]int // bytes of datagrams a second by kind, of the busiest
+	Targets, MostTargets     int            // rows held: mean, and maximum
+	DatagramKinds            map[string]int // datagram bytes per second of the busiest, by kind
 }
 
-// play plays phases one after the other, with asks all the while, and returns what each showed.
-func play(s *site, phases []Phase, asksPerSecond float64) ([]Result, error) {
+// runScenario runs the phases in order under a constant rate of placement requests, and returns the outcome of each.
+func runScenario(s *site, phases []Phase, asksPerSecond float64) ([]Result, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer time.Sleep(time.Second) // for what is still on its way
+	defer time.Sleep(time.Second) // for what is still in flight
 	defer s.killAll()
 	defer cancel()
 	if err := s.start(ctx); err != nil {
@@ -63,37 +63,37 @@
 }
 
 func (s *site) phase(ctx context.Context, p Phase, asksPerSecond float64) Result {
-	res := Result{Phase: p.Name, Span: p.Span, Role: make(map[string]Load)}
+	res := Result{Phase: p.Name, Span: p.Span, Loads: make(map[string]Load)}
 	before := s.read()
 	asking, stop := context.WithTimeout(ctx, p.Span)
 	defer stop()
 	var work sync.WaitGroup
-	work.Go(func() { res.Asked, res.Placed = s.ask(asking, asksPerSecond) })
+	work.Go(func() { res.Requested, res.Placed = s.requestPlacements(asking, asksPerSecond) })
 	start := time.Now()
 	var known func(*member) bool
 	if p.act != nil {
 		known = p.act(s)
 	}
-	worst := s.watch(start, p.Span, known, &res)
+	worst := s.observe(start, p.Span, known, &res)
 	after := s.read()
 	work.Wait()
 	s.loads(&res, before, after, worst)
 	return res
 }
 
-func (s *site) read() []figures {
-	out := make([]figures, len(s.members))
+func (s *site) read() []traffic {
+	out := make([]traffic, len(s.members))
 	for i, m := range s.members {
 		out[i] = m.cost.read()
 	}
 	return out
 }
 
-// look is the pause between two looks at what instances know.
-const look = 10 * time.Millisecond
+// checkInterval is the interval at which the instances' state is checked.
+const checkInterval = 10 * time.Millisecond
 
-// watch waits for the end of a phase, notes when instances know, and returns the bytes of each in its worst second.
-func (s *site) watch(start time.Time, span time.Duration, known func(*member) bool, res *Result) []int {
+// observe waits for the end of a phase, records when instances have the update, and returns each one's bytes in its worst second.
+func (s *site) observe(start time.Time, span time.Duration, known func(*member) bool, res *Result) []int {
 	when := make([]time.Duration, len(s.members))
 	worst := make([]int, len(s.members))
 	last := s.read()
@@ -112,7 +112,7 @@
 			}
 			last = figs
 		}
-		time.Sleep(look)
+		time.Sleep(checkInterval)
 	}
 	if known == nil {
 		return worst
@@ -125,7 +125,7 @@
 	return worst
 }
 
-// role names what an instance does for the others.
+// role returns the role of an instance in the fleet.
 func (m *member) role() string {
 	k := m.Known()
 	switch {
@@ -139,26 +139,26 @@
 	return "follows"
 }
 
-func (s *site) loads(res *Result, before, after []figures, worst []int) {
+func (s *site) loads(res *Result, before, after []traffic, worst []int) {
 	for i, m := range s.members {
-		d := after[i].less(before[i])
+		d := after[i].since(before[i])
 		res.Calls += d.Calls
-		res.Far += d.Far
+		res.RemoteBytes += d.RemoteOut
 		role := m.role()
-		l := res.Role[role]
+		l := res.Loads[role]
 		l.add(&d, worst[i], m.Known().Targets, res.Span.Seconds())
-		res.Role[role] = l
+		res.Loads[role] = l
 	}
-	res.Far = int(float64(res.Far) / res.Span.Seconds())
-	for role, l := range res.Role {
+	res.RemoteBytes = int(float64(res.RemoteBytes) / res.Span.Seconds())
+	for role, l := range res.Loads {
 		l.Bytes /= float64(l.Instances)
 		l.Datagrams /= float64(l.Instances)
 		l.Targets /= l.Instances
-		res.Role[role] = l
+		res.Loads[role] = l
 	}
 }
 
-func (l *Load) add(d *figures, worst, targets int, seconds float64) {
+func (l *Load) add(d *traffic, worst, targets int, seconds float64) {
 	l.Instances++
 	bytes, packets := float64(d.bytes())/seconds, float64(d.Packets)/seconds
 	l.Bytes += bytes
@@ -169,24 +169,25 @@
 	l.WorstBytes = max(l.WorstBytes, float64(worst))
 	if bytes > l.MostBytes {
 		l.MostBytes = bytes
-		l.Kinds = make(map[string]int)
+		l.DatagramKinds = make(map[string]int)
 		for k, v := range d.Kinds {
-			l.Kinds[k] = int(float64(v) / seconds)
+			l.DatagramKinds[k] = int(float64(v) / seconds)
 		}
 	}
 }
 
-// write prints the results, a line for each phase and role.
-func write(w io.Writer, size Size, results []Result) error {
+// writeResults prints the results, one line per phase and role.
+func writeResults(w io.Writer, size Size, results []Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "%d instances before %d targets\n", size.Instances, size.Targets)
+	fmt.Fprintf(t, "%d instances, %d targets\n", size.Instances, size.Targets)
 	fmt.Fprintln(t, "phase\tknown p99\tknown last\tcalls\tfar KB/s\trole\tn\ttargets\tKB/s mean\tbusiest\tworst second\tdatagrams/s\tbusiest\tits datagrams by kind, KB/s")
 	for _, r := range results {
-		for _, role := range slices.Sorted(maps.Keys(r.Role)) {
-			l := r.Role[role]
+		for _, role := range slices.Sorted(maps.Keys(r.Loads)) {
+			l := r.Loads[role]
 			fmt.Fprintf(t, "%s\t%v\t%v\t%d\t%.0f\t%s\t%d\t%d\t%.1f\t%.1f\t%.0f\t%.1f\t%.0f\t%s\n", r.Phase, r.P99.Round(time.Millisecond),
-				r.Last.Round(time.Millisecond), r.Calls, float64(r.Far)/1000, role, l.Instances, l.Targets, l.Bytes/1000, l.MostBytes/1000, l.WorstBytes/1000,
-				l.Datagrams, l.MostDatagrams, kinds(l.Kinds))
+				r.Last.Round(time.Millisecond), r.Calls, float64(r.RemoteBytes)/1000, role, l.Instances, l.Targets, l.Bytes/1000, l.MostBytes/1000,
+				l.WorstBytes/1000,
+				l.Datagrams, l.MostDatagrams, kinds(l.DatagramKinds))
 		}
 	}
 	return t.Flush()
@@ -202,8 +203,8 @@
 	return strings.Join(out, ", ")
 }
 
-// phases are the usual ones of a fleet.
-func phases() []Phase {
+// standardPhases returns the standard scenario.
+func standardPhases() []Phase {
 	knowsSettings := func(version int64) func(*member) bool {
 		return func(m *member) bool { return m.Known().Settings >= version }
 	}
@@ -228,13 +229,13 @@
 					away = append(away, m.host)
 				}
 			}
-			s.store.turnAway(away)
+			s.store.reject(away)
 			time.Sleep(2 * time.Second)
 			s.store.put(settings, s.settingsRow(3))
 			return knowsSettings(3)
 		}},
 		{Name: "all killed", Span: 8 * time.Second, act: func(s *site) func(*member) bool {
-			s.store.turnAway(nil)
+			s.store.reject(nil)
 			s.killAll()
 			s.first = false
 			if err := s.start(context.Background()); err != nil {
@@ -245,7 +246,7 @@
 	}
 }
 
-// release replaces 3.3 in 100 of the targets a second, for three seconds.
+// release replaces 3.3 in 100 of the targets per second, for three seconds.
 func release(s *site) func(*member) bool {
 	batch := s.Targets * 33 / 1000
 	for round := range 3 {
--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -19,7 +19,7 @@
 	"anvilwick.example/anvilwick/lib/wirehttp"
 )
 
-// Names of the tables and services of the modelled site.
+// Tables and services of the modelled site.
 const (
 	settings  = "settings"
 	targets   = "targets"
@@ -34,24 +34,24 @@
 type Size struct {
 	Instances, Targets int
 	Domains            int
-	Strong             int // instances of each failure domain with a large link and processor
+	Strong             int // instances per failure domain with a large link and processor share
 	SettingsBytes      int
 }
 
-// capacities and links of strong and small instances.
+// Processor shares and links of strong and small instances.
 const (
 	strongShare, smallShare = 1.6, 0.192 // of a core
 	strongMbps, smallMbps   = 1000, 20
 )
 
-// site is a fleet that runs.
+// site is a running fleet.
 type site struct {
 	Size
 	net     *network
 	store   *store
 	members []*member
 	rng     *rand.Rand
-	first   bool // it starts for the first time
+	first   bool // the site starts for the first time
 }
 
 // member is one instance.
@@ -59,7 +59,7 @@
 	*gatewayproc.Member
 	host, domain string
 	strong       bool
-	cost         *cost
+	cost         *trafficMeter
 	cancel       context.CancelFunc
 }
 
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("10.%d.%d.%d", 1+i%s.Domains, i/s.Domains/200, 1+i/s.Domains%200)
 }
 
-// target is an entry of the list of targets.
+// target is an entry in the list of targets.
 type target struct {
 	Service, Addr, Domain, State string
 	Version                      string
@@ -79,13 +79,14 @@
 func (s Size) targetID(i int) string { return fmt.Sprintf("t%06d", i) }
 
 func (s Size) targetRow(i int, state string) feed.Row {
-	t := target{Service: engines, Addr: fmt.Sprintf("10.100.%d.%d:9000", i/250, i%250), Domain: s.domain(i), State: state, Version: "7", Slots: 24}
+	t := target{Service: engines, Addr: fmt.Sprintf("10.100.%d.%d:9000", i/250, i%250), Domain: s.domain(i),
+		State: state, Version: "7", Slots: 24}
 	if i%25 == 0 {
 		t.Service = plain
 	}
 	b, err := json.Marshal(t)
 	if err != nil {
-		panic(err) // it holds strings and numbers only
+		panic(err) // unreachable: strings and numbers only
 	}
 	return feed.Row{Key: s.targetID(i), Value: b}
 }
@@ -98,7 +99,7 @@
 	return fleet.Info{ID: row.Key, Service: t.Service, Addr: t.Addr, Domain: t.Domain, Slots: t.Slots, Leaving: t.State == "leaving"}, nil
 }
 
-// settingsRow is a record of settings of some size.
+// settingsRow returns a settings row of SettingsBytes.
 func (s Size) settingsRow(version int64) feed.Row {
 	text := fmt.Sprintf("%d\n%s", version, strings.Repeat("a route with some words;", s.SettingsBytes/24))
 	return feed.Row{Key: "config", Value: []byte(text)}
@@ -115,7 +116,7 @@
 	return rev, nil
 }
 
-// newSite makes a site whose targets are listed, and no instance runs.
+// newSite creates a site whose targets are listed and whose instances are not started.
 func newSite(size Size, seed uint64) *site {
 	s := &site{Size: size, first: true, net: newNetwork(), store: newStore(), rng: rand.New(rand.NewPCG(seed, 1))}
 	rows := make([]feed.Row, size.Targets)
@@ -125,12 +126,12 @@
 	s.store.put(targets, rows...)
 	s.store.put(settings, size.settingsRow(1))
 	for i := range size.Instances {
-		s.members = append(s.members, &member{host: size.host(i), domain: size.domain(i), strong: i < size.Domains*size.Strong, cost: new(cost)})
+		s.members = append(s.members, &member{host: size.host(i), domain: size.domain(i), strong: i < size.Domains*size.Strong, cost: new(trafficMeter)})
 	}
 	return s
 }
 
-// start starts all instances within 0.3 s.
+// start starts all instances over 0.3 s.
 func (s *site) start(ctx context.Context) error {
 	var seeds []string
 	for _, m := range s.members[:min(3, len(s.members))] {
@@ -174,18 +175,18 @@
 		EncodeInstance: encodeInstance,
 		Register: func(_ context.Context, rows []feed.Row) error {
 			time.Sleep(answerTime)
-			m.cost.call(0)
+			m.cost.addCall(0)
 			s.store.put(instances, rows...)
 			return nil
 		},
 		ReadRanks: func(_ context.Context, domain string) ([]byte, error) {
 			time.Sleep(answerTime)
-			m.cost.call(1)
+			m.cost.addCall(1)
 			return s.store.value(ranks, domain)
 		},
 		WriteRanks: func(_ context.Context, rows map[string][]byte) error {
 			time.Sleep(answerTime)
-			m.cost.call(0)
+			m.cost.addCall(0)
 			for domain, b := range rows {
 				s.store.put(ranks, feed.Row{Key: domain, Value: b})
 			}
@@ -206,7 +207,7 @@
 	return in, err
 }
 
-// engineCalls are calls to engines, which none of the modelled ones answers.
+// engineCalls fails all calls to engines, which are not modelled.
 type engineCalls struct{}
 
 func (engineCalls) Copy(context.Context, fleet.Info, fleet.Info, string, bool) (gateway.CopyResult, error) {
@@ -219,7 +220,7 @@
 
 func (engineCalls) ReleaseCopy(context.Context, fleet.Info, string) error { return nil }
 
-// killAll ends all instances at once, without a word.
+// killAll ends all instances at once, without a graceful stop.
 func (s *site) killAll() {
 	for _, m := range s.members {
 		s.net.kill(m.host)
@@ -231,8 +232,8 @@
 	}
 }
 
-// ask asks for engines for streams at a rate, from instances drawn at random, until ctx is done. It returns when all are answered.
-func (s *site) ask(ctx context.Context, perSecond float64) (asked, placed int) {
+// requestPlacements sends placement requests at a rate, each from a random instance, until ctx is done. It returns when all are answered.
+func (s *site) requestPlacements(ctx context.Context, perSecond float64) (asked, placed int) {
 	var mu sync.Mutex
 	var work sync.WaitGroup
 	for ctx.Err() == nil {
@@ -241,7 +242,9 @@
 		id := s.rng.Uint64()
 		work.Go(func() {
 			need := fleet.Need{Service: engines, Tokens: 3000, Unread: 3000, Peak: fleet.Size{Held: 3000, Remaining: 200}}
-			a := owner.PlaceRequest{Run: id, Stream: admit.Stream{Arrived: time.Now(), Objective: 1800 * time.Millisecond, MaxRetryAfter: 10 * time.Second, Need: need}}
+			a := owner.PlaceRequest{Run: id, Stream: admit.Stream{
+				Arrived: time.Now(), Objective: 1800 * time.Millisecond, MaxRetryAfter: 10 * time.Second, Need: need,
+			}}
 			got, err := m.Place(context.Background(), a)
 			mu.Lock()
 			defer mu.Unlock()
--- a/lib/fleetsim/store.go
+++ b/lib/fleetsim/store.go
@@ -10,22 +10,22 @@
 	"anvilwick.example/anvilwick/lib/feed"
 )
 
-// answerTime is how long an answer of the store takes.
+// answerTime is the duration of a call to the store.
 const answerTime = 4 * time.Millisecond
 
-// store is a model of the platform's store, which may turn some instances away.
+// store is a model of the platform's store, which can reject the calls of some instances.
 type store struct {
-	mu      sync.Mutex
-	version int64
-	tables  map[string]map[string]feed.Row
-	log     map[string][]feed.Row // in the order of versions
-	turned  map[string]bool       // instances that it turns away
-	changed chan struct{}
+	mu       sync.Mutex
+	version  int64
+	tables   map[string]map[string]feed.Row
+	log      map[string][]feed.Row // in version order
+	rejected map[string]bool       // instances whose calls are rejected
+	changed  chan struct{}
 }
 
 func newStore() *store {
 	return &store{
-		tables: make(map[string]map[string]feed.Row), log: make(map[string][]feed.Row), turned: make(map[string]bool),
+		tables: make(map[string]map[string]feed.Row), log: make(map[string][]feed.Row), rejected: make(map[string]bool),
 		changed: make(chan struct{}),
 	}
 }
@@ -50,48 +50,48 @@
 	s.changed = make(chan struct{})
 }
 
-// value returns a row's value; nil where there is none.
+// value returns a row's value; nil if there is no such row.
 func (s *store) value(table, key string) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tables[table][key].Value, nil
 }
 
-// turnAway makes the store turn some instances away, and no others.
-func (s *store) turnAway(instances []string) {
+// reject sets the instances whose calls are rejected.
+func (s *store) reject(instances []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	clear(s.turned)
+	clear(s.rejected)
 	for _, name := range instances {
-		s.turned[name] = true
+		s.rejected[name] = true
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-var errTurnedAway = errors.New("fleetsim: the store turns this instance away")
+var errRejected = errors.New("fleetsim: store call rejected for this instance")
 
-// source is a table as one instance reads it.
+// source is the feed source of a table for one instance.
 type source struct {
 	s        *store
 	table    string
 	instance string
-	cost     *cost
+	cost     *trafficMeter
 }
 
 func (t source) Snapshot(ctx context.Context) (feed.Page, error) {
 	time.Sleep(answerTime)
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
-	if t.s.turned[t.instance] {
-		t.cost.call(0)
-		return feed.Page{}, errTurnedAway
+	if t.s.rejected[t.instance] {
+		t.cost.addCall(0)
+		return feed.Page{}, errRejected
 	}
 	page := feed.Page{Era: feed.FirstEra, Version: t.s.version}
 	for _, row := range t.s.tables[t.table] {
 		page.Rows = append(page.Rows, row)
 	}
-	t.cost.call(len(page.Rows))
+	t.cost.addCall(len(page.Rows))
 	return page, ctx.Err()
 }
 
@@ -102,7 +102,7 @@
 	for late := false; ; {
 		page, changed, err := t.since(after)
 		if err != nil || len(page.Rows) > 0 || late {
-			t.cost.call(len(page.Rows))
+			t.cost.addCall(len(page.Rows))
 			return page, err
 		}
 		select {
@@ -118,8 +118,8 @@
 func (t source) since(after int64) (feed.Page, <-chan struct{}, error) {
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
-	if t.s.turned[t.instance] {
-		return feed.Page{}, nil, errTurnedAway
+	if t.s.rejected[t.instance] {
+		return feed.Page{}, nil, errRejected
 	}
 	page := feed.Page{Era: feed.FirstEra, Version: t.s.version}
 	log := t.s.log[t.table]
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -53,7 +53,7 @@
 
 	Network Network // connects to other instances
 
-	// All instances together may retry RepeatRatio of a service's requests, plus RepeatFloor, in each RepeatWindow.
+	// All instances together may retry RetryRatio of a service's requests, plus RetryFloor, in each RetryWindow.
 	RetryRatio  float64
 	RetryFloor  float64
 	RetryWindow time.Duration
@@ -76,7 +76,7 @@
 
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
-	// SettingsWriteSeq and CountTarget return the writer's own sequence number of a row, which continues when the store is restored from
+	// SettingsWriteSeq and TargetWriteSeq return the writer's own sequence number of a row, which continues when the store is restored from
 	// a backup.
 	SettingsWriteSeq, TargetWriteSeq func(feed.Row) (feed.WriteSeq, bool)
 	// Evacuated returns the failure domain that a row of the settings table evacuates as long as it exists.
--- a/lib/opsapi/client.go
+++ b/lib/opsapi/client.go
@@ -9,10 +9,10 @@
 	"github.com/dghubble/sling"
 )
 
-// clientTimeout bounds one question to one process.
+// clientTimeout bounds one request to a process.
 const clientTimeout = 3 * time.Second
 
-// Client asks one process.
+// Client queries one process.
 type Client struct {
 	base *sling.Sling
 }
@@ -26,28 +26,28 @@
 	return &Client{base: s}
 }
 
-// Status asks for the process's status.
+// Status returns the process's status.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var st Status
 	err := c.do(ctx, c.base.New().Get(PathStatus), &st)
 	return st, err
 }
 
-// Targets asks for the targets it knows.
+// Targets returns the targets that the process knows.
 func (c *Client) Targets(ctx context.Context) ([]Target, error) {
 	var ts []Target
 	err := c.do(ctx, c.base.New().Get(PathTargets), &ts)
 	return ts, err
 }
 
-// Queues asks for the queues that it holds.
+// Queues returns the process's queues.
 func (c *Client) Queues(ctx context.Context) ([]Queue, error) {
 	var qs []Queue
 	err := c.do(ctx, c.base.New().Get(PathQueues), &qs)
 	return qs, err
 }
 
-// Drain turns a target's drain on or off.
+// Drain starts or ends a drain of a target.
 func (c *Client) Drain(ctx context.Context, r DrainRequest) (DrainReply, error) {
 	var rep DrainReply
 	err := c.do(ctx, c.base.New().Post(PathDrain).BodyJSON(r), &rep)
--- a/lib/opsapi/metrics_test.go
+++ b/lib/opsapi/metrics_test.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/entrymetrics"
 )
 
-// A scraper sees each series of an entry once. The entry's own set and the operators' port both wrote the metrics of
-// the whole process; a strict scraper refuses such a page, and one that adds lines up counts every byte double.
+// Each series of an entry must appear once. The entry's own set and the operators' port both wrote the process-wide
+// metrics; a strict scraper rejects such a page, and one that sums lines counts every byte twice.
 func TestEachSeriesIsWrittenOnce(t *testing.T) {
 	own := entrymetrics.New()
 	own.AttemptEnded("completed")
--- a/lib/opsapi/opsapi_test.go
+++ b/lib/opsapi/opsapi_test.go
@@ -46,7 +46,7 @@
 	return resp.StatusCode
 }
 
-func TestClientReadsWhatTheSourceSays(t *testing.T) {
+func TestClientReadsSource(t *testing.T) {
 	c := NewClient(serve(t, source()), token)
 	st, err := c.Status(t.Context())
 	must.NoError(t, err)
@@ -74,19 +74,20 @@
 	must.Eq(t, http.StatusOK, status(t, http.MethodGet, base+PathMetrics, "", ""))
 }
 
-func TestNoHashesMeansNoOperators(t *testing.T) {
+func TestNoHashesAllowNobody(t *testing.T) {
 	must.False(t, allowed(nil, "Bearer x"))
 }
 
-func TestReadinessTellsTheReason(t *testing.T) {
+func TestReadinessFails(t *testing.T) {
 	src := source()
 	src.Ready = func() error { return errors.New("no settings yet") }
 	must.Eq(t, http.StatusServiceUnavailable, status(t, http.MethodGet, "http://"+serve(t, src)+PathReady, "", ""))
 }
 
-func TestDrainRefusesWhatItCannotRead(t *testing.T) {
+func TestDrainRejectsMalformedBody(t *testing.T) {
 	url := "http://" + serve(t, source()) + PathDrain
-	for _, body := range []string{"", "{", `{"target":"t1"}`, `{"target":"t1","operator":"a","x":1}`, `{"operator":"` + strings.Repeat("a", maxBody) + `"}`} {
+	for _, body := range []string{"", "{", `{"target":"t1"}`, `{"target":"t1","operator":"a","x":1}`,
+		`{"operator":"` + strings.Repeat("a", maxBody) + `"}`} {
 		must.Eq(t, http.StatusBadRequest, status(t, http.MethodPost, url, "Bearer "+token, body), must.Sprint(body[:min(len(body), 40)]))
 	}
 }
--- a/lib/opsapi/scrape.go
+++ b/lib/opsapi/scrape.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// Scrape reads the metrics of the process whose operator port is addr (IP:port), and calls each with every series,
-// labels included, and its value.
+// Scrape reads the metrics of the process whose operator port is addr (IP:port) and calls each with every series,
+// including its labels, and its value.
 func Scrape(ctx context.Context, addr string, each func(series string, v float64)) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+PathMetrics, nil)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return ReadMetrics(resp.Body, each)
 }
 
-// ReadMetrics reads a page of metrics.
+// ReadMetrics parses metrics in the Prometheus text format.
 func ReadMetrics(r io.Reader, each func(series string, v float64)) error {
 	sc := bufio.NewScanner(r)
 	for sc.Scan() {
--- a/lib/opsapi/server.go
+++ b/lib/opsapi/server.go
@@ -26,10 +26,10 @@
 // ErrBadHash is returned by ParseHash.
 var ErrBadHash = errors.New("operator token hash must be 64 hexadecimal digits (SHA-256)")
 
-// Hash is the SHA-256 of an operator's token; the token itself is in no settings and no log.
+// Hash is the SHA-256 of an operator's token; settings and logs never contain the token itself.
 type Hash [sha256.Size]byte
 
-// ParseHash reads 64 hexadecimal digits.
+// ParseHash parses 64 hexadecimal digits.
 func ParseHash(s string) (Hash, error) {
 	var h Hash
 	b, err := hex.DecodeString(s)
@@ -43,8 +43,8 @@
 // HashToken returns the hash of a token.
 func HashToken(token string) Hash { return sha256.Sum256([]byte(token)) }
 
-// Handler serves the interface. hashes are those of the tokens that operators may use; without any, every path that
-// needs a token is refused.
+// Handler serves the interface. hashes are those of the valid operator tokens; without any, requests to paths that
+// need a token are all rejected.
 func Handler(hashes []Hash, src Source) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
@@ -67,7 +67,7 @@
 	return mux
 }
 
-// Server returns a server for h with every time and size bounded.
+// Server returns a server for h with limits on all times and sizes.
 func Server(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -79,7 +79,7 @@
 	}
 }
 
-// writeMetrics gives the process's own set, then what belongs to the whole process: processor time, memory, links.
+// writeMetrics writes the process's own set, then the process-wide metrics: processor time, memory, links.
 func writeMetrics(w io.Writer, own func(io.Writer)) {
 	if own != nil {
 		own(w)
@@ -132,7 +132,7 @@
 	})
 }
 
-// allowed looks at every hash whatever it finds, so that the time it takes tells nothing about which one matched.
+// allowed compares every hash even after a match, so that its duration reveals nothing about which one matched.
 func allowed(hashes []Hash, header string) bool {
 	token, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok || token == "" {
--- a/lib/opsapi/targets.go
+++ b/lib/opsapi/targets.go
@@ -9,16 +9,16 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// SilentAfter is the age of a report from which a target counts as silent.
+// SilentAfter is the age of the last report from which a target is shown as silent.
 const SilentAfter = 10 * time.Second
 
-// TargetView is what a process knows of targets beside the settings.
+// TargetView is a process's knowledge of targets beyond the settings.
 type TargetView struct {
-	Report   func(target string) (*meshpb.TargetReport, time.Duration) // last report with its age now; nil: none
-	Draining func(target string) bool                                  // by an operator
+	Report   func(target string) (*meshpb.TargetReport, time.Duration) // last report and its age; nil: none
+	Draining func(target string) bool                                  // drained by an operator
 }
 
-// TargetsOf lists every target of snap, sorted by service and name; nil snap has none.
+// TargetsOf returns every target of snap, sorted by service and name; none if snap is nil.
 func TargetsOf(snap *settings.Snapshot, v TargetView) []Target {
 	out := []Target{}
 	if snap == nil {
@@ -59,7 +59,7 @@
 	return out
 }
 
-// QueuesOf lists the shards that digests sum up.
+// QueuesOf returns the shards described by digests.
 func QueuesOf(digests []*meshpb.ShardDigest) []Queue {
 	out := []Queue{}
 	for _, d := range digests {
--- a/lib/opsapi/types.go
+++ b/lib/opsapi/types.go
@@ -1,4 +1,4 @@
-// Package opsapi is the operators' HTTP interface, on a port apart from the callers': health, metrics, and, with an
+// Package opsapi is the operators' HTTP interface, on a separate port from the callers': health, metrics, and, with an
 // operator's token, status, targets, queues and drain as JSON. Entries and control processes serve the same paths.
 package opsapi
 
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Paths of the interface. Health, readiness and metrics need no token: probes and scrapers have none, and they show no
+// Paths of the interface. Health, readiness and metrics need no token: probes and scrapers have none, and they expose no
 // request and no key.
 const (
 	PathHealth  = "/healthz" // GET: 200 while the process runs
@@ -25,7 +25,7 @@
 	RoleControl = "control"
 )
 
-// Status is one process's view of itself and of its fellows.
+// Status is one process's view of itself and of the other instances.
 type Status struct {
 	Instance         string   `json:"instance"`
 	Role             string   `json:"role"`
@@ -36,7 +36,7 @@
 	Streams          int      `json:"streams"`           // requests in progress
 	Queued           int      `json:"queued"`
 	Stopping         bool     `json:"stopping"`
-	Store            string   `json:"store,omitempty"` // "up" or "down", as last seen
+	Store            string   `json:"store,omitempty"` // "up" or "down" at the last contact
 	Link             string   `json:"link,omitempty"`  // "up" or "down": between control process and entry
 	Members          []Member `json:"members,omitempty"`
 	Leases           []Lease  `json:"leases,omitempty"`
@@ -50,17 +50,17 @@
 	FailureDomain    string `json:"failure_domain"`
 	State            string `json:"state"` // live, leaving or dead
 	Addr             string `json:"addr"`
-	SettingsRevision uint64 `json:"settings_revision,omitempty"` // highest that its heartbeats say it has, in force or not; 0: not known here
+	SettingsRevision uint64 `json:"settings_revision,omitempty"` // highest that its heartbeats carry, in force or not; 0: unknown
 }
 
-// Lease is one that this process holds.
+// Lease is a lease that this process holds.
 type Lease struct {
 	Name   string `json:"name"`
 	Fence  uint64 `json:"fence"`
 	LeftMS int64  `json:"left_ms"` // until the holder stops itself
 }
 
-// Power is a service's share of the site's power in force here.
+// Power is the share of the site's power assigned to a service's shard and in force at this process.
 type Power struct {
 	Service       string  `json:"service"`
 	Shard         uint32  `json:"shard"`
@@ -73,8 +73,8 @@
 // States of a target.
 const (
 	TargetLive     = "live"
-	TargetDraining = "draining" // by an operator
-	TargetLeaving  = "leaving"  // by its own report
+	TargetDraining = "draining" // drained by an operator
+	TargetLeaving  = "leaving"  // announced in its own report
 	TargetSilent   = "silent"   // no report
 )
 
@@ -96,7 +96,7 @@
 	ReportAgeMS   int64   `json:"report_age_ms"`
 }
 
-// Queue is what waits at this process for one workspace and class of a service.
+// Queue is the queue of one workspace and class of a service at this process.
 type Queue struct {
 	Service   string `json:"service"`
 	Shard     int    `json:"shard"`
@@ -107,26 +107,26 @@
 	WaitMS    int64  `json:"wait_ms"` // expected wait of a new request
 }
 
-// DrainRequest turns an operator's drain of a target on or off.
+// DrainRequest starts or ends an operator's drain of a target.
 type DrainRequest struct {
 	Target   string `json:"target"`
 	On       bool   `json:"on"`
-	Operator string `json:"operator"` // who asks; for the log and for the next operator
+	Operator string `json:"operator"` // who requests it; for the log and for other operators
 }
 
-// DrainReply tells how far the request is known to reach.
+// DrainReply reports where the request has taken effect.
 type DrainReply struct {
 	Applied bool   `json:"applied"` // in force at this instance
-	Durable bool   `json:"durable"` // recorded in the table: it reaches every instance and outlives this one
+	Durable bool   `json:"durable"` // recorded in the table: it reaches every instance and survives this one
 	Detail  string `json:"detail,omitempty"`
 }
 
-// ErrorReply is the body of a refusal.
+// ErrorReply is the body of an error response.
 type ErrorReply struct {
 	Error string `json:"error"`
 }
 
-// Source answers the operators' questions. A nil function's path is answered with 404.
+// Source provides the data behind the interface. The path of a nil function is answered with 404.
 type Source struct {
 	Status  func() Status
 	Targets func() []Target
--- a/lib/platform/budget.go
+++ b/lib/platform/budget.go
@@ -9,9 +9,9 @@
 	"golang.org/x/time/rate"
 )
 
-// budgetBurst is how much of a rate may be used at once: a tenth of a second's worth, and always a few. One revision of
-// settings takes three reads in a row. An instance among hundreds has less than two reads a second; were it given one at a
-// time, the second would come later than a caller waits, and it would never come to its settings.
+// budgetBurst is the burst of a rate limiter as a fraction of a second's tokens; minBurst is its minimum. One settings revision
+// takes three reads in a row. An instance among hundreds has less than two reads a second; with a burst of one, the
+// second read would come later than a caller waits, and the instance would never load its settings.
 const (
 	budgetBurst = 0.1
 	minBurst    = 4
@@ -19,11 +19,11 @@
 
 var (
 	errBudget = errors.New("the budget for the platform is spent")
-	errNoTime = errors.New("the caller's time ends before the budget for the platform allows the exchange")
+	errNoTime = errors.New("the caller's deadline is before the next token of the budget for the platform")
 )
 
-// budget keeps this process to its share of the site's reads and writes. The platform's limits hold for the whole
-// site: an instance that took what it could get would starve the leases of all others.
+// budget limits this process to its share of the site's reads and writes. The platform's limits apply to the whole
+// site: an instance that used all it could get would starve the leases of the others.
 type budget struct {
 	share  float64
 	wait   time.Duration
@@ -64,7 +64,7 @@
 	b.apply()
 }
 
-// apply sets the rates of this process.
+// apply computes the rates of this process from its share.
 func (b *budget) apply() {
 	part := b.share / float64(b.live)
 	setRate(b.writes, b.writesPerSec*part)
@@ -79,24 +79,24 @@
 	l.SetBurst(max(minBurst, int(perSec*budgetBurst)))
 }
 
-// take waits for one token, but not for longer than the budget's wait: the limiter refuses at once when the token
-// would come too late.
-func (b *budget) take(ctx context.Context, u use, l *rate.Limiter) *exchangeError {
-	ends, bounded := ctx.Deadline()
-	short := bounded && ends.Before(time.Now().Add(b.wait))
-	waiting, cancel := context.WithTimeout(ctx, b.wait)
+// take waits for one token for at most the budget's wait; the limiter fails at once when the token would come
+// later.
+func (b *budget) take(ctx context.Context, u purpose, l *rate.Limiter) *exchangeError {
+	deadline, bounded := ctx.Deadline()
+	deadlineFirst := bounded && deadline.Before(time.Now().Add(b.wait))
+	waitCtx, cancel := context.WithTimeout(ctx, b.wait)
 	defer cancel()
-	err := l.Wait(waiting)
+	err := l.Wait(waitCtx)
 	if err == nil {
 		return nil
 	}
-	after := max(time.Duration(float64(time.Second)/float64(l.Limit())), b.wait)
+	retryIn := max(time.Duration(float64(time.Second)/float64(l.Limit())), b.wait)
 	switch {
 	case ctx.Err() != nil:
-		return &exchangeError{fate: fateNotSent, after: after, cause: ctx.Err()}
-	case short:
-		return &exchangeError{fate: fateNotSent, after: after, cause: errors.Join(errNoTime, context.DeadlineExceeded)}
+		return &exchangeError{fate: fateNotSent, retryAfter: retryIn, cause: ctx.Err()}
+	case deadlineFirst:
+		return &exchangeError{fate: fateNotSent, retryAfter: retryIn, cause: errors.Join(errNoTime, context.DeadlineExceeded)}
 	}
 	u.countBudget()
-	return &exchangeError{fate: fateNotSent, after: after, cause: errors.Join(errBudget, err)}
+	return &exchangeError{fate: fateNotSent, retryAfter: retryIn, cause: errors.Join(errBudget, err)}
 }
--- a/lib/platform/budget_test.go
+++ b/lib/platform/budget_test.go
@@ -12,9 +12,9 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// A caller has 10 ms left and the budget would have a token in 500 ms, or it has plenty of time and the budget has none for
-// it. Told of the budget in both cases, operators would raise a limit that was not in the way.
-func TestRefusalNamesTheContextOrTheBudget(t *testing.T) {
+// The caller's deadline is before the next token, or the caller has time and the budget has no token. If both
+// errors named the budget, operators would raise a limit that was not the cause.
+func TestBudgetErrorNamesDeadlineOrBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, c := start(t, standin.Config{}, platform.Config{ReadsPerSec: 2, BudgetWait: 600 * time.Millisecond})
 		_, _, err := c.Get(t.Context(), "a")
--- a/lib/platform/client.go
+++ b/lib/platform/client.go
@@ -1,15 +1,15 @@
 // Package platform is the client of the platform's table, object store, instance list and weight store.
 //
-// A write ends in one of three ways, and the caller can tell which: answered (err nil, and TxnResult.Committed says
-// whether its conditions held), NotCommitted or Refused (nothing was written and nothing will be), Unknown. Lost
-// answers are settled inside by the transaction's operation id before Unknown is returned.
+// A write has one of three outcomes, which the caller can distinguish: answered (err is nil, and TxnResult.Committed reports
+// whether its conditions held); NotCommitted or Refused (nothing was written or will be); Unknown. A lost answer is
+// resolved by the transaction's operation id before Unknown is returned.
 //
-// Revisions are ordered over the eras of the table (platformapi.Order), so that one may be compared with another whenever it was
-// read. Conditions of an era before are not sent: see OtherEra.
+// Revisions are ordered across the eras of the table (platformapi.OrderedRev), so that any two can be compared. Transactions with
+// conditions of an earlier era are not sent: see StaleEra.
 //
-// Reads and writes take from a token bucket each, whose rate is this client's share of the site's budget. What the
-// budget or the open breaker holds up is refused at once, with a time to come back: a caller must never wait for a
-// store that is down.
+// Reads and writes each have a token bucket whose rate is this client's share of the site's budget. A call that the budget or
+// the open breaker delays too long fails at once with a retry time: callers must never wait for a store that is
+// down.
 package platform
 
 import (
@@ -42,21 +42,21 @@
 	DefaultGroupMembers  = 64
 )
 
-// Parts of an instance's share, for Config.Share: together they are the whole. Leases of the control process never
-// wait behind claims of the entry.
+// Fractions of an instance's share for Config.Share, which add up to one. Separate shares keep the leases of the control
+// process from waiting behind the claims of the entry.
 const (
 	ShareEntry   = 0.6
 	ShareControl = 0.4
 )
 
 const (
-	maxAnswer = 16 << 20
-	// downRetryAfter is what callers are told while the store is down: long against the breaker's probes, short
-	// against people's patience.
+	maxResponse = 16 << 20
+	// downRetryAfter is the retry time given to callers while the store is down: long compared with the breaker's probe
+	// interval, short compared with how long users wait.
 	downRetryAfter = 2 * time.Second
 )
 
-// Config names the platform and bounds its use. Zero values take the defaults.
+// Config configures a Client. Zero values select the defaults.
 type Config struct {
 	Addr          string            // IP:port of the platform
 	Transport     http.RoundTripper // default: a transport of its own
@@ -65,12 +65,12 @@
 	Share         float64           // part of an instance's share that this process may use; default 1
 	Live          int               // live instances at the start; see SetLive; default 1
 	Timeout       time.Duration     // of one exchange
-	SettleTimeout time.Duration     // in all, to settle a write whose answer was lost
-	BudgetWait    time.Duration     // longest wait for the budget
-	BreakerAfter  int               // failures in a row that open the breaker
-	BreakerOpen   time.Duration     // time before a probe; short, so that a spell of lost answers costs no lease
-	GroupLinger   time.Duration     // how long the first of a group waits for others
-	GroupMembers  int               // transactions in a group at most
+	SettleTimeout time.Duration     // total time to resolve a write whose answer was lost
+	BudgetWait    time.Duration     // longest wait for a token of the budget
+	BreakerAfter  int               // consecutive failures that open the breaker
+	BreakerOpen   time.Duration     // time until a probe; short, so that a burst of lost answers costs no lease
+	GroupLinger   time.Duration     // how long the first transaction of a group waits for others
+	GroupMembers  int               // maximum number of transactions in a group
 }
 
 func (c *Config) setDefaults() {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Client is safe for use by many goroutines. It keeps none running while it is idle.
+// Client is safe for concurrent use. It has no goroutines while it is idle.
 type Client struct {
 	cfg     Config
 	http    *http.Client
@@ -138,61 +138,61 @@
 	return c
 }
 
-// SetLive shares the site's budgets over n live instances.
+// SetLive divides the site's budgets among n live instances.
 func (c *Client) SetLive(n int) { c.budget.setLive(n) }
 
-// SetSite changes the site's budgets of writes and reads a second.
+// SetSite sets the site's budgets of writes and reads per second.
 func (c *Client) SetSite(writesPerSec, readsPerSec float64) {
 	c.budget.setSite(writesPerSec, readsPerSec)
 }
 
-// Up reports whether the breaker is closed. It is a hint: the next call may fail all the same.
+// Up reports whether the breaker is closed. This is only a hint: the next call may fail.
 func (c *Client) Up() bool { return c.breaker.State() == gobreaker.StateClosed }
 
 type response struct {
-	status int
-	era    uint64 // of the table
-	after  time.Duration
-	body   []byte
+	status     int
+	era        uint64 // of the table
+	retryAfter time.Duration
+	body       []byte
 }
 
-// admit takes a token for one exchange. While the breaker is open nothing waits for a token that it could not use.
-func (c *Client) admit(ctx context.Context, u use, l *rate.Limiter) *exchangeError {
+// admit takes a token for one exchange. While the breaker is open it fails at once, since the token could not be used.
+func (c *Client) admit(ctx context.Context, u purpose, l *rate.Limiter) *exchangeError {
 	if c.breaker.State() == gobreaker.StateOpen {
-		return &exchangeError{fate: fateNotSent, after: downRetryAfter, cause: gobreaker.ErrOpenState}
+		return &exchangeError{fate: fateNotSent, retryAfter: downRetryAfter, cause: gobreaker.ErrOpenState}
 	}
 	return c.budget.take(ctx, u, l)
 }
 
-// exchange sends one request and reads its whole answer, through the breaker.
-func (c *Client) exchange(ctx context.Context, u use, req *sling.Sling) (response, *exchangeError) {
+// exchange sends one request through the breaker and reads the whole response.
+func (c *Client) exchange(ctx context.Context, u purpose, req *sling.Sling) (response, *exchangeError) {
 	start := time.Now()
-	res, err := c.through(ctx, req)
+	res, err := c.throughBreaker(ctx, req)
 	u.count(start, err)
 	return res, err
 }
 
-func (c *Client) through(ctx context.Context, req *sling.Sling) (response, *exchangeError) {
+func (c *Client) throughBreaker(ctx context.Context, req *sling.Sling) (response, *exchangeError) {
 	res, err := c.breaker.Execute(func() (response, error) { return c.roundTrip(ctx, req) })
 	switch {
 	case errors.Is(err, gobreaker.ErrOpenState), errors.Is(err, gobreaker.ErrTooManyRequests):
-		return res, &exchangeError{fate: fateNotSent, after: downRetryAfter, cause: err}
+		return res, &exchangeError{fate: fateNotSent, retryAfter: downRetryAfter, cause: err}
 	case err != nil && res.status == http.StatusServiceUnavailable:
-		return res, &exchangeError{fate: fateLost, after: downRetryAfter, cause: err}
+		return res, &exchangeError{fate: fateLost, retryAfter: downRetryAfter, cause: err}
 	case err != nil:
-		return res, &exchangeError{fate: transportFate(err), after: downRetryAfter, cause: err}
+		return res, &exchangeError{fate: transportFate(err), retryAfter: downRetryAfter, cause: err}
 	}
 	return res, statusFate(res)
 }
 
-// statusFate judges an answer by its status. 429 proves that the platform turned the request away unread. Other
-// failures on its side prove nothing: a proxy before the table may give up on a write that takes effect.
+// statusFate classifies a response by its status. 429 proves that the platform rejected the request without processing it. Other
+// server-side failures prove nothing: a proxy in front of the table may give up on a write that still takes effect.
 func statusFate(res response) *exchangeError {
 	switch {
 	case res.status < 300, res.status == http.StatusNotFound:
 		return nil
 	case res.status == http.StatusTooManyRequests:
-		return &exchangeError{fate: fateNotSent, after: res.after, cause: errors.New("over the platform's limit")}
+		return &exchangeError{fate: fateNotSent, retryAfter: res.retryAfter, cause: errors.New("over the platform's limit")}
 	}
 	return &exchangeError{fate: fateRefused, cause: errors.New("status " + strconv.Itoa(res.status))}
 }
@@ -209,23 +209,23 @@
 		return response{}, err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponse))
 	if err != nil {
 		return response{}, err
 	}
-	out := response{status: res.StatusCode, era: c.eraOf(res.Header), after: parseAfter(res.Header), body: body}
+	out := response{status: res.StatusCode, era: c.eraOf(res.Header), retryAfter: parseRetryAfter(res.Header), body: body}
 	if res.StatusCode >= 500 {
 		return out, errors.New(strconv.Itoa(res.StatusCode) + " " + string(bytes.TrimSpace(body)))
 	}
 	return out, nil
 }
 
-// eraOf returns the era of the table that an answer is of.
+// eraOf returns the era of the table in which a response was given.
 func (c *Client) eraOf(h http.Header) uint64 {
 	return max(platformapi.FirstEra, uint64(c.eras.Observe(h.Get(platformapi.HeaderEra))))
 }
 
-func parseAfter(h http.Header) time.Duration {
+func parseRetryAfter(h http.Header) time.Duration {
 	sec, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil {
 		return 0
--- a/lib/platform/client_test.go
+++ b/lib/platform/client_test.go
@@ -15,7 +15,7 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// start returns a stand-in and a client of it, both in the caller's virtual time.
+// start returns a stand-in platform and a client of it, both in the test's virtual time.
 func start(t *testing.T, sc standin.Config, cc platform.Config) (*standin.Server, *platform.Client) {
 	t.Helper()
 	s := standin.New(sc)
@@ -54,8 +54,8 @@
 	})
 }
 
-// The caller's write takes effect and its answer is lost. Reported as failed, the caller would write a second time,
-// or deny a write that stands; the operation id read back gives the first result.
+// A write takes effect and its answer is lost. If it were reported as failed, the caller would write a second time
+// or report as failed a write that took effect; reading the operation id back gives the first result.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
@@ -67,9 +67,9 @@
 	})
 }
 
-// The link is so slow that the write takes effect after its sender's timeout, and after the read of its operation
-// id found nothing. Taken as proof, that 404 would make a liar of whoever reports "not committed".
-func TestSlowWriteIsSettledAfterTimeout(t *testing.T) {
+// The link is so slow that the write takes effect after the client's timeout, and after the operation id was read back
+// as absent. That 404 must not be taken as proof, or a committed write would be reported as "not committed".
+func TestSlowWriteIsResolvedAfterTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
 		s.SetFault(standin.Fault{Kind: standin.FaultSlow, DelayMS: 1500, Count: 1, WritesOnly: true})
@@ -78,13 +78,13 @@
 		must.True(t, res.Committed)
 		time.Sleep(2 * time.Second)
 		it, _ := s.Item("k")
-		must.Eq(t, 1, it.Rev) // the late first try wrote nothing more
+		must.Eq(t, 1, it.Rev) // the late first attempt wrote nothing more
 	})
 }
 
-// Every answer is lost and the store goes down before the write can be settled: the caller is told Unknown, never
-// NotCommitted, for the write stands.
-func TestUnsettledWriteIsUnknown(t *testing.T) {
+// Every answer is lost, so the write can't be resolved: the caller must get Unknown, never NotCommitted, since the
+// write took effect.
+func TestUnresolvedWriteIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
 		s.SetFault(standin.Fault{Kind: standin.FaultLoseAnswer})
@@ -96,9 +96,9 @@
 	})
 }
 
-// The store is down for three hours. After the first failures callers are refused at once, proved not committed and
-// with a time to come back; within the breaker's time after its return, writes go through again.
-func TestOutageOfHours(t *testing.T) {
+// The store is down for three hours. After the first failures callers are refused at once with NotCommitted and
+// a retry time; after the store's return, writes succeed again within the breaker's time.
+func TestLongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{SettleTimeout: 500 * time.Millisecond, BreakerOpen: time.Second})
 		s.SetFault(standin.Fault{Kind: standin.FaultOutage, DurationMS: (3 * time.Hour).Milliseconds()})
@@ -122,8 +122,8 @@
 	})
 }
 
-// Three instances share the site's 30 writes a second. An instance that took all it could get would starve the
-// others' leases; together they stay within the platform's limit, so nobody is turned away there.
+// Three instances share the site's 30 writes a second. An instance that used all it could get would starve the
+// others' leases; together they must stay within the platform's limit, so that it rejects none of them.
 func TestBudgetIsSharedOverInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{WritesPerSec: 33})
@@ -150,12 +150,12 @@
 	})
 }
 
-// epoch is when virtual time starts.
+// epoch is the start of virtual time.
 var epoch = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Ten inserts share one write, and the key of one exists already. Its insert is refused with the item that stands
-// there; the other nine, which the platform turned down with it, are committed all the same.
-func TestGroupKeepsOutcomesApart(t *testing.T) {
+// Ten inserts share one write, and the key of one exists already. That insert must fail with the existing item; the
+// other nine, which the platform rejected together with it, must be committed.
+func TestGroupOutcomesAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
 		_, err := c.Txn(t.Context(), put("g/4", "old", 0))
@@ -175,12 +175,12 @@
 		it, _ := s.Item("g/4")
 		must.Eq(t, "old", string(it.Value))
 		it, _ = s.Item("g/9")
-		must.Eq(t, 2, it.Rev) // nine inserts are one write; the group that failed left no revision
+		must.Eq(t, 2, it.Rev) // nine inserts are one write; the failed group used no revision
 	})
 }
 
-// Two callers insert one key at the same moment, in one process: exactly one of them is told that it committed.
-func TestGroupNeverJoinsOneKey(t *testing.T) {
+// Two callers insert the same key at once in one process: exactly one of them must be told that it committed.
+func TestGroupNeverSharesAKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
 		s.SetFault(standin.Fault{Kind: standin.FaultLoseAnswer, Probability: 0.5, WritesOnly: true})
@@ -203,8 +203,8 @@
 	})
 }
 
-// A caller that leaves before its group was sent gets a proof that nothing was written; one that leaves while the
-// group is on its way does not.
+// A caller that leaves before its group was sent gets NotCommitted; one that leaves while the group is in flight
+// gets Unknown.
 func TestGroupWithdrawal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{AnswerDelay: 100 * time.Millisecond}, platform.Config{})
--- a/lib/platform/era.go
+++ b/lib/platform/era.go
@@ -8,33 +8,33 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// StaleEra says that a write was not made because its conditions are of an era before: the table came back from a copy, and their
-// revisions may name other writes now. Read again, and decide again.
+// StaleEra is the error of a write that was not made because its conditions are of an earlier era: the table was restored from a backup,
+// and their revisions may identify other writes now. The caller must read again and decide again.
 var StaleEra = NotCommitted.NewSubtype("other_era")
 
-var errOtherEra = errors.New("the conditions are of an era of the table before")
+var errStaleEra = errors.New("the conditions are of an earlier era of the table")
 
-// IsStaleEra reports whether a write was not made because its conditions are of an era before.
+// IsStaleEra reports whether a write was not made because its conditions are of an earlier era.
 func IsStaleEra(err error) bool { return errorx.IsOfType(err, StaleEra) }
 
-// Era returns the highest era of the table that an answer has told.
+// Era returns the highest era of the table seen in a response.
 func (c *Client) Era() uint64 { return max(platformapi.FirstEra, uint64(c.eras.Highest())) }
 
-// rawTxn is a transaction as the table takes it. It fails where a condition is of an era before: the table would compare it with
-// revisions that it has given out again.
+// rawTxn converts a transaction's revisions to those of the table. It fails if a condition is of an earlier era: the table would compare
+// it with revisions that it has reissued since.
 func (c *Client) rawTxn(txn platformapi.Txn) (platformapi.Txn, *exchangeError) {
-	if c.isOld(txn) {
-		return txn, &exchangeError{fate: fateOtherEra, cause: errOtherEra}
+	if c.hasStaleCond(txn) {
+		return txn, &exchangeError{fate: fateStaleEra, cause: errStaleEra}
 	}
-	raw := txn
-	raw.Conds = make([]platformapi.Cond, len(txn.Conds))
+	out := txn
+	out.Conds = make([]platformapi.Cond, len(txn.Conds))
 	for i, cond := range txn.Conds {
-		raw.Conds[i] = platformapi.Cond{Key: cond.Key, Rev: platformapi.RevOf(cond.Rev)}
+		out.Conds[i] = platformapi.Cond{Key: cond.Key, Rev: platformapi.RevOf(cond.Rev)}
 	}
-	return raw, nil
+	return out, nil
 }
 
-func (c *Client) isOld(txn platformapi.Txn) bool {
+func (c *Client) hasStaleCond(txn platformapi.Txn) bool {
 	seen := c.Era()
 	for _, cond := range txn.Conds {
 		if cond.Rev != 0 && platformapi.EraOf(cond.Rev) != seen {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// orderTxn gives an answer's revisions their era. It fails where the table came back from a copy while a transaction with conditions was on
-// its way: what these were compared with is not what they were made for.
+// orderTxn converts a result's revisions to ordered ones. It fails if the table was restored from a backup while a transaction with
+// conditions was in flight: the conditions were compared with revisions of another era.
 func orderTxn(txn platformapi.Txn, res *platformapi.TxnResult, era uint64) *exchangeError {
 	res.Rev = platformapi.OrderedRev(era, res.Rev)
 	for i := range res.Failed {
@@ -53,7 +53,7 @@
 	}
 	for _, cond := range txn.Conds {
 		if cond.Rev != 0 && platformapi.EraOf(cond.Rev) != era && res.Committed {
-			return &exchangeError{fate: fateCrossed, cause: errOtherEra}
+			return &exchangeError{fate: fateEraChanged, cause: errStaleEra}
 		}
 	}
 	return nil
--- a/lib/platform/era_test.go
+++ b/lib/platform/era_test.go
@@ -12,13 +12,13 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-func comesBack(s *standin.Server, age time.Duration) {
+func restoreTable(s *standin.Server, age time.Duration) {
 	s.SetFault(standin.Fault{Kind: standin.FaultRestore, DelayMS: age.Milliseconds()})
 }
 
-// The table comes back from a copy, and another writes the key again at the same revision. A write under the old revision's condition
-// must not be taken for one under the new.
-func TestConditionOfAnEraBeforeDoesNotHold(t *testing.T) {
+// The table is restored from a backup, and another client writes the key again at the same revision. A write conditional on the old
+// revision must not be reported as committed against the new one.
+func TestConditionOfEarlierEraDoesNotHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
 		other := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport()})
@@ -27,16 +27,16 @@
 		time.Sleep(time.Second)
 		mine, err := c.Txn(t.Context(), put("k", "mine", 0))
 		must.NoError(t, err)
-		comesBack(s, 500*time.Millisecond)
+		restoreTable(s, 500*time.Millisecond)
 		theirs, err := other.Txn(t.Context(), put("k", "theirs", 0))
 		must.NoError(t, err)
 		must.Eq(t, platformapi.RevOf(mine.Rev), platformapi.RevOf(theirs.Rev))
 		must.Greater(t, mine.Rev, theirs.Rev)
 
-		// It has not heard of the new era: the table takes the write, and the answer tells that it was compared with another's.
+		// The client has not seen the new era yet: the table executes the write, and the response shows that eras differ.
 		_, err = c.Txn(t.Context(), put("k", "late", mine.Rev))
 		must.True(t, platform.IsUnknown(err))
-		// It has: the write is not sent, alone or in a group.
+		// It has seen the new era: the write is not sent, alone or in a group.
 		_, err = c.Txn(t.Context(), put("k", "later", mine.Rev))
 		must.True(t, platform.IsStaleEra(err))
 		must.True(t, platform.IsNotCommitted(err))
@@ -50,9 +50,9 @@
 	})
 }
 
-// A reader follows keys by the last revision that it saw. After a return from a copy it is given all again, also what was written below
-// that revision.
-func TestRangeAfterACopyBeginsAnew(t *testing.T) {
+// A reader follows keys by the last revision that it saw. After a restore from a backup it must get all items again, including those
+// written below that revision.
+func TestRangeRestartsAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := start(t, standin.Config{}, platform.Config{})
 		for _, key := range []string{"p/a", "p/b", "p/c"} {
@@ -64,11 +64,11 @@
 		must.NoError(t, err)
 		must.Len(t, 3, page.Items)
 		last := page.Items[2].Rev
-		comesBack(s, 2500*time.Millisecond)
+		restoreTable(s, 2500*time.Millisecond)
 		other := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport()})
 		_, err = other.Txn(t.Context(), put("p/d", "x", 0))
 		must.NoError(t, err)
-		for range 2 { // before and after it has heard of the era
+		for range 2 { // before and after the client has seen the new era
 			page, err = c.Range(t.Context(), "p/", last, 0)
 			must.NoError(t, err)
 			must.Len(t, 2, page.Items)
--- a/lib/platform/errors.go
+++ b/lib/platform/errors.go
@@ -10,21 +10,21 @@
 
 var namespace = errorx.NewNamespace("platform")
 
-// Types of error. A write that returns none of them was answered: see platformapi.TxnResult.Committed.
+// Error types. A write that returns none of them was answered: see platformapi.TxnResult.Committed.
 var (
-	// NotCommitted: nothing was written, and nothing will be.
+	// NotCommitted: nothing was written or will be.
 	NotCommitted = namespace.NewType("not_committed")
-	// Unknown: the write may have taken effect, or may still take effect.
+	// Unknown: the write may have taken effect or may still do so.
 	Unknown = namespace.NewType("unknown")
-	// Unavailable: a read got no answer.
+	// Unavailable: a read failed.
 	Unavailable = namespace.NewType("unavailable")
-	// Refused: the platform will never accept this request as it stands. Nothing was written.
+	// Refused: the platform rejects the request and would do so again. Nothing was written.
 	Refused = namespace.NewType("refused")
 )
 
 var retryAfter = errorx.RegisterProperty("retry_after")
 
-// RetryAfter returns when it is worth while to try again; 0 when err does not say.
+// RetryAfter returns how long to wait before a retry; 0 if err does not say.
 func RetryAfter(err error) time.Duration {
 	v, ok := errorx.ExtractProperty(err, retryAfter)
 	if !ok {
@@ -33,37 +33,37 @@
 	return v.(time.Duration)
 }
 
-// IsUnknown reports whether the write behind err may have taken effect, or may still do so.
+// IsUnknown reports whether the write that failed with err may have taken effect or may still do so.
 func IsUnknown(err error) bool { return errorx.IsOfType(err, Unknown) }
 
-// IsNotCommitted reports whether the write behind err is proved never to take effect.
+// IsNotCommitted reports whether the write that failed with err certainly never takes effect.
 func IsNotCommitted(err error) bool {
 	return errorx.IsOfType(err, NotCommitted) || errorx.IsOfType(err, Refused)
 }
 
-// fate is what one exchange says about the request it carried.
+// fate is what one exchange proves about the request it carried.
 type fate uint8
 
 const (
-	fateAnswered fate = iota // the platform answered the request
-	fateNotSent              // proved: the platform executed nothing
-	fateRefused              // proved, and sending it again changes nothing
-	fateLost                 // it may have been executed, or may yet be
-	fateOtherEra             // not sent: its conditions are of an era before
-	fateCrossed              // executed under conditions of an era before, in which they may have meant something else
+	fateAnswered   fate = iota // the platform answered the request
+	fateNotSent                // certainly not executed
+	fateRefused                // certainly not executed, and a retry would fail again
+	fateLost                   // may have been executed or may still be
+	fateStaleEra               // not sent: its conditions are of an earlier era
+	fateEraChanged             // executed, but its conditions of an earlier era may have matched other writes
 )
 
 // exchangeError is the failure of one exchange with the platform.
 type exchangeError struct {
-	fate  fate
-	after time.Duration
-	cause error
+	fate       fate
+	retryAfter time.Duration
+	cause      error
 }
 
 func (e *exchangeError) Error() string { return e.cause.Error() }
 func (e *exchangeError) Unwrap() error { return e.cause }
 
-// transportFate says what a transport error proves. Only a failed dial proves that no byte left.
+// transportFate classifies a transport error. Only a failed dial proves that nothing was sent.
 func transportFate(err error) fate {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -72,18 +72,18 @@
 	return fateLost
 }
 
-// writeError turns the last exchange's error into the error of a write whose other exchanges are all proved not run.
+// writeError converts the error of a write's last exchange; all of its earlier exchanges are known not to have been executed.
 func writeError(err *exchangeError, op string) error {
 	t := Unknown
 	switch err.fate {
-	case fateOtherEra:
+	case fateStaleEra:
 		t = StaleEra
 	case fateNotSent:
 		t = NotCommitted
 	case fateRefused:
 		t = Refused
 	}
-	return withAfter(t.Wrap(err, "transaction %s", op), err.after)
+	return withRetryAfter(t.Wrap(err, "transaction %s", op), err.retryAfter)
 }
 
 func readError(err *exchangeError, what string) error {
@@ -91,10 +91,10 @@
 	if err.fate == fateRefused {
 		t = Refused
 	}
-	return withAfter(t.Wrap(err, "read of %s", what), err.after)
+	return withRetryAfter(t.Wrap(err, "read of %s", what), err.retryAfter)
 }
 
-func withAfter(err *errorx.Error, after time.Duration) error {
+func withRetryAfter(err *errorx.Error, after time.Duration) error {
 	if after <= 0 {
 		return err
 	}
--- a/lib/platform/group.go
+++ b/lib/platform/group.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// groupKeys bounds the conditions, and the writes, of a group, under the platform's own bound.
-	groupKeys = 128
-	// groupsAtOnce bounds groups on their way; while that many are, arrivals gather into larger ones.
-	groupsAtOnce = 4
-	// groupRounds is how often a member may be sent in a group that another member's condition failed, before it
-	// goes alone.
-	groupRounds = 3
+	// maxGroupKeys limits the conditions and the writes of a group, below the platform's own limit.
+	maxGroupKeys = 128
+	// maxGroupsInFlight limits the groups in flight; while the limit is reached, arriving transactions gather into larger groups.
+	maxGroupsInFlight = 4
+	// maxGroupRounds is how often a member is sent in a group that fails by another member's condition before it
+	// is sent alone.
+	maxGroupRounds = 3
 )
 
-// errGroupTimeout ends a member whose group was never sent.
+// errGroupTimeout is the error of a member whose context ended before its group was sent again.
 var errGroupTimeout = errors.New("the group was not sent in time")
 
-// member is one transaction that waits for its group.
+// member is one transaction that waits to be sent in a group.
 type member struct {
 	txn    platformapi.Txn
 	rounds int
@@ -35,27 +35,27 @@
 	err error
 }
 
-func (m *member) end(res platformapi.TxnResult, err error) { m.done <- memberResult{res, err} }
+func (m *member) finish(res platformapi.TxnResult, err error) { m.done <- memberResult{res, err} }
 
-// grouper gathers independent transactions into groups that the platform commits as one write.
+// grouper batches independent transactions into groups that the platform commits as one write.
 type grouper struct {
 	client  *Client
 	mu      sync.Mutex
 	waiting []*member // in order of arrival
-	running bool      // a flush goroutine is at work
+	running bool      // the flush goroutine is running
 	slots   chan struct{}
 }
 
-// GroupTxn runs a transaction in a group with others that arrive meanwhile, so that they cost one write together.
+// GroupTxn runs a transaction in a group with others that arrive at the same time, so that they cost one write together.
 //
 // Outcomes stay independent. When a member's condition does not hold, the platform writes nothing of the group and
-// names the conditions: their members are answered, the others are sent again without them. Two members that touch
-// one key never share a group, so none can see, or be failed by, another's write. An unknown outcome of a group is
-// an unknown outcome of each member. txn.OpID is not used: the group has its own.
+// returns the failed conditions: their members are answered, the others are sent again without them. Two members that touch
+// the same key never share a group, so no member can observe another's write or fail by it. If the outcome of a group is
+// unknown, so is that of each member. txn.OpID is not used: the group has its own.
 func (c *Client) GroupTxn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
-	if c.isOld(txn) {
-		// Alone: with it, the others of its group would not be sent either.
-		return platformapi.TxnResult{}, writeError(&exchangeError{fate: fateOtherEra, cause: errOtherEra}, "group")
+	if c.hasStaleCond(txn) {
+		// Not in a group: the other members would not be sent either.
+		return platformapi.TxnResult{}, writeError(&exchangeError{fate: fateStaleEra, cause: errStaleEra}, "group")
 	}
 	m := &member{txn: txn, ctx: ctx, done: make(chan memberResult, 1)}
 	c.group.add(m)
@@ -65,9 +65,9 @@
 	case <-ctx.Done():
 	}
 	if c.group.withdraw(m) {
-		return platformapi.TxnResult{}, NotCommitted.Wrap(context.Cause(ctx), "withdrawn from its group")
+		return platformapi.TxnResult{}, NotCommitted.Wrap(context.Cause(ctx), "transaction withdrawn before its group was sent")
 	}
-	return platformapi.TxnResult{}, Unknown.Wrap(context.Cause(ctx), "its group was on its way")
+	return platformapi.TxnResult{}, Unknown.Wrap(context.Cause(ctx), "transaction abandoned while its group was in flight")
 }
 
 func (g *grouper) add(m *member) {
@@ -79,12 +79,12 @@
 	}
 	g.running = true
 	if g.slots == nil {
-		g.slots = make(chan struct{}, groupsAtOnce)
+		g.slots = make(chan struct{}, maxGroupsInFlight)
 	}
 	go g.flush()
 }
 
-// withdraw takes a member back that was not sent; it reports false when it was.
+// withdraw removes a member that is still waiting; it reports false if the member was sent already.
 func (g *grouper) withdraw(m *member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,15 +97,15 @@
 	return false
 }
 
-// flush sends groups until nothing waits.
+// flush sends groups until no member is waiting.
 func (g *grouper) flush() {
 	time.Sleep(g.client.cfg.GroupLinger)
-	for g.more() {
+	for g.hasWaiting() {
 		g.slots <- struct{}{}
 		err := g.client.admit(context.Background(), useTxn, g.client.budget.writes)
 		batch := g.takeBatch()
 		if err != nil {
-			endAll(batch, writeError(err, "group"))
+			finishAll(batch, writeError(err, "group"))
 			<-g.slots
 			continue
 		}
@@ -116,34 +116,34 @@
 	}
 }
 
-// more reports whether anything waits; when nothing does, the flush goroutine counts as gone.
-func (g *grouper) more() bool {
+// hasWaiting reports whether members are waiting; if not, it marks the flush goroutine as ended.
+func (g *grouper) hasWaiting() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running = len(g.waiting) > 0
 	return g.running
 }
 
-// takeBatch takes members in order of arrival, passing over those that touch a key already seen.
+// takeBatch takes members in order of arrival and skips those that touch a key of an earlier member.
 func (g *grouper) takeBatch() []*member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var batch, rest []*member
+	var batch, skipped []*member
 	seen := map[string]bool{}
 	conds, writes := 0, 0
 	for _, m := range g.waiting {
 		c, w := len(m.txn.Conds), len(m.txn.Puts)+len(m.txn.Deletes)
-		full := len(batch) >= g.client.cfg.GroupMembers || conds+c > groupKeys || writes+w > groupKeys
-		alone := m.rounds >= groupRounds
-		if len(batch) > 0 && (full || alone || batch[0].rounds >= groupRounds || touches(seen, m.txn)) {
-			rest = append(rest, m)
+		full := len(batch) >= g.client.cfg.GroupMembers || conds+c > maxGroupKeys || writes+w > maxGroupKeys
+		alone := m.rounds >= maxGroupRounds
+		if len(batch) > 0 && (full || alone || batch[0].rounds >= maxGroupRounds || touches(seen, m.txn)) {
+			skipped = append(skipped, m)
 		} else {
 			batch = append(batch, m)
 			conds, writes = conds+c, writes+w
 		}
 		mark(seen, m.txn)
 	}
-	g.waiting = rest
+	g.waiting = skipped
 	return batch
 }
 
@@ -168,40 +168,40 @@
 	eachKey(t, func(k string) { seen[k] = true })
 }
 
-// send commits one group; its token is taken. Members' contexts do not end it: they share its fate.
+// send commits one group, for which a token was taken. Members' contexts do not cancel it, since the members share one write.
 func (g *grouper) send(batch []*member) {
 	if len(batch) == 0 {
 		return
 	}
 	groupMembers.Update(float64(len(batch)))
-	joined := join(batch)
-	res, ferr := g.client.post(context.Background(), joined)
+	txn := merge(batch)
+	res, exErr := g.client.post(context.Background(), txn)
 	var err error
-	if ferr != nil && ferr.fate == fateLost {
-		res, err = g.client.settle(context.Background(), joined, ferr)
-	} else if ferr != nil {
-		err = writeError(ferr, joined.OpID)
+	if exErr != nil && exErr.fate == fateLost {
+		res, err = g.client.resolve(context.Background(), txn, exErr)
+	} else if exErr != nil {
+		err = writeError(exErr, txn.OpID)
 	}
 	switch {
 	case err != nil:
-		endAll(batch, err)
+		finishAll(batch, err)
 	case res.Committed:
 		for _, m := range batch {
-			m.end(res, nil)
+			m.finish(res, nil)
 		}
 	default:
-		g.again(split(batch, res))
+		g.requeue(split(batch, res))
 	}
 }
 
-func endAll(batch []*member, err error) {
+func finishAll(batch []*member, err error) {
 	for _, m := range batch {
-		m.end(platformapi.TxnResult{}, err)
+		m.finish(platformapi.TxnResult{}, err)
 	}
 }
 
-// join makes one transaction of a group.
-func join(batch []*member) platformapi.Txn {
+// merge merges the members of a group into one transaction.
+func merge(batch []*member) platformapi.Txn {
 	out := platformapi.Txn{OpID: NewOpID()}
 	for _, m := range batch {
 		out.Conds = append(out.Conds, m.txn.Conds...)
@@ -211,7 +211,7 @@
 	return out
 }
 
-// split answers the members whose conditions failed and returns the others. A member alone in its group is always
+// split answers the members whose conditions failed and returns the others. The only member of a group is always
 // answered.
 func split(batch []*member, res platformapi.TxnResult) []*member {
 	failed := map[string]platformapi.Item{}
@@ -220,14 +220,14 @@
 	}
 	var others []*member
 	for _, m := range batch {
-		own := platformapi.TxnResult{Rev: res.Rev}
+		result := platformapi.TxnResult{Rev: res.Rev}
 		for _, c := range m.txn.Conds {
 			if it, ok := failed[c.Key]; ok {
-				own.Failed = append(own.Failed, it)
+				result.Failed = append(result.Failed, it)
 			}
 		}
-		if len(own.Failed) > 0 || len(batch) == 1 {
-			m.end(own, nil)
+		if len(result.Failed) > 0 || len(batch) == 1 {
+			m.finish(result, nil)
 			continue
 		}
 		m.rounds++
@@ -236,13 +236,13 @@
 	return others
 }
 
-// again puts members back, before later arrivals. A member whose caller has gone is dropped: nothing of it was
+// requeue requeues members ahead of later arrivals. A member whose context has ended is dropped: nothing of it was
 // written.
-func (g *grouper) again(ms []*member) {
+func (g *grouper) requeue(ms []*member) {
 	live := ms[:0]
 	for _, m := range ms {
 		if m.ctx.Err() != nil {
-			m.end(platformapi.TxnResult{}, NotCommitted.Wrap(errGroupTimeout, "regrouped"))
+			m.finish(platformapi.TxnResult{}, NotCommitted.Wrap(errGroupTimeout, "regrouped"))
 			continue
 		}
 		live = append(live, m)
--- a/lib/platform/history_test.go
+++ b/lib/platform/history_test.go
@@ -17,7 +17,7 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// writer swaps values of shared keys, some alone and some in groups, and records what it was told.
+// writer swaps values of shared keys, some alone and some in groups, and records the reported outcomes.
 type writer struct {
 	id  int
 	c   *platform.Client
@@ -36,7 +36,7 @@
 	}
 }
 
-// get records a read that was answered; one that was not tells nothing.
+// get records a successful read; a failed read proves nothing.
 func (w *writer) get(ctx context.Context, key string) (platformapi.Item, bool) {
 	op := history.Op{Model: history.ModelRegister, Object: key, Action: history.Get, Client: w.id, Call: history.Now()}
 	it, _, err := w.c.Get(ctx, key)
@@ -68,7 +68,7 @@
 		op.Outcome = history.Yes
 	}
 	if err != nil && op.Outcome == history.No {
-		return // told "not committed": a value of it that shows up anywhere breaks the history
+		return // reported as "not committed": its value must never be seen, or the history is invalid
 	}
 	w.log.Add(op)
 }
@@ -78,9 +78,9 @@
 	Faults: 15, Unit: time.Second, Delay: 3, Duration: 6, Gap: 4,
 }
 
-// Writers race for three keys while the store is down, slow, and loses half of its answers. Each is told whether its
-// write stands. One told "committed" whose value is lost, or "not committed" whose value shows up, would book twice or
-// not at all.
+// Writers race for three keys while the store is down, slow, and loses half of its answers. Every reported outcome must be
+// right: if a "committed" value is lost or a "not committed" value appears, a caller would reserve twice or not
+// at all.
 func TestHistoryOfWrites(t *testing.T) {
 	for seed := range uint64(8) {
 		var log history.Log
--- a/lib/platform/metrics.go
+++ b/lib/platform/metrics.go
@@ -7,20 +7,20 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// use names what an exchange is for, in metrics.
-type use string
+// purpose labels an exchange by its purpose in metrics.
+type purpose string
 
 const (
-	useTxn       use = "txn"
-	useOp        use = "op"
-	useGet       use = "get"
-	useRange     use = "range"
-	useInstances use = "instances"
-	useWeights   use = "weights"
-	useObject    use = "object"
+	useTxn       purpose = "txn"
+	useOp        purpose = "op"
+	useGet       purpose = "get"
+	useRange     purpose = "range"
+	useInstances purpose = "instances"
+	useWeights   purpose = "weights"
+	useObject    purpose = "object"
 )
 
-// outcomeNames label exchanges by what their answer proves.
+// outcomeNames are the metric labels of exchange outcomes.
 var outcomeNames = map[fate]string{
 	fateAnswered: "answered",
 	fateNotSent:  "not_sent",
@@ -30,8 +30,8 @@
 
 var groupMembers = metrics.NewHistogram("anvilwick_platform_group_members")
 
-// count records one exchange, and how long those took that reached the platform.
-func (u use) count(start time.Time, err *exchangeError) {
+// count records one exchange, and its duration if it reached the platform.
+func (u purpose) count(start time.Time, err *exchangeError) {
 	f := fateAnswered
 	if err != nil {
 		f = err.fate
@@ -43,7 +43,7 @@
 	}
 }
 
-// countBudget records a use that the budget held up.
-func (u use) countBudget() {
+// countBudget records a call that was rejected because the budget was spent.
+func (u purpose) countBudget() {
 	metrics.GetOrCreateCounter(fmt.Sprintf("anvilwick_platform_over_budget_total{use=%q}", string(u))).Inc()
 }
--- a/lib/platform/read.go
+++ b/lib/platform/read.go
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// Get reads a key; it reports false when the key is absent. The answer may be older than the newest write: make
+// Get reads a key; it reports false if the key is absent. The answer may be stale: make
 // writes conditional on the revision read.
 func (c *Client) Get(ctx context.Context, key string) (platformapi.Item, bool, error) {
 	var out platformapi.Item
@@ -25,9 +25,9 @@
 	return out, found, err
 }
 
-// Range reads one page of items under prefix that were written after a revision, in order of revision. limit 0
-// leaves the page size to the platform. Go on after the last item's revision while More is set. After a revision of an era before it
-// returns the first page of all.
+// Range reads one page of the items under prefix written after a revision, in order of revision. limit 0
+// leaves the page size to the platform. While More is set, continue after the last item's revision. If after is of an earlier era,
+// Range returns the first page of all items.
 func (c *Client) Range(ctx context.Context, prefix string, after uint64, limit int) (platformapi.RangeResult, error) {
 	for {
 		from := after
@@ -41,7 +41,7 @@
 	}
 }
 
-// page reads one page of items in the era that the table is in, whichever that is.
+// page reads one page of items in the current era of the table.
 func (c *Client) page(ctx context.Context, prefix string, after uint64, limit int) (platformapi.RangeResult, uint64, error) {
 	q := url.Values{"prefix": {prefix}, "after_rev": {strconv.FormatUint(platformapi.RevOf(after), 10)}}
 	if limit > 0 {
@@ -60,13 +60,13 @@
 	return out, err
 }
 
-// StartTransfer asks the weight store for leave to start a transfer. It reports false, and when to ask again, while
-// the store is at its limit.
+// StartTransfer requests permission from the weight store to start a transfer. While the store is at its limit it
+// returns false and the time until the next try.
 func (c *Client) StartTransfer(ctx context.Context, model, version string) (bool, time.Duration, error) {
 	path := platformapi.PathWeights + url.PathEscape(model) + "/" + url.PathEscape(version)
-	res, err := c.ask(ctx, useWeights, c.base.New().Get(path))
+	res, err := c.exchangeRead(ctx, useWeights, c.base.New().Get(path))
 	if err != nil && err.fate == fateNotSent && res.status == http.StatusTooManyRequests {
-		return false, err.after, nil
+		return false, err.retryAfter, nil
 	}
 	if err != nil {
 		return false, 0, readError(err, path)
@@ -74,19 +74,19 @@
 	return res.status == http.StatusOK, 0, nil
 }
 
-// PutObject stores an object whole. Storing it again is harmless.
+// PutObject stores an object. It is idempotent.
 func (c *Client) PutObject(ctx context.Context, name string, body []byte) error {
 	return c.object(ctx, name, c.base.New().Put(objectPath(name)).Body(bytes.NewReader(body)))
 }
 
-// DeleteObject removes an object. Removing it again is harmless.
+// DeleteObject removes an object. It is idempotent.
 func (c *Client) DeleteObject(ctx context.Context, name string) error {
 	return c.object(ctx, name, c.base.New().Delete(objectPath(name)))
 }
 
-// GetObject reads an object; it reports false when there is none.
+// GetObject reads an object; it reports false if there is none.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, bool, error) {
-	res, err := c.ask(ctx, useObject, c.base.New().Get(objectPath(name)))
+	res, err := c.exchangeRead(ctx, useObject, c.base.New().Get(objectPath(name)))
 	if err != nil {
 		return nil, false, readError(err, name)
 	}
@@ -94,7 +94,7 @@
 }
 
 func (c *Client) object(ctx context.Context, name string, req *sling.Sling) error {
-	if _, err := c.ask(ctx, useObject, req); err != nil {
+	if _, err := c.exchangeRead(ctx, useObject, req); err != nil {
 		return writeError(err, "object "+name)
 	}
 	return nil
@@ -102,11 +102,11 @@
 
 func objectPath(name string) string { return platformapi.PathObjects + url.PathEscape(name) }
 
-// read asks for a JSON answer and returns the table's era; found is false for 404.
-func (c *Client) read(ctx context.Context, u use, path string, into any) (era uint64, found bool, err error) {
-	res, failed := c.ask(ctx, u, c.base.New().Get(path))
-	if failed != nil {
-		return 0, false, readError(failed, path)
+// read requests a JSON document and returns the table's era; found is false for 404.
+func (c *Client) read(ctx context.Context, u purpose, path string, into any) (era uint64, found bool, err error) {
+	res, exErr := c.exchangeRead(ctx, u, c.base.New().Get(path))
+	if exErr != nil {
+		return 0, false, readError(exErr, path)
 	}
 	if res.status == http.StatusNotFound {
 		return res.era, false, nil
@@ -117,8 +117,8 @@
 	return res.era, true, nil
 }
 
-// ask makes one exchange out of the budget for reads.
-func (c *Client) ask(ctx context.Context, u use, req *sling.Sling) (response, *exchangeError) {
+// exchangeRead makes one exchange out of the read budget.
+func (c *Client) exchangeRead(ctx context.Context, u purpose, req *sling.Sling) (response, *exchangeError) {
 	if err := c.admit(ctx, u, c.budget.reads); err != nil {
 		return response{}, err
 	}
--- a/lib/platform/txn.go
+++ b/lib/platform/txn.go
@@ -11,7 +11,7 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// Waits between tries to settle a write; each doubles the one before, with jitter.
+// Bounds of the pause between attempts to resolve a write; it doubles each time, with jitter.
 const (
 	settleWaitMin = 20 * time.Millisecond
 	settleWaitMax = 250 * time.Millisecond
@@ -20,12 +20,12 @@
 // NewOpID returns a fresh operation id.
 func NewOpID() string { return ids.New().String() }
 
-// Txn runs a transaction by itself. It fills in the OpID when there is none.
+// Txn runs a single transaction. It generates the OpID if there is none.
 //
-// The platform may execute a transaction whose answer never arrives. Without settlement a caller that tries again
-// would write twice, and one that gives up would leave a write that it denies. Reading the operation back, and
-// sending it again under the same id when it isn't there, is enough, because the platform answers an id that it
-// knows with its first result.
+// The platform may execute a transaction whose answer is lost. A caller that simply retried would
+// write twice, and one that gave up would report as failed a write that took effect. It is sufficient to read the operation back and,
+// if it is not there, to send it again under the same id, because the platform answers a known id
+// with its first result.
 func (c *Client) Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
 	if txn.OpID == "" {
 		txn.OpID = NewOpID()
@@ -37,10 +37,10 @@
 	if err.fate != fateLost {
 		return res, writeError(err, txn.OpID)
 	}
-	return c.settle(ctx, txn, err)
+	return c.resolve(ctx, txn, err)
 }
 
-// send makes one try at a transaction.
+// send makes one attempt at a transaction.
 func (c *Client) send(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, *exchangeError) {
 	if err := c.admit(ctx, useTxn, c.budget.writes); err != nil {
 		return platformapi.TxnResult{}, err
@@ -48,7 +48,7 @@
 	return c.post(ctx, txn)
 }
 
-// post is send for a caller that has taken its token.
+// post is send without taking a token.
 func (c *Client) post(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, *exchangeError) {
 	var out platformapi.TxnResult
 	raw, err := c.rawTxn(txn)
@@ -62,7 +62,7 @@
 	return out, decodeTxn(txn, res, &out)
 }
 
-// decodeTxn reads the result of a transaction.
+// decodeTxn decodes the result of a transaction.
 func decodeTxn(txn platformapi.Txn, res response, into *platformapi.TxnResult) *exchangeError {
 	if err := decode(res, into); err != nil {
 		return err
@@ -70,7 +70,7 @@
 	return orderTxn(txn, into, res.era)
 }
 
-// decode reads an answer; an answer that can't be read is a lost one.
+// decode decodes a response; an unreadable response counts as lost.
 func decode(res response, into any) *exchangeError {
 	if err := json.Unmarshal(res.body, into); err != nil {
 		return &exchangeError{fate: fateLost, cause: err}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// settle finds out what became of a transaction whose answer was lost, until SettleTimeout or the end of ctx.
-func (c *Client) settle(ctx context.Context, txn platformapi.Txn, first *exchangeError) (platformapi.TxnResult, error) {
+// resolve resolves the outcome of a transaction whose answer was lost, until SettleTimeout or the end of ctx.
+func (c *Client) resolve(ctx context.Context, txn platformapi.Txn, first *exchangeError) (platformapi.TxnResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.SettleTimeout)
 	defer cancel()
 	for wait := settleWaitMin; ; wait = min(2*wait, settleWaitMax) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// readBack reads the operation's result, or sends it again when the platform has none. A missing result alone
-// proves nothing: the first try may still be on its way.
+// readBack reads the operation's result, or sends the operation again if the platform has none. A missing result alone
+// proves nothing: the first attempt may still be in flight.
 func (c *Client) readBack(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, bool) {
 	var out platformapi.TxnResult
 	if c.admit(ctx, useOp, c.budget.reads) != nil {
@@ -110,7 +110,7 @@
 	return out, err == nil
 }
 
-// sleep waits for d; it reports false when ctx ended first.
+// sleep waits for d; it reports false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -122,7 +122,7 @@
 	}
 }
 
-// jitter draws from the upper half of d, so that clients cut off together do not come back together.
+// jitter returns a random duration in the upper half of d, so that clients that lost contact together do not retry together.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2+1)
 }
--- a/lib/platformapi/platformapi.go
+++ b/lib/platformapi/platformapi.go
@@ -1,5 +1,5 @@
 // Package platformapi defines the HTTP interface of the platform: table, object store, instance list, weight store.
-// All bodies are JSON. The platform's own documentation is the source; the stand-in serves the same shapes.
+// All bodies are JSON. The platform's own documentation is authoritative; the stand-in implements the same interface.
 package platformapi
 
 // Paths of the interface.
@@ -9,22 +9,22 @@
 	PathGet       = "/table/get"   // GET ?key=: Item; 404 when absent
 	PathRange     = "/table/range" // GET ?prefix=&after_rev=&limit=: RangeResult
 	PathObjects   = "/objects/"    // PUT, GET, DELETE {name}
-	PathInstances = "/instances"   // GET: InstanceList, some seconds behind
+	PathInstances = "/instances"   // GET: InstanceList, which lags by seconds
 	PathWeights   = "/weights/"    // GET {model}/{version}: 200 when a transfer may start, 429 with Retry-After
 )
 
-// HeaderEra, in every answer about the table, numbers its history, from FirstEra on. A table that comes back from a copy loses what it
-// had acknowledged since, begins a new era, and gives revisions out again. An answer without it is of the highest era told before.
+// HeaderEra, in every response about the table, numbers its history, starting at FirstEra. A table restored from a backup loses what it
+// had acknowledged since, begins a new era and reissues revisions. A response without the header is of the highest era seen so far.
 const HeaderEra = "Table-Era"
 
-// FirstEra is the era of a table that never came back from a copy.
+// FirstEra is the era of a table that was never restored from a backup.
 const FirstEra = 1
 
-// eraShift leaves room for a million million revisions in an era.
+// eraShift leaves 40 bits, over a million million revisions, in an era.
 const eraShift = 40
 
-// OrderedRev joins an era and a revision given out in it to one number that orders them, the era first; in the first era it is the
-// revision. Revision 0, of what is absent, is 0 in every era.
+// OrderedRev combines an era and a revision issued in it into one number that orders by era first; in the first era it equals the
+// revision. Revision 0, of an absent key, is 0 in every era.
 func OrderedRev(era, rev uint64) uint64 {
 	if rev == 0 {
 		return 0
@@ -32,13 +32,13 @@
 	return (era-FirstEra)<<eraShift | rev
 }
 
-// EraStart returns what is before every ordered revision of an era, and after those of the eras before.
+// EraStart returns a value below every ordered revision of an era and above those of earlier eras.
 func EraStart(era uint64) uint64 { return (era - FirstEra) << eraShift }
 
 // EraOf returns the era of an ordered revision.
 func EraOf(ordered uint64) uint64 { return ordered>>eraShift + FirstEra }
 
-// RevOf returns the revision that the table knows.
+// RevOf returns the table's own revision of an ordered revision.
 func RevOf(ordered uint64) uint64 { return ordered & (1<<eraShift - 1) }
 
 // Cond holds when the key's revision equals Rev. Rev 0 means that the key is absent.
@@ -53,8 +53,8 @@
 	Value []byte `json:"value"`
 }
 
-// Txn applies all of Puts and Deletes when every Cond holds, and nothing otherwise. OpID makes it idempotent:
-// the same OpID again answers the first result and writes nothing.
+// Txn applies all of Puts and Deletes if every Cond holds, and nothing otherwise. OpID makes it idempotent:
+// a repeated OpID returns the first result and writes nothing.
 type Txn struct {
 	OpID    string   `json:"op_id"`
 	Conds   []Cond   `json:"conds,omitempty"`
@@ -62,7 +62,7 @@
 	Deletes []string `json:"deletes,omitempty"`
 }
 
-// TxnResult answers a Txn. Rev is the table's revision after it; Failed holds current items of the conditions
+// TxnResult is the result of a Txn. Rev is the table's revision after it; Failed holds the current items of the conditions
 // that did not hold (an absent key has Rev 0).
 type TxnResult struct {
 	Committed bool   `json:"committed"`
@@ -70,7 +70,7 @@
 	Failed    []Item `json:"failed,omitempty"`
 }
 
-// Item is a key with its value and the table revision that last wrote it.
+// Item is a key with its value and the revision of its last write.
 type Item struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value,omitempty"`
@@ -91,7 +91,7 @@
 	InstanceLeaving = "leaving"
 )
 
-// Instance is one machine of the system. Incarnation grows when the machine is replaced.
+// Instance is one machine of the system. Incarnation increases when the machine is replaced.
 type Instance struct {
 	ID            string `json:"id"`
 	Incarnation   uint64 `json:"incarnation"`
@@ -100,12 +100,12 @@
 	State         string `json:"state"`
 }
 
-// InstanceList lags behind the truth by seconds.
+// InstanceList lags by seconds.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
 
-// Key prefixes that the system uses in the table, so that no two uses collide.
+// Key prefixes that the system uses in the table, collected here so that they do not collide.
 const (
 	KeySettingsHead = "settings/head" // current revision number and digest of the settings tree
 	KeySettingsRev  = "settings/rev/" // settings/rev/%012d: one committed revision
