--- a/lib/settingsync/bench_test.go
+++ b/lib/settingsync/bench_test.go
@@ -21,8 +21,8 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// scaled is Kelburn's example with n more workspaces, a tenth of which override something at planner-llm.
-func scaled(t testing.TB, n int) []byte {
+// exampleWithWorkspaces returns Kelburn's example with n more workspaces, a tenth of which override something at planner-llm.
+func exampleWithWorkspaces(t testing.TB, n int) []byte {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/kelburn/settings.yaml")
 	must.NoError(t, err)
@@ -37,7 +37,7 @@
 	return bytes.Replace(text, []byte("    workspaces:\n"), []byte("    workspaces:\n"+overrides.String()), 1)
 }
 
-// countingTransport counts the bytes of bodies that an instance receives.
+// countingTransport counts the body bytes that an instance receives.
 type countingTransport struct {
 	next     http.RoundTripper
 	received atomic.Int64
@@ -54,11 +54,12 @@
 	return res, err
 }
 
-// BenchmarkChange measures what one change of one key hash, at a workspace drawn anew each time, costs an instance: the head and the revision read, the
-// text unpacked, parsed, resolved. The whole texts are paid every wholeEvery revisions.
+// BenchmarkChange measures the cost to one instance of changing one key hash, of a workspace drawn at random each time:
+// reading the head and the revision, then unpacking, parsing and resolving the text. A full text is read every
+// fullTextInterval revisions.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{0, 480} {
-		b.Run(fmt.Sprintf("workspaces-%d", 10+n), func(b *testing.B) { benchChange(b, scaled(b, n)) })
+		b.Run(fmt.Sprintf("workspaces-%d", 10+n), func(b *testing.B) { benchChange(b, exampleWithWorkspaces(b, n)) })
 	}
 }
 
@@ -72,7 +73,7 @@
 	var revision uint64
 	for b.Loop() {
 		b.StopTimer()
-		text = rekey(text, rng)
+		text = replaceKeyHash(text, rng)
 		_, err := Commit(b.Context(), operator, Change{Text: text, File: "f", Base: revision, Operator: "o", Time: time.Now()})
 		must.NoError(b, err)
 		revision++
@@ -85,16 +86,16 @@
 	b.ReportMetric(float64(wire.received.Load())/float64(b.N), "received-bytes/op")
 }
 
-// rekey replaces the key hash of a workspace drawn by rng.
-func rekey(text []byte, rng *rand.Rand) []byte {
+// replaceKeyHash replaces the key hash of a workspace chosen with rng.
+func replaceKeyHash(text []byte, rng *rand.Rand) []byte {
 	parts := bytes.Split(text, []byte("sha256:"))
-	drawn := 1 + rng.IntN(len(parts)-1)
-	parts[drawn] = slices.Concat([]byte(Digest(fmt.Append(nil, rng.Uint64()))), parts[drawn][64:])
+	chosen := 1 + rng.IntN(len(parts)-1)
+	parts[chosen] = slices.Concat([]byte(Digest(fmt.Append(nil, rng.Uint64()))), parts[chosen][64:])
 	return bytes.Join(parts, []byte("sha256:"))
 }
 
-// BenchmarkPropagation measures the time from the answer to apply until each of 8 instances has the revision in
-// force, in real time.
+// BenchmarkPropagation measures the time from an accepted commit until each of 8 instances has the revision in force, in
+// real time.
 func BenchmarkPropagation(b *testing.B) {
 	l, err := standin.Start("127.0.0.1:0", "", standin.Config{})
 	must.NoError(b, err)
@@ -106,7 +107,7 @@
 		wg.Go(func() { syncs[i].Run(ctx) })
 	}
 	operator := platform.New(platform.Config{Addr: l.Addr()})
-	text := scaled(b, 0)
+	text := exampleWithWorkspaces(b, 0)
 	var took []time.Duration
 	var revision uint64
 	for b.Loop() {
--- a/lib/settingsync/commit.go
+++ b/lib/settingsync/commit.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// conflictRecords bounds how many revisions a Conflict names.
-	conflictRecords = 20
-	// maxNote bounds a note and an operator's name, in bytes.
-	maxNote = 1024
-	// settlePause is the time between tries to settle an unknown outcome.
-	settlePause = 500 * time.Millisecond
-	// staleTries bounds how often a commit starts again because it read an old head.
-	staleTries = 5
+	// maxConflictRecords bounds the number of revisions listed in a Conflict.
+	maxConflictRecords = 20
+	// maxNoteBytes bounds the length of a note and of an operator's name.
+	maxNoteBytes = 1024
+	// outcomeRetryInterval is the time between attempts to resolve an unknown outcome.
+	outcomeRetryInterval = 500 * time.Millisecond
+	// maxStaleRetries bounds how often a commit is retried because it read an old head.
+	maxStaleRetries = 5
 )
 
-// Change is what an operator wants committed.
+// Change is a change that an operator submits for commit.
 type Change struct {
 	Text       []byte
-	File       string // named by refusals
-	Base       uint64 // revision that the change was made from; 0: there is none yet
+	File       string // file name used in validation errors
+	Base       uint64 // revision that the change was made from; 0: none exists yet
 	Operator   string
 	Note       string
-	CopiedFrom uint64    // earlier revision that Text is taken from; 0: none
-	Time       time.Time // now, by the operator's clock
+	CopiedFrom uint64    // earlier revision that Text is copied from; 0: none
+	Time       time.Time // current time on the operator's clock
 }
 
-// Commit checks a change and commits it as the revision after Base. It returns the record once it is committed.
+// Commit validates a change, commits it as the revision after Base and returns its record.
 //
-// A refused text is a *settings.Refusal. When others committed since Base the error is a *Conflict. A lost answer is
-// settled by the operation's id until ctx ends; only then the error is Unknown, and the record names the operation.
+// Invalid text gives a *settings.ValidationError. If other revisions were committed since Base the error is a *Conflict.
+// If the reply is lost, Commit resends the transaction under the same operation ID until ctx ends; only then is the error
+// Unknown, and the returned record names the operation.
 func Commit(ctx context.Context, t Table, c Change) (*Record, error) {
 	if _, err := settings.Parse(c.Text, c.File); err != nil {
 		return nil, err
@@ -47,22 +48,22 @@
 	if err != nil {
 		return nil, err
 	}
-	for range staleTries {
+	for range maxStaleRetries {
 		if head.Revision > c.Base {
-			return nil, conflict(ctx, t, c.Base, head.Revision)
+			return nil, newConflict(ctx, t, c.Base, head.Revision)
 		}
-		if head.Digest == Digest(c.Text) && !head.outlived(t.Era()) {
+		if head.Digest == Digest(c.Text) && !head.predatesEra(t.Era()) {
 			return nil, Unchanged.New("revision %d holds the same text", head.Revision)
 		}
 		rec, res, err := tryCommit(ctx, t, c, head, item)
 		if platform.IsOtherEra(err) {
-			err = nil // what was read is of before the table's return: it is read again
+			err = nil // the head was read before the table was restored: read it again
 		}
 		if err != nil || res.Committed {
 			return rec, err
 		}
-		// The head was read from a replica that lags, or moved since. The failed condition carries its newest state.
-		if item, err = headOf(ctx, t, res); err != nil {
+		// The head was read from a lagging replica, or has moved since. The failed condition carries its current state.
+		if item, err = headFromResult(ctx, t, res); err != nil {
 			return nil, err
 		}
 		if head, err = decodeHead(item); err != nil {
@@ -75,8 +76,8 @@
 	return nil, &Conflict{Base: c.Base, Head: head.Revision}
 }
 
-// headOf returns the head's item out of the conditions that failed.
-func headOf(ctx context.Context, t Table, res platformapi.TxnResult) (platformapi.Item, error) {
+// headFromResult returns the head's item from the failed conditions of a transaction, or reads it again.
+func headFromResult(ctx context.Context, t Table, res platformapi.TxnResult) (platformapi.Item, error) {
 	for _, it := range res.Failed {
 		if it.Key == platformapi.KeySettingsHead {
 			return it, nil
@@ -86,7 +87,7 @@
 	return item, err
 }
 
-// tryCommit writes the revision after head, on the condition that the head is still at item.
+// tryCommit writes the revision after head, on the condition that the head is unchanged since item was read.
 func tryCommit(ctx context.Context, t Table, c Change, head Head, item platformapi.Item) (*Record, platformapi.TxnResult, error) {
 	rec, err := newRecord(ctx, t, c, head)
 	if err != nil {
@@ -96,30 +97,30 @@
 	if err != nil {
 		return nil, platformapi.TxnResult{}, err
 	}
-	res, err := settle(ctx, t, txn)
+	res, err := runUntilKnown(ctx, t, txn)
 	return rec, res, err
 }
 
-// settle runs a transaction until its outcome is known or ctx ends. The operator's terminal may lose the answer of a
-// write that took effect; reported as failed, it would be committed twice or denied. Sending it again under the same
-// operation id is enough: the platform answers an id that it knows with the first result.
-func settle(ctx context.Context, t Table, txn platformapi.Txn) (platformapi.TxnResult, error) {
-	for unsure := false; ; {
+// runUntilKnown runs a transaction until its outcome is known or ctx ends. The reply to a write that took effect may be
+// lost; if it were reported as failed, the operator might commit it twice or assume that it is not committed. Resending
+// under the same operation ID is sufficient: the platform answers a known ID with the first result.
+func runUntilKnown(ctx context.Context, t Table, txn platformapi.Txn) (platformapi.TxnResult, error) {
+	for ambiguous := false; ; {
 		res, err := t.Txn(ctx, txn)
-		unsure = unsure || platform.IsUnknown(err)
-		if err == nil || !unsure {
+		ambiguous = ambiguous || platform.IsUnknown(err)
+		if err == nil || !ambiguous {
 			return res, err
 		}
 		if platform.IsOtherEra(err) {
 			return res, Unknown.Wrap(err, "operation %s", txn.OpID)
 		}
-		if !pause(ctx, settlePause) {
+		if !sleep(ctx, outcomeRetryInterval) {
 			return res, Unknown.Wrap(err, "operation %s", txn.OpID)
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -131,19 +132,19 @@
 }
 
 func newRecord(ctx context.Context, t Table, c Change, head Head) (*Record, error) {
-	next := head.next(t.Era())
+	next := head.nextRevision(t.Era())
 	rec := &Record{
 		Revision:     next,
 		Previous:     head.Revision,
 		FullRevision: next,
 		OpID:         ids.New().String(),
-		Operator:     clip(c.Operator, maxNote),
+		Operator:     truncate(c.Operator, maxNoteBytes),
 		Time:         c.Time.UTC().Round(time.Millisecond),
-		Note:         clip(c.Note, maxNote),
+		Note:         truncate(c.Note, maxNoteBytes),
 		CopiedFrom:   c.CopiedFrom,
 		Digest:       Digest(c.Text),
 	}
-	base := baseFor(ctx, t, head, rec.Revision)
+	base := deltaBase(ctx, t, head, rec.Revision)
 	if base.text != nil {
 		rec.FullRevision = base.revision
 	}
@@ -152,20 +153,20 @@
 	return rec, err
 }
 
-// baseFor returns the text to write a difference from; none when it is time for a whole text, or when the base can't
-// be read: a whole text is always correct.
-func baseFor(ctx context.Context, t Table, head Head, next uint64) baseText {
-	if head.FullRevision == 0 || next-head.FullRevision >= wholeEvery {
+// deltaBase returns the text to encode a delta against. It returns none when a full text is due or when the base can't be
+// read, since a full text is always correct.
+func deltaBase(ctx context.Context, t Table, head Head, next uint64) baseText {
+	if head.FullRevision == 0 || next-head.FullRevision >= fullTextInterval {
 		return baseText{}
 	}
-	base, err := readWhole(ctx, t, head.FullRevision)
+	base, err := readFullText(ctx, t, head.FullRevision)
 	if err != nil {
 		return baseText{}
 	}
 	return base
 }
 
-func clip(s string, size int) string {
+func truncate(s string, size int) string {
 	if len(s) > size {
 		return s[:size]
 	}
@@ -192,24 +193,24 @@
 			{Key: revisionKey(rec.Revision), Value: recValue},
 		},
 	}
-	// The oldest ones kept must find their whole text, which stands up to wholeEvery revisions before them.
-	if rec.Revision > keepRevisions+wholeEvery {
-		txn.Deletes = []string{revisionKey(rec.Revision - keepRevisions - wholeEvery)}
+	// The oldest revisions kept need their full text, which is up to fullTextInterval revisions older.
+	if rec.Revision > keepRevisions+fullTextInterval {
+		txn.Deletes = []string{revisionKey(rec.Revision - keepRevisions - fullTextInterval)}
 	}
 	return txn, nil
 }
 
-// conflict names the revisions after base.
-func conflict(ctx context.Context, t Table, base, head uint64) error {
+// newConflict returns a Conflict that lists the revisions after base.
+func newConflict(ctx context.Context, t Table, base, head uint64) error {
 	out := &Conflict{Base: base, Head: head}
 	first := base + 1
-	if head-base > conflictRecords {
-		first = head - conflictRecords + 1
+	if head-base > maxConflictRecords {
+		first = head - maxConflictRecords + 1
 	}
 	for r := first; r <= head; r++ {
 		rec, err := ReadRecord(ctx, t, r)
 		if err != nil {
-			continue // pruned, or the store went away: the conflict stands all the same
+			continue // deleted, or the store is unavailable; the conflict exists either way
 		}
 		rec.Body = nil
 		out.Between = append(out.Between, *rec)
@@ -217,7 +218,7 @@
 	return out
 }
 
-// Newest returns the newest revision number; 0 when nothing was committed yet. A stale read may answer an older one.
+// Newest returns the newest revision number, or 0 if nothing was committed yet. A stale read may return an older one.
 func Newest(ctx context.Context, t Table) (uint64, error) {
 	head, _, err := readHead(ctx, t)
 	return head.Revision, err
@@ -245,7 +246,7 @@
 	return out, nil
 }
 
-// previous is the number of the revision that a record follows.
+// previous returns the number of the revision that the record follows.
 func (r *Record) previous() uint64 {
 	if r.Previous > 0 {
 		return r.Previous
--- a/lib/settingsync/commit_test.go
+++ b/lib/settingsync/commit_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestCommitRefusesBadText(t *testing.T) {
+func TestCommitRejectsInvalidSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, table := newTable(standin.Config{})
 		_, err := Commit(t.Context(), table, change(0, []byte("site: {colour: red}")))
@@ -56,9 +56,9 @@
 	})
 }
 
-// Two operators edit the same revision. Without the condition on the head the second would silently undo the first;
-// it is refused instead, and told whose change came between, when and why.
-func TestSecondOperatorIsToldOfTheFirst(t *testing.T) {
+// Two operators edit the same revision. Without the condition on the head the second commit would silently undo the
+// first; it must fail and report who committed the conflicting revision, when and why.
+func TestConcurrentCommitReturnsConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, table := newTable(standin.Config{})
 		commit(t, table, 0, tree(1))
@@ -77,9 +77,9 @@
 	})
 }
 
-// An operator's read meets a replica that lags: it shows revision 1 while 2 is committed. A change made from 2 must
-// not be refused for it, and a change made from 1 must not follow it.
-func TestCommitPastAStaleRead(t *testing.T) {
+// An operator reads from a lagging replica that still shows revision 1 when 2 is committed. A change made from 2 must not
+// be refused, and a change made from 1 must conflict.
+func TestCommitWithStaleHeadRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, table := newTable(standin.Config{})
 		commit(t, table, 0, tree(1))
@@ -94,9 +94,9 @@
 	})
 }
 
-// The commit takes effect and its answer is lost. Reported as failed, the operator would commit again over it, or
-// believe the old settings in force; settled by the operation's id it is one revision, reported as committed.
-func TestLostAnswerIsOneRevision(t *testing.T) {
+// The commit takes effect but the reply is lost. If it were reported as failed, the operator would commit again over it or
+// assume the old settings in force. Resolved by operation ID, it is one revision, reported as committed.
+func TestLostReplyCommitsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, table := newTable(standin.Config{})
 		commit(t, table, 0, tree(1))
@@ -108,9 +108,9 @@
 	})
 }
 
-// The answer is lost and then the store goes down for longer than the platform client settles. The operator is not
-// told that it failed: the commit goes on asking until the store is back, and finds its own revision.
-func TestLostAnswerBeforeAnOutage(t *testing.T) {
+// The reply is lost and then the store is down for longer than the platform client retries. The commit must not report
+// failure: it retries until the store is back and finds its own revision.
+func TestLostReplyBeforeOutageCommitsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, table := newTable(standin.Config{})
 		commit(t, table, 0, tree(1))
@@ -125,9 +125,9 @@
 	})
 }
 
-// The store stays down past the operator's patience. The error says that the outcome is unknown, and names the
-// operation; it must not say that nothing was written.
-func TestUnsettledCommitIsUnknown(t *testing.T) {
+// The store is down beyond the operator's timeout. The error must say that the outcome is unknown and name the operation,
+// not that nothing was written.
+func TestUnresolvedCommitReturnsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, table := newTable(standin.Config{})
 		commit(t, table, 0, tree(1))
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestRollForward(t *testing.T) {
+func TestCommitOfEarlierText(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, table := newTable(standin.Config{})
 		commit(t, table, 0, tree(1))
@@ -160,29 +160,29 @@
 	})
 }
 
-// Revisions refer to a whole text written up to 63 revisions earlier. Every one must read back to its own bytes,
-// across the border where a new whole text begins.
-func TestEveryRevisionReadsBack(t *testing.T) {
+// Revisions refer to a full text stored up to 63 revisions earlier. Each must be readable with its exact bytes, also
+// across the boundary where a new full text begins.
+func TestEveryRevisionIsReadable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, table := newTable(standin.Config{})
-		const revisions = wholeEvery + 5
+		const revisions = fullTextInterval + 5
 		for n := range uint64(revisions) {
 			commit(t, table, n, tree(int(n)))
 		}
-		wholes := 0
+		fullTexts := 0
 		for n := range uint64(revisions) {
 			text, rec, err := ReadText(t.Context(), table, n+1)
 			must.NoError(t, err)
 			must.Eq(t, string(tree(int(n))), string(text))
 			if rec.FullRevision == rec.Revision {
-				wholes++
+				fullTexts++
 			}
 		}
-		must.Eq(t, 2, wholes)
+		must.Eq(t, 2, fullTexts)
 	})
 }
 
-func TestRecordThatDoesNotMatchItsDigestIsMalformed(t *testing.T) {
+func TestRecordDigestMismatchIsMalformed(t *testing.T) {
 	body, err := pack(tree(1), nil)
 	must.NoError(t, err)
 	rec := Record{Revision: 1, FullRevision: 1, Digest: Digest(tree(2)), Body: body}
@@ -190,33 +190,33 @@
 	must.True(t, errorx.IsOfType(err, Malformed))
 }
 
-// An item of the table unpacks to far more than a settings file may hold. Unpacked, it would take an instance's
-// memory; it is refused.
-func TestUnpackIsBounded(t *testing.T) {
+// A table item unpacks to far more than a settings file may hold. It must be rejected, or it would exhaust the instance's
+// memory.
+func TestUnpackLimitsSize(t *testing.T) {
 	body, err := pack(make([]byte, 64<<20), nil)
 	must.NoError(t, err)
 	_, err = unpack(body, nil)
 	must.Error(t, err)
 }
 
-// One key hash is changed in a tree of 480 workspaces. Sent whole, 21,000 such changes a day would take most of the
-// 29 KB/s that control may use on an instance.
-func TestDifferenceIsSmall(t *testing.T) {
+// One key hash changes in a tree of 480 workspaces. As full texts, 21,000 such changes a day would use most of the 29 KB/s
+// that control traffic may use on an instance.
+func TestDeltaIsSmall(t *testing.T) {
 	base := workspaces(480)
 	next := bytes.Replace(base, []byte(Digest([]byte("200"))), []byte(Digest([]byte("new"))), 1)
 	must.NotEq(t, string(base), string(next))
 	body, err := pack(next, base)
 	must.NoError(t, err)
-	whole, err := pack(next, nil)
+	full, err := pack(next, nil)
 	must.NoError(t, err)
 	must.Less(t, 200, len(body))
-	must.Greater(t, 10_000, len(whole))
+	must.Greater(t, 10_000, len(full))
 	back, err := unpack(body, base)
 	must.NoError(t, err)
 	must.Eq(t, string(next), string(back))
 }
 
-// workspaces is a tree with n workspaces whose key hashes don't compress.
+// workspaces returns a tree with n workspaces whose key hashes don't compress.
 func workspaces(n int) []byte {
 	var b bytes.Buffer
 	b.Write(tree(1))
--- a/lib/settingsync/copy_test.go
+++ b/lib/settingsync/copy_test.go
@@ -10,9 +10,10 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// The table comes back from a copy that lacks accepted revisions. Operators commit others; what was in force at an instance must not go back
-// to what the copy has, and the next revision must come into force everywhere although its number was the next after the copy's.
-func TestRevisionsAfterACopyComeIntoForce(t *testing.T) {
+// The table is restored from a backup that lacks accepted revisions, and operators commit new ones. An instance must not
+// revert to the revision in the backup, and the next revision must come into force everywhere although it directly follows
+// the backup's.
+func TestRevisionsAfterTableRestoreComeIntoForce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, table := newTable(standin.Config{})
 		f := newFleet()
@@ -41,9 +42,9 @@
 	})
 }
 
-// All revisions are lost with the copy, and the first is committed again. It gets a number of its own, and comes into force where the lost
-// one is.
-func TestFirstRevisionIsNotGivenOutTwice(t *testing.T) {
+// The restore loses all revisions, and a first revision is committed again. It must get a new number and come into force
+// at instances that hold the lost one.
+func TestRestoreDoesNotReuseFirstRevisionNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, table := newTable(standin.Config{})
 		f := newFleet()
--- a/lib/settingsync/errors.go
+++ b/lib/settingsync/errors.go
@@ -8,27 +8,26 @@
 
 var namespace = errorx.NewNamespace("settings")
 
-// Types of error.
+// Error types.
 var (
-	// Absent: the table has no such revision, or no longer.
+	// Absent: the table does not have the revision, or no longer has it.
 	Absent = namespace.NewType("absent")
-	// Malformed: an item of the table can't be read.
+	// Malformed: an item of the table can't be decoded.
 	Malformed = namespace.NewType("malformed")
-	// Unchanged: the text is the one that is committed already.
+	// Unchanged: the text equals the newest committed text.
 	Unchanged = namespace.NewType("unchanged")
-	// Unknown: the commit's outcome could not be settled; the operation id tells it later.
+	// Unknown: the outcome of the commit could not be determined; it can be looked up later by operation ID.
 	Unknown = namespace.NewType("unknown")
 )
 
-// Conflict tells an operator that others committed since the revision that the change was made from. Nothing was
-// written.
+// Conflict reports that other revisions were committed since the one that the change was made from. Nothing was written.
 type Conflict struct {
 	Base    uint64
 	Head    uint64
-	Between []Record // revisions after Base in ascending order, without bodies; the newest few when there are many
+	Between []Record // revisions after Base in ascending order, without bodies; only the newest maxConflictRecords
 }
 
-// Error names the newest change that came between.
+// Error describes the newest of the conflicting revisions.
 func (c *Conflict) Error() string {
 	if c.Base > c.Head {
 		return fmt.Sprintf("the change was made from revision %d, and the newest is %d", c.Base, c.Head)
--- a/lib/settingsync/events.go
+++ b/lib/settingsync/events.go
@@ -8,8 +8,8 @@
 var (
 	swapsTotal   = metrics.NewCounter("anvilwick_settings_swaps_total")
 	refusedTotal = metrics.NewCounter("anvilwick_settings_refused_total")
-	staleTotal   = metrics.NewCounter("anvilwick_settings_stale_total") // revisions lower than one seen, ignored
-	splitTotal   = metrics.NewCounter("anvilwick_settings_split_total") // one revision with two texts: a breach
+	staleTotal   = metrics.NewCounter("anvilwick_settings_stale_total") // ignored revisions lower than the highest seen
+	splitTotal   = metrics.NewCounter("anvilwick_settings_split_total") // one revision seen with two texts: an invariant violation
 	pollErrors   = metrics.NewCounter("anvilwick_settings_poll_errors_total")
 	peerErrors   = metrics.NewCounter("anvilwick_settings_peer_errors_total")
 )
@@ -23,17 +23,17 @@
 		Uint64("in_force", inForce).Err(err).Msg("")
 }
 
-func logSplit(seen, other candidate) {
+func logDigestMismatch(seen, other candidate) {
 	log.Error().Str("event", "settings_split").Uint64("revision", seen.revision).Str("source", seen.source).
 		Str("digest", seen.digest).Str("other_source", other.source).Str("other_digest", other.digest).Msg("")
 }
 
-func pollFailed(err error) {
+func reportPollError(err error) {
 	pollErrors.Inc()
 	log.Debug().Str("event", "settings_poll_failed").Err(err).Msg("")
 }
 
-func fetchFailed(instance string, err error) {
+func reportFetchError(instance string, err error) {
 	peerErrors.Inc()
 	log.Debug().Str("event", "settings_fetch_failed").Str("peer", instance).Err(err).Msg("")
 }
--- a/lib/settingsync/export_test.go
+++ b/lib/settingsync/export_test.go
@@ -1,6 +1,6 @@
 package settingsync
 
-// Helpers of the tests in this package for those that run separate processes: these can't be in it, because
+// Test helpers exported to the external test package, which runs separate processes and can't be in this package because
 // lib/localsite imports it.
 var (
 	TestTree   = tree
--- a/lib/settingsync/fuzz_test.go
+++ b/lib/settingsync/fuzz_test.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// FuzzRecord holds that an item of the table is either refused, or unpacks to the text of its digest within bounds.
+// FuzzRecord checks that a table item is either rejected or unpacks, within bounds, to the text that matches its digest.
 func FuzzRecord(f *testing.F) {
 	for _, base := range [][]byte{nil, tree(1)} {
 		body, err := pack(tree(2), base)
--- a/lib/settingsync/help_test.go
+++ b/lib/settingsync/help_test.go
@@ -25,7 +25,7 @@
 	os.Exit(code)
 }
 
-// tree is a small settings text; n makes it differ.
+// tree returns a small settings text that differs by n.
 func tree(n int) []byte {
 	return fmt.Appendf(nil, `site:
   name: s
@@ -51,7 +51,7 @@
 	return rec
 }
 
-// fleet is a set of instances that hear of each other's revisions and fetch from each other.
+// fleet is a set of instances that exchange revisions by heartbeat and fetch settings from each other.
 type fleet struct {
 	mu    sync.Mutex
 	syncs map[string]*Sync
@@ -74,7 +74,7 @@
 	return peer.Answer(offer), nil
 }
 
-// start starts an instance that knows nothing.
+// start starts an instance without settings.
 func (f *fleet) start(ctx context.Context, name string, table Table) *Sync {
 	s := New(Config{Table: table, Peers: f})
 	ctx, cancel := context.WithCancel(ctx)
@@ -88,7 +88,7 @@
 }
 
 func (f *fleet) heartbeats(ctx context.Context, name string, s *Sync) {
-	for pause(ctx, 250*time.Millisecond) {
+	for sleep(ctx, 250*time.Millisecond) {
 		revisions := map[string]uint64{}
 		f.mu.Lock()
 		for other, peer := range f.syncs {
--- a/lib/settingsync/pack.go
+++ b/lib/settingsync/pack.go
@@ -6,10 +6,10 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// dictionaryID marks frames that refer to a base text; its value is of no meaning.
+// dictionaryID marks frames that are encoded against a base text. The value is arbitrary.
 const dictionaryID = 1
 
-// pack compresses text. With a base, what they share costs next to nothing.
+// pack compresses text. With a base it encodes a delta: content shared with the base costs almost nothing.
 func pack(text, base []byte) ([]byte, error) {
 	opts := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1),
@@ -27,7 +27,7 @@
 	return enc.EncodeAll(text, nil), nil
 }
 
-// unpack reverses pack with the same base. What would unpack to more than a settings file may hold is refused.
+// unpack reverses pack with the same base. Output larger than settings.MaxFile is rejected.
 func unpack(body, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
--- a/lib/settingsync/peers.go
+++ b/lib/settingsync/peers.go
@@ -9,57 +9,57 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// peerTick is the time between looks at what peers have.
-const peerTick = 250 * time.Millisecond
+// peerCheckInterval is the time between checks for a newer revision at a peer.
+const peerCheckInterval = 250 * time.Millisecond
 
-// peerView is what peers say they have.
-type peerView struct {
-	revisions map[string]uint64
-	behind    time.Time // when a peer was first ahead since the last revision learnt; zero: none is
+// peerRevisions holds the revisions that peers last reported.
+type peerRevisions struct {
+	revisions  map[string]uint64
+	aheadSince time.Time // when a peer was first ahead of the highest revision seen here; zero: no peer is ahead
 }
 
-// SetPeerRevisions tells which revisions the peers have, by instance, as their heartbeats say. Instances left out are forgotten.
+// SetPeerRevisions replaces the peers' revisions, by instance, with those in their latest heartbeats.
 func (s *Sync) SetPeerRevisions(revisions map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers.revisions = maps.Clone(revisions)
 }
 
-// peerLoop fetches what peers have and the table did not bring. In the ordinary case the table is quicker and
-// cheaper, as it carries differences. When the store is down, peers are the only source: an instance replaced
-// meanwhile gets its settings from them.
+// peerLoop fetches revisions that peers have and the table did not deliver. Normally the table is faster and cheaper,
+// because it stores deltas. While the store is down, peers are the only source: an instance replaced meanwhile gets its
+// settings from them.
 func (s *Sync) peerLoop(ctx context.Context) {
 	for {
-		if instance, ok := s.ahead(time.Now()); ok {
+		if instance, ok := s.pickNewerPeer(time.Now()); ok {
 			s.fetch(ctx, instance)
 		}
-		if !pause(ctx, jittered(peerTick)) {
+		if !sleep(ctx, withJitter(peerCheckInterval)) {
 			return
 		}
 	}
 }
 
-// ahead picks one of the peers that have the highest revision, when that is over the one seen and the table had its
-// time to bring it. An instance that has nothing in force yet asks at once.
-func (s *Sync) ahead(now time.Time) (string, bool) {
+// pickNewerPeer returns a random peer among those with the highest revision, if that is above the highest seen here and
+// the table had PeerDelay to deliver it. An instance without active settings does not wait.
+func (s *Sync) pickNewerPeer(now time.Time) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	highest, holders := s.peers.highest()
 	if highest <= s.seen.revision {
-		s.peers.behind = time.Time{}
+		s.peers.aheadSince = time.Time{}
 		return "", false
 	}
-	if s.peers.behind.IsZero() {
-		s.peers.behind = now
+	if s.peers.aheadSince.IsZero() {
+		s.peers.aheadSince = now
 	}
-	if s.held != nil && now.Sub(s.peers.behind) < s.cfg.PeerDelay {
+	if s.active != nil && now.Sub(s.peers.aheadSince) < s.cfg.PeerDelay {
 		return "", false
 	}
 	return holders[rand.IntN(len(holders))], true
 }
 
-// highest returns the highest revision of any peer, and the peers that have it.
-func (v *peerView) highest() (uint64, []string) {
+// highest returns the highest revision of all peers, and the peers that have it.
+func (v *peerRevisions) highest() (uint64, []string) {
 	var highest uint64
 	var holders []string
 	for instance, revision := range v.revisions {
@@ -79,55 +79,55 @@
 	defer cancel()
 	body, err := s.cfg.Peers.FetchSettings(ctx, instance, s.Offer())
 	if err != nil {
-		fetchFailed(instance, err)
+		reportFetchError(instance, err)
 		return
 	}
-	s.learnBody(body, "peer "+instance)
+	s.observeBody(body, "peer "+instance)
 }
 
-// awaitSources holds the first swap back for a moment. An instance that has just been replaced may hear first from a
-// table replica that lags while its peers hold a newer revision, or first from peers while the table has a newer one
-// that the instance before it had in force already. Put into force at once, the older one would undo an accepted
-// change there. It goes on as soon as both were heard and neither is ahead. It waits for peers, which there may not be,
-// no longer than StartGrace, and for a table that may be down no longer than TableGrace once peers were heard.
+// awaitSources delays the first swap until both table and peers were read and no peer is ahead. A replaced instance may
+// first read a lagging table replica while its peers have a newer revision, or first hear from peers while the table has
+// a newer revision that its predecessor already had in force. Activating the older one would undo an accepted change on
+// this instance. The wait is bounded: StartGrace for peers, which may not exist, and TableGrace for a table that may be
+// down, counted from the first contact with peers.
 func (s *Sync) awaitSources(ctx context.Context) bool {
 	if s.cfg.Peers == nil {
 		return true
 	}
 	deadline := time.Now().Add(s.cfg.StartGrace)
-	peersHeard := false
+	peersSeen := false
 	for time.Now().Before(deadline) {
-		peers, table := s.level()
+		peers, table := s.sourcesReady()
 		if peers && table {
 			break
 		}
-		if peers && !peersHeard {
-			peersHeard = true
-			deadline = earlier(deadline, time.Now().Add(s.cfg.TableGrace))
+		if peers && !peersSeen {
+			peersSeen = true
+			deadline = earlierOf(deadline, time.Now().Add(s.cfg.TableGrace))
 		}
-		if !pause(ctx, peerTick/10) {
+		if !sleep(ctx, peerCheckInterval/10) {
 			return false
 		}
 	}
 	return ctx.Err() == nil
 }
 
-func earlier(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// level reports whether peers were heard and none is ahead, and whether the table was heard.
-func (s *Sync) level() (peers, table bool) {
+// sourcesReady reports whether peers reported revisions and none is ahead, and whether the table was read.
+func (s *Sync) sourcesReady() (peers, table bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	highest, _ := s.peers.highest()
-	return highest > 0 && highest <= s.seen.revision, s.heard
+	return highest > 0 && highest <= s.seen.revision, s.tableRead
 }
 
-// OfferStream is one stream between two instances.
+// OfferStream is a settings stream between two instances.
 type OfferStream interface {
 	Read(*meshpb.SettingsOffer) error
 	Write(*meshpb.SettingsBody) error
--- a/lib/settingsync/poll.go
+++ b/lib/settingsync/poll.go
@@ -8,50 +8,50 @@
 	"github.com/joomcode/errorx"
 )
 
-// pollShare is the part of the site's reads that polling may take.
-const pollShare = 0.1
+// pollReadShare is the share of the site's read budget that polling may use.
+const pollReadShare = 0.1
 
-// PollInterval returns the time between an instance's polls, such that all instances together stay within their
-// share of the site's reads.
+// PollInterval returns the interval between an instance's polls that keeps all instances together within pollReadShare of
+// the site's read budget.
 func PollInterval(instances int, readsPerSec float64) time.Duration {
 	if readsPerSec <= 0 {
 		return DefaultPoll
 	}
-	seconds := float64(instances) / (readsPerSec * pollShare)
+	seconds := float64(instances) / (readsPerSec * pollReadShare)
 	return max(DefaultPoll, time.Duration(seconds*float64(time.Second)))
 }
 
-// pollLoop reads the table's head, and the revision that it names when that is new.
+// pollLoop reads the table's head and, if the head names a new revision, that revision.
 func (s *Sync) pollLoop(ctx context.Context) {
 	var base baseText
 	for {
 		base = s.poll(ctx, base)
-		if !pause(ctx, jittered(s.pollEvery())) {
+		if !sleep(ctx, withJitter(s.pollInterval())) {
 			return
 		}
 	}
 }
 
-func (s *Sync) pollEvery() time.Duration {
+func (s *Sync) pollInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == nil {
+	if s.active == nil {
 		return s.cfg.Poll
 	}
-	return max(s.cfg.Poll, PollInterval(s.fleet, s.held.Snapshot.Site.StoreReadsPerSec))
+	return max(s.cfg.Poll, PollInterval(s.tableReaders, s.active.Snapshot.Site.StoreReadsPerSec))
 }
 
-// jittered spreads polls over a quarter of the interval, so that instances started together don't read together.
-func jittered(d time.Duration) time.Duration { return d - rand.N(d/4+1) }
+// withJitter shortens d by up to a quarter, so that instances started together don't poll in lockstep.
+func withJitter(d time.Duration) time.Duration { return d - rand.N(d/4+1) }
 
-// poll makes one round and returns the whole text that later differences refer to. A store that is down or slow
-// changes nothing: what is in force stays.
+// poll makes one poll and returns the full text that later deltas refer to. If the store is down or slow, the active
+// settings stay in force.
 func (s *Sync) poll(ctx context.Context, base baseText) baseText {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.PollTimeout)
 	defer cancel()
 	head, _, err := readHead(ctx, s.cfg.Table)
 	if err != nil {
-		pollFailed(err)
+		reportPollError(err)
 		return base
 	}
 	seen := s.Offer().GetRevision()
@@ -59,19 +59,19 @@
 		staleTotal.Inc()
 	}
 	if head.Revision <= seen {
-		s.hearTable()
+		s.markTableRead()
 		return base
 	}
 	text, base, rec, err := readText(ctx, s.cfg.Table, head.Revision, base)
 	if err != nil {
-		// A replica that lags may show the head and not yet the revision: the next round will.
+		// A lagging replica may return the new head but not yet the revision; the next poll will find it.
 		if !errorx.IsOfType(err, Absent) {
-			pollFailed(err)
+			reportPollError(err)
 		}
 		return base
 	}
-	s.hearTable()
-	s.learn(candidate{revision: rec.Revision, text: text, digest: rec.Digest, source: sourceTable})
+	s.markTableRead()
+	s.observe(candidate{revision: rec.Revision, text: text, digest: rec.Digest, source: sourceTable})
 	return base
 }
 
--- a/lib/settingsync/race_test.go
+++ b/lib/settingsync/race_test.go
@@ -23,28 +23,28 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// commitCall is what an operator asked, commitReply what it was told.
+// commitCall is a commit request, commitReply its result.
 type commitCall struct {
 	base   uint64
 	digest string
 }
 
 type commitReply struct {
-	revision uint64 // committed as; 0: not committed
+	revision uint64 // revision committed; 0: not committed
 	unknown  bool
 }
 
-// line is the model: the newest revision and its digest.
-type line struct {
+// historyState is the model's state: the newest revision and its digest.
+type historyState struct {
 	revision uint64
 	digest   string
 }
 
-// lineModel holds that accepted changes form one line: each follows the very revision that it was made from.
-var lineModel = porcupine.NondeterministicModel{
+// historyModel requires a linear history: each accepted change follows exactly the revision that it was made from.
+var historyModel = porcupine.NondeterministicModel{
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(line), input.(commitCall), output.(commitReply)
-		taken := line{in.base + 1, in.digest}
+		s, in, out := state.(historyState), input.(commitCall), output.(commitReply)
+		taken := historyState{in.base + 1, in.digest}
 		fits := s.revision == in.base
 		switch {
 		case out.unknown && fits:
@@ -60,7 +60,7 @@
 	},
 }
 
-// recorder keeps the history of commits.
+// recorder records the history of commits.
 type recorder struct {
 	before   uint64 // revision committed before the history begins
 	accepted atomic.Int64
@@ -77,7 +77,7 @@
 		reply.revision = rec.Revision
 	}
 	if err != nil && !reply.unknown && !isConflict(err) {
-		return nil, err // refused before it was written: no part of the history
+		return nil, err // rejected before anything was written: not part of the history
 	}
 	end := r.clock.Add(1)
 	if reply.unknown {
@@ -95,35 +95,37 @@
 	return rec, err
 }
 
-func upTo(rng *rand.Rand, d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
+func randomDuration(rng *rand.Rand, d time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(d)))
+}
 
 func isConflict(err error) bool {
 	var c *settingsync.Conflict
 	return errors.As(err, &c)
 }
 
-// legal checks a history that begins at revision before.
-func legal(ops []porcupine.Operation, before uint64) bool {
-	model := lineModel
-	model.Init = func() []any { return []any{line{revision: before}} }
+// isLinear checks a history that begins at revision before.
+func isLinear(ops []porcupine.Operation, before uint64) bool {
+	model := historyModel
+	model.Init = func() []any { return []any{historyState{revision: before}} }
 	return porcupine.CheckOperations(model.ToModel(), ops)
 }
 
-// operator reads the newest settings, adds a mark of its own and commits, time and again.
+// operator repeatedly reads the newest settings, appends a mark of its own and commits.
 type operator struct {
-	id       int
-	first    []byte        // text that the first revision starts from
-	think    time.Duration // longest pause between two changes
-	patience time.Duration // with one commit
-	table    settingsync.Table
-	rng      *rand.Rand
-	accepted []string
-	unsure   []string
+	id            int
+	first         []byte        // text of the first revision
+	maxThinkTime  time.Duration // maximum pause between two changes
+	commitTimeout time.Duration // of one commit
+	table         settingsync.Table
+	rng           *rand.Rand
+	accepted      []string
+	unknown       []string
 }
 
 func (o *operator) run(ctx context.Context, r *recorder, more func() bool) {
 	for n := 0; ctx.Err() == nil && more(); n++ {
-		time.Sleep(upTo(o.rng, o.think))
+		time.Sleep(randomDuration(o.rng, o.maxThinkTime))
 		base, err := settingsync.Newest(ctx, o.table)
 		if err != nil {
 			continue
@@ -135,7 +137,7 @@
 			}
 		}
 		mark := fmt.Sprintf("# change %d of operator %d", n, o.id)
-		ctx, cancel := context.WithTimeout(ctx, o.patience)
+		ctx, cancel := context.WithTimeout(ctx, o.commitTimeout)
 		c := settingsync.TestChange(base, append(bytes.Clone(text), mark+"\n"...))
 		_, err = r.commit(ctx, o.id, o.table, c)
 		cancel()
@@ -144,15 +146,15 @@
 			r.accepted.Add(1)
 			o.accepted = append(o.accepted, mark)
 		case errorx.IsOfType(err, settingsync.Unknown):
-			o.unsure = append(o.unsure, mark)
+			o.unknown = append(o.unknown, mark)
 		}
 	}
 }
 
-// Operators race while answers are lost, reads lag, writes are slow and the store goes away. Whatever each was told
-// must fit one line of revisions, and the newest text must hold every accepted change: one that is missing was
-// silently undone by a later operator.
-func TestRacingOperatorsFormOneLine(t *testing.T) {
+// Operators commit concurrently while replies are lost, reads are stale, writes are slow and the store fails. All results
+// must fit one linear history, and the newest text must contain every accepted change: a missing one was silently undone
+// by a later operator.
+func TestConcurrentCommitsAreLinearizable(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -172,7 +174,7 @@
 	ops := make([]*operator, 5)
 	for i := range ops {
 		ops[i] = &operator{
-			id: i, first: settingsync.TestTree(1), think: 4 * time.Second, patience: 2 * time.Second,
+			id: i, first: settingsync.TestTree(1), maxThinkTime: 4 * time.Second, commitTimeout: 2 * time.Second,
 			table: newTable(), rng: rand.New(rand.NewPCG(seed, uint64(10+i))),
 		}
 		wg.Go(func() { ops[i].run(t.Context(), r, func() bool { return time.Since(start) < time.Minute }) })
@@ -182,37 +184,37 @@
 		wg.Wait()
 		close(stop)
 	}()
-	trouble(srv, rand.New(rand.NewPCG(seed, 1)), stop)
+	injectFaults(srv, rand.New(rand.NewPCG(seed, 1)), stop)
 	srv.SetFault(standin.Fault{Kind: standin.FaultClear})
 	time.Sleep(time.Minute)
-	checkLine(t, newTable(), r, ops, 20)
+	checkHistory(t, newTable(), r, ops, 20)
 }
 
-// checkLine holds that the commits form one line, and that the newest text, which it returns the revision of, has
-// every accepted change; of these there must be at least so many.
-func checkLine(t *testing.T, table settingsync.Table, r *recorder, ops []*operator, least int) uint64 {
+// checkHistory checks that the commits form a linear history, and that the newest text has every accepted change, of which
+// there must be at least minAccepted. It returns the newest revision.
+func checkHistory(t *testing.T, table settingsync.Table, r *recorder, ops []*operator, minAccepted int) uint64 {
 	t.Helper()
-	must.True(t, legal(r.ops, r.before), must.Sprint("the commits don't form one line"))
+	must.True(t, isLinear(r.ops, r.before), must.Sprint("the commits don't form a linear history"))
 	newest, err := settingsync.Newest(t.Context(), table)
 	must.NoError(t, err)
 	text, _, err := settingsync.ReadText(t.Context(), table, newest)
 	must.NoError(t, err)
-	accepted, unsure := 0, 0
+	accepted, unknown := 0, 0
 	for _, o := range ops {
 		accepted += len(o.accepted)
-		unsure += len(o.unsure)
+		unknown += len(o.unknown)
 		for _, mark := range o.accepted {
 			must.Eq(t, 1, strings.Count(string(text), mark+"\n"), must.Sprint(mark))
 		}
 	}
-	t.Logf("commits=%d accepted=%d unsure=%d newest=%d", len(r.ops), accepted, unsure, newest)
-	must.GreaterEq(t, least, accepted)
-	must.Between(t, uint64(accepted), newest-r.before, uint64(accepted+unsure))
+	t.Logf("commits=%d accepted=%d unsure=%d newest=%d", len(r.ops), accepted, unknown, newest)
+	must.GreaterEq(t, minAccepted, accepted)
+	must.Between(t, uint64(accepted), newest-r.before, uint64(accepted+unknown))
 	return newest
 }
 
-// trouble orders one fault after the other until stop.
-func trouble(srv *standin.Server, rng *rand.Rand, stop <-chan struct{}) {
+// injectFaults injects one fault after the other until stop is closed.
+func injectFaults(srv *standin.Server, rng *rand.Rand, stop <-chan struct{}) {
 	faults := []standin.Fault{
 		{Kind: standin.FaultLoseAnswer, Probability: 0.5, DurationMS: 3000},
 		{Kind: standin.FaultStaleReads, DelayMS: 2000, Probability: 0.5, DurationMS: 3000},
@@ -223,22 +225,22 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(upTo(rng, 6*time.Second)):
+		case <-time.After(randomDuration(rng, 6*time.Second)):
 			srv.SetFault(faults[rng.IntN(len(faults))])
 		}
 	}
 }
 
-// A checker that can't fail proves nothing: it must refuse a change accepted twice on one base, one accepted on an
-// older base (which undoes the change between), and a refusal without cause.
-func TestLineModelRefusesBrokenHistories(t *testing.T) {
+// The checker itself must reject a change accepted twice on one base, a change accepted on an older base (which undoes the
+// change between), and a rejection without cause.
+func TestHistoryModelRejectsInvalidHistories(t *testing.T) {
 	op := func(n int64, base uint64, digest string, reply commitReply) porcupine.Operation {
 		return porcupine.Operation{Input: commitCall{base, digest}, Output: reply, Call: 2 * n, Return: 2*n + 1}
 	}
 	first := op(1, 0, "a", commitReply{revision: 1})
-	must.True(t, legal([]porcupine.Operation{first, op(2, 1, "b", commitReply{revision: 2}), op(3, 1, "c", commitReply{})}, 0))
-	must.True(t, legal([]porcupine.Operation{first, op(2, 1, "b", commitReply{unknown: true}), op(3, 1, "c", commitReply{})}, 0))
-	must.False(t, legal([]porcupine.Operation{first, op(2, 1, "b", commitReply{revision: 2}), op(3, 1, "c", commitReply{revision: 2})}, 0))
-	must.False(t, legal([]porcupine.Operation{first, op(2, 0, "b", commitReply{revision: 1})}, 0))
-	must.False(t, legal([]porcupine.Operation{first, op(2, 1, "b", commitReply{})}, 0))
+	must.True(t, isLinear([]porcupine.Operation{first, op(2, 1, "b", commitReply{revision: 2}), op(3, 1, "c", commitReply{})}, 0))
+	must.True(t, isLinear([]porcupine.Operation{first, op(2, 1, "b", commitReply{unknown: true}), op(3, 1, "c", commitReply{})}, 0))
+	must.False(t, isLinear([]porcupine.Operation{first, op(2, 1, "b", commitReply{revision: 2}), op(3, 1, "c", commitReply{revision: 2})}, 0))
+	must.False(t, isLinear([]porcupine.Operation{first, op(2, 0, "b", commitReply{revision: 1})}, 0))
+	must.False(t, isLinear([]porcupine.Operation{first, op(2, 1, "b", commitReply{})}, 0))
 }
--- a/lib/settingsync/record.go
+++ b/lib/settingsync/record.go
@@ -1,11 +1,11 @@
-// Package settingsync commits revisions of settings to the platform's table and brings them into force everywhere.
+// Package settingsync commits revisions of settings to the platform's table and distributes them to every process.
 //
-// The table holds one line of revisions. A head names the newest; each revision is an item of its own, written in the
-// same transaction as the head that first names it, on the condition that nobody moved the head meanwhile. Accepted
-// therefore means committed, and two operators can't both follow one revision.
+// The table holds a linear history of revisions. A head item names the newest. Each revision is an item of its own,
+// written in the same transaction as the head that first names it, on the condition that the head did not move
+// meanwhile. So an accepted change is a committed one, and two operators can't both commit on top of the same revision.
 //
 // A Sync holds the highest revision that its process has seen, from the table, from peers or from the control
-// process, and never goes back to a lower one. It needs the store for new revisions alone.
+// process, and never goes back to a lower one. It needs the store only to receive new revisions.
 package settingsync
 
 import (
@@ -20,42 +20,43 @@
 )
 
 const (
-	// wholeEvery is how many revisions share one whole text; the others are written as differences from it. A
-	// difference costs some tens of bytes for each change since, a whole text its compressed size.
-	wholeEvery = 64
+	// fullTextInterval is how many revisions share one full text; the others are stored as deltas against it. A delta
+	// costs some tens of bytes for each change since the full text; a full text costs its compressed size.
+	fullTextInterval = 64
 	// keepRevisions bounds the table: older revisions are deleted as new ones are written.
 	keepRevisions = 20000
 )
 
-// Table is the part of the platform's client that settings use. Get reports false for an absent key.
+// Table is the part of the platform's client that this package uses. Get reports false for an absent key.
 type Table interface {
 	Get(ctx context.Context, key string) (platformapi.Item, bool, error)
 	Range(ctx context.Context, prefix string, afterRev uint64, limit int) (platformapi.RangeResult, error)
 	Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error)
-	// Era returns the highest era of the table that an answer has told.
+	// Era returns the highest table era seen in any reply.
 	Era() uint64
 }
 
 // Head names the newest revision.
 type Head struct {
 	Revision     uint64 `json:"revision"`
-	FullRevision uint64 `json:"whole"` // newest revision whose text was written whole
+	FullRevision uint64 `json:"whole"` // newest revision that is stored as a full text
 	Digest       string `json:"digest"`
-	Era          uint64 `json:"era,omitempty"` // of the table, as the one who committed it knew it; 0: the first
+	Era          uint64 `json:"era,omitempty"` // table era known to the committer; 0: the first
 }
 
-// outlived reports whether the head was written before the table came back from a copy: revisions after it may be lost, and in
-// force all the same. So may the first, where there is no head.
-func (h Head) outlived(era uint64) bool { return max(platformapi.FirstEra, h.Era) < era }
+// predatesEra reports whether the head was written before the table was restored from a backup. Revisions after it may
+// then be lost from the table but still in force at instances. Without a head, the same holds for the first revision.
+func (h Head) predatesEra(era uint64) bool { return max(platformapi.FirstEra, h.Era) < era }
 
-// eraGap is how many numbers are left out after a copy: more revisions than are committed in the seconds that one lacks.
-const eraGap = 1000
+// eraRevisionGap is how many revision numbers are skipped after a restore: more than are committed in the seconds that
+// the backup lacks.
+const eraRevisionGap = 1000
 
-// next is the number of the revision after the head. One that was lost is not given out again: instances that hold it would take the
-// second for the first.
-func (h Head) next(era uint64) uint64 {
-	if h.outlived(era) {
-		return h.Revision + eraGap + 1
+// nextRevision returns the number of the revision after the head. The number of a lost revision is not reused: instances
+// that hold the lost revision would take the new one for it.
+func (h Head) nextRevision(era uint64) uint64 {
+	if h.predatesEra(era) {
+		return h.Revision + eraRevisionGap + 1
 	}
 	return h.Revision + 1
 }
@@ -63,13 +64,13 @@
 // Record is one committed revision.
 type Record struct {
 	Revision     uint64    `json:"revision"`
-	Previous     uint64    `json:"before,omitempty"` // the revision that it follows; 0: the number before its own
-	FullRevision uint64    `json:"whole"`            // Body is a difference from this revision's text; Revision itself: Body is whole
+	Previous     uint64    `json:"before,omitempty"` // revision that it follows; 0: Revision-1
+	FullRevision uint64    `json:"whole"`            // Body is a delta against its text; equal to Revision: Body is a full text
 	OpID         string    `json:"op_id"`
 	Operator     string    `json:"operator"`
-	Time         time.Time `json:"time"` // by the operator's clock
+	Time         time.Time `json:"time"` // on the operator's clock
 	Note         string    `json:"note,omitempty"`
-	CopiedFrom   uint64    `json:"from,omitempty"` // earlier revision that it rolled forward to
+	CopiedFrom   uint64    `json:"from,omitempty"` // earlier revision that the text was copied from
 	Digest       string    `json:"digest"`         // of the text
 	Body         []byte    `json:"body"`           // compressed
 }
@@ -84,7 +85,7 @@
 	return fmt.Sprintf("%s%012d", platformapi.KeySettingsRev, revision)
 }
 
-// readHead returns the head with its item; an empty table has revision 0.
+// readHead returns the head and its item. For an empty table the revision is 0.
 func readHead(ctx context.Context, t Table) (Head, platformapi.Item, error) {
 	item, found, err := t.Get(ctx, platformapi.KeySettingsHead)
 	if err != nil || !found {
@@ -125,53 +126,53 @@
 	return &r, nil
 }
 
-// ReadText returns the text of a revision.
+// ReadText returns the text of a revision and its record.
 func ReadText(ctx context.Context, t Table, revision uint64) ([]byte, *Record, error) {
 	text, _, rec, err := readText(ctx, t, revision, baseText{})
 	return text, rec, err
 }
 
-// baseText is a text that differences refer to.
+// baseText is a full text that deltas refer to.
 type baseText struct {
 	revision uint64
 	text     []byte
 }
 
-// readText is ReadText for a caller that may hold the whole text already. It returns the one that it used.
-func readText(ctx context.Context, t Table, revision uint64, held baseText) ([]byte, baseText, *Record, error) {
+// readText is like ReadText but takes a full text that the caller already has, and returns the one it used.
+func readText(ctx context.Context, t Table, revision uint64, base baseText) ([]byte, baseText, *Record, error) {
 	rec, err := ReadRecord(ctx, t, revision)
 	if err != nil {
-		return nil, held, nil, err
+		return nil, base, nil, err
 	}
-	if rec.FullRevision != revision && rec.FullRevision != held.revision {
-		held, err = readWhole(ctx, t, rec.FullRevision)
+	if rec.FullRevision != revision && rec.FullRevision != base.revision {
+		base, err = readFullText(ctx, t, rec.FullRevision)
 		if err != nil {
-			return nil, held, nil, err
+			return nil, base, nil, err
 		}
 	}
-	text, err := rec.text(held.text)
+	text, err := rec.text(base.text)
 	if err != nil {
-		return nil, held, nil, err
+		return nil, base, nil, err
 	}
 	if rec.FullRevision == revision {
-		held = baseText{revision, text}
+		base = baseText{revision, text}
 	}
-	return text, held, rec, nil
+	return text, base, rec, nil
 }
 
-func readWhole(ctx context.Context, t Table, revision uint64) (baseText, error) {
+func readFullText(ctx context.Context, t Table, revision uint64) (baseText, error) {
 	rec, err := ReadRecord(ctx, t, revision)
 	if err != nil {
 		return baseText{}, err
 	}
 	if rec.FullRevision != revision {
-		return baseText{}, Malformed.New("revision %d is not whole", revision)
+		return baseText{}, Malformed.New("revision %d is not stored as a full text", revision)
 	}
 	text, err := rec.text(nil)
 	return baseText{revision, text}, err
 }
 
-// text unpacks the record's text and proves it by its digest.
+// text unpacks the record's text and verifies its digest.
 func (r *Record) text(base []byte) ([]byte, error) {
 	if r.FullRevision == r.Revision {
 		base = nil
--- a/lib/settingsync/site_test.go
+++ b/lib/settingsync/site_test.go
@@ -22,14 +22,14 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// patience bounds one test with separate processes; they wait on conditions and end much sooner.
-const patience = 40 * time.Second
+// testTimeout bounds one test with separate processes; they wait on conditions and normally end much sooner.
+const testTimeout = 40 * time.Second
 
-// startSite starts three entries with their control processes, as separate processes, and stops them at the end.
+// startSite starts three entries with their control processes as separate processes, and stops them when the test ends.
 func startSite(t *testing.T) (*localsite.Site, context.Context) {
 	t.Helper()
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	bin, err := proc.Binaries(ctx)
 	must.NoError(t, err)
@@ -52,8 +52,8 @@
 	return site, ctx
 }
 
-// joined waits until every entry knows every other. One that never read the instance list knows nobody to ask.
-func joined(t *testing.T, ctx context.Context, site *localsite.Site) {
+// awaitMembership waits until every entry knows all others. An entry that has not read the instance list has no peers.
+func awaitMembership(t *testing.T, ctx context.Context, site *localsite.Site) {
 	t.Helper()
 	for _, n := range site.Entries {
 		must.NoError(t, proc.Until(ctx, n.Name, func(ctx context.Context) error {
@@ -66,11 +66,11 @@
 	}
 }
 
-// reaches waits until a process has the revision in force. Any other revision seen on the way must be in passing.
-func reaches(t *testing.T, ctx context.Context, n *localsite.Node, revision uint64, passing ...uint64) {
+// awaitRevision waits until a process has the revision in force. Until then only the transient revisions are allowed.
+func awaitRevision(t *testing.T, ctx context.Context, n *localsite.Node, revision uint64, transient ...uint64) {
 	t.Helper()
 	allowed := map[uint64]bool{0: true, revision: true}
-	for _, p := range passing {
+	for _, p := range transient {
 		allowed[p] = true
 	}
 	must.NoError(t, proc.Until(ctx, n.Name, func(ctx context.Context) error {
@@ -86,8 +86,8 @@
 	}))
 }
 
-// replace kills an entry and its control process, as when their machine is reclaimed, and starts both anew.
-func replace(t *testing.T, site *localsite.Site, i int) {
+// replaceInstance kills an entry and its control process, as when their machine is reclaimed, and restarts both.
+func replaceInstance(t *testing.T, site *localsite.Site, i int) {
 	t.Helper()
 	must.NoError(t, site.Entries[i].Kill())
 	must.NoError(t, site.Controls[i].Kill())
@@ -95,49 +95,49 @@
 	must.NoError(t, site.Restart(site.Controls[i]))
 }
 
-// The platform is down, and every instance is replaced in turn. Each new entry has nothing of its own and gets the
-// newest revision from the others, at last from one that was itself replaced; a control process alone can't help, as
-// the table is its only source. When the platform is back, the next change follows the newest.
-func TestProcessesReplacedInTurnDuringAnOutage(t *testing.T) {
+// The platform is down and every instance is replaced in turn. Each new entry starts without settings and must get the
+// newest revision from the others, finally from one that was itself replaced; its control process can't help, because the
+// table is its only source. When the platform is back, the next change follows the newest revision.
+func TestRollingReplacementDuringOutage(t *testing.T) {
 	site, ctx := startSite(t)
-	joined(t, ctx, site)
+	awaitMembership(t, ctx, site)
 	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", 1))
 	for _, n := range site.Entries {
-		reaches(t, ctx, n, 2, 1)
+		awaitRevision(t, ctx, n, 2, 1)
 	}
 	must.NoError(t, site.PlatformFault(ctx, standin.Fault{Kind: standin.FaultOutage}))
 	for i, n := range site.Entries {
-		replace(t, site, i)
+		replaceInstance(t, site, i)
 		start := time.Now()
-		reaches(t, ctx, n, 2)
+		awaitRevision(t, ctx, n, 2)
 		t.Logf("%s replaced, revision 2 in force after %v", n.Name, time.Since(start))
 	}
 	must.NoError(t, site.PlatformFault(ctx, standin.Fault{Kind: standin.FaultClear}))
 	must.NoError(t, site.Commit(ctx, site.Text()+"# third\n", 2))
 	for _, n := range append(site.Entries, site.Controls...) {
-		reaches(t, ctx, n, 3, 2)
+		awaitRevision(t, ctx, n, 3, 2)
 	}
 }
 
 // An instance is replaced while the table's replicas lag: its control process reads revision 1, though revision 2
-// was in force on every instance. The new entry must not serve by revision 1 first.
-func TestProcessReplacedWhileTheTableLags(t *testing.T) {
+// was in force on every instance. The new entry must not activate revision 1 first.
+func TestReplacementDuringReplicaLag(t *testing.T) {
 	const lag = 3 * time.Second
 	site, ctx := startSite(t)
-	joined(t, ctx, site)
+	awaitMembership(t, ctx, site)
 	time.Sleep(lag) // so that the table as it was lag ago holds revision 1
 	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", 1))
 	committed := time.Now()
 	for _, n := range site.Entries {
-		reaches(t, ctx, n, 2, 1)
+		awaitRevision(t, ctx, n, 2, 1)
 	}
 	behind := time.Since(committed) + lag
 	must.NoError(t, site.PlatformFault(ctx, standin.Fault{Kind: standin.FaultStaleReads, DelayMS: behind.Milliseconds()}))
 	seen, err := settingsync.Newest(ctx, site.Store)
 	must.NoError(t, err)
 	must.Eq(t, 1, seen)
-	replace(t, site, 0)
-	reaches(t, ctx, site.Entries[0], 2)
+	replaceInstance(t, site, 0)
+	awaitRevision(t, ctx, site.Entries[0], 2)
 	must.NoError(t, proc.Until(ctx, "log of entry-1", func(context.Context) error {
 		if !strings.Contains(site.Entries[0].Output(), "event=settings_in_force revision=2 ") {
 			return errors.New("revision 2 is not logged yet")
@@ -147,27 +147,27 @@
 	must.StrNotContains(t, site.Entries[0].Output(), "event=settings_in_force revision=1 ")
 }
 
-// sighting is a revision that an operator saw in force.
-type sighting struct {
+// sample is a revision in force as reported to an operator.
+type sample struct {
 	incarnation uint64 // of the instance
 	revision    uint64
 }
 
-// watch notes what an instance has in force until ctx ends.
-func watch(ctx context.Context, n *localsite.Node) []sighting {
-	var seen []sighting
+// sampleRevisions records the revisions that an instance has in force until ctx ends.
+func sampleRevisions(ctx context.Context, n *localsite.Node) []sample {
+	var seen []sample
 	for ctx.Err() == nil {
 		st, err := localsite.Operator(n).Status(ctx)
 		if err == nil && st.SettingsRevision > 0 {
-			seen = append(seen, sighting{st.Incarnation, st.SettingsRevision})
+			seen = append(seen, sample{st.Incarnation, st.SettingsRevision})
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return seen
 }
 
-// wentBack returns the first sighting of a revision under floor, or under an earlier one of the same incarnation.
-func wentBack(seen []sighting, floor uint64) (sighting, bool) {
+// findRevert returns the first sample with a revision below floor, or below an earlier one of the same incarnation.
+func findRevert(seen []sample, floor uint64) (sample, bool) {
 	highest := map[uint64]uint64{}
 	for _, s := range seen {
 		if s.revision < max(floor, highest[s.incarnation]) {
@@ -175,48 +175,48 @@
 		}
 		highest[s.incarnation] = s.revision
 	}
-	return sighting{}, false
+	return sample{}, false
 }
 
-func TestWentBackFindsReverts(t *testing.T) {
-	for _, seen := range [][]sighting{
+func TestFindRevert(t *testing.T) {
+	for _, seen := range [][]sample{
 		{{1, 5}, {1, 4}},
 		{{1, 5}, {1, 6}, {2, 2}},
 		{{1, 5}, {2, 7}, {1, 4}},
 	} {
-		_, found := wentBack(seen, 3)
+		_, found := findRevert(seen, 3)
 		must.True(t, found)
 	}
-	_, found := wentBack([]sighting{{1, 5}, {1, 6}, {2, 5}, {2, 6}}, 3)
+	_, found := findRevert([]sample{{1, 5}, {1, 6}, {2, 5}, {2, 6}}, 3)
 	must.False(t, found)
 }
 
-// Operators race against separate processes while answers are lost, an instance is killed and replaced, and the store
-// goes away. Every reply must fit one line of revisions and no accepted change may be missing. No instance may go
-// back, and none may ever be seen under the revision that was in force everywhere before; a replacement may start
-// behind changes of the last moment, which nobody but the dead one had when the store went. All end at the newest.
-func TestProcessesUnderRacingOperators(t *testing.T) {
+// Operators commit concurrently against separate processes while replies are lost, an instance is killed and replaced, and
+// the store fails. All results must fit one linear history and no accepted change may be missing. No instance may go back
+// to an earlier revision or below the one in force everywhere at the start. A replacement may start without the latest
+// changes, which only the killed instance had when the store failed. All instances must end at the newest revision.
+func TestConcurrentCommitsWithInstanceReplacement(t *testing.T) {
 	site, ctx := startSite(t)
-	joined(t, ctx, site)
+	awaitMembership(t, ctx, site)
 	const everywhere = 2
 	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", everywhere-1))
 	for _, n := range site.Entries {
-		reaches(t, ctx, n, everywhere, everywhere-1)
+		awaitRevision(t, ctx, n, everywhere, everywhere-1)
 	}
 	watching, stop := context.WithCancel(ctx)
 	defer stop()
 	var watchers, operators sync.WaitGroup
-	seen := make([][]sighting, len(site.Entries))
+	seen := make([][]sample, len(site.Entries))
 	for i, n := range site.Entries {
-		watchers.Go(func() { seen[i] = watch(watching, n) })
+		watchers.Go(func() { seen[i] = sampleRevisions(watching, n) })
 	}
 	r := &recorder{before: everywhere}
-	var enough atomic.Int64 // accepted changes after which the operators rest
+	var enough atomic.Int64 // accepted changes after which the operators stop
 	enough.Store(math.MaxInt64)
 	ops := make([]*operator, 4)
 	for i := range ops {
 		ops[i] = &operator{
-			id: i, think: 400 * time.Millisecond, patience: 3 * time.Second,
+			id: i, maxThinkTime: 400 * time.Millisecond, commitTimeout: 3 * time.Second,
 			table: platform.New(platform.Config{Addr: site.Platform.Addr}), rng: rand.New(rand.NewPCG(1, uint64(i))),
 		}
 		operators.Go(func() { ops[i].run(ctx, r, func() bool { return r.accepted.Load() < enough.Load() }) })
@@ -228,21 +228,21 @@
 		}
 		return nil
 	}))
-	replace(t, site, 0)
+	replaceInstance(t, site, 0)
 	must.NoError(t, site.PlatformFault(ctx, standin.Fault{Kind: standin.FaultOutage, DurationMS: 700}))
 	enough.Store(r.accepted.Load() + 10)
 	operators.Wait()
 	must.NoError(t, site.PlatformFault(ctx, standin.Fault{Kind: standin.FaultClear}))
-	time.Sleep(1500 * time.Millisecond) // the clients' breakers close
+	time.Sleep(1500 * time.Millisecond) // until the clients' circuit breakers close
 
-	newest := checkLine(t, platform.New(platform.Config{Addr: site.Platform.Addr}), r, ops, 20)
+	newest := checkHistory(t, platform.New(platform.Config{Addr: site.Platform.Addr}), r, ops, 20)
 	for _, n := range site.Entries {
 		must.NoError(t, proc.Until(ctx, n.Name, hasInForce(n, newest)))
 	}
 	stop()
 	watchers.Wait()
 	for i, n := range site.Entries {
-		s, found := wentBack(seen[i], everywhere)
+		s, found := findRevert(seen[i], everywhere)
 		must.False(t, found, must.Sprintf("%s went back to %+v: %+v", n.Name, s, seen[i]))
 	}
 }
--- a/lib/settingsync/stream.go
+++ b/lib/settingsync/stream.go
@@ -7,8 +7,8 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// Fetch asks a process for its settings over a stream of kind STREAM_SETTINGS. ctx bounds the whole exchange. A body of
-// revision 0 means that it has nothing over the offer.
+// Fetch requests the settings of a process over a stream of kind STREAM_SETTINGS. ctx bounds the whole exchange. A body
+// with revision 0 means that the process has nothing newer than the offer.
 func Fetch(ctx context.Context, node *mesh.Node, from mesh.Peer, offer *meshpb.SettingsOffer) (*meshpb.SettingsBody, error) {
 	st, err := node.Open(ctx, from, meshpb.StreamKind_STREAM_SETTINGS)
 	if err != nil {
@@ -25,11 +25,11 @@
 	return &body, st.Read(&body)
 }
 
-// ServeStream answers the offers that come over a mesh stream until it ends.
-func (s *Sync) ServeStream(st *mesh.Stream) error { return s.Serve(conversation{st}) }
+// ServeStream answers the offers received on a mesh stream until it ends.
+func (s *Sync) ServeStream(st *mesh.Stream) error { return s.Serve(meshOfferStream{st}) }
 
-// conversation gives a mesh stream the types of a Conversation.
-type conversation struct{ *mesh.Stream }
+// meshOfferStream adapts a mesh stream to OfferStream.
+type meshOfferStream struct{ *mesh.Stream }
 
-func (c conversation) Read(o *meshpb.SettingsOffer) error { return c.Stream.Read(o) }
-func (c conversation) Write(b *meshpb.SettingsBody) error { return c.Stream.Write(b) }
+func (c meshOfferStream) Read(o *meshpb.SettingsOffer) error { return c.Stream.Read(o) }
+func (c meshOfferStream) Write(b *meshpb.SettingsBody) error { return c.Stream.Write(b) }
--- a/lib/settingsync/swap.go
+++ b/lib/settingsync/swap.go
@@ -7,8 +7,8 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// swapLoop brings the highest revision seen into force. Parsing costs processor time in proportion to the tree, so
-// after each swap it rests in proportion to what the swap took; what arrives meanwhile is swapped in one step.
+// swapLoop activates the highest revision seen. Parsing takes CPU time in proportion to the size of the tree, so each swap
+// is followed by a delay in proportion to its duration; revisions that arrive meanwhile are activated in one swap.
 func (s *Sync) swapLoop(ctx context.Context) {
 	if !s.awaitSources(ctx) {
 		return
@@ -21,34 +21,34 @@
 		}
 		start := time.Now()
 		s.swap()
-		if !pause(ctx, s.rest(time.Since(start))) {
+		if !sleep(ctx, s.swapDelay(time.Since(start))) {
 			return
 		}
 	}
 }
 
-// rest is how long a swap that took d holds the next one back.
-func (s *Sync) rest(d time.Duration) time.Duration {
+// swapDelay returns how long to wait after a swap that took d, so that swaps use at most SwapShare of a core.
+func (s *Sync) swapDelay(d time.Duration) time.Duration {
 	return min(time.Duration(float64(d)/s.cfg.SwapShare), s.cfg.MaxSwapWait)
 }
 
-// swap parses and resolves the highest revision seen. One that this program can't read changes nothing but the
-// status: the last good one stays in force.
+// swap parses and resolves the highest revision seen and activates it. If this program can't parse it, the active settings
+// stay in force and only the status changes.
 func (s *Sync) swap() {
 	s.mu.Lock()
 	c := s.seen
 	s.mu.Unlock()
-	held, err := build(c)
+	active, err := build(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.refuse(c, err)
+		s.reject(c, err)
 		return
 	}
-	if s.held != nil && s.held.Snapshot.Revision >= c.revision {
+	if s.active != nil && s.active.Snapshot.Revision >= c.revision {
 		return
 	}
-	s.held = held
+	s.active = active
 	close(s.updated)
 	s.updated = make(chan struct{})
 	swapsTotal.Inc()
@@ -67,14 +67,14 @@
 	return &Active{Snapshot: snap, Tree: tree}, nil
 }
 
-func (s *Sync) refuse(c candidate, err error) {
+func (s *Sync) reject(c candidate, err error) {
 	refusedTotal.Inc()
 	inForce := uint64(0)
-	if s.held != nil {
-		inForce = s.held.Snapshot.Revision
+	if s.active != nil {
+		inForce = s.active.Snapshot.Revision
 	}
 	logRefused(c, inForce, err)
 	if s.seen.revision == c.revision {
-		s.refused = err.Error()
+		s.rejected = err.Error()
 	}
 }
--- a/lib/settingsync/sync.go
+++ b/lib/settingsync/sync.go
@@ -21,23 +21,23 @@
 	DefaultMaxSwapWait = 3 * time.Second
 )
 
-// Peers fetches settings from another instance. It returns a body of revision 0 when that one has nothing newer.
+// Peers fetches settings from other instances. The body has revision 0 if the instance has nothing newer.
 type Peers interface {
 	FetchSettings(ctx context.Context, instance string, offer *meshpb.SettingsOffer) (*meshpb.SettingsBody, error)
 }
 
-// Config says where a Sync learns from. Zero values take the defaults.
+// Config configures a Sync. Zero values take the defaults.
 type Config struct {
-	Table       Table         // nil: learn from peers and Learn alone
+	Table       Table         // nil: only peers and Receive are sources
 	Peers       Peers         // nil: none
-	Poll        time.Duration // least time between reads of the table; one read each, two more for each new revision
+	Poll        time.Duration // minimum interval between polls; a poll is one read, plus two for each new revision
 	PollTimeout time.Duration
-	PeerDelay   time.Duration // how long the table may take to bring what a peer has
+	PeerDelay   time.Duration // time that the table has to deliver a revision before it is fetched from a peer
 	PeerTimeout time.Duration
-	StartGrace  time.Duration // longest wait for table and peers before the first revision comes into force; needs Peers
-	TableGrace  time.Duration // longest wait for the table alone, once peers were heard
-	SwapShare   float64       // part of a core that parsing and swapping may take
-	MaxSwapWait time.Duration // longest time that SwapShare holds a revision back
+	StartGrace  time.Duration // maximum wait for table and peers before the first revision is activated; needs Peers
+	TableGrace  time.Duration // maximum wait for the table after the first contact with peers
+	SwapShare   float64       // share of one core that parsing and swapping may use
+	MaxSwapWait time.Duration // maximum delay of a revision due to SwapShare
 }
 
 func (c *Config) setDefaults() {
@@ -65,15 +65,15 @@
 	Tree     *settings.Tree
 }
 
-// Status is what operators are shown.
+// Status is the state shown to operators.
 type Status struct {
 	InForce  uint64 // 0: none yet
-	Seen     uint64 // highest revision known; over InForce while it is being swapped in, or when it was refused
-	Source   string // where Seen was learnt
-	Rejected string // why Seen is not in force, when this program can't read it
+	Seen     uint64 // highest revision known; above InForce while it is being activated, or when it was rejected
+	Source   string // where Seen was received from
+	Rejected string // why Seen could not be activated by this program; empty if it was not rejected
 }
 
-// candidate is a revision that was learnt.
+// candidate is a received revision that is not activated yet.
 type candidate struct {
 	revision uint64
 	text     []byte
@@ -81,35 +81,35 @@
 	source   string
 }
 
-// Sync holds the settings of one process. Its methods are safe for use by many goroutines.
+// Sync holds the settings of one process. It is safe for concurrent use.
 type Sync struct {
 	cfg Config
 
-	mu      sync.Mutex
-	seen    candidate
-	held    *Active
-	refused string
-	updated chan struct{} // closed at the next swap
-	learnt  chan struct{} // closed when what Newest returns changes
-	peers   peerView
-	fleet   int  // instances that read the table
-	heard   bool // the table, or the control process that reads it, gave an answer
+	mu           sync.Mutex
+	seen         candidate
+	active       *Active
+	rejected     string
+	updated      chan struct{} // closed at the next swap
+	seenChanged  chan struct{} // closed when the result of Newest changes
+	peers        peerRevisions
+	tableReaders int  // instances that read the table
+	tableRead    bool // the table was read, here or by the control process
 
-	wake chan struct{} // a candidate waits
+	wake chan struct{} // signals a new candidate
 }
 
-// New returns a Sync that holds nothing yet.
+// New returns a Sync without settings.
 func New(cfg Config) *Sync {
 	cfg.setDefaults()
 	return &Sync{
-		cfg:     cfg,
-		updated: make(chan struct{}),
-		learnt:  make(chan struct{}),
-		wake:    make(chan struct{}, 1),
+		cfg:         cfg,
+		updated:     make(chan struct{}),
+		seenChanged: make(chan struct{}),
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// Run learns and swaps until ctx ends.
+// Run receives and activates revisions until ctx ends.
 func (s *Sync) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	if s.cfg.Table != nil {
@@ -122,18 +122,18 @@
 	wg.Wait()
 }
 
-// SetInstances tells how many instances read the table, so that together they stay within their share of its reads.
+// SetInstances sets how many instances read the table, so that together they stay within their share of its reads.
 func (s *Sync) SetInstances(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet = n
+	s.tableReaders = n
 }
 
-// Current returns what is in force; nil before the first revision.
+// Current returns the active settings, or nil before the first revision.
 func (s *Sync) Current() *Active {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.active
 }
 
 // Updated returns a channel that is closed when the next revision comes into force.
@@ -143,44 +143,44 @@
 	return s.updated
 }
 
-// Status returns the state that operators are shown.
+// Status returns the state shown to operators.
 func (s *Sync) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := Status{Seen: s.seen.revision, Source: s.seen.source, Rejected: s.refused}
-	if s.held != nil {
-		st.InForce = s.held.Snapshot.Revision
+	st := Status{Seen: s.seen.revision, Source: s.seen.source, Rejected: s.rejected}
+	if s.active != nil {
+		st.InForce = s.active.Snapshot.Revision
 	}
 	return st
 }
 
-// Offer names the highest revision seen, for peers and heartbeats. It may be one that this program could not read:
-// peers of another version still want it.
+// Offer returns the highest revision seen, for peers and heartbeats. This program may be unable to parse it; peers of
+// another version can still use it.
 func (s *Sync) Offer() *meshpb.SettingsOffer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &meshpb.SettingsOffer{Revision: s.seen.revision}
 }
 
-// Newest returns the highest revision seen, to be passed on for the table's by a process that reads the table, and a
-// channel that is closed when it changes. The body has revision 0 until the table was heard: whoever is told takes it as
-// the table's word, and would in an outage stop waiting for the table.
+// Newest returns the highest revision seen, and a channel that is closed when it changes. It is for a process that reads
+// the table and forwards its revisions. The body has revision 0 until the table was read: receivers treat a body as read
+// from the table, and during an outage would stop waiting for the table.
 func (s *Sync) Newest() (*meshpb.SettingsBody, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.heard {
-		return &meshpb.SettingsBody{}, s.learnt
+	if !s.tableRead {
+		return &meshpb.SettingsBody{}, s.seenChanged
 	}
-	return &meshpb.SettingsBody{Revision: s.seen.revision, Yaml: s.seen.text}, s.learnt
+	return &meshpb.SettingsBody{Revision: s.seen.revision, Yaml: s.seen.text}, s.seenChanged
 }
 
-// announce wakes those that wait on Newest's channel. The caller holds mu.
-func (s *Sync) announce() {
-	close(s.learnt)
-	s.learnt = make(chan struct{})
+// notifySeenChanged wakes the waiters on Newest's channel. The caller holds mu.
+func (s *Sync) notifySeenChanged() {
+	close(s.seenChanged)
+	s.seenChanged = make(chan struct{})
 }
 
-// Answer returns the highest revision seen when it is over what the asker has, and a body of revision 0 otherwise.
+// Answer returns the highest revision seen if it is above the offered one, and a body of revision 0 otherwise.
 func (s *Sync) Answer(offer *meshpb.SettingsOffer) *meshpb.SettingsBody {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,27 +190,27 @@
 	return &meshpb.SettingsBody{Revision: s.seen.revision, Yaml: s.seen.text}
 }
 
-// Receive takes a revision from the control process, which has it from the table. It keeps the body's bytes. Revisions
-// not over the highest one seen are ignored; it reports whether this one was taken. Run brings it into force.
+// Receive takes a revision from the control process, which read it from the table. It retains the body's bytes. Revisions
+// not above the highest one seen are ignored. It reports whether the revision was accepted; Run activates it.
 func (s *Sync) Receive(body *meshpb.SettingsBody, source string) bool {
-	s.hearTable()
-	return s.learnBody(body, source)
+	s.markTableRead()
+	return s.observeBody(body, source)
 }
 
-func (s *Sync) hearTable() {
+func (s *Sync) markTableRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.heard {
-		s.heard = true
-		s.announce()
+	if !s.tableRead {
+		s.tableRead = true
+		s.notifySeenChanged()
 	}
 }
 
-func (s *Sync) learnBody(body *meshpb.SettingsBody, source string) bool {
+func (s *Sync) observeBody(body *meshpb.SettingsBody, source string) bool {
 	if body.GetRevision() == 0 || len(body.GetYaml()) > settings.MaxFile {
 		return false
 	}
-	return s.learn(candidate{
+	return s.observe(candidate{
 		revision: body.GetRevision(),
 		text:     body.GetYaml(),
 		digest:   Digest(body.GetYaml()),
@@ -218,9 +218,9 @@
 	})
 }
 
-// learn is the one place where the highest revision moves, and it moves up only. A table replica that lags, a peer
-// that was cut off or a late answer all bring lower revisions: taken, they would undo an accepted change.
-func (s *Sync) learn(c candidate) bool {
+// observe is the only place that sets the highest revision seen, which never decreases. A lagging table replica, a peer
+// that was partitioned or a late reply can all deliver lower revisions; accepting one would undo an accepted change.
+func (s *Sync) observe(c candidate) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -228,25 +228,25 @@
 		staleTotal.Inc()
 		return false
 	case c.revision == s.seen.revision:
-		s.compare(c)
+		s.checkDigest(c)
 		return false
 	}
 	s.seen = c
-	s.refused = ""
-	s.peers.behind = time.Time{}
-	s.announce()
+	s.rejected = ""
+	s.peers.aheadSince = time.Time{}
+	s.notifySeenChanged()
 	signal(s.wake)
 	return true
 }
 
-// compare asserts that a revision has one text only. A breach is a defect of this program or of the table, and
-// taking the second text would make instances differ under one number.
-func (s *Sync) compare(c candidate) {
+// checkDigest checks that a revision has only one text. A violation is a defect of this program or of the table;
+// accepting the second text would let instances differ under one revision number.
+func (s *Sync) checkDigest(c candidate) {
 	if c.digest == s.seen.digest {
 		return
 	}
 	splitTotal.Inc()
-	logSplit(s.seen, c)
+	logDigestMismatch(s.seen, c)
 }
 
 func signal(ch chan struct{}) {
--- a/lib/settingsync/sync_test.go
+++ b/lib/settingsync/sync_test.go
@@ -31,9 +31,9 @@
 	})
 }
 
-// The table's replicas lag: after revision 2 came into force, reads show revision 1 for a while. An instance that
+// The table's replicas lag: after revision 2 came into force, reads return revision 1 for a while. An instance that
 // followed them would undo an accepted change.
-func TestStaleReadNeverReverts(t *testing.T) {
+func TestStaleReadDoesNotRevert(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, table := newTable(standin.Config{})
 		f := newFleet()
@@ -54,8 +54,8 @@
 	})
 }
 
-// A peer was cut off and comes back with revision 1; late answers bring it too. Neither may win over revision 2.
-func TestLowerRevisionFromAPeerIsIgnored(t *testing.T) {
+// A peer that was partitioned comes back with revision 1, which late replies also carry. Revision 2 must stay in force.
+func TestOlderPeerRevisionIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		defer f.stopAll()
@@ -67,10 +67,10 @@
 	})
 }
 
-// The store is down, and every instance is replaced in turn, as in a rolling restart. Each new one starts with
-// nothing and must get the newest revision from peers that got it from peers; in the end nobody is left who ever
-// read it from the table.
-func TestAllRestartedInTurnDuringAnOutage(t *testing.T) {
+// The store is down and every instance is replaced in turn, as in a rolling restart. Each new one starts without settings
+// and must get the newest revision from peers, which got it from peers; in the end no instance is left that read it from
+// the table.
+func TestRollingRestartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, table := newTable(standin.Config{})
 		f := newFleet()
@@ -92,7 +92,7 @@
 			must.Eq(t, 2, inForce(s), must.Sprint(name))
 		}
 		srv.SetFault(standin.Fault{Kind: standin.FaultClear})
-		time.Sleep(2 * time.Second) // the client's breaker closes
+		time.Sleep(2 * time.Second) // until the client's circuit breaker closes
 		commit(t, table, 2, tree(3))
 		time.Sleep(5 * time.Second)
 		for name, s := range f.syncs {
@@ -101,9 +101,9 @@
 	})
 }
 
-// An instance is replaced while the table's replicas lag: the first thing that it reads is revision 1, though its
-// peers hold 2. It must not serve by revision 1 for a while.
-func TestReplacedInstanceWaitsForPeersBeforeAStaleTable(t *testing.T) {
+// An instance is replaced while the table's replicas lag: its first read returns revision 1, though its peers have 2. It
+// must not activate revision 1.
+func TestReplacementWaitsForPeersWhenTableIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		srv, table := newTable(standin.Config{})
 		f := newFleet()
@@ -122,10 +122,10 @@
 	})
 }
 
-// An instance had revision 2 in force a moment before its peers, and is replaced. The new one hears of revision 1 from
-// its peers at once, and of revision 2 from its control process a little later. It must not serve by revision 1 in
-// between: there, an accepted change would come and go.
-func TestReplacedInstanceWaitsForItsControlProcess(t *testing.T) {
+// An instance that had revision 2 in force slightly before its peers is replaced. The new one receives revision 1 from its
+// peers at once and revision 2 from its control process a little later. It must not activate revision 1 in between, or an
+// accepted change would disappear for a while.
+func TestReplacementWaitsForControlProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		defer f.stopAll()
@@ -142,8 +142,8 @@
 	})
 }
 
-// Half of the instances lose the store, not each other. A change is committed; they get it from the others.
-func TestCutOffFromTheStoreLearnsFromPeers(t *testing.T) {
+// Some instances lose the store but not their peers. They must get committed changes from the peers.
+func TestInstanceWithoutStoreFetchesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, table := newTable(standin.Config{})
 		downSrv, down := newTable(standin.Config{})
@@ -162,9 +162,9 @@
 	})
 }
 
-// A newer anvilwick-ctl commits a key that this program does not know. The instance keeps the last good revision and
-// says so, still hands the new one to peers, and takes the next that it can read.
-func TestUnreadableRevisionKeepsTheLastGood(t *testing.T) {
+// A newer anvilwick-ctl commits a key that this program does not know. The instance keeps the last valid revision and
+// reports the rejection, still offers the new one to peers, and activates the next one that it can parse.
+func TestUnreadableRevisionKeepsActiveSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		defer f.stopAll()
@@ -186,8 +186,8 @@
 	})
 }
 
-// Two texts under one number would make instances differ for good. The second is refused and counted.
-func TestSecondTextOfARevisionIsRefused(t *testing.T) {
+// Two texts under one revision number would make instances diverge. The second must be ignored and counted.
+func TestConflictingTextForRevisionIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
 		defer f.stopAll()
@@ -202,10 +202,10 @@
 	})
 }
 
-func TestRestFollowsTheCostOfASwap(t *testing.T) {
+func TestSwapDelayIsProportionalToSwapTime(t *testing.T) {
 	s := New(Config{})
-	must.Eq(t, 200*time.Millisecond, s.rest(time.Millisecond))
-	must.Eq(t, DefaultMaxSwapWait, s.rest(time.Second))
+	must.Eq(t, 200*time.Millisecond, s.swapDelay(time.Millisecond))
+	must.Eq(t, DefaultMaxSwapWait, s.swapDelay(time.Second))
 }
 
 func TestPollInterval(t *testing.T) {
