--- a/lib/settings/check.go
+++ b/lib/settings/check.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// check refuses what only the whole tree can show: missing parents, cycles, names used twice.
+// check reports problems that need the whole tree: missing parents, cycles, names used twice.
 func (p *parser) check(t *Tree) {
 	p.checkSite(&t.site)
 	for _, name := range sortedKeys(t.workspaces) {
@@ -21,16 +21,16 @@
 		p.checkOverrides(t, svc)
 		p.checkKind(svc)
 		p.checkTargets(t, svc, addrs)
-		p.checkNames(svc, models, routes)
+		p.checkNameConflicts(svc, models, routes)
 	}
 }
 
-// fieldIndex returns the place of key in its table.
+// fieldIndex returns the index of key in fields.
 func fieldIndex[T any](fields []field[T], key string) int {
 	return slices.IndexFunc(fields, func(f field[T]) bool { return f.key == key })
 }
 
-// lineOf returns the line that gives key, or the node's own line.
+// lineOf returns the line on which the node sets key, or the node's own line.
 func lineOf[T any](n *node[T], fields []field[T], key string) int {
 	if i := fieldIndex(fields, key); n.has(i) {
 		return int(n.lines[i])
@@ -47,7 +47,7 @@
 	}
 }
 
-func listed(names []string) string {
+func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "none is declared"
 	}
@@ -67,25 +67,25 @@
 	}
 	for _, c := range ws.vals.Classes {
 		if t.classes[c] == nil {
-			p.add(line("classes"), ws.path+".classes", quote(c), "a class of the site: "+listed(sortedKeys(t.classes)))
+			p.add(line("classes"), ws.path+".classes", quote(c), "a class of the site: "+joinNames(sortedKeys(t.classes)))
 		}
 	}
 	for _, s := range ws.vals.Services {
 		if t.services[s] == nil {
-			p.add(line("services"), ws.path+".services", quote(s), "a service: "+listed(sortedKeys(t.services)))
+			p.add(line("services"), ws.path+".services", quote(s), "a service: "+joinNames(sortedKeys(t.services)))
 		}
 	}
 	p.checkParents(t, ws)
 }
 
-// checkParents follows parents up to the top; a cycle would never end.
+// checkParents follows the chain of parents and reports a missing workspace or a cycle.
 func (p *parser) checkParents(t *Tree, ws *node[Workspace]) {
 	line := lineOf(ws, workspaceFields, "parent")
 	path := []string{ws.vals.Name}
 	for name := ws.vals.Parent; name != ""; name = t.workspaces[name].vals.Parent {
 		if t.workspaces[name] == nil {
 			if len(path) == 1 {
-				p.add(line, ws.path+".parent", quote(name), "a workspace: "+listed(sortedKeys(t.workspaces)))
+				p.add(line, ws.path+".parent", quote(name), "a workspace: "+joinNames(sortedKeys(t.workspaces)))
 			}
 			return
 		}
@@ -97,14 +97,14 @@
 	}
 }
 
-// checkKeys refuses a key hash that stands twice: a token must name one workspace.
+// checkKeys reports a key hash that is used twice: a token must identify one workspace.
 func (p *parser) checkKeys(t *Tree) {
 	owner := map[[32]byte]string{}
 	for _, name := range sortedKeys(t.workspaces) {
 		ws := t.workspaces[name]
 		for _, h := range ws.vals.KeyHashes {
 			if first, dup := owner[h]; dup {
-				p.add(lineOf(ws, workspaceFields, "keys"), ws.path+".keys", "a key that stands twice", "each key once (also at workspaces."+first+")")
+				p.add(lineOf(ws, workspaceFields, "keys"), ws.path+".keys", "a duplicate key", "each key once (also at workspaces."+first+")")
 			}
 			owner[h] = name
 		}
@@ -116,7 +116,7 @@
 	for _, name := range sortedKeys(svc.workspaces) {
 		o := svc.workspaces[name]
 		if t.workspaces[name] == nil {
-			p.add(o.policy.line, svc.path+".workspaces."+name, "a workspace without its parent entry", "a workspace: "+listed(sortedKeys(t.workspaces)))
+			p.add(o.policy.line, svc.path+".workspaces."+name, "a workspace without its parent entry", "a workspace: "+joinNames(sortedKeys(t.workspaces)))
 		}
 		p.checkClasses(t, o.classes)
 	}
@@ -126,7 +126,7 @@
 	for _, name := range sortedKeys(classes) {
 		if t.classes[name] == nil {
 			n := classes[name]
-			p.add(n.line, n.path, "a class without its parent entry", "a class of the site: "+listed(sortedKeys(t.classes)))
+			p.add(n.line, n.path, "a class without its parent entry", "a class of the site: "+joinNames(sortedKeys(t.classes)))
 		}
 	}
 }
@@ -146,7 +146,7 @@
 			p.add(line("models"), svc.path+".models", "models", "no models, for kind plain")
 		}
 		if svc.vals.Idempotent {
-			p.add(line("idempotent"), svc.path+".idempotent", "true", "no value, for kind plain: each route says it")
+			p.add(line("idempotent"), svc.path+".idempotent", "true", "no value, for kind plain: it is set for each route")
 		}
 		if len(svc.routes) == 0 {
 			p.add(svc.line, svc.path+".routes", "", "at least one route, for kind plain")
@@ -158,7 +158,7 @@
 	domains := t.site.vals.FailureDomains
 	for _, tg := range svc.targets {
 		if !slices.Contains(domains, tg.vals.FailureDomain) {
-			p.add(lineOf(&tg.node, targetFields, "failure_domain"), tg.path+".failure_domain", quote(tg.vals.FailureDomain), "a failure domain of the site: "+listed(domains))
+			p.add(lineOf(&tg.node, targetFields, "failure_domain"), tg.path+".failure_domain", quote(tg.vals.FailureDomain), "a failure domain of the site: "+joinNames(domains))
 		}
 		for _, id := range []string{"addr " + tg.vals.Addr, "name " + tg.name} {
 			if first, dup := addrs[id]; dup {
@@ -170,8 +170,8 @@
 	}
 }
 
-// checkNames refuses a model name or a route prefix that two services claim.
-func (p *parser) checkNames(svc *serviceNode, models, routes map[string]string) {
+// checkNameConflicts reports a model name or a route prefix that is used by two services.
+func (p *parser) checkNameConflicts(svc *serviceNode, models, routes map[string]string) {
 	for _, m := range svc.vals.Models {
 		if first, dup := models[m]; dup {
 			p.add(lineOf(&svc.node, serviceFields, "models"), svc.path+".models", quote(m), "each model name once (also at "+first+")")
@@ -189,7 +189,7 @@
 	}
 }
 
-// methodsOf returns the methods of a route; "any" stands for an empty list.
+// methodsOf returns the methods of a route, with "any" in place of an empty list.
 func methodsOf(r *Route) []string {
 	if len(r.Methods) == 0 {
 		return []string{"any"}
--- a/lib/settings/fuzz_test.go
+++ b/lib/settings/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzParse holds that any input is either refused with a place and an expectation, or resolves whole.
+// FuzzParse checks that any input is either rejected with a problem and an expected value, or can be resolved.
 func FuzzParse(f *testing.F) {
 	for _, file := range []string{kelburnFile, "../../examples/kivu/settings.yaml"} {
 		text, err := os.ReadFile(file)
@@ -19,7 +19,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		tree, err := Parse(text, "f")
 		if err != nil {
-			checkRefusal(t, err)
+			checkValidationError(t, err)
 			return
 		}
 		snap, err := tree.Resolve(1)
@@ -33,7 +33,7 @@
 	})
 }
 
-func checkRefusal(t *testing.T, err error) {
+func checkValidationError(t *testing.T, err error) {
 	t.Helper()
 	var r *ValidationError
 	must.True(t, errors.As(err, &r))
--- a/lib/settings/inherit_test.go
+++ b/lib/settings/inherit_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawPolicy draws a few policy values in flow style.
+// drawPolicy generates a few policy values in YAML flow style.
 func drawPolicy(t *rapid.T, label string) string {
 	var parts []string
 	for _, key := range []string{"priority", "queue_bound", "max_tokens", "concurrency"} {
@@ -20,7 +20,7 @@
 	return "{" + strings.Join(parts, ", ") + "}"
 }
 
-// drawTree draws a tree of two services, three workspaces in a line of parents, and two classes.
+// drawTree generates a tree of two services, three workspaces that may form a chain of parents, and two classes.
 func drawTree(t *rapid.T) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "site: {name: s, failure_domains: [a]}\npolicy: %s\n", drawPolicy(t, "site"))
@@ -46,8 +46,8 @@
 	return b.String()
 }
 
-// What explain tells operators must be what requests get: both walk the tree, in different ways.
-func TestExplainAgreesWithResolve(t *testing.T) {
+// Explain must show operators the values that requests get; Explain and Resolve walk the tree in different ways.
+func TestExplainMatchesResolve(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree, err := Parse([]byte(drawTree(t)), "drawn")
 		must.NoError(t, err)
@@ -60,7 +60,7 @@
 			policy := snap.Policy(service, workspace, class)
 			for j, f := range policyFields {
 				v := values[len(values)-len(policyFields)+j]
-				must.Eq(t, f.show(policy), v.Value, must.Sprint(service, workspace, class, v))
+				must.Eq(t, f.format(policy), v.Value, must.Sprint(service, workspace, class, v))
 			}
 		}
 	})
--- a/lib/settings/parse.go
+++ b/lib/settings/parse.go
@@ -11,13 +11,13 @@
 	"gopkg.in/yaml.v3"
 )
 
-// MaxFile bounds a settings file, in bytes.
+// MaxFile is the maximum size of a settings file, in bytes.
 const MaxFile = 2 << 20
 
-// maxShown bounds how much of a refused value a problem shows, in bytes.
+// maxShown bounds how many bytes of an invalid value are shown in a problem.
 const maxShown = 64
 
-// Top-level keys, and keys of nodes that hold other nodes.
+// Top-level keys, and keys of nodes that contain other nodes.
 const (
 	keySite       = "site"
 	keyPolicy     = "policy"
@@ -30,15 +30,15 @@
 
 var yamlLine = regexp.MustCompile(`^yaml: (?:line (\d+): )?(.*)`)
 
-// Parse reads and checks a settings file. It refuses the file whole, with a *Refusal that lists file, line, key and
-// what was expected. The file name is used in messages only.
+// Parse parses and validates a settings file. A file with any problem is rejected as a whole, with a *ValidationError that
+// lists file, line, key and expected value. The file name is used in messages only.
 func Parse(text []byte, file string) (*Tree, error) {
 	p := &parser{collector: collector{file: file}}
-	root := p.document(text)
+	root := p.parseDocument(text)
 	if root == nil {
 		return nil, p.err()
 	}
-	t := p.tree(root)
+	t := p.parseTree(root)
 	t.File = file
 	t.source = text
 	if p.err() == nil {
@@ -52,8 +52,8 @@
 
 type parser struct{ collector }
 
-// document decodes one YAML document; nil means that a problem was recorded.
-func (p *parser) document(text []byte) *yaml.Node {
+// parseDocument decodes one YAML document. It returns nil after adding a problem.
+func (p *parser) parseDocument(text []byte) *yaml.Node {
 	if len(text) > MaxFile {
 		p.add(0, "", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("%d bytes at most", MaxFile))
 		return nil
@@ -61,7 +61,7 @@
 	dec := yaml.NewDecoder(bytes.NewReader(text))
 	var doc, next yaml.Node
 	if err := dec.Decode(&doc); err != nil {
-		p.syntax(err)
+		p.addSyntaxError(err)
 		return nil
 	}
 	if err := dec.Decode(&next); err != io.EOF {
@@ -71,21 +71,21 @@
 	return doc.Content[0]
 }
 
-func (p *parser) syntax(err error) {
+func (p *parser) addSyntaxError(err error) {
 	if err == io.EOF {
 		p.add(1, "", "an empty file", "a settings tree that starts with site:")
 		return
 	}
-	line, what := 0, err.Error()
-	if m := yamlLine.FindStringSubmatch(what); m != nil {
+	line, msg := 0, err.Error()
+	if m := yamlLine.FindStringSubmatch(msg); m != nil {
 		line, _ = strconv.Atoi(m[1])
-		what = m[2]
+		msg = m[2]
 	}
-	p.add(line, "", "YAML that can't be read ("+what+")", "a YAML mapping")
+	p.add(line, "", "YAML that can't be read ("+msg+")", "a YAML mapping")
 }
 
-// children calls each for every key of a mapping, after it has refused duplicates, aliases and merges.
-func (p *parser) children(n *yaml.Node, path string, each func(key string, k, v *yaml.Node)) {
+// eachKey calls each for every key of a mapping. Duplicates, aliases and merges are reported as problems and skipped.
+func (p *parser) eachKey(n *yaml.Node, path string, each func(key string, k, v *yaml.Node)) {
 	if n.Kind != yaml.MappingNode {
 		p.add(n.Line, path, describe(n), "a mapping of keys to values")
 		return
@@ -106,60 +106,60 @@
 	}
 }
 
-// named calls each for every child of a mapping from names to nodes.
-func (p *parser) named(n *yaml.Node, path string, each func(name, path string, k, v *yaml.Node)) {
-	p.children(n, path, func(name string, k, v *yaml.Node) {
+// eachNamed calls each for every child of a mapping from names to nodes.
+func (p *parser) eachNamed(n *yaml.Node, path string, each func(name, path string, k, v *yaml.Node)) {
+	p.eachKey(n, path, func(name string, k, v *yaml.Node) {
 		if !namePattern.MatchString(name) {
-			p.add(k.Line, path, quote(name), kindName.want)
+			p.add(k.Line, path, quote(name), kindName.expected)
 			return
 		}
 		each(name, join(path, name), k, v)
 	})
 }
 
-// fill reads a mapping into dst by its field table. Keys in other are read by their function.
-func fill[T any](p *parser, dst *node[T], fields []field[T], n *yaml.Node, path string, line int, other map[string]func(v *yaml.Node, path string)) {
+// parseNode parses a mapping into dst by its field table. Keys in children are parsed by their own function.
+func parseNode[T any](p *parser, dst *node[T], fields []field[T], n *yaml.Node, path string, line int, children map[string]func(v *yaml.Node, path string)) {
 	dst.path, dst.line = path, line
-	p.children(n, path, func(key string, k, v *yaml.Node) {
+	p.eachKey(n, path, func(key string, k, v *yaml.Node) {
 		sub := join(path, key)
-		if read := other[key]; read != nil {
+		if read := children[key]; read != nil {
 			read(v, sub)
 			return
 		}
 		for i := range fields {
 			if fields[i].key == key {
-				readField(p, dst, fields, i, v, sub)
+				parseField(p, dst, fields, i, v, sub)
 				return
 			}
 		}
-		p.add(k.Line, sub, "an unknown key", "one of "+keysOf(fields, other))
+		p.add(k.Line, sub, "an unknown key", "one of "+keysOf(fields, children))
 	})
 	for i, f := range fields {
-		if f.must && !dst.has(i) {
-			p.add(line, join(path, f.key), "", f.want+", it has no default")
+		if f.required && !dst.has(i) {
+			p.add(line, join(path, f.key), "", f.expected+", it has no default")
 		}
 	}
 }
 
-func readField[T any](p *parser, dst *node[T], fields []field[T], i int, v *yaml.Node, path string) {
+func parseField[T any](p *parser, dst *node[T], fields []field[T], i int, v *yaml.Node, path string) {
 	f := fields[i]
 	dst.set(i, len(fields), v.Line)
-	if f.read(&dst.vals, v) == nil {
+	if f.parse(&dst.vals, v) == nil {
 		return
 	}
 	got := describe(v)
 	if f.secret {
 		got = ""
 	}
-	p.add(v.Line, path, got, f.want)
+	p.add(v.Line, path, got, f.expected)
 }
 
-func keysOf[T any](fields []field[T], other map[string]func(*yaml.Node, string)) string {
-	keys := make([]string, 0, len(fields)+len(other))
+func keysOf[T any](fields []field[T], children map[string]func(*yaml.Node, string)) string {
+	keys := make([]string, 0, len(fields)+len(children))
 	for _, f := range fields {
 		keys = append(keys, f.key)
 	}
-	return strings.Join(append(keys, sortedKeys(other)...), ", ")
+	return strings.Join(append(keys, sortedKeys(children)...), ", ")
 }
 
 func join(path, key string) string {
@@ -176,7 +176,7 @@
 	return strconv.Quote(s)
 }
 
-// describe words a refused value.
+// describe describes an invalid value for a problem.
 func describe(n *yaml.Node) string {
 	switch n.Kind {
 	case yaml.MappingNode:
--- a/lib/settings/parsetree.go
+++ b/lib/settings/parsetree.go
@@ -10,27 +10,27 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-type readers = map[string]func(v *yaml.Node, path string)
+type nodeParsers = map[string]func(v *yaml.Node, path string)
 
-// tree reads the top level of the file.
-func (p *parser) tree(root *yaml.Node) *Tree {
+// parseTree parses the top level of the file.
+func (p *parser) parseTree(root *yaml.Node) *Tree {
 	t := &Tree{
 		classes:    map[string]*node[Policy]{},
 		workspaces: map[string]*node[Workspace]{},
 		services:   map[string]*serviceNode{},
 	}
 	siteSeen := false
-	top := readers{
+	top := nodeParsers{
 		keySite: func(v *yaml.Node, path string) {
 			siteSeen = true
-			fill(p, &t.site, siteFields, v, path, v.Line, nil)
+			parseNode(p, &t.site, siteFields, v, path, v.Line, nil)
 		},
 		keyPolicy:     func(v *yaml.Node, path string) { p.policy(&t.policy, v, path) },
 		keyClasses:    func(v *yaml.Node, path string) { p.classes(t.classes, v, path) },
 		keyWorkspaces: func(v *yaml.Node, path string) { p.workspaces(t, v, path) },
 		keyServices:   func(v *yaml.Node, path string) { p.services(t, v, path) },
 	}
-	fill(p, &node[struct{}]{}, nil, root, "", root.Line, top)
+	parseNode(p, &node[struct{}]{}, nil, root, "", root.Line, top)
 	if !siteSeen {
 		p.add(root.Line, keySite, "", "a mapping with the site's name and failure domains")
 	}
@@ -38,11 +38,11 @@
 }
 
 func (p *parser) policy(dst *node[Policy], v *yaml.Node, path string) {
-	fill(p, dst, policyFields, v, path, v.Line, nil)
+	parseNode(p, dst, policyFields, v, path, v.Line, nil)
 }
 
 func (p *parser) classes(dst map[string]*node[Policy], v *yaml.Node, path string) {
-	p.named(v, path, func(name, path string, _, v *yaml.Node) {
+	p.eachNamed(v, path, func(name, path string, _, v *yaml.Node) {
 		n := &node[Policy]{}
 		p.policy(n, v, path)
 		dst[name] = n
@@ -50,16 +50,16 @@
 }
 
 func (p *parser) workspaces(t *Tree, v *yaml.Node, path string) {
-	p.named(v, path, func(name, path string, k, v *yaml.Node) {
+	p.eachNamed(v, path, func(name, path string, k, v *yaml.Node) {
 		n := &node[Workspace]{}
-		fill(p, n, workspaceFields, v, path, k.Line, nil)
+		parseNode(p, n, workspaceFields, v, path, k.Line, nil)
 		n.vals.Name = name
 		t.workspaces[name] = n
 	})
 }
 
 func (p *parser) services(t *Tree, v *yaml.Node, path string) {
-	p.named(v, path, func(name, path string, k, v *yaml.Node) {
+	p.eachNamed(v, path, func(name, path string, k, v *yaml.Node) {
 		t.services[name] = p.service(name, k, v, path)
 	})
 }
@@ -69,7 +69,7 @@
 		classes:    map[string]*node[Policy]{},
 		workspaces: map[string]*overrideNode{},
 	}
-	fill(p, &svc.node, serviceFields, v, path, k.Line, readers{
+	parseNode(p, &svc.node, serviceFields, v, path, k.Line, nodeParsers{
 		keyTargets:    func(v *yaml.Node, path string) { p.targets(svc, v, path) },
 		keyRoutes:     func(v *yaml.Node, path string) { p.routes(svc, v, path) },
 		keyPolicy:     func(v *yaml.Node, path string) { p.policy(&svc.policy, v, path) },
@@ -81,9 +81,9 @@
 }
 
 func (p *parser) targets(svc *serviceNode, v *yaml.Node, path string) {
-	p.named(v, path, func(name, path string, k, v *yaml.Node) {
+	p.eachNamed(v, path, func(name, path string, k, v *yaml.Node) {
 		n := &targetNode{name: name}
-		fill(p, &n.node, targetFields, v, path, k.Line, nil)
+		parseNode(p, &n.node, targetFields, v, path, k.Line, nil)
 		n.vals.Name = name
 		svc.targets = append(svc.targets, n)
 	})
@@ -96,16 +96,16 @@
 	}
 	for i, item := range v.Content {
 		n := &node[Route]{}
-		fill(p, n, routeFields, item, fmt.Sprintf("%s[%d]", path, i), item.Line, nil)
+		parseNode(p, n, routeFields, item, fmt.Sprintf("%s[%d]", path, i), item.Line, nil)
 		svc.routes = append(svc.routes, n)
 	}
 }
 
 func (p *parser) overrides(svc *serviceNode, v *yaml.Node, path string) {
-	p.named(v, path, func(name, path string, k, v *yaml.Node) {
+	p.eachNamed(v, path, func(name, path string, k, v *yaml.Node) {
 		o := &overrideNode{classes: map[string]*node[Policy]{}}
 		o.policy.path, o.policy.line = path, k.Line
-		fill(p, &node[struct{}]{}, nil, v, path, k.Line, readers{
+		parseNode(p, &node[struct{}]{}, nil, v, path, k.Line, nodeParsers{
 			keyPolicy:  func(v *yaml.Node, path string) { p.policy(&o.policy, v, path) },
 			keyClasses: func(v *yaml.Node, path string) { p.classes(o.classes, v, path) },
 		})
--- a/lib/settings/problem.go
+++ b/lib/settings/problem.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// maxProblems bounds what one refusal lists, so that a file of another format doesn't fill a log.
+// maxProblems bounds how many problems a ValidationError lists, so that a file of another format doesn't flood the log.
 const maxProblems = 20
 
-// Problem is one fault of a settings file, with its place and what was expected there.
+// Problem is one problem in a settings file, with its location and the expected value.
 type Problem struct {
 	File     string
-	Line     int    // from 1; 0 when the file as a whole is at fault
+	Line     int    // from 1; 0 for a problem of the file as a whole
 	Key      string // path of the key, such as services.planner-llm.policy.max_wait
-	Got      string // what stands there; empty when it is missing, or when it must not be shown
+	Got      string // the value found; empty if it is missing or must not be shown
 	Expected string
 }
 
@@ -35,31 +35,31 @@
 	return b.String()
 }
 
-// ValidationError lists why a settings file was refused. Nothing of a refused file is used.
+// ValidationError lists why a settings file was rejected. Nothing of a rejected file is used.
 type ValidationError struct {
 	Problems []Problem
-	More     int // problems left out of the list
+	Omitted  int // problems left out of the list
 }
 
-// Error returns the first problem, and how many follow, on one line.
+// Error returns the first problem and the number of further ones on one line.
 func (r *ValidationError) Error() string {
-	rest := len(r.Problems) + r.More - 1
+	rest := len(r.Problems) + r.Omitted - 1
 	if rest == 0 {
 		return r.Problems[0].String()
 	}
 	return fmt.Sprintf("%s (and %d more)", r.Problems[0], rest)
 }
 
-// collector gathers problems while a file is read.
+// collector collects problems while a file is parsed.
 type collector struct {
 	file     string
 	problems []Problem
-	more     int
+	omitted  int
 }
 
 func (c *collector) add(line int, key, got, expected string) {
 	if len(c.problems) == maxProblems {
-		c.more++
+		c.omitted++
 		return
 	}
 	c.problems = append(c.problems, Problem{File: c.file, Line: line, Key: key, Got: got, Expected: expected})
@@ -69,5 +69,5 @@
 	if len(c.problems) == 0 {
 		return nil
 	}
-	return &ValidationError{Problems: c.problems, More: c.more}
+	return &ValidationError{Problems: c.problems, Omitted: c.omitted}
 }
--- a/lib/settings/settings_test.go
+++ b/lib/settings/settings_test.go
@@ -61,7 +61,7 @@
 	must.Eq(t, 400, plain.RatePerSecond)
 }
 
-func TestPolicyOfUnknownNames(t *testing.T) {
+func TestPolicyFallbackForUnknownNames(t *testing.T) {
 	snap, err := parseExample(t, kelburnFile).Resolve(1)
 	must.NoError(t, err)
 	must.Eq(t, 4, snap.Policy("planner-llm", "glasgow-planning", "gone").Weight)
@@ -101,7 +101,7 @@
 	must.Nil(t, svc)
 }
 
-// base is a small tree that each case of TestRefused breaks in one place.
+// base is a small tree in which each case of TestInvalidSettings breaks one place.
 const base = `site:
   name: s
   failure_domains: [a, b]
@@ -119,7 +119,7 @@
       e1: {addr: "10.0.0.1:80", failure_domain: a}
 `
 
-func TestRefused(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	_, err := Parse([]byte(base), "f")
 	must.NoError(t, err)
 	for _, tc := range []struct{ name, old, new, want string }{
@@ -173,9 +173,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// An operator pastes a key instead of its hash. The refusal names the place; it must not repeat the key, because it
-// goes to terminals, shell histories and logs.
-func TestKeyInClearIsRefusedAndNotShown(t *testing.T) {
+// An operator pastes a key instead of its hash. The error must name the location but not repeat the key, because it is
+// printed to terminals, shell histories and logs.
+func TestPlaintextKeyIsRejectedAndNotShown(t *testing.T) {
 	text := strings.Replace(base, "sha256:0000000000000000000000000000000000000000000000000000000000000001", "hunter2-in-clear", 1)
 	_, err := Parse([]byte(text), "f")
 	must.Error(t, err)
--- a/lib/settings/snapshot.go
+++ b/lib/settings/snapshot.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Snapshot is one revision, resolved. It is immutable; programs swap it whole.
+// Snapshot is one resolved revision. It is immutable; programs replace it as a whole.
 type Snapshot struct {
 	Revision   uint64
 	Site       Site
@@ -20,8 +20,8 @@
 	models   map[string]*Service
 }
 
-// policyKey names a resolved policy. An empty workspace stands for every workspace that overrides nothing, an empty
-// class for values without a class, an empty service for the site's own.
+// policyKey identifies a resolved policy. An empty workspace stands for every workspace without overrides, an empty class
+// for the values without a class, an empty service for the site's own values.
 type policyKey struct{ service, workspace, class string }
 
 type keyOwner struct {
@@ -41,7 +41,7 @@
 	defaultPolicy  = defaults(policyFields)
 )
 
-// Resolve returns the snapshot of the tree as that revision.
+// Resolve returns the snapshot of the tree for the given revision.
 func (t *Tree) Resolve(revision uint64) (*Snapshot, error) {
 	s := &Snapshot{
 		Revision:   revision,
@@ -90,8 +90,8 @@
 	}
 }
 
-// resolvePolicies resolves one policy for each service and class, and further ones only for workspaces that override
-// something there: most workspaces of a large site share the same few.
+// resolvePolicies resolves one policy for each service and class, and separate ones only for workspaces that override
+// something there: most workspaces of a large site share the same few policies.
 func (t *Tree) resolvePolicies(s *Snapshot) {
 	classes := append(sortedKeys(t.classes), "")
 	for _, class := range classes {
@@ -117,7 +117,7 @@
 	return &p
 }
 
-// Policy returns the resolved values for a service, workspace and class. Unknown names fall back to the nearest
+// Policy returns the resolved policy of a service, workspace and class. Unknown names fall back to the nearest
 // parent, so that a request accepted under an older revision still has a policy. It never returns nil.
 func (s *Snapshot) Policy(service, workspace, class string) *Policy {
 	for _, k := range [...]policyKey{
@@ -134,8 +134,8 @@
 	return s.policies[policyKey{}]
 }
 
-// LookupToken returns the workspace that owns a bearer token, or nil. It compares with every hash, each in constant
-// time, so that the time of the answer tells nothing about the keys.
+// LookupToken returns the workspace that owns a bearer token, or nil. It compares the token with all hashes in constant
+// time, so that the response time reveals nothing about the keys.
 func (s *Snapshot) LookupToken(token string) *Workspace {
 	sum := sha256.Sum256([]byte(token))
 	var found *Workspace
@@ -150,8 +150,8 @@
 // LookupModel returns the service that serves a model name, or nil.
 func (s *Snapshot) LookupModel(model string) *Service { return s.models[model] }
 
-// LookupRoute returns the plain service and route for a method and path; the longest prefix wins, and a route that
-// names the method comes before one for any. Both are nil when there is none.
+// LookupRoute returns the plain service and route for a method and path, or nil for both. The longest prefix wins; for
+// equal prefixes, a route that lists the method precedes a route for any method.
 func (s *Snapshot) LookupRoute(method, path string) (*Service, *Route) {
 	for _, sr := range s.routes {
 		if prefixMatches(sr.route.Prefix, path) && methodMatches(sr.route.Methods, method) {
@@ -161,7 +161,7 @@
 	return nil, nil
 }
 
-// prefixMatches holds at whole path segments only: /ledger covers /ledger/7 and not /ledgers.
+// prefixMatches matches whole path segments only: /ledger covers /ledger/7 but not /ledgers.
 func prefixMatches(prefix, path string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
@@ -185,5 +185,5 @@
 	return len(w.Services) == 0 || slices.Contains(w.Services, service)
 }
 
-// MayUseClass reports whether the workspace may name a class.
+// MayUseClass reports whether requests of the workspace may name a class.
 func (w *Workspace) MayUseClass(class string) bool { return slices.Contains(w.Classes, class) }
--- a/lib/settings/tree.go
+++ b/lib/settings/tree.go
@@ -1,18 +1,18 @@
 package settings
 
-// Tree is a settings file that passed every check. It holds what each node gives, and where.
+// Tree is a validated settings file. It holds the values set by each node and their locations.
 type Tree struct {
 	File   string
 	source []byte
 
 	site       node[Site]
-	policy     node[Policy]             // the site's values
-	classes    map[string]*node[Policy] // the site's classes
+	policy     node[Policy]             // site-wide policy
+	classes    map[string]*node[Policy] // site-wide classes
 	workspaces map[string]*node[Workspace]
 	services   map[string]*serviceNode
 }
 
-// serviceNode is a service with what it overrides.
+// serviceNode is a service with its targets, routes and overrides.
 type serviceNode struct {
 	node[Service]
 	targets    []*targetNode
@@ -27,16 +27,16 @@
 	name string
 }
 
-// overrideNode is what a service overrides for one workspace.
+// overrideNode holds the overrides of a service for one workspace.
 type overrideNode struct {
 	policy  node[Policy]
 	classes map[string]*node[Policy]
 }
 
-// Source returns the text that the tree was parsed from. Don't change it.
+// Source returns the text that the tree was parsed from. Callers must not modify it.
 func (t *Tree) Source() []byte { return t.source }
 
-// class returns the class node of that name; o may be nil.
+// class returns the node of the named class, or nil. o may be nil.
 func (o *overrideNode) class(name string) *node[Policy] {
 	if o == nil {
 		return nil
@@ -44,24 +44,24 @@
 	return o.classes[name]
 }
 
-// chain lists the nodes that give the values of a service, workspace and class, nearest first. A value that a class
-// gives at any level comes before values that are given for all classes, so that a service's ordinary priority
-// doesn't take urgency from the site's urgent class. Names may be empty or unknown: they add no node.
+// chain returns the nodes that determine the policy of a service, workspace and class, nearest first. A value set for the
+// class at any level precedes values set for all classes, so that a service's general priority doesn't override the
+// priority of the site's urgent class. Empty or unknown names add no node.
 func (t *Tree) chain(service, workspace, class string) []*node[Policy] {
 	svc := t.services[service]
-	var line []*overrideNode
+	var overrides []*overrideNode
 	if svc != nil {
-		line = t.overrides(svc, workspace)
+		overrides = t.overrides(svc, workspace)
 	}
-	out := make([]*node[Policy], 0, 2*len(line)+4)
-	for _, o := range line {
+	out := make([]*node[Policy], 0, 2*len(overrides)+4)
+	for _, o := range overrides {
 		out = append(out, o.class(class))
 	}
 	if svc != nil {
 		out = append(out, svc.classes[class])
 	}
 	out = append(out, t.classes[class])
-	for _, o := range line {
+	for _, o := range overrides {
 		out = append(out, &o.policy)
 	}
 	if svc != nil {
@@ -70,7 +70,7 @@
 	return append(out, &t.policy)
 }
 
-// overrides lists what svc overrides for a workspace and its parents, nearest first.
+// overrides returns what svc overrides for a workspace and its parents, nearest first.
 func (t *Tree) overrides(svc *serviceNode, workspace string) []*overrideNode {
 	var out []*overrideNode
 	for name := workspace; name != ""; {
--- a/lib/settings/types.go
+++ b/lib/settings/types.go
@@ -1,6 +1,6 @@
-// Package settings parses, checks, resolves and compares the YAML tree of settings: site > service > workspace > class.
+// Package settings parses, validates, resolves and compares the YAML tree of settings: site > service > workspace > class.
 //
-// Each node overrides only what differs from its parent. A Snapshot is immutable; programs swap it whole.
+// Each node overrides only what differs from its parent. A Snapshot is immutable; programs replace it as a whole.
 package settings
 
 import "time"
@@ -14,7 +14,7 @@
 // Values of Service.Fencing.
 const (
 	FencingEnforced = "enforced" // targets refuse orders with an old fencing number
-	FencingIgnored  = "ignored"  // targets obey any order; the control process waits old holders out
+	FencingIgnored  = "ignored"  // targets obey any order; the control process waits until former lease holders have stopped
 )
 
 // Target is a back end of a service.
@@ -22,34 +22,34 @@
 	Name          string
 	Addr          string // IP:port
 	FailureDomain string
-	Instance      string // machine that carries it
-	KVTokens      int    // key-value memory in tokens; 0: learn from load reports
-	MaxBatch      int    // sequences at once; 0: learn from load reports
+	Instance      string // machine that runs it
+	KVTokens      int    // key-value cache in tokens; 0: taken from load reports
+	MaxBatch      int    // concurrent sequences; 0: taken from load reports
 	IdleWatts     float64
-	SeqWatts      float64 // added for each active sequence
-	Draining      bool    // operators' drain: no new work
+	SeqWatts      float64 // additional power of each active sequence
+	Draining      bool    // drained by settings: no new work
 }
 
 // Route maps callers' paths to a service.
 type Route struct {
 	Prefix     string   // path prefix, "/" at the start
 	Methods    []string // empty: any
-	Idempotent bool     // default false: unsure means not idempotent
+	Idempotent bool     // default false, for calls not known to be idempotent
 }
 
 // Service is a resolved service.
 type Service struct {
 	Name    string
 	Kind    string
-	Models  []string // model names that callers may ask for (KindModel)
+	Models  []string // model names that callers may request (KindModel)
 	Routes  []Route  // KindPlain
 	Fencing string
-	// Idempotent lets keyed generations of model engines run more than once (default false). They need no claim in the
-	// platform's table then, and can be gone on with through another entry while it is down.
+	// Idempotent allows keyed generations of model engines to run more than once (default false). They then need no claim
+	// in the platform's table, and can be resumed through another entry while the table is unavailable.
 	Idempotent bool
 	Resumes    bool // engines resume streams from a token index
 	Targets    []Target
-	Model      string // desired model, version, adapters of its engines; empty: not managed
+	Model      string // required model, version and adapters of its engines; empty: not managed
 	Version    string
 	Adapters   []string
 }
@@ -62,8 +62,8 @@
 	MaxWait          time.Duration
 	QueueBound       int
 	Concurrency      int     // requests in progress over all entries; 0: no limit
-	RatePerSecond    float64 // accepted requests a second over all entries; 0: no limit
-	MaxTokens        int     // bound on output; 0: none
+	RatePerSecond    float64 // accepted requests per second over all entries; 0: no limit
+	MaxTokens        int     // maximum output of a generation; 0: no limit
 	Deadline         time.Duration
 	MaxPreemptions   int
 	MemoryRisk       float64
@@ -71,8 +71,8 @@
 	RetryBudget      float64 // retries as a fraction of first attempts
 	StallFloor       time.Duration
 	MaxBody          int
-	MaxSilence       time.Duration // of the target of a plain call without a deadline
-	SlowReaderBuffer int           // tokens kept for a caller that reads slowly
+	MaxSilence       time.Duration // without data from the target, for plain calls without a deadline
+	SlowReaderBuffer int           // tokens buffered for a caller that reads slowly
 	SlowReaderWait   time.Duration
 }
 
@@ -81,20 +81,20 @@
 	Name      string
 	KeyHashes [][32]byte // SHA-256 of bearer tokens
 	Services  []string   // services it may use; empty: all
-	Classes   []string   // classes it may name; the first is its default
-	Parent    string     // workspace whose values under services it inherits; empty: none
+	Classes   []string   // classes its requests may name; the first is its default
+	Parent    string     // workspace whose overrides under services it inherits; empty: none
 }
 
-// Site holds what belongs to the whole site.
+// Site holds the values of the whole site.
 type Site struct {
 	Name              string
 	FailureDomains    []string
 	PowerCapWatts     float64 // 0: no cap
 	PowerGuardWatts   float64
 	HeartbeatInterval time.Duration
-	ShardTargets      int // targets of one owner at most
+	ShardTargets      int // maximum number of targets of one owner
 	StoreWritesPerSec float64
 	StoreReadsPerSec  float64
-	ProgressInterval  time.Duration // entry to owner
+	ProgressInterval  time.Duration // of progress reports from entry to owner
 	TickInterval      time.Duration // scheduler tick
 }
--- a/lib/settings/walk.go
+++ b/lib/settings/walk.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Value is one value of a tree with the place that it comes from.
+// Value is one value of a tree and where it is set.
 type Value struct {
-	Key   string // for Explain: the key, after site, service or policy; for values of a tree: its path
+	Key   string // for Explain: the key, prefixed with site, service or policy; for a tree's own values: its path
 	Value string
-	From  string // path of the node that gives it, or "default"
+	From  string // path of the node that sets it, or "default"
 	Line  int    // 0 for a default
 }
 
-const fromDefault = "default"
+const defaultOrigin = "default"
 
-// origin returns the nearest node of chain that gives field i; nil means the default.
-func origin[T any](chain []*node[T], i int) *node[T] {
+// nearestNode returns the first node of chain that sets field i; nil means the default.
+func nearestNode[T any](chain []*node[T], i int) *node[T] {
 	for _, n := range chain {
 		if n.has(i) {
 			return n
@@ -25,21 +25,21 @@
 	return nil
 }
 
-// explain lists every field with the node of chain that it comes from.
+// explain lists all fields with the node of chain that sets each.
 func explain[T any](prefix string, fields []field[T], base T, chain []*node[T]) []Value {
 	out := make([]Value, len(fields))
 	for i, f := range fields {
-		v := Value{Key: join(prefix, f.key), Value: f.show(&base), From: fromDefault}
-		if n := origin(chain, i); n != nil {
-			v.Value, v.From, v.Line = f.show(&n.vals), n.path, int(n.lines[i])
+		v := Value{Key: join(prefix, f.key), Value: f.format(&base), From: defaultOrigin}
+		if n := nearestNode(chain, i); n != nil {
+			v.Value, v.From, v.Line = f.format(&n.vals), n.path, int(n.lines[i])
 		}
 		out[i] = v
 	}
 	return out
 }
 
-// Explain lists every value that holds for a service, workspace and class, with the node that it comes from. It
-// reports false when the tree has no such service, workspace or class.
+// Explain lists all values that apply to a service, workspace and class, with the node that sets each. It reports false if
+// the tree has no such service, workspace or class.
 func (t *Tree) Explain(service, workspace, class string) ([]Value, bool) {
 	svc := t.services[service]
 	if svc == nil || t.workspaces[workspace] == nil || t.classes[class] == nil {
@@ -50,11 +50,12 @@
 	return append(out, explain(keyPolicy, policyFields, defaultPolicy, t.chain(service, workspace, class))...), true
 }
 
-// lister gathers the values that a tree gives, by path.
-type lister struct{ values map[string]Value }
+// valueLister collects the values set in a tree, by path.
+type valueLister struct{ values map[string]Value }
 
-// listNode adds what one node gives. A node that gives nothing is listed as such, so that its coming and going shows.
-func listNode[T any](l *lister, fields []field[T], n *node[T]) {
+// listNode adds the values set by one node. A node without values is listed as "{}", so that Diff shows when it is added
+// or removed.
+func listNode[T any](l *valueLister, fields []field[T], n *node[T]) {
 	if n.path == "" {
 		return
 	}
@@ -64,18 +65,18 @@
 	for i, f := range fields {
 		if n.has(i) {
 			key := join(n.path, f.key)
-			l.values[key] = Value{Key: key, Value: f.show(&n.vals), From: n.path, Line: int(n.lines[i])}
+			l.values[key] = Value{Key: key, Value: f.format(&n.vals), From: n.path, Line: int(n.lines[i])}
 		}
 	}
 }
 
-func (l *lister) classes(classes map[string]*node[Policy]) {
+func (l *valueLister) classes(classes map[string]*node[Policy]) {
 	for _, n := range classes {
 		listNode(l, policyFields, n)
 	}
 }
 
-func (l *lister) service(svc *serviceNode) {
+func (l *valueLister) service(svc *serviceNode) {
 	listNode(l, serviceFields, &svc.node)
 	for _, tg := range svc.targets {
 		listNode(l, targetFields, &tg.node)
@@ -91,9 +92,9 @@
 	}
 }
 
-// values lists what the tree gives, by path.
+// values returns the values set in the tree, by path.
 func (t *Tree) values() map[string]Value {
-	l := &lister{values: map[string]Value{}}
+	l := &valueLister{values: map[string]Value{}}
 	listNode(l, siteFields, &t.site)
 	listNode(l, policyFields, &t.policy)
 	l.classes(t.classes)
@@ -106,7 +107,7 @@
 	return l.values
 }
 
-// Difference is one value that differs between two trees. Old is empty when the value is new, New when it is gone.
+// Difference is a value that differs between two trees. Old is empty if the value was added, New if it was removed.
 type Difference struct {
 	Path string
 	Old  string
@@ -124,17 +125,17 @@
 	return "~ " + d.Path + ": " + d.Old + " -> " + d.New
 }
 
-// Diff lists what b gives differently from a, in order of path. Comments and order of keys don't count.
+// Diff lists the values that differ between a and b, ordered by path. Comments and the order of keys are ignored.
 func Diff(a, b *Tree) []Difference {
-	old, now := a.values(), b.values()
+	original, updated := a.values(), b.values()
 	var out []Difference
-	for path, v := range old {
-		if now[path].Value != v.Value {
-			out = append(out, Difference{Path: path, Old: v.Value, New: now[path].Value})
+	for path, v := range original {
+		if updated[path].Value != v.Value {
+			out = append(out, Difference{Path: path, Old: v.Value, New: updated[path].Value})
 		}
 	}
-	for path, v := range now {
-		if _, ok := old[path]; !ok {
+	for path, v := range updated {
+		if _, ok := original[path]; !ok {
 			out = append(out, Difference{Path: path, New: v.Value})
 		}
 	}
