--- a/lib/record/bench_test.go
+++ b/lib/record/bench_test.go
@@ -15,8 +15,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BenchmarkTraffic tells what one peer is sent of a stream of 500 tokens with a request of 6 KB, put once a second at 20
-// tokens a second: bytes a token, and of them the request, the tokens' text, and the rest. Links' framing is not in it.
+// BenchmarkTraffic measures the bytes sent to one peer for a stream of 500 tokens with a request of 6 KB, put once per
+// second at 20 tokens per second: bytes per token in total, for the request and for the tokens' text. Link framing is not
+// included.
 func BenchmarkTraffic(b *testing.B) {
 	const tokens, each = 500, 20
 	words := rand.New(rand.NewPCG(1, 2))
@@ -24,26 +25,26 @@
 	for prompt.Len() < 6000 {
 		fmt.Fprintf(&prompt, "%s ", vocabulary[words.IntN(len(vocabulary))])
 	}
-	k := &Replicator{opts: Options{Self: mesh.Identity{Instance: "entry-govan-1", Incarnation: 1 << 60}}}
-	p := &peer{k: k, to: member.Member{Instance: "entry-govan-2"}, have: map[key]int{}}
+	r := &Replicator{opts: Options{Self: mesh.Identity{Instance: "entry-govan-1", Incarnation: 1 << 60}}}
+	p := &sender{r: r, to: member.Member{Instance: "entry-govan-2"}, acked: map[key]int{}}
 	id := keyOf("glasgow-planning", "extraction-1")
 	var all, request, text int
 	for range b.N {
 		all, request, text = 0, 0, 0
-		clear(p.have)
+		clear(p.acked)
 		st := newStore(DefaultMaxBytes, DefaultRetention)
 		var rec *meshpb.Record
 		for from := 0; from < tokens; from += each {
-			inc0 := toProto(benchRecord(prompt.String(), from, each), id, from, k.opts.Self)
-			inc0.Request = packed(inc0.Request)
-			rec = joined(rec, inc0)
+			inc0 := toProto(benchRecord(prompt.String(), from, each), id, from, r.opts.Self)
+			inc0.Request = compress(inc0.Request)
+			rec = merge(rec, inc0)
 			inc := p.increment(id, rec)
 			all += proto.Size(&meshpb.RecordRequest{Msg: &meshpb.RecordRequest_Put{Put: inc}})
 			request += len(inc.GetRequest())
 			for _, tok := range inc.GetTokens() {
 				text += len(tok)
 			}
-			p.have[id] = int(st.put(time.Now(), inc).GetHave())
+			p.acked[id] = int(st.put(time.Now(), inc).GetHave())
 		}
 	}
 	b.ReportMetric(float64(all)/tokens, "B/token")
@@ -71,11 +72,11 @@
 	return r
 }
 
-// BenchmarkPack is what a keyed request of 6 KB costs once.
-func BenchmarkPack(b *testing.B) {
+// BenchmarkCompress measures the one-time cost of compressing a keyed request of 6 KB.
+func BenchmarkCompress(b *testing.B) {
 	request := []byte(strings.Repeat(strings.Join(vocabulary, " "), 10))
 	b.SetBytes(int64(len(request)))
 	for range b.N {
-		packed(request)
+		compress(request)
 	}
 }
--- a/lib/record/doc.go
+++ b/lib/record/doc.go
@@ -1,7 +1,7 @@
-// Package record lets a caller go on with its stream through another entry after its own entry died.
+// Package record lets a caller resume its stream through another entry after its own entry died.
 //
-// The entry that runs a keyed generation puts a record with two peers, in different failure domains, found by
-// rendezvous hashing of workspace and key. Only what was delivered since the last time is sent. Any entry finds the
-// same peers by the same hash. Records are soft state: bounded in memory and time, and lost with both peers. Losing
-// one costs the caller its resume, never a second run: that is what claims are for.
+// The entry that runs a keyed generation replicates a record of it to two peers in different failure domains, chosen by
+// rendezvous hashing of workspace and key. Each update sends only what was delivered since the previous one. Any entry
+// finds the same peers by the same hash. Records are soft state: bounded in memory and time, and lost if both peers are
+// lost. Losing one prevents the caller from resuming but never causes a second run: claims prevent that.
 package record
--- a/lib/record/get.go
+++ b/lib/record/get.go
@@ -13,24 +13,24 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// retryRunning is told to a caller whose entry is not known to be dead yet.
-const retryRunning = time.Second
+// retryAfterRunning is the retry delay for a caller whose entry is not known to be dead yet.
+const retryAfterRunning = time.Second
 
 // Get implements entry.Records.
-func (k *Replicator) Get(ctx context.Context, workspace, idempotencyKey string) (*entry.Record, *result.Error) {
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout)
+func (r *Replicator) Get(ctx context.Context, workspace, idempotencyKey string) (*entry.Record, *result.Error) {
+	ctx, cancel := context.WithTimeout(ctx, r.opts.Timeout)
 	defer cancel()
-	best := k.find(ctx, keyOf(workspace, idempotencyKey))
+	best := r.findBest(ctx, keyOf(workspace, idempotencyKey))
 	if best == nil {
 		return nil, result.New(result.UnknownStream, "no entry has a record of this key")
 	}
 	if best.GetFinished() && best.GetFinishReason() == "" {
-		// It failed. Given out as finished, its part of an answer would be closed as if it were the whole.
+		// The generation failed. If it were returned as finished, the partial answer would be closed as if complete.
 		return nil, result.New(result.UnknownStream, "the generation ended without an end mark")
 	}
-	if !best.GetFinished() && !best.GetReleased() && !k.ownerGone(ctx, best) {
+	if !best.GetFinished() && !best.GetReleased() && !r.ownerGone(ctx, best) {
 		err := result.New(result.AlreadyRunning, "entry %s holds it", best.GetOwner())
-		err.RetryAfter = retryRunning
+		err.RetryAfter = retryAfterRunning
 		return nil, err
 	}
 	rec, err := fromProto(best, idempotencyKey)
@@ -40,27 +40,27 @@
 	return rec, nil
 }
 
-// find asks everyone who may hold the record and takes the most advanced answer. One of those asked may be the dead
-// entry itself, behind a link that hangs; half of the time is left to find out about the owner.
-func (k *Replicator) find(ctx context.Context, id key) *meshpb.Record {
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Timeout/2)
+// findBest queries all peers that may hold the record and returns the most advanced reply. One of them may be the dead
+// entry itself, behind a link that hangs, so the query takes half of the timeout and leaves the rest to check the owner.
+func (r *Replicator) findBest(ctx context.Context, id key) *meshpb.Record {
+	ctx, cancel := context.WithTimeout(ctx, r.opts.Timeout/2)
 	defer cancel()
-	asked := searched(ranked(id, k.opts.View().Workers()))
-	answers := make(chan *meshpb.Record, len(asked))
-	for _, m := range asked {
-		go func() { answers <- k.ask(ctx, m, id) }()
+	peers := candidates(rankedMembers(id, r.opts.View().Workers()))
+	replies := make(chan *meshpb.Record, len(peers))
+	for _, m := range peers {
+		go func() { replies <- r.query(ctx, m, id) }()
 	}
 	var best *meshpb.Record
-	for range asked {
-		if r := <-answers; r != nil && (best == nil || further(r, best)) {
-			best = r
+	for range peers {
+		if reply := <-replies; reply != nil && (best == nil || moreAdvanced(reply, best)) {
+			best = reply
 		}
 	}
 	return best
 }
 
-// further reports whether a is more advanced than b.
-func further(a, b *meshpb.Record) bool {
+// moreAdvanced reports whether a is more advanced than b.
+func moreAdvanced(a, b *meshpb.Record) bool {
 	if a.GetAttempt() != b.GetAttempt() {
 		return a.GetAttempt() > b.GetAttempt()
 	}
@@ -70,11 +70,11 @@
 	return a.GetFinished() && !b.GetFinished()
 }
 
-func (k *Replicator) ask(ctx context.Context, m member.Member, id key) *meshpb.Record {
-	if m.Instance == k.opts.Self.Instance {
-		return k.store.get(time.Now(), id)
+func (r *Replicator) query(ctx context.Context, m member.Member, id key) *meshpb.Record {
+	if m.Instance == r.opts.Self.Instance {
+		return r.store.get(time.Now(), id)
 	}
-	s, err := k.opts.Node.Open(ctx, mesh.Peer{Instance: m.Instance, Addr: m.MeshAddr}, meshpb.StreamKind_STREAM_RECORD)
+	s, err := r.opts.Node.Open(ctx, mesh.Peer{Instance: m.Instance, Addr: m.MeshAddr}, meshpb.StreamKind_STREAM_RECORD)
 	if err != nil {
 		return nil
 	}
@@ -88,17 +88,17 @@
 	return reply.GetRecord()
 }
 
-// ownerGone reports whether the entry that runs the generation is known to be dead, replaced or cut off. A caller whose
-// connection broke comes back before any heartbeat is missed, so an address that refuses counts as well.
-func (k *Replicator) ownerGone(ctx context.Context, rec *meshpb.Record) bool {
-	m, ok := k.opts.View().Get(rec.GetOwner())
+// ownerGone reports whether the entry that runs the generation is known to be dead, replaced or disconnected. A caller whose
+// connection broke retries before any heartbeat is missed, so a refused connection counts as well.
+func (r *Replicator) ownerGone(ctx context.Context, rec *meshpb.Record) bool {
+	m, ok := r.opts.View().Get(rec.GetOwner())
 	switch {
 	case !ok, m.State == member.Dead, m.Incarnation > rec.GetOwnerIncarnation():
 		return true
-	case m.Instance == k.opts.Self.Instance:
+	case m.Instance == r.opts.Self.Instance:
 		return false
 	}
-	s, err := k.opts.Node.Open(ctx, mesh.Peer{Instance: m.Instance, Addr: m.MeshAddr}, meshpb.StreamKind_STREAM_RECORD)
+	s, err := r.opts.Node.Open(ctx, mesh.Peer{Instance: m.Instance, Addr: m.MeshAddr}, meshpb.StreamKind_STREAM_RECORD)
 	if err != nil {
 		return mesh.Refused(err)
 	}
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request, err := unpacked(r.GetRequest())
+	request, err := decompress(r.GetRequest())
 	if err != nil {
 		return nil, err
 	}
--- a/lib/record/place.go
+++ b/lib/record/place.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// key names a record without showing the caller's key.
+// key identifies a record without revealing the caller's idempotency key.
 type key struct {
 	workspace string
 	hash      uint64
@@ -18,11 +18,11 @@
 	return key{workspace: workspace, hash: rendezvous.Hash(workspace + "\x00" + idempotencyKey)}
 }
 
-// copies is how many peers hold a record.
-const copies = 2
+// replicas is how many peers hold a record.
+const replicas = 2
 
-// ranked orders members by rendezvous weight for k, highest first.
-func ranked(k key, members []member.Member) []member.Member {
+// rankedMembers orders members by rendezvous weight for k, highest first.
+func rankedMembers(k key, members []member.Member) []member.Member {
 	weight := func(m member.Member) uint64 {
 		return rendezvous.Rank(k.hash, rendezvous.Hash(m.Instance))
 	}
@@ -33,10 +33,10 @@
 	return out
 }
 
-// holders picks who keeps a record that owner puts: the highest ranked, and the next one of another failure domain.
+// holders returns the members that store a record of owner: the highest ranked, and the next one in another failure domain.
 func holders(order []member.Member, owner string) []member.Member {
 	order = slices.DeleteFunc(slices.Clone(order), func(m member.Member) bool { return m.Instance == owner })
-	if len(order) <= copies {
+	if len(order) <= replicas {
 		return order
 	}
 	first, second := order[0], order[1]
@@ -49,9 +49,9 @@
 	return []member.Member{first, second}
 }
 
-// searched lists whom to ask for a record whose owner is unknown. The owner never holds its own record, so the
-// holders differ by who it was.
-func searched(order []member.Member) []member.Member {
+// candidates returns the members that may hold a record whose owner is unknown. An owner never holds its own record, so the
+// holders depend on which member it was.
+func candidates(order []member.Member) []member.Member {
 	out := holders(order, "")
 	for _, owner := range slices.Clone(out) {
 		for _, m := range holders(order, owner.Instance) {
--- a/lib/record/keeper_test.go
+++ b/lib/record/replicator_test.go
@@ -19,19 +19,19 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// cluster has a fixed membership that tests change by hand.
+// cluster has a fixed membership that tests change explicitly.
 type cluster struct {
 	t     *testing.T
 	mu    sync.Mutex
-	procs []*proc
+	procs []*testEntry
 	view  *member.View
 }
 
-type proc struct {
+type testEntry struct {
 	*Replicator
-	lost chan ids.Generation
-	self member.Member
-	stop func()
+	superseded chan ids.Generation
+	self       member.Member
+	stop       func()
 }
 
 func newCluster(t *testing.T, n int) *cluster {
@@ -42,16 +42,16 @@
 	return c
 }
 
-func (c *cluster) start(name string, domain int, addr string) *proc {
+func (c *cluster) start(name string, domain int, addr string) *testEntry {
 	ln, err := net.Listen("tcp", addr)
 	must.NoError(c.t, err)
 	id := mesh.Identity{Instance: name, Incarnation: 1}
 	node, err := mesh.New(mesh.Options{Self: id, Plain: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
 	must.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &proc{self: member.Member{Instance: name, Incarnation: 1, FailureDomain: fmt.Sprint("d", domain%3), MeshAddr: ln.Addr().String()}}
-	p.lost = make(chan ids.Generation, 16)
-	p.Replicator = New(ctx, Options{Self: id, Node: node, View: c.current, OnSuperseded: func(g ids.Generation) { p.lost <- g }})
+	p := &testEntry{self: member.Member{Instance: name, Incarnation: 1, FailureDomain: fmt.Sprint("d", domain%3), MeshAddr: ln.Addr().String()}}
+	p.superseded = make(chan ids.Generation, 16)
+	p.Replicator = New(ctx, Options{Self: id, Node: node, View: c.current, OnSuperseded: func(g ids.Generation) { p.superseded <- g }})
 	go node.Serve(ln)
 	p.stop = sync.OnceFunc(func() {
 		cancel()
@@ -61,7 +61,7 @@
 	c.mu.Lock()
 	c.procs = append(c.procs, p)
 	c.mu.Unlock()
-	c.renew()
+	c.updateView()
 	return p
 }
 
@@ -71,8 +71,8 @@
 	return c.view
 }
 
-// renew makes a view of all processes in the list.
-func (c *cluster) renew() {
+// updateView sets the view to all entries in the list.
+func (c *cluster) updateView() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view = &member.View{}
@@ -82,15 +82,15 @@
 	slices.SortFunc(c.view.Members, func(a, b member.Member) int { return slices.Compare([]byte(a.Instance), []byte(b.Instance)) })
 }
 
-func (c *cluster) without(p *proc) {
+func (c *cluster) remove(p *testEntry) {
 	c.mu.Lock()
-	c.procs = slices.DeleteFunc(c.procs, func(o *proc) bool { return o == p })
+	c.procs = slices.DeleteFunc(c.procs, func(o *testEntry) bool { return o == p })
 	c.mu.Unlock()
-	c.renew()
+	c.updateView()
 }
 
-func (c *cluster) holdersOf(k string, owner *proc) (out []*proc) {
-	for _, m := range holders(ranked(keyOf("w", k), c.current().Workers()), owner.self.Instance) {
+func (c *cluster) holderEntries(k string, owner *testEntry) (out []*testEntry) {
+	for _, m := range holders(rankedMembers(keyOf("w", k), c.current().Workers()), owner.self.Instance) {
 		for _, p := range c.procs {
 			if p.self == m {
 				out = append(out, p)
@@ -113,25 +113,25 @@
 	}
 }
 
-// put writes a record whole and then one more token, and waits until both holders have all.
-func (c *cluster) put(p *proc, k string) {
+// put writes a record and then one more token, and waits until both holders have all of it.
+func (c *cluster) put(p *testEntry, k string) {
 	p.Put(recordOf(k, "a", "b"), 0)
 	p.Put(recordOf(k, "c"), 2)
-	c.waitHeld(p, k, 3)
+	c.awaitReplicas(p, k, 3)
 }
 
-func (c *cluster) waitHeld(p *proc, k string, tokens int) {
+func (c *cluster) awaitReplicas(p *testEntry, k string, tokens int) {
 	c.t.Helper()
-	for _, h := range c.holdersOf(k, p) {
+	for _, h := range c.holderEntries(k, p) {
 		for end := time.Now().Add(5 * time.Second); len(h.store.get(time.Now(), keyOf("w", k)).GetTokens()) != tokens; time.Sleep(time.Millisecond) {
-			must.True(c.t, time.Now().Before(end), must.Sprintf("%s has no %d tokens", h.self.Instance, tokens))
+			must.True(c.t, time.Now().Before(end), must.Sprintf("%s does not hold %d tokens", h.self.Instance, tokens))
 		}
 	}
 }
 
-// The entry that holds the caller is killed. Its caller comes back through another entry at once, before any heartbeat
-// is missed, and must get the record: the address of the dead one refuses.
-func TestRecordIsFoundThroughAnyEntryAfterItsOwnerDied(t *testing.T) {
+// The entry that serves the caller is killed. The caller retries through another entry at once, before any heartbeat is
+// missed, and must get the record, because the dead entry's address refuses connections.
+func TestRecordIsFoundThroughAnyEntryAfterOwnerDies(t *testing.T) {
 	c := newCluster(t, 6)
 	owner := c.procs[0]
 	c.put(owner, "k")
@@ -145,8 +145,8 @@
 	}
 }
 
-// While the entry that runs it is well, another must not take the generation over, or two would run it.
-func TestRecordOfALiveOwnerIsNotGivenOut(t *testing.T) {
+// While the owner of a generation is alive, another entry must not take it over, or both would run it.
+func TestRecordOfLiveOwnerIsRefused(t *testing.T) {
 	c := newCluster(t, 4)
 	c.put(c.procs[0], "k")
 	_, err := c.procs[1].Get(t.Context(), "w", "k")
@@ -155,42 +155,42 @@
 	must.Positive(t, err.RetryAfter)
 }
 
-// A generation failed and was recorded as over, without an end mark. Given out, its part of an answer would be closed
-// as if it were the whole.
-func TestRecordOfAFailedGenerationIsNoWholeAnswer(t *testing.T) {
+// A generation failed and was recorded as finished without a finish reason. If the record were returned, its partial answer
+// would be closed as if it were complete.
+func TestRecordOfFailedGenerationIsRefused(t *testing.T) {
 	c := newCluster(t, 4)
 	owner := c.procs[0]
 	failed := recordOf("k", "a", "b")
 	failed.Finished = true
 	owner.Put(failed, 0)
-	c.waitHeld(owner, "k", 2)
+	c.awaitReplicas(owner, "k", 2)
 	owner.stop()
 	_, err := c.procs[1].Get(t.Context(), "w", "k")
 	must.NotNil(t, err)
 	must.EqOp(t, result.UnknownStream, err.Code)
 }
 
-// One that is asked for the record hangs: its link delivers nothing. The answers of the others must be enough, and time
-// must be left to learn that the owner is dead.
-func TestRecordIsFoundThoughOneThatIsAskedHangs(t *testing.T) {
+// One of the queried peers hangs: its link delivers nothing. The replies of the others must suffice, and time must be left
+// to find out that the owner is dead.
+func TestRecordIsFoundDespiteHangingPeer(t *testing.T) {
 	c := newCluster(t, 6)
 	owner := c.procs[0]
 	c.put(owner, "k")
-	hung, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	hung, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections but never replies
 	must.NoError(t, err)
 	defer hung.Close()
-	order := searched(ranked(keyOf("w", "k"), c.current().Workers()))
-	asked := slices.DeleteFunc(order, func(m member.Member) bool { return m == owner.self })
+	order := candidates(rankedMembers(keyOf("w", "k"), c.current().Workers()))
+	peers := slices.DeleteFunc(order, func(m member.Member) bool { return m == owner.self })
 	c.mu.Lock()
 	for i := range c.view.Members {
-		if m := &c.view.Members[i]; m.Instance == asked[len(asked)-1].Instance {
+		if m := &c.view.Members[i]; m.Instance == peers[len(peers)-1].Instance {
 			m.MeshAddr = hung.Addr().String()
 		}
 	}
 	c.mu.Unlock()
 	owner.stop()
 	for _, p := range c.procs[1:] {
-		if p.self.Instance == asked[len(asked)-1].Instance {
+		if p.self.Instance == peers[len(peers)-1].Instance {
 			continue
 		}
 		rec, rerr := p.Get(t.Context(), "w", "k")
@@ -207,17 +207,17 @@
 	must.EqOp(t, result.UnknownStream, err.Code)
 }
 
-// One holder dies. The other still answers; and with its next token the owner gives the whole record to the peer that
-// takes the dead one's place.
-func TestRecordSurvivesTheDeathOfAHolder(t *testing.T) {
+// One holder dies. The other must still answer, and with the next token the owner must send the full record to the peer
+// that replaces the dead holder.
+func TestRecordSurvivesHolderFailure(t *testing.T) {
 	c := newCluster(t, 6)
 	owner := c.procs[0]
 	c.put(owner, "k")
-	dead := c.holdersOf("k", owner)[0]
+	dead := c.holderEntries("k", owner)[0]
 	dead.stop()
-	c.without(dead)
+	c.remove(dead)
 	owner.Put(recordOf("k", "d"), 3)
-	c.waitHeld(owner, "k", 4)
+	c.awaitReplicas(owner, "k", 4)
 	owner.stop()
 	rec, err := c.procs[1].Get(t.Context(), "w", "k")
 	must.Nil(t, err)
@@ -225,18 +225,18 @@
 	must.Eq(t, "body", string(rec.Request))
 }
 
-// Another entry took the generation over. The old owner, which was only cut off, must stop writing and not loop.
-func TestOldOwnerGivesWayToWhoTookOver(t *testing.T) {
+// Another entry took the generation over. The old owner, which was only partitioned, must stop writing and not loop.
+func TestSupersededOwnerStopsWriting(t *testing.T) {
 	c := newCluster(t, 4)
 	owner := c.procs[0]
 	c.put(owner, "k")
-	for _, h := range c.holdersOf("k", owner) {
+	for _, h := range c.holderEntries("k", owner) {
 		h.store.put(time.Now(), toProto(&entry.Record{Generation: ids.From(1, 2), Subject: entry.Subject{Workspace: "w"}, Key: "k", Attempt: 100}, keyOf("w", "k"), 0, mesh.Identity{Instance: "new"}))
 	}
 	owner.Put(recordOf("k", "d"), 3)
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
 		owner.mu.Lock()
-		n := len(owner.own)
+		n := len(owner.local)
 		owner.mu.Unlock()
 		if n == 0 {
 			return
@@ -245,40 +245,40 @@
 	}
 }
 
-// A frozen entry wakes after another took its generation over. It must hear of that, from the peers that hold the record
-// or, on a site of two, from the new owner itself; else it runs on, and delivers to a caller that it no longer serves.
-func TestOldOwnerHearsThatItWasReplaced(t *testing.T) {
+// A frozen entry resumes after another took its generation over. It must be notified by the peers that hold the record or,
+// in a site of two entries, by the new owner; otherwise it keeps running and delivers to a caller that it no longer serves.
+func TestSupersededOwnerIsNotified(t *testing.T) {
 	for _, n := range []int{2, 3, 6} {
 		for _, first := range []string{"new", "old"} {
 			c := newCluster(t, n)
-			old, next := c.procs[0], c.procs[1]
-			c.put(old, "k")
-			over := recordOf("k", "a", "b", "c")
-			over.Attempt = 18
+			oldOwner, newOwner := c.procs[0], c.procs[1]
+			c.put(oldOwner, "k")
+			takeover := recordOf("k", "a", "b", "c")
+			takeover.Attempt = 18
 			if first == "new" {
-				next.Put(over, 0)
-				c.waitHeld(next, "k", 3)
+				newOwner.Put(takeover, 0)
+				c.awaitReplicas(newOwner, "k", 3)
 			}
-			old.Put(recordOf("k", "d"), 3)
+			oldOwner.Put(recordOf("k", "d"), 3)
 			if first == "old" {
-				next.Put(over, 0)
+				newOwner.Put(takeover, 0)
 			}
 			select {
-			case g := <-old.lost:
-				must.Eq(t, over.Generation, g)
+			case g := <-oldOwner.superseded:
+				must.Eq(t, takeover.Generation, g)
 			case <-time.After(5 * time.Second):
-				t.Fatalf("%d entries, %s puts first: the old owner never hears", n, first)
+				t.Fatalf("%d entries, %s puts first: the old owner was not notified", n, first)
 			}
 			select {
-			case g := <-next.lost:
-				t.Fatalf("the new owner is told that it was replaced: %v", g)
+			case g := <-newOwner.superseded:
+				t.Fatalf("the new owner was notified that it was superseded: %v", g)
 			default:
 			}
 		}
 	}
 }
 
-func TestOwnRecordsAreBounded(t *testing.T) {
+func TestLocalRecordsAreBounded(t *testing.T) {
 	c := newCluster(t, 3)
 	p := c.procs[0]
 	p.opts.MaxBytes = 50_000
--- a/lib/record/store.go
+++ b/lib/record/store.go
@@ -11,20 +11,20 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// recordOverhead is added to the size of each record for its fields and table entries, in bytes.
+// recordOverhead is added to the size of each record, in bytes, for its fields and table entries.
 const recordOverhead = 512
 
-// store keeps records of other entries, within a bound on bytes and a time since their last change.
+// store holds records of other entries, bounded in bytes and in time since their last change.
 type store struct {
-	mu     sync.Mutex
-	max    int
-	expire time.Duration
-	byKey  map[key]*list.Element
-	order  *list.List // least lately changed first
-	bytes  int
+	mu        sync.Mutex
+	maxBytes  int
+	retention time.Duration
+	byKey     map[key]*list.Element
+	order     *list.List // least recently changed first
+	bytes     int
 }
 
-type stored struct {
+type storedRecord struct {
 	key     key
 	rec     *meshpb.Record
 	size    int
@@ -32,24 +32,24 @@
 }
 
 func newStore(maxBytes int, expire time.Duration) *store {
-	return &store{max: maxBytes, expire: expire, byKey: make(map[key]*list.Element), order: list.New()}
+	return &store{maxBytes: maxBytes, retention: expire, byKey: make(map[key]*list.Element), order: list.New()}
 }
 
-// put joins an increment and answers what the store holds after it.
+// put merges an increment and replies with what the store holds afterwards.
 func (s *store) put(now time.Time, inc *meshpb.Record) *meshpb.RecordReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{inc.GetWorkspace(), inc.GetKeyHash()}
-	if bare(inc) && !s.continues(k, inc) {
+	if isDelta(inc) && !s.hasGeneration(k, inc) {
 		return &meshpb.RecordReply{Found: true, NeedRequest: true}
 	}
-	it := s.item(k)
-	if it.rec != nil && older(inc, it.rec) {
+	it := s.itemFor(k)
+	if it.rec != nil && isStale(inc, it.rec) {
 		return &meshpb.RecordReply{}
 	}
-	it.rec = joined(it.rec, inc)
+	it.rec = merge(it.rec, inc)
 	s.touch(now, it)
-	s.trim(now)
+	s.evict(now)
 	return &meshpb.RecordReply{
 		Found:       true,
 		Have:        uint32(len(it.rec.GetTokens())),
@@ -57,37 +57,37 @@
 	}
 }
 
-// bare reports whether an increment leaves out what stays the same over a generation.
-func bare(inc *meshpb.Record) bool { return inc.GetOwner() == "" }
+// isDelta reports whether an increment omits the constant fields of a generation.
+func isDelta(inc *meshpb.Record) bool { return inc.GetOwner() == "" }
 
-// continues reports whether the store holds the generation that an increment is of. A bare one kept by itself would be a
-// record without owner, content or request, and be given out as that of an entry that is gone.
-func (s *store) continues(k key, inc *meshpb.Record) bool {
+// hasGeneration reports whether the store holds the generation of an increment. A delta stored by itself would be a record
+// without owner, content or request, and be returned as the record of a dead entry.
+func (s *store) hasGeneration(k key, inc *meshpb.Record) bool {
 	e, ok := s.byKey[k]
-	return ok && string(e.Value.(*stored).rec.GetGeneration()) == string(inc.GetGeneration())
+	return ok && string(e.Value.(*storedRecord).rec.GetGeneration()) == string(inc.GetGeneration())
 }
 
-// fill copies what stays the same over a generation from a whole record.
-func fill(inc, whole *meshpb.Record) {
-	inc.Fingerprint, inc.Service, inc.Class, inc.Path = whole.Fingerprint, whole.Service, whole.Class, whole.Path
-	inc.Owner, inc.OwnerIncarnation, inc.Request = whole.Owner, whole.OwnerIncarnation, whole.Request
+// copyConstantFields copies the constant fields of a generation from a full record.
+func copyConstantFields(inc, full *meshpb.Record) {
+	inc.Fingerprint, inc.Service, inc.Class, inc.Path = full.Fingerprint, full.Service, full.Class, full.Path
+	inc.Owner, inc.OwnerIncarnation, inc.Request = full.Owner, full.OwnerIncarnation, full.Request
 }
 
-// older reports whether an increment is of a former attempt or a former life of the same generation. It comes late, from
-// an entry that another took over from, and must not undo what that one wrote.
-func older(inc, have *meshpb.Record) bool {
+// isStale reports whether an increment is of an earlier attempt of the same generation. It comes late, from an entry whose
+// generation another has taken over, and must not overwrite the newer record.
+func isStale(inc, have *meshpb.Record) bool {
 	return string(inc.GetGeneration()) == string(have.GetGeneration()) && inc.GetAttempt() < have.GetAttempt()
 }
 
-// joined returns have with inc added. Tokens that would leave a gap are left out; the sender sees it by the count.
-func joined(have, inc *meshpb.Record) *meshpb.Record {
+// merge returns have with inc added. Tokens after a gap are dropped; the sender notices by the count in the reply.
+func merge(have, inc *meshpb.Record) *meshpb.Record {
 	out := proto.CloneOf(inc)
 	out.Tokens, out.TokensFrom = nil, 0
 	if have != nil && string(have.GetGeneration()) == string(inc.GetGeneration()) {
 		out.Tokens = have.Tokens
 		switch {
-		case bare(out):
-			fill(out, have)
+		case isDelta(out):
+			copyConstantFields(out, have)
 		case len(out.Request) == 0:
 			out.Request = have.Request
 		}
@@ -100,36 +100,36 @@
 	return out
 }
 
-func (s *store) item(k key) *stored {
+func (s *store) itemFor(k key) *storedRecord {
 	if e, ok := s.byKey[k]; ok {
-		return e.Value.(*stored)
+		return e.Value.(*storedRecord)
 	}
-	it := &stored{key: k}
+	it := &storedRecord{key: k}
 	s.byKey[k] = s.order.PushBack(it)
 	return it
 }
 
-func (s *store) touch(now time.Time, it *stored) {
+func (s *store) touch(now time.Time, it *storedRecord) {
 	s.bytes -= it.size
-	it.size = sizeOf(it.rec)
+	it.size = recordSize(it.rec)
 	it.changed = now
 	s.bytes += it.size
 	s.order.MoveToBack(s.byKey[it.key])
 }
 
-func sizeOf(r *meshpb.Record) int {
+func recordSize(r *meshpb.Record) int {
 	n := recordOverhead + len(r.GetRequest())
 	for _, t := range r.GetTokens() {
-		n += len(t) + 16 // a string's header
+		n += len(t) + 16 // size of a string header
 	}
 	return n
 }
 
-// trim drops what is too old, then what was changed least lately until the rest fits.
-func (s *store) trim(now time.Time) {
+// evict removes expired records, then the least recently changed until the rest fits.
+func (s *store) evict(now time.Time) {
 	for e := s.order.Front(); e != nil; e = s.order.Front() {
-		it := e.Value.(*stored)
-		if s.bytes <= s.max && now.Sub(it.changed) < s.expire {
+		it := e.Value.(*storedRecord)
+		if s.bytes <= s.maxBytes && now.Sub(it.changed) < s.retention {
 			return
 		}
 		s.order.Remove(e)
@@ -142,10 +142,10 @@
 func (s *store) get(now time.Time, k key) *meshpb.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trim(now)
+	s.evict(now)
 	e, ok := s.byKey[k]
 	if !ok {
 		return nil
 	}
-	return proto.CloneOf(e.Value.(*stored).rec)
+	return proto.CloneOf(e.Value.(*storedRecord).rec)
 }
--- a/lib/record/store_test.go
+++ b/lib/record/store_test.go
@@ -14,7 +14,7 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-func incOf(attempt uint32, from int, tokens ...string) *meshpb.Record {
+func incrementOf(attempt uint32, from int, tokens ...string) *meshpb.Record {
 	return &meshpb.Record{
 		Generation: []byte("g"),
 		Workspace:  "w",
@@ -29,23 +29,23 @@
 
 var testKey = key{"w", 1}
 
-func TestStoreJoinsIncrements(t *testing.T) {
+func TestStoreMergesIncrements(t *testing.T) {
 	s, now := newStore(1<<20, time.Minute), time.Now()
-	first := incOf(1, 0, "a", "b")
+	first := incrementOf(1, 0, "a", "b")
 	first.Request = []byte("body")
 	must.EqOp(t, 2, s.put(now, first).GetHave())
-	must.EqOp(t, 3, s.put(now, incOf(1, 2, "c")).GetHave())
-	must.EqOp(t, 4, s.put(now, incOf(1, 1, "b", "c", "d")).GetHave())
+	must.EqOp(t, 3, s.put(now, incrementOf(1, 2, "c")).GetHave())
+	must.EqOp(t, 4, s.put(now, incrementOf(1, 1, "b", "c", "d")).GetHave())
 	got := s.get(now, testKey)
 	must.Eq(t, []string{"a", "b", "c", "d"}, got.GetTokens())
 	must.Eq(t, "body", string(got.GetRequest()))
 }
 
-// A peer was restarted, or chosen late, and gets the middle of a record. It must not keep tokens after a gap: the one
-// that goes on would give the caller the wrong ones.
-func TestStoreLeavesOutTokensAfterAGap(t *testing.T) {
+// A peer was restarted, or chosen late, and receives the middle of a record. It must not store tokens after a gap, or the
+// entry that resumes the stream would send wrong tokens to the caller.
+func TestStoreDropsTokensAfterGap(t *testing.T) {
 	s, now := newStore(1<<20, time.Minute), time.Now()
-	last := incOf(1, 5, "f")
+	last := incrementOf(1, 5, "f")
 	last.Finished = true
 	reply := s.put(now, last)
 	must.EqOp(t, 0, reply.GetHave())
@@ -54,19 +54,19 @@
 	must.False(t, s.get(now, testKey).GetFinished())
 }
 
-// An entry that was frozen wakes after another has taken its generation over, and writes on. Its word must not replace
-// the newer attempt's.
-func TestStoreRefusesAnOlderAttempt(t *testing.T) {
+// A frozen entry resumes after another has taken its generation over, and keeps writing. Its update must not replace the
+// newer attempt's.
+func TestStoreRejectsOlderAttempt(t *testing.T) {
 	s, now := newStore(1<<20, time.Minute), time.Now()
-	s.put(now, incOf(7, 0, "a", "b", "c"))
-	must.False(t, s.put(now, incOf(1, 0, "a", "x", "y", "z")).GetFound())
+	s.put(now, incrementOf(7, 0, "a", "b", "c"))
+	must.False(t, s.put(now, incrementOf(1, 0, "a", "x", "y", "z")).GetFound())
 	must.Eq(t, []string{"a", "b", "c"}, s.get(now, testKey).GetTokens())
 }
 
-func TestStoreStartsAfreshForAnotherGeneration(t *testing.T) {
+func TestStoreReplacesOtherGeneration(t *testing.T) {
 	s, now := newStore(1<<20, time.Minute), time.Now()
-	s.put(now, incOf(7, 0, "a", "b"))
-	other := incOf(1, 0, "z")
+	s.put(now, incrementOf(7, 0, "a", "b"))
+	other := incrementOf(1, 0, "z")
 	other.Generation = []byte("h")
 	must.EqOp(t, 1, s.put(now, other).GetHave())
 }
@@ -74,7 +74,7 @@
 func TestStoreIsBoundedInBytesAndTime(t *testing.T) {
 	s, now := newStore(20_000, time.Minute), time.Now()
 	for i := range 100 {
-		inc := incOf(1, 0, strings.Repeat("x", 1000))
+		inc := incrementOf(1, 0, strings.Repeat("x", 1000))
 		inc.KeyHash = uint64(i)
 		s.put(now, inc)
 		must.LessEq(t, 20_000, s.bytes)
@@ -94,21 +94,21 @@
 	return out
 }
 
-// A record must outlive a failure domain, whichever entry wrote it, and be found without knowing which that was.
-func TestHoldersAreInTwoDomainsAndAreSearched(t *testing.T) {
+// A record must survive the loss of a failure domain, whichever entry wrote it, and be found without knowing that entry.
+func TestHoldersSpanDomainsAndAreCandidates(t *testing.T) {
 	ms := membersOf(9, 3)
 	for i := range 200 {
-		order := ranked(keyOf("w", fmt.Sprint("key", i)), ms)
+		order := rankedMembers(keyOf("w", fmt.Sprint("key", i)), ms)
 		for _, owner := range ms {
 			h := holders(order, owner.Instance)
 			must.Len(t, 2, h)
 			must.NotEq(t, h[0].FailureDomain, h[1].FailureDomain)
 			for _, m := range h {
 				must.NotEq(t, owner.Instance, m.Instance)
-				must.SliceContains(t, searched(order), m)
+				must.SliceContains(t, candidates(order), m)
 			}
 		}
-		must.LessEq(t, 4, len(searched(order)))
+		must.LessEq(t, 4, len(candidates(order)))
 	}
 }
 
@@ -118,19 +118,19 @@
 	must.Len(t, 2, holders(membersOf(3, 1), "i00"))
 }
 
-// A peer has lost a record, or never had it, when the next tokens come without what stays the same. Kept by itself, the
-// increment would be given out as the record of an entry that is gone, and with other content than its caller's.
-func TestBareIncrementIsNotKeptAlone(t *testing.T) {
+// A peer that lost a record, or never had it, receives a delta without the constant fields. If stored by itself, the delta
+// would be returned as the record of a dead entry, with other content than its caller's.
+func TestDeltaWithoutBaseIsNotStored(t *testing.T) {
 	s := newStore(DefaultMaxBytes, DefaultRetention)
 	now := time.Now()
 	id := keyOf("w", "k")
-	whole := toProto(recordOf("k", "a"), id, 0, mesh.Identity{Instance: "e", Incarnation: 7})
-	next := proto.CloneOf(whole)
+	full := toProto(recordOf("k", "a"), id, 0, mesh.Identity{Instance: "e", Incarnation: 7})
+	next := proto.CloneOf(full)
 	next.Owner, next.OwnerIncarnation, next.Request, next.Fingerprint = "", 0, nil, 0
 	next.Tokens, next.TokensFrom, next.Delivered = []string{"b"}, 1, 2
 	must.True(t, s.put(now, next).GetNeedRequest())
 	must.Nil(t, s.get(now, id))
-	s.put(now, whole)
+	s.put(now, full)
 	must.Eq(t, 2, s.put(now, next).GetHave())
 	got := s.get(now, id)
 	must.Eq(t, "e", got.GetOwner())
@@ -141,19 +141,19 @@
 	other.Generation = append([]byte(nil), next.Generation...)
 	other.Generation[0]++
 	must.True(t, s.put(now, other).GetNeedRequest())
-	must.Eq(t, whole.GetGeneration(), s.get(now, id).GetGeneration())
+	must.Eq(t, full.GetGeneration(), s.get(now, id).GetGeneration())
 }
 
-// What a peer holds must come back as the caller sent it: its hash is compared with the claim's.
-func TestRequestIsUnpackedAsItWas(t *testing.T) {
+// A stored request must be restored byte for byte, because its hash is compared with the claim's.
+func TestRequestCompressionRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 5000, 1 << 20} {
 		want := []byte(strings.Repeat("n\x00é", n))
-		got, err := unpacked(packed(want))
+		got, err := decompress(compress(want))
 		must.NoError(t, err)
 		must.True(t, string(want) == string(got))
 	}
-	_, err := unpacked(packed(make([]byte, maxRequest+1)))
-	must.ErrorIs(t, err, errRequestSize)
-	_, err = unpacked([]byte("no such thing"))
+	_, err := decompress(compress(make([]byte, maxRequestBytes+1)))
+	must.ErrorIs(t, err, errRequestTooLarge)
+	_, err = decompress([]byte("no such thing"))
 	must.Error(t, err)
 }
