--- a/lib/routes/routes.go
+++ b/lib/routes/routes.go
@@ -1,7 +1,7 @@
-// Package routes holds what operators set for requests that are passed through to targets unchanged: which service a
-// request goes to, how often it may be sent, and whose key it bears.
+// Package routes holds the operators' settings for requests that are forwarded to targets unchanged: which service receives
+// a request, how often it may be sent, and which workspace its key belongs to.
 //
-// A Revision is what was written; a Table is a Revision made ready for look-ups. Both are immutable once built.
+// A Revision is the settings as written; a Table is a Revision indexed for lookups. Both are immutable once built.
 package routes
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind determines whether requests of a route may be repeated.
 type Kind uint8
 
 const (
 	Idempotent    Kind = iota + 1 // may run more than once
-	NonIdempotent                 // runs at most once for each attempt of the caller
-	Stream                        // numbered events; as NonIdempotent unless the route is Resumable
+	NonIdempotent                 // runs at most once per attempt of the caller
+	Stream                        // numbered events; like NonIdempotent unless the route is Resumable
 )
 
 var kindNames = [...]string{Idempotent: "idempotent", NonIdempotent: "non-idempotent", Stream: "stream"}
@@ -31,42 +31,42 @@
 	return "unknown"
 }
 
-// Share is a service's part of a route's requests.
+// Share is the share of a route's requests that a service receives.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route is one rule for requests.
+// Route is one routing rule.
 type Route struct {
 	Name, Host, Prefix string
 	Kind               Kind
-	Timeout            time.Duration // longest time to an answer; 0: none
-	LatencyObjective   time.Duration // time to an answer, or to a stream's first event, of full worth
-	GapObjective       time.Duration // longest pause in a stream of full worth
+	Timeout            time.Duration // time limit for a response; 0: none
+	LatencyObjective   time.Duration // longest time to a response, or to a stream's first event, that counts as fully useful
+	GapObjective       time.Duration // longest gap between events of a stream that counts as fully useful
 	Priority           int           // 0 is the most urgent
-	MaxAttempts        int           // targets that one attempt of the caller may be sent to
-	Public             bool          // no key is asked for
-	Affinity           bool          // requests name the parts of their prompt
-	Resumable          bool          // a stream may go on at another target after its last event
+	MaxAttempts        int           // number of targets that one attempt of the caller may be sent to
+	Public             bool          // no key is required
+	Affinity           bool          // requests identify the parts of their prompt
+	Resumable          bool          // a stream may be resumed at another target after its last event
 	Split              []Share
 	Regions            []string // where its requests may run; empty: anywhere
 }
 
-// MayRepeat reports whether a request that may have run can be sent once more.
+// MayRepeat reports whether a request that may already have run can be sent again.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Engine is what a service's model engines can do.
+// Engine describes the capabilities of a service's model engines.
 type Engine struct {
 	Slots           int
-	KVTokens        int // tokens that fit into an engine's memory
+	KVTokens        int // tokens that fit into an engine's key-value cache
 	KVBytes         float64
 	LinkMbps        float64
 	SupportsMoves   bool // runs can be copied to another engine
 	SupportsBackups bool // runs can be copied while they grow
-	TokensPerEvent  int  // tokens in an event
+	TokensPerEvent  int  // number of tokens in an event
 	HandleTTL       time.Duration
 }
 
@@ -74,9 +74,9 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int           // connections a target accepts from all instances together
-	WarmupTime time.Duration // a target is slow for so long after it starts
-	WarmupRate float64       // requests a second that it takes meanwhile, from all instances together; 0: as many as ever
+	MaxConns   int           // connections that a target accepts from all instances together
+	WarmupTime time.Duration // how long a target is slow after it starts
+	WarmupRate float64       // requests per second that it takes during WarmupTime, from all instances together; 0: no limit
 	Engine     *Engine
 }
 
@@ -84,43 +84,43 @@
 type Workspace struct {
 	Name     string
 	Keys     []string
-	Priority *int     // goes before the route's
+	Priority *int     // overrides the route's
 	Regions  []string // where its requests may run; empty: anywhere
 }
 
-// Limits bound what a caller may send. Zero means none.
+// Limits bounds requests of callers. Zero means no limit.
 type Limits struct {
 	HeaderBytes, BodyBytes     int64
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Revision is one state of the settings as written.
+// Revision is one revision of the settings as written.
 type Revision struct {
 	Version     int64
 	Routes      []Route
 	Services    []Service
 	Workspaces  []Workspace
-	KeyRequired bool // requests need a key, even when no workspace is left
+	KeyRequired bool // requests need a key, even if there is no workspace
 	Limits      Limits
 }
 
-// Table answers look-ups in one revision.
+// Table answers lookups in one revision.
 type Table struct {
-	Version     int64
-	Limits      Limits
-	KeyRequired bool
-	hosts       map[string][]*Route // longest prefix first
-	keys        map[string]*Workspace
-	names       map[string]*Workspace
-	services    map[string]*Service
+	Version         int64
+	Limits          Limits
+	KeyRequired     bool
+	hosts           map[string][]*Route // longest prefix first
+	workspaceByKey  map[string]*Workspace
+	workspaceByName map[string]*Workspace
+	services        map[string]*Service
 }
 
-// NewTable indexes a revision. It refuses one that could route a request wrongly.
+// NewTable indexes a revision. It rejects one that could route requests wrongly.
 func NewTable(rev *Revision) (*Table, error) {
 	t := &Table{
 		Version: rev.Version, Limits: rev.Limits, KeyRequired: rev.KeyRequired,
-		hosts: make(map[string][]*Route), keys: make(map[string]*Workspace),
-		names: make(map[string]*Workspace), services: make(map[string]*Service),
+		hosts: make(map[string][]*Route), workspaceByKey: make(map[string]*Workspace),
+		workspaceByName: make(map[string]*Workspace), services: make(map[string]*Service),
 	}
 	for i := range rev.Services {
 		t.services[rev.Services[i].Name] = &rev.Services[i]
@@ -137,9 +137,9 @@
 	}
 	for i := range rev.Workspaces {
 		w := &rev.Workspaces[i]
-		t.names[w.Name] = w
+		t.workspaceByName[w.Name] = w
 		for _, key := range w.Keys {
-			t.keys[key] = w
+			t.workspaceByKey[key] = w
 		}
 	}
 	return t, nil
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// Match returns the route of a request, nil when there is none. A path belongs to the route with the longest prefix.
+// Match returns the route of a request, or nil. The longest matching prefix wins.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -170,13 +170,13 @@
 	return nil
 }
 
-// WorkspaceForKey returns the workspace that holds a key, nil when none does.
-func (t *Table) WorkspaceForKey(key string) *Workspace { return t.keys[key] }
+// WorkspaceForKey returns the workspace that owns a key, or nil.
+func (t *Table) WorkspaceForKey(key string) *Workspace { return t.workspaceByKey[key] }
 
-// Regions returns where a workspace's requests on a route may run. Where both name regions, both bind: the result is not nil then,
-// but may be empty. nil: anywhere.
+// Regions returns the regions in which a workspace's requests on a route may run; nil means anywhere. If both workspace and
+// route restrict regions, the result is their intersection, which may be empty but is not nil.
 func (t *Table) Regions(r *Route, workspace string) []string {
-	w := t.names[workspace]
+	w := t.workspaceByName[workspace]
 	switch {
 	case w == nil || len(w.Regions) == 0:
 		if len(r.Regions) == 0 {
@@ -195,7 +195,7 @@
 	return both
 }
 
-// Service returns a service by name, nil when there is none.
+// Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // EachService calls f for each service.
@@ -205,7 +205,7 @@
 	}
 }
 
-// PickService picks the service of a request by the route's split; u is uniform in [0, 1).
+// PickService picks the service of a request by the weights of the route's split; u is uniform in [0, 1).
 func (r *Route) PickService(u float64) string {
 	total := 0.0
 	for _, s := range r.Split {
--- a/lib/routes/routes_test.go
+++ b/lib/routes/routes_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func table(t *testing.T) *Table {
+func testTable(t *testing.T) *Table {
 	t.Helper()
 	tab, err := NewTable(&Revision{
 		Version: 7,
@@ -22,8 +22,8 @@
 	return tab
 }
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
-	tab := table(t)
+func TestMatchLongestPrefix(t *testing.T) {
+	tab := testTable(t)
 	for path, want := range map[string]string{"/a/x": "short", "/a/b/x": "long", "/a/bx": "short", "/a": "", "/b/a/": ""} {
 		r := tab.Match("h", path)
 		if want == "" {
@@ -35,8 +35,8 @@
 	must.Nil(t, tab.Match("other", "/a/x"))
 }
 
-func TestKeysAndServices(t *testing.T) {
-	tab := table(t)
+func TestLookupKeysAndServices(t *testing.T) {
+	tab := testTable(t)
 	must.Eq(t, "w", tab.WorkspaceForKey("k2").Name)
 	must.Nil(t, tab.WorkspaceForKey(""))
 	must.Nil(t, tab.WorkspaceForKey("k3"))
@@ -44,8 +44,8 @@
 	must.Nil(t, tab.Service("u"))
 }
 
-func TestSplitFollowsWeights(t *testing.T) {
-	r := table(t).Match("h", "/a/b/x")
+func TestPickServiceByWeight(t *testing.T) {
+	r := testTable(t).Match("h", "/a/b/x")
 	must.Eq(t, "s", r.PickService(0))
 	must.Eq(t, "s", r.PickService(0.89))
 	must.Eq(t, "t", r.PickService(0.91))
@@ -54,15 +54,15 @@
 	must.Eq(t, "s", r.PickService(0.5))
 }
 
-func TestMayRepeatFollowsTheKind(t *testing.T) {
+func TestMayRepeatByKind(t *testing.T) {
 	must.True(t, (&Route{Kind: Idempotent}).MayRepeat())
 	must.False(t, (&Route{Kind: NonIdempotent}).MayRepeat())
 	must.False(t, (&Route{Kind: Stream}).MayRepeat())
 	must.True(t, (&Route{Kind: Stream, Resumable: true}).MayRepeat())
 }
 
-// A revision that would route a request wrongly is refused whole; the one in force stays.
-func TestUnusableRevisions(t *testing.T) {
+// A revision that would route requests wrongly must be rejected as a whole, so that the current one stays in use.
+func TestInvalidRevisionsAreRejected(t *testing.T) {
 	for name, r := range map[string]Route{
 		"no service":      {Kind: Idempotent},
 		"unknown service": {Kind: Idempotent, Split: []Share{{Service: "x"}}},
