--- a/lib/caller/caller.go
+++ b/lib/caller/caller.go
@@ -114,7 +114,7 @@
 	}
 	var refused *Refused
 	if errors.As(err, &refused) {
-		return try > 0 && result.Lookup(refused.Detail.Code).Again == result.AgainLater
+		return try > 0 && result.Lookup(refused.Detail.Code).RetryAdvice == result.RetryLater
 	}
 	return !errors.Is(err, ErrOrder) && !errors.Is(err, ErrGeneration)
 }
--- a/lib/callerapi/callerapi_test.go
+++ b/lib/callerapi/callerapi_test.go
@@ -128,7 +128,7 @@
 // A refusal that may be tried again must always say when, also where the place that refused did not.
 func TestEveryRetryableRefusalSaysWhen(t *testing.T) {
 	for _, in := range result.Table {
-		if in.Again != result.AgainLater {
+		if in.RetryAdvice != result.RetryLater {
 			continue
 		}
 		w := httptest.NewRecorder()
--- a/lib/callerapi/errors.go
+++ b/lib/callerapi/errors.go
@@ -49,14 +49,14 @@
 		Type:         in.Name,
 		Message:      msg,
 		Outcome:      in.Outcome.String(),
-		AskAgain:     in.Again.String(),
+		AskAgain:     in.RetryAdvice.String(),
 		RetryAfterMS: retryAfter(e, in).Milliseconds(),
 		RequestID:    requestID,
 	}}
 }
 
 func retryAfter(e *result.Error, in result.Info) time.Duration {
-	if in.Again != result.AgainLater {
+	if in.RetryAdvice != result.RetryLater {
 		return 0
 	}
 	return max(e.RetryAfter, time.Millisecond)
--- a/lib/capacity/claims.go
+++ b/lib/capacity/claims.go
@@ -68,7 +68,7 @@
 
 func claimOnce(ctx context.Context, t *claim.Table, n int64) bool {
 	c, _, refused := t.Begin(ctx, claim.Request{Workspace: "w", Key: fmt.Sprint(n), Fingerprint: "f"})
-	if refused != nil || c.Sent(ctx, "t", 1) != nil {
+	if refused != nil || c.MarkSent(ctx, "t", 1) != nil {
 		return false
 	}
 	c.Finish(claim.Summary{Code: result.OK, Status: 200, Body: []byte("done"), Kept: true})
--- a/lib/capacity/heartbeat.go
+++ b/lib/capacity/heartbeat.go
@@ -70,7 +70,7 @@
 		FailureDomain: fmt.Sprint("d", i%3),
 		MeshAddr:      ln.Addr().String(),
 	}
-	opts := mesh.Options{Self: mesh.Identity{Instance: self.Instance, Incarnation: 1}, Plain: tlsFiles == nil}
+	opts := mesh.Options{Self: mesh.Identity{Instance: self.Instance, Incarnation: 1}, Plaintext: tlsFiles == nil}
 	if tlsFiles != nil {
 		if opts.TLS, err = mesh.LoadTLS(*tlsFiles); err != nil {
 			return err
@@ -192,9 +192,9 @@
 	for end := now + d; now < end; now += interval {
 		for _, t := range tables {
 			for _, o := range t.Tick(now) {
-				answer := tables[o.To.Instance].Receive(now, o.Beat)
+				answer := tables[o.To.Instance].HandleHeartbeat(now, o.Heartbeat)
 				if c != nil {
-					c.add(o.Beat)
+					c.add(o.Heartbeat)
 				}
 				if answer == nil {
 					continue
@@ -202,7 +202,7 @@
 				if c != nil {
 					c.add(answer)
 				}
-				t.Receive(now, answer)
+				t.HandleHeartbeat(now, answer)
 			}
 		}
 	}
--- a/lib/capacity/limits.go
+++ b/lib/capacity/limits.go
@@ -140,7 +140,7 @@
 			s.wg.Go(func() { load(p, ctx, uint64(i), keys) })
 		}
 	}
-	time.Sleep(limit.DefaultConfig.WaitOut() + time.Second/2)
+	time.Sleep(limit.DefaultConfig.HandoverDelay() + time.Second/2)
 	bytes, cpu, from := s.bytes(), processTime(), time.Now()
 	time.Sleep(limitSpan)
 	spent, took := processTime()-cpu, time.Since(from).Seconds()
--- a/lib/capacity/schedlink.go
+++ b/lib/capacity/schedlink.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			return Placements{}, err
 		}
-		node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plain: true})
+		node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plaintext: true})
 		if err != nil {
 			return Placements{}, err
 		}
--- a/lib/claim/again.go
+++ b/lib/claim/again.go
@@ -200,7 +200,7 @@
 		return true
 	}
 	r, err := decode(found)
-	return err == nil && (r.ID == id || r.State == Released || t.cfg.Gone(r.Holder))
+	return err == nil && (r.ID == id || r.State == Released || t.cfg.HolderGone(r.Holder))
 }
 
 // crossed reports whether a write over an earlier one of this claim failed because the table came back from a copy since.
--- a/lib/claim/bench_test.go
+++ b/lib/claim/bench_test.go
@@ -57,7 +57,7 @@
 
 func claimOnce(t *Table, n int64) bool {
 	c, _, refused := t.Begin(context.Background(), Request{Workspace: "w", Key: fmt.Sprint(n), Fingerprint: "f"})
-	if refused != nil || c.Sent(context.Background(), "t", 1) != nil {
+	if refused != nil || c.MarkSent(context.Background(), "t", 1) != nil {
 		return false
 	}
 	c.Finish(Summary{Code: result.OK, Status: 200, Body: []byte("done"), Kept: true})
--- a/lib/claim/claim.go
+++ b/lib/claim/claim.go
@@ -57,8 +57,8 @@
 	Era() uint64
 }
 
-// Send names what a holder that is gone may have sent.
-type Send struct {
+// PriorSend names what a holder that is gone may have sent.
+type PriorSend struct {
 	Generation string
 	Target     string
 	Attempt    uint32
@@ -67,13 +67,13 @@
 // Config sets up a Table.
 type Config struct {
 	Holder Holder
-	// Gone reports that a holder's process has ended. A wrong answer is safe; see the package comment.
-	Gone func(Holder) bool
-	// NeverRan reports that the target proves that it did not run the send, and that it will refuse it from now on.
+	// HolderGone reports that a holder's process has ended. A wrong answer is safe; see the package comment.
+	HolderGone func(Holder) bool
+	// ProveNotRun reports that the target proves that it did not run the send, and that it will refuse it from now on.
 	// nil: no target can.
-	NeverRan func(context.Context, Send) bool
-	Timeout  time.Duration // of Begin and Sent: a caller is refused rather than held; default DefaultTimeout
-	MaxBody  int           // longest answer kept, bytes; default DefaultMaxBody
+	ProveNotRun func(context.Context, PriorSend) bool
+	Timeout     time.Duration // of Begin and Sent: a caller is refused rather than held; default DefaultTimeout
+	MaxBody     int           // longest answer kept, bytes; default DefaultMaxBody
 	// MaxUnsettled bounds the claims never sent that wait to be released; default DefaultMaxUnsettled.
 	MaxUnsettled int
 }
@@ -235,14 +235,14 @@
 	if rev == 0 || old.State == Released {
 		return nil
 	}
-	if old.Holder != cfg.Holder && !cfg.Gone(old.Holder) {
+	if old.Holder != cfg.Holder && !cfg.HolderGone(old.Holder) {
 		return busy("in progress at " + old.Holder.Instance)
 	}
 	if old.State == Started {
 		return nil
 	}
-	send := Send{Generation: old.Generation, Target: old.Target, Attempt: old.Attempt}
-	if !old.Resumed && cfg.NeverRan != nil && cfg.NeverRan(ctx, send) {
+	send := PriorSend{Generation: old.Generation, Target: old.Target, Attempt: old.Attempt}
+	if !old.Resumed && cfg.ProveNotRun != nil && cfg.ProveNotRun(ctx, send) {
 		return nil
 	}
 	return result.New(result.ClaimOrphan, "sent to %s by %s, which is gone", old.Target, old.Holder.Instance)
--- a/lib/claim/claim_test.go
+++ b/lib/claim/claim_test.go
@@ -25,8 +25,8 @@
 // entry returns the claims of one entry; gone names entries that membership holds for dead.
 func entry(s *standin.Server, name string, gone ...string) *Table {
 	return New(client(s), Config{
-		Holder: Holder{Instance: name, Incarnation: 1},
-		Gone:   func(h Holder) bool { return slices.Contains(gone, h.Instance) },
+		Holder:     Holder{Instance: name, Incarnation: 1},
+		HolderGone: func(h Holder) bool { return slices.Contains(gone, h.Instance) },
 	})
 }
 
@@ -60,7 +60,7 @@
 func mustSend(t *testing.T, tab *Table, req Request) *Claim {
 	t.Helper()
 	c := mustBegin(t, tab, req)
-	must.Nil(t, c.Sent(t.Context(), "svc", c.FirstAttempt()))
+	must.Nil(t, c.MarkSent(t.Context(), "svc", c.FirstAttempt()))
 	return c
 }
 
@@ -127,7 +127,7 @@
 		must.Eq(t, result.AlreadyRunning, refusal(t, a, request("x")))
 		must.Eq(t, result.AlreadyRunning, refusal(t, b, request("x")))
 		must.Eq(t, result.KeyReused, refusal(t, a, request("y")))
-		must.Nil(t, c.Sent(t.Context(), "svc", 1))
+		must.Nil(t, c.MarkSent(t.Context(), "svc", 1))
 		must.Eq(t, result.AlreadyRunning, refusal(t, b, request("x")))
 	})
 }
@@ -140,7 +140,7 @@
 		a, b := entry(s, "a"), entry(s, "b", "a")
 		paused := mustBegin(t, a, request("x"))
 		mustSend(t, b, request("x"))
-		err := paused.Sent(t.Context(), "svc", 1)
+		err := paused.MarkSent(t.Context(), "svc", 1)
 		must.NotNil(t, err)
 		must.Eq(t, result.AlreadyRunning, err.Code)
 		must.Zero(t, a.Unsettled())
@@ -164,16 +164,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
-		var asked Send
-		b.cfg.NeverRan = func(_ context.Context, s Send) bool {
+		var asked PriorSend
+		b.cfg.ProveNotRun = func(_ context.Context, s PriorSend) bool {
 			asked = s
 			return true
 		}
 		req := request("x")
 		first := mustBegin(t, a, req)
-		must.Nil(t, first.Sent(t.Context(), "engine-1", 4))
+		must.Nil(t, first.MarkSent(t.Context(), "engine-1", 4))
 		c := mustBegin(t, b, request("x"))
-		must.Eq(t, Send{Generation: req.Generation, Target: "engine-1", Attempt: 4}, asked)
+		must.Eq(t, PriorSend{Generation: req.Generation, Target: "engine-1", Attempt: 4}, asked)
 		must.Eq(t, 5, c.FirstAttempt())
 	})
 }
@@ -234,7 +234,7 @@
 		a, b := entry(s, "a"), entry(s, "b", "a")
 		c := mustBegin(t, a, request("x"))
 		s.SetFault(standin.Fault{Kind: standin.FaultLoseAnswer, DurationMS: 10_000})
-		err := c.Sent(t.Context(), "svc", 1)
+		err := c.MarkSent(t.Context(), "svc", 1)
 		must.NotNil(t, err)
 		must.Eq(t, result.StoreDown, err.Code)
 		must.Eq(t, result.NotRun, result.Lookup(err.Code).Outcome)
@@ -277,7 +277,7 @@
 			req := request("x")
 			req.Key = fmt.Sprint("old-", i)
 			c := mustBegin(t, a, req)
-			must.Nil(t, c.Sent(t.Context(), "svc", 1))
+			must.Nil(t, c.MarkSent(t.Context(), "svc", 1))
 			if i > 0 {
 				c.Finish(Summary{Code: result.OK, Status: 200})
 			}
@@ -304,12 +304,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		a := entry(standin.New(standin.Config{}), "a")
 		c := mustBegin(t, a, request("x"))
-		must.Nil(t, c.Sent(t.Context(), "engine-1", 1))
-		err := c.Sent(t.Context(), "engine-2", 1)
+		must.Nil(t, c.MarkSent(t.Context(), "engine-1", 1))
+		err := c.MarkSent(t.Context(), "engine-2", 1)
 		must.NotNil(t, err)
 		must.Eq(t, result.InvariantBroken, err.Code)
 		c.Release()
-		err = c.Sent(t.Context(), "engine-2", 2)
+		err = c.MarkSent(t.Context(), "engine-2", 2)
 		must.NotNil(t, err)
 		must.Eq(t, result.InvariantBroken, err.Code)
 		settled(t, a)
@@ -336,7 +336,7 @@
 func TestStoppedSendDoesNotHoldItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := entry(standin.New(standin.Config{}), "a")
-		must.NotNil(t, mustBegin(t, a, request("x")).Sent(t.Context(), "engine-1", 0))
+		must.NotNil(t, mustBegin(t, a, request("x")).MarkSent(t.Context(), "engine-1", 0))
 		must.Eq(t, 0, a.Unsettled())
 		must.NotNil(t, mustBegin(t, a, request("x")))
 	})
@@ -349,12 +349,12 @@
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
 		c := mustBegin(t, a, request("x"))
-		must.Nil(t, c.Sent(t.Context(), "engine-1", 1))
-		must.Nil(t, c.Resent(t.Context(), "engine-2", 2))
+		must.Nil(t, c.MarkSent(t.Context(), "engine-1", 1))
+		must.Nil(t, c.MarkResent(t.Context(), "engine-2", 2))
 		it, _ := s.Item(tableKey("kelburn/roads", "key-1"))
 		must.StrContains(t, string(it.Value), `"target":"engine-2"`)
 		s.SetFault(standin.Fault{Kind: standin.FaultOutage, DurationMS: 20_000})
-		err := c.Resent(t.Context(), "engine-3", 3)
+		err := c.MarkResent(t.Context(), "engine-3", 3)
 		must.NotNil(t, err)
 		must.Eq(t, result.StoreDown, err.Code)
 		c.Finish(Summary{Code: result.TargetFailed, Status: 502})
--- a/lib/claim/example_test.go
+++ b/lib/claim/example_test.go
@@ -17,8 +17,8 @@
 	tableOf := func(instance string) *claim.Table {
 		client := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: store.Transport()})
 		return claim.New(client, claim.Config{
-			Holder: claim.Holder{Instance: instance},
-			Gone:   func(claim.Holder) bool { return false }, // membership's word; a wrong one is safe
+			Holder:     claim.Holder{Instance: instance},
+			HolderGone: func(claim.Holder) bool { return false }, // membership's word; a wrong one is safe
 		})
 	}
 	a, b := tableOf("a"), tableOf("b")
@@ -26,7 +26,7 @@
 
 	c, _, refused := a.Begin(ctx, request)
 	fmt.Println("a may run it:", refused == nil)
-	if refused := c.Sent(ctx, "ledger-1", c.FirstAttempt()); refused != nil {
+	if refused := c.MarkSent(ctx, "ledger-1", c.FirstAttempt()); refused != nil {
 		return // nothing may leave for the target
 	}
 
--- a/lib/claim/history_test.go
+++ b/lib/claim/history_test.go
@@ -43,7 +43,7 @@
 	return op.Value, true
 }
 
-func (tg *target) neverRan(_ context.Context, s Send) bool {
+func (tg *target) neverRan(_ context.Context, s PriorSend) bool {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
 	tg.fenced[s.Generation] = true
@@ -96,12 +96,12 @@
 	}
 	w.life++
 	cfg := Config{
-		Holder:  Holder{Instance: fmt.Sprint("e", i), Incarnation: w.life},
-		Gone:    w.gone,
-		Timeout: 2 * w.unit,
+		Holder:     Holder{Instance: fmt.Sprint("e", i), Incarnation: w.life},
+		HolderGone: w.gone,
+		Timeout:    2 * w.unit,
 	}
 	if w.proves {
-		cfg.NeverRan = w.target.neverRan
+		cfg.ProveNotRun = w.target.neverRan
 	}
 	w.tables[i] = New(w.client(), cfg)
 }
@@ -135,7 +135,7 @@
 	if w.hazard(t) {
 		return errDied, ""
 	}
-	if refused := c.Sent(context.Background(), "target", c.FirstAttempt()); refused != nil {
+	if refused := c.MarkSent(context.Background(), "target", c.FirstAttempt()); refused != nil {
 		return refused.Code, ""
 	}
 	if w.hazard(t) {
--- a/lib/claim/send.go
+++ b/lib/claim/send.go
@@ -8,9 +8,9 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Sent records that the request is about to leave for a target, and must return nil before it does. After a target
+// MarkSent records that the request is about to leave for a target, and must return nil before it does. After a target
 // proved that it did not run an attempt, Sent allows the next. A refusal ends the claim; nothing was sent by it.
-func (c *Claim) Sent(ctx context.Context, target string, attempt uint32) *result.Error {
+func (c *Claim) MarkSent(ctx context.Context, target string, attempt uint32) *result.Error {
 	if err := c.maySend(attempt); err != nil {
 		return err
 	}
@@ -23,12 +23,12 @@
 	return refused
 }
 
-// Resent is Sent for a further attempt after one that may have run, without proof that it did not. The record must name the
+// MarkResent is Sent for a further attempt after one that may have run, without proof that it did not. The record must name the
 // last target that may have run the request: its holder gone, others ask that one alone for proof.
 //
 // When the store does not answer the attempt must not leave. The claim is not released then, since an earlier attempt may
 // have run; the caller ends it by Finish.
-func (c *Claim) Resent(ctx context.Context, target string, attempt uint32) *result.Error {
+func (c *Claim) MarkResent(ctx context.Context, target string, attempt uint32) *result.Error {
 	if err := c.maySend(attempt); err != nil {
 		return err
 	}
--- a/lib/claim/takeover.go
+++ b/lib/claim/takeover.go
@@ -112,11 +112,11 @@
 		return nil, reused()
 	case old.State == Finished && old.Summary == nil:
 		return nil, result.New(result.ClaimOrphan, "the claim is finished and says no outcome")
-	case old.State == Finished && result.Lookup(old.Summary.Code).Again != result.AgainWithKey:
+	case old.State == Finished && result.Lookup(old.Summary.Code).RetryAdvice != result.RetryWithKey:
 		return old.Summary, nil
 	case old.Generation != c.rec.Generation:
 		return nil, busy("another generation runs under the key")
-	case old.Attempt >= c.rec.Attempt && old.State == Sent && c.table.cfg.Gone(old.Holder):
+	case old.Attempt >= c.rec.Attempt && old.State == Sent && c.table.cfg.HolderGone(old.Holder):
 		return nil, result.New(result.ClaimOrphan, "taken over by %s, which is gone and left no record", old.Holder.Instance)
 	case old.Attempt >= c.rec.Attempt || !c.ended(old, owner):
 		return nil, busy("taken over by " + old.Holder.Instance)
@@ -127,7 +127,7 @@
 // ended reports whether the holder of a record does not run it any more.
 func (c *Claim) ended(old record, owner Holder) bool {
 	cfg := c.table.cfg
-	return old.State == Finished || old.State == Released || old.Holder == owner || old.Holder == cfg.Holder || cfg.Gone(old.Holder)
+	return old.State == Finished || old.State == Released || old.Holder == owner || old.Holder == cfg.Holder || cfg.HolderGone(old.Holder)
 }
 
 // unseize gives up a take-over that the table did not confirm, and that nothing was sent by. Its record may stand. It
--- a/lib/claim/takeover_test.go
+++ b/lib/claim/takeover_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	req := request("x")
 	c := mustBegin(t, tab, req)
-	must.Nil(t, c.Sent(t.Context(), "engine-1", attempt))
+	must.Nil(t, c.MarkSent(t.Context(), "engine-1", attempt))
 	req.Owner = tab.cfg.Holder
 	return req
 }
@@ -33,7 +33,7 @@
 		req := request("x")
 		req.Owner = a.cfg.Holder
 		frozen := mustBegin(t, a, req)
-		must.Nil(t, frozen.Sent(t.Context(), "engine-1", 1))
+		must.Nil(t, frozen.MarkSent(t.Context(), "engine-1", 1))
 		moved, sum, err := b.TakeOver(t.Context(), req, 17)
 		must.Nil(t, err)
 		must.Nil(t, sum)
@@ -57,7 +57,7 @@
 		_, _, err := entry(s, "b").TakeOver(t.Context(), req, 17)
 		must.Nil(t, err)
 		c := entry(s, "c", "b")
-		c.cfg.NeverRan = func(context.Context, Send) bool { return true }
+		c.cfg.ProveNotRun = func(context.Context, PriorSend) bool { return true }
 		must.Eq(t, result.ClaimOrphan, refusal(t, c, request("x")))
 	})
 }
--- a/lib/control/control_test.go
+++ b/lib/control/control_test.go
@@ -57,7 +57,7 @@
 	must.NoError(t, err)
 	ln, err := net.Listen("tcp", addrs[0])
 	must.NoError(t, err)
-	n, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: instance}, Plain: true})
+	n, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: instance}, Plaintext: true})
 	must.NoError(t, err)
 	t.Cleanup(n.Close)
 	down = make(chan *meshpb.LocalDown, 100)
@@ -112,7 +112,7 @@
 	p, err := New(Options{
 		Instance:     instance,
 		EntryAddr:    addr,
-		Links:        mesh.Options{Plain: true},
+		Links:        mesh.Options{Plaintext: true},
 		Platform:     platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport()},
 		InstancePoll: 20 * time.Millisecond,
 		DrainPoll:    20 * time.Millisecond,
--- a/lib/control/fleet_test.go
+++ b/lib/control/fleet_test.go
@@ -47,7 +47,7 @@
 	p, err := New(Options{
 		Instance:  fmt.Sprint("i", i),
 		EntryAddr: "127.0.0.1:1",
-		Links:     mesh.Options{Plain: true},
+		Links:     mesh.Options{Plaintext: true},
 		Platform:  platform.Config{Addr: "127.0.0.1:1", Transport: f.store.Transport(), Live: 3},
 		LeaseTTL:  leaseTTL,
 		Targets:   f.engines,
--- a/lib/control/housekeeping.go
+++ b/lib/control/housekeeping.go
@@ -20,7 +20,7 @@
 // for ever. Two at once would only meet each other's deletions; the lease saves the reads.
 func (p *Process) collectClaims(ctx context.Context) {
 	cfg := p.leaseConfig(leaseClaims)
-	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Held) {
+	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Term) {
 		defer p.tables.hold(h)()
 		every(ctx, collectEvery, func(ctx context.Context) {
 			n, err := claim.Collect(ctx, p.store, []platformapi.Cond{h.Cond()}, time.Now())
--- a/lib/control/placement.go
+++ b/lib/control/placement.go
@@ -22,7 +22,7 @@
 // budget is kept by the same lease: its holder alone asks for transfers.
 func (p *Process) place(ctx context.Context) {
 	cfg := p.leaseConfig(leasePlacement)
-	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Held) {
+	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Term) {
 		defer p.tables.hold(h)()
 		log.Info().Str("event", "lease_held").Str("lease", h.Name()).Uint64("fence", h.Fence()).Msg("")
 		pl := &placing{p: p, held: h, engines: newEngines(p.opts.Targets)}
@@ -35,7 +35,7 @@
 
 type placing struct {
 	p       *Process
-	held    *lease.Held
+	held    *lease.Term
 	engines *engines
 }
 
--- a/lib/control/poll.go
+++ b/lib/control/poll.go
@@ -43,10 +43,10 @@
 // leaseConfig names a lease that this process would hold.
 func (p *Process) leaseConfig(name string) lease.Config {
 	return lease.Config{
-		Name:   name,
-		Holder: p.opts.Instance,
-		TTL:    p.opts.LeaseTTL,
-		Watch:  func() time.Duration { return p.pollEvery(0, leaseShare/leaseCount) },
+		Name:         name,
+		Holder:       p.opts.Instance,
+		TTL:          p.opts.LeaseTTL,
+		PollInterval: func() time.Duration { return p.pollEvery(0, leaseShare/leaseCount) },
 	}
 }
 
--- a/lib/control/poll_test.go
+++ b/lib/control/poll_test.go
@@ -71,7 +71,7 @@
 		p, err := New(Options{
 			Instance:  fmt.Sprint("i", i),
 			EntryAddr: "127.0.0.1:1",
-			Links:     mesh.Options{Plain: true},
+			Links:     mesh.Options{Plaintext: true},
 			Platform:  platform.Config{Addr: "127.0.0.1:1", Transport: count, ReadsPerSec: float64(readsPerSec)},
 			Targets:   newFakeEngines(),
 		})
@@ -136,7 +136,7 @@
 		p, err := New(Options{
 			Instance:  "i0",
 			EntryAddr: "127.0.0.1:1",
-			Links:     mesh.Options{Plain: true},
+			Links:     mesh.Options{Plaintext: true},
 			Platform:  platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport()},
 		})
 		must.NoError(t, err)
--- a/lib/control/power.go
+++ b/lib/control/power.go
@@ -188,7 +188,7 @@
 // allot divides the cap while this process holds the lease.
 func (p *Process) allot(ctx context.Context) {
 	cfg := p.leaseConfig(leasePower)
-	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Held) {
+	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Term) {
 		defer p.tables.hold(h)()
 		defer unmeasure()
 		log.Info().Str("event", "lease_held").Str("lease", h.Name()).Uint64("fence", h.Fence()).Msg("")
@@ -199,7 +199,7 @@
 
 type allotting struct {
 	p        *Process
-	held     *lease.Held
+	held     *lease.Term
 	since    time.Time
 	revision uint64
 	plan     *powerplan.Plan
@@ -224,7 +224,7 @@
 		pollFailed(ctx, "power reports", err)
 		return
 	}
-	a.allotter.SetLease(power.Lease{Fence: a.held.Fence(), Since: a.since, Until: time.Now().Add(a.held.Left())})
+	a.allotter.SetLease(power.Lease{Fence: a.held.Fence(), Since: a.since, Until: time.Now().Add(a.held.Remaining())})
 	fresh := a.take(page.Items)
 	if len(fresh) == 0 {
 		return
--- a/lib/control/status.go
+++ b/lib/control/status.go
@@ -53,7 +53,7 @@
 		if !h.Valid() {
 			continue // a holder that was paused past its time: it acts no more, and must not show a lease that another has
 		}
-		st.Leases = append(st.Leases, opsapi.Lease{Name: h.Name(), Fence: h.Fence(), LeftMS: h.Left().Milliseconds()})
+		st.Leases = append(st.Leases, opsapi.Lease{Name: h.Name(), Fence: h.Fence(), LeftMS: h.Remaining().Milliseconds()})
 	}
 	st.Power = shares(v, time.Now())
 	slices.SortFunc(st.Leases, func(a, b opsapi.Lease) int { return cmp.Compare(a.Name, b.Name) })
--- a/lib/control/tables.go
+++ b/lib/control/tables.go
@@ -43,7 +43,7 @@
 	ordered   map[string]drainRecord // operators' drains that this process has written, by target
 	entry     *meshpb.EntryStatus
 	reports   map[string]report
-	leases    map[string]*lease.Held
+	leases    map[string]*lease.Term
 	shares    map[string]heldShare
 }
 
@@ -54,7 +54,7 @@
 }
 
 func newTables() tables {
-	return tables{drains: map[drainID]drainState{}, ordered: map[string]drainRecord{}, reports: map[string]report{}, leases: map[string]*lease.Held{}}
+	return tables{drains: map[drainID]drainState{}, ordered: map[string]drainRecord{}, reports: map[string]report{}, leases: map[string]*lease.Term{}}
 }
 
 // hear takes a message from the entry.
@@ -157,7 +157,7 @@
 }
 
 // hold shows a lease to operators until the returned function is called.
-func (t *tables) hold(h *lease.Held) (release func()) {
+func (t *tables) hold(h *lease.Term) (release func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leases[h.Name()] = h
@@ -194,7 +194,7 @@
 	instances []platformapi.Instance
 	entry     *meshpb.EntryStatus
 	reports   map[string]report
-	leases    []*lease.Held
+	leases    []*lease.Term
 	shares    map[string]heldShare
 }
 
--- a/lib/e2e/proof_test.go
+++ b/lib/e2e/proof_test.go
@@ -251,7 +251,7 @@
 		if err == nil {
 			return refused, nil
 		}
-		if result.Lookup(res.Code).Again != result.AgainLater {
+		if result.Lookup(res.Code).RetryAdvice != result.RetryLater {
 			return refused, fmt.Errorf("%s: %w", key, err)
 		}
 		select {
--- a/lib/entry/claimed.go
+++ b/lib/entry/claimed.go
@@ -80,9 +80,9 @@
 	if g.claim == nil || g.delivered() > 0 {
 		return nil
 	}
-	mark := g.claim.Sent
+	mark := g.claim.MarkSent
 	if g.possiblyRan() {
-		mark = g.claim.Resent
+		mark = g.claim.MarkResent
 	}
 	err := mark(g.ctx, target, number)
 	if err != nil && !(g.possiblyRan() && err.Code == result.StoreDown) {
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -173,7 +173,7 @@
 	if takeOverErr == nil {
 		return g, sk, nil
 	}
-	unfinished := sum == nil || result.Lookup(sum.Code).Again == result.AgainWithKey
+	unfinished := sum == nil || result.Lookup(sum.Code).RetryAdvice == result.RetryWithKey
 	if unfinished && (takeOverErr.Code == result.AlreadyRunning || takeOverErr.Code == result.StoreDown) {
 		return nil, nil, takeOverErr // another entry runs it, or no entry can for now: not orphaned, and not to be given up
 	}
--- a/lib/entry/generation.go
+++ b/lib/entry/generation.go
@@ -237,7 +237,7 @@
 // hold mu, unless the generation has ended.
 func (g *generation) resumableLocked() bool {
 	return g.ended && g.key != "" && g.err != nil && g.err.Code != result.TakenOver &&
-		result.Lookup(g.err.Code).Again == result.AgainWithKey
+		result.Lookup(g.err.Code).RetryAdvice == result.RetryWithKey
 }
 
 // closingEvents returns the last bytes of the stream.
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -145,7 +145,7 @@
 
 func (s *Server) reportDeath(ran poison.Run, name string, incarnation uint64) {
 	log.Warn().Str("event", "target_died").Str("target", name).Uint64("incarnation", incarnation).Msg("")
-	s.opts.Poison.Lost(s.now(), ran, incarnation)
+	s.opts.Poison.TargetDied(s.now(), ran, incarnation)
 }
 
 // pickTables holds the load-balancing tables of plain services, by service name.
@@ -217,7 +217,7 @@
 
 // targetsToAvoid joins the targets that failed a request with those where its content would run beside another suspect.
 func (s *Server) targetsToAvoid(failed []string, fingerprint uint64) []string {
-	separate := s.opts.Poison.Avoid(s.now(), fingerprint)
+	separate := s.opts.Poison.TargetsToAvoid(s.now(), fingerprint)
 	if len(separate) == 0 {
 		return failed
 	}
--- a/lib/entry/interfaces.go
+++ b/lib/entry/interfaces.go
@@ -29,11 +29,11 @@
 type Claim interface {
 	// FirstAttempt is the first attempt number to use: earlier requests under the key may have used lower ones.
 	FirstAttempt() uint32
-	// Sent must return nil before anything is sent to a target. An error ends the claim.
-	Sent(ctx context.Context, target string, attempt uint32) *result.Error
-	// Resent replaces Sent after an attempt that may have run. AlreadyRunning ends the claim; after StoreDown only Finish
+	// MarkSent must return nil before anything is sent to a target. An error ends the claim.
+	MarkSent(ctx context.Context, target string, attempt uint32) *result.Error
+	// MarkResent replaces Sent after an attempt that may have run. AlreadyRunning ends the claim; after StoreDown only Finish
 	// may be called.
-	Resent(ctx context.Context, target string, attempt uint32) *result.Error
+	MarkResent(ctx context.Context, target string, attempt uint32) *result.Error
 	// Finish stores the outcome for resends. It doesn't wait for the table.
 	Finish(sum claim.Summary)
 	// Release frees the key. It requires proof that no target ran the request.
--- a/lib/entry/plainclaim.go
+++ b/lib/entry/plainclaim.go
@@ -35,7 +35,7 @@
 	if pc.claim == nil {
 		return nil
 	}
-	if err := pc.claim.Sent(ctx, name, pc.firstAttempt+try-1); err != nil {
+	if err := pc.claim.MarkSent(ctx, name, pc.firstAttempt+try-1); err != nil {
 		pc.claim = nil
 		return err
 	}
--- a/lib/entry/plainsend.go
+++ b/lib/entry/plainsend.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if t := s.pickTables.table(service); t != nil {
-		t.PauseUntil(name, s.now().Add(retry.After(resp.Header, s.now())))
+		t.PauseUntil(name, s.now().Add(retry.ParseRetryAfter(resp.Header, s.now())))
 	}
 }
 
--- a/lib/entry/run.go
+++ b/lib/entry/run.go
@@ -242,7 +242,7 @@
 // afterRefusal decides how to continue when the scheduler refuses placement. A request that no engine can have run is
 // refused at once; one that may have run retries placement for a bounded time.
 func (s *Server) afterRefusal(g *generation, rs *runState, err *result.Error) (*result.Error, bool) {
-	if result.Lookup(err.Code).Again != result.AgainLater || !g.possiblyRan() {
+	if result.Lookup(err.Code).RetryAdvice != result.RetryLater || !g.possiblyRan() {
 		return err, false
 	}
 	now := s.now()
--- a/lib/entry/store_test.go
+++ b/lib/entry/store_test.go
@@ -73,8 +73,8 @@
 
 func claimsOn(store claim.Store, instance string, gone []string) Claims {
 	return TableClaims{claim.New(store, claim.Config{
-		Holder: claim.Holder{Instance: instance, Incarnation: 1},
-		Gone:   func(h claim.Holder) bool { return slices.Contains(gone, h.Instance) },
+		Holder:     claim.Holder{Instance: instance, Incarnation: 1},
+		HolderGone: func(h claim.Holder) bool { return slices.Contains(gone, h.Instance) },
 	})}
 }
 
--- a/lib/entryproc/assemble.go
+++ b/lib/entryproc/assemble.go
@@ -47,7 +47,7 @@
 
 func (p *Process) limitConfig() limit.Config {
 	if p.links == nil {
-		return limit.AloneConfig()
+		return limit.SingleInstanceConfig()
 	}
 	return limit.DefaultConfig
 }
--- a/lib/entryproc/claims.go
+++ b/lib/entryproc/claims.go
@@ -27,9 +27,9 @@
 	store := platform.New(platform.Config{Addr: cfg.Platform, Share: platform.ShareEntry})
 	self := claim.Holder{Instance: cfg.Instance, Incarnation: cfg.Incarnation}
 	return &claims{store: store, table: claim.New(store, claim.Config{
-		Holder:   self,
-		Gone:     func(h claim.Holder) bool { return holderGone(view(), self, h) },
-		NeverRan: func(ctx context.Context, s claim.Send) bool { return neverRan(ctx, server(), s) },
+		Holder:      self,
+		HolderGone:  func(h claim.Holder) bool { return holderGone(view(), self, h) },
+		ProveNotRun: func(ctx context.Context, s claim.PriorSend) bool { return neverRan(ctx, server(), s) },
 	})}
 }
 
@@ -85,7 +85,7 @@
 
 // neverRan asks an engine to refuse a send from now on, and whether it ran. An engine that does not know the generation
 // proves nothing: it may have been replaced since it ran it. Plain services can't be asked.
-func neverRan(ctx context.Context, server *entry.Server, s claim.Send) bool {
+func neverRan(ctx context.Context, server *entry.Server, s claim.PriorSend) bool {
 	snap := server.Snapshot()
 	g, err := ids.Parse(s.Generation)
 	if snap == nil || err != nil || !isEngine(snap, s.Target) {
--- a/lib/entryproc/links.go
+++ b/lib/entryproc/links.go
@@ -121,7 +121,7 @@
 func (l *links) forgetDropped(names []string) {
 	for _, name := range l.listed {
 		if !slices.Contains(names, name) {
-			l.limits.Forget(name)
+			l.limits.MarkDead(name)
 		}
 	}
 	l.listed = names
--- a/lib/era/era.go
+++ b/lib/era/era.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 )
 
-// Seen is the highest era that answers of a store have told. The zero value has seen none.
-type Seen struct{ highest atomic.Int64 }
+// Tracker is the highest era that answers of a store have told. The zero value has seen none.
+type Tracker struct{ highest atomic.Int64 }
 
-// Of returns the era of an answer, by what the answer tells. One that tells none, or nothing that can be read, counts as of the highest
+// Observe returns the era of an answer, by what the answer tells. One that tells none, or nothing that can be read, counts as of the highest
 // told before: it is ordered by its version then, and begins no era. A lower one is told as it is, and is out of date.
-func (s *Seen) Of(told string) int64 {
+func (s *Tracker) Observe(told string) int64 {
 	era, err := strconv.ParseInt(told, 10, 64)
 	if err != nil || era <= 0 {
 		return s.Highest()
@@ -23,4 +23,4 @@
 }
 
 // Highest returns the highest era told; 0 before the first.
-func (s *Seen) Highest() int64 { return s.highest.Load() }
+func (s *Tracker) Highest() int64 { return s.highest.Load() }
--- a/lib/feed/bench_test.go
+++ b/lib/feed/bench_test.go
@@ -14,10 +14,10 @@
 	for i := range rows {
 		rows[i] = Row{Key: fmt.Sprint("t", i), Value: make([]byte, 150), Version: int64(i + 1)}
 	}
-	r.Take(Page{Rows: rows, Version: 3000}, true, time.Now())
+	r.Merge(Page{Rows: rows, Version: 3000}, true, time.Now())
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Take(Page{Version: 3000}, false, time.Now())
+		r.Merge(Page{Version: 3000}, false, time.Now())
 	}
 }
 
@@ -27,10 +27,10 @@
 	for i := range rows {
 		rows[i] = Row{Key: fmt.Sprint("t", i), Value: make([]byte, 150), Version: int64(i + 1)}
 	}
-	r := NewReplica(func(Update) {}).Keeping(Keep{For: time.Second})
+	r := NewReplica(func(Update) {}).WithRetention(Retention{Period: time.Second})
 	era := int64(0)
 	for b.Loop() {
 		era++
-		r.Take(Page{Rows: rows, Version: 3000, Era: era}, true, time.Now())
+		r.Merge(Page{Rows: rows, Version: 3000, Era: era}, true, time.Now())
 	}
 }
--- a/lib/feed/feed.go
+++ b/lib/feed/feed.go
@@ -22,8 +22,8 @@
 	Value   []byte
 	Version int64
 	Removed bool
-	// Presumed says of a removed row that nobody removed it: the store came back from a copy without it, and it was not written again.
-	Presumed bool
+	// LostInRestore says of a removed row that nobody removed it: the store came back from a copy without it, and it was not written again.
+	LostInRestore bool
 }
 
 // Page is an answer of the store.
@@ -32,12 +32,12 @@
 	Version int64 // newest version that the page reflects
 	Era     int64 // of the store's history in which that version was given out; 0: it was not told
 
-	Kept []Kept // what a peer goes on showing in place of the store's rows, where the page comes from one
-	Part bool   // Rows are those that this instance needs: of a whole table others than these are dropped, not removed
+	Retained []RetainedRow // what a peer goes on showing in place of the store's rows, where the page comes from one
+	Partial  bool          // Rows are those that this instance needs: of a whole table others than these are dropped, not removed
 }
 
-// At returns the newest position that the page reflects.
-func (p *Page) At() Position { return At(p.Era, p.Version) }
+// Position returns the newest position that the page reflects.
+func (p *Page) Position() Position { return PositionOf(p.Era, p.Version) }
 
 // Source is a table to follow. It calls Progress with the context of a call for each part of the answer that comes: a call is
 // given up when nothing comes for a while, however long the whole takes.
@@ -50,14 +50,14 @@
 // Update is a change of a Replica.
 type Update struct {
 	Page
-	Whole  bool     // the first state: Rows are the whole table
-	Read   bool     // the page was the whole table, not changes
-	Before Position // what was held before
+	Initial  bool     // the first state: Rows are the whole table
+	Snapshot bool     // the page was the whole table, not changes
+	Previous Position // what was held before
 	// Restored says that a new era has begun: Rows are what is shown otherwise than before, Held counts what is held on to.
-	Restored bool
-	Held     Held
-	Dropped  []string      // keys of rows that this instance no longer needs and is not told of any more
-	Silent   time.Duration // how long the store was out of everybody's reach before this update; 0: it was not
+	Restored       bool
+	RetainedCounts RetainedCounts
+	Dropped        []string      // keys of rows that this instance no longer needs and is not told of any more
+	Outage         time.Duration // how long the store was out of everybody's reach before this update; 0: it was not
 }
 
 // Options bound a follower's calls.
@@ -67,8 +67,8 @@
 	Retry   time.Duration // pause after a failure, doubled up to RetryMax
 	// RetryMax is short: it is part of the time that an instance stays out of service after the store's return.
 	RetryMax time.Duration
-	// Gap is the least time between two calls. It gathers changes that come one by one, as when all instances start.
-	Gap time.Duration
+	// MinInterval is the least time between two calls. It gathers changes that come one by one, as when all instances start.
+	MinInterval time.Duration
 }
 
 // DefaultOptions suit a store that answers within some milliseconds. Wait plus Timeout is how long a change can stay
@@ -136,10 +136,10 @@
 // Run follows until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := f.Step(ctx, f.opt.Wait)
+		err := f.Poll(ctx, f.opt.Wait)
 		if err == nil {
 			f.pause = f.opt.Retry
-			sleep(ctx, f.opt.Gap)
+			sleep(ctx, f.opt.MinInterval)
 			continue
 		}
 		if ctx.Err() == nil {
@@ -170,9 +170,9 @@
 	}
 }
 
-// Step makes one call: for the whole table when nothing is held or much may have changed, else for the changes within
+// Poll makes one call: for the whole table when nothing is held or much may have changed, else for the changes within
 // wait.
-func (f *Follower) Step(ctx context.Context, wait time.Duration) error {
+func (f *Follower) Poll(ctx context.Context, wait time.Duration) error {
 	err := f.step(ctx, wait)
 	if err == nil {
 		f.fails = 0
@@ -183,16 +183,16 @@
 }
 
 func (f *Follower) step(ctx context.Context, wait time.Duration) error {
-	held := f.to.At()
+	held := f.to.Position()
 	behind := f.behind()
-	if f.isNew() || f.gone || f.to.Part() || behind && !f.stale {
+	if f.isNew() || f.gone || f.to.Partial() || behind && !f.stale {
 		return f.snapshot(ctx)
 	}
 	f.stale = false
 	ctx, cancel := withSilence(ctx, wait+f.timeout())
 	defer cancel()
 	page, err := f.src.Changes(ctx, held.Version, wait)
-	if errors.Is(err, ErrHistoryGone) || err == nil && page.At().Era > held.Era {
+	if errors.Is(err, ErrHistoryGone) || err == nil && page.Position().Era > held.Era {
 		// Versions of another era may name anything, so the answer may lack what was written below the one that is held.
 		f.gone = true
 		return f.snapshot(ctx)
@@ -200,15 +200,15 @@
 	if err != nil {
 		return err
 	}
-	if page.At().Era < held.Era {
-		return &StaleError{Held: held, Got: page.At()}
+	if page.Position().Era < held.Era {
+		return &StaleError{Held: held, Got: page.Position()}
 	}
 	contact := time.Now()
 	if behind && len(page.Rows) > 0 {
 		// An answer is bounded, so later changes may be missing: it doesn't confirm that this is the newest state.
-		contact = f.to.Contact()
+		contact = f.to.LastContact()
 	}
-	f.to.Take(page, false, contact)
+	f.to.Merge(page, false, contact)
 	return nil
 }
 
@@ -216,7 +216,7 @@
 // version of a row: after an outage in which large settings changed often it takes a slow link longer than any time-out,
 // at every try, and the instance would serve by old settings for good.
 func (f *Follower) behind() bool {
-	return time.Since(f.to.Contact()) > outage
+	return time.Since(f.to.LastContact()) > outage
 }
 
 // StaleError says that the store answered with an older state than is held.
@@ -233,12 +233,12 @@
 	if err != nil {
 		return err
 	}
-	if held := f.to.At(); page.At().Before(held) {
+	if held := f.to.Position(); page.Position().Before(held) {
 		f.stale = true
-		return &StaleError{Held: held, Got: page.At()}
+		return &StaleError{Held: held, Got: page.Position()}
 	}
 	f.gone = false
-	f.to.Take(page, true, time.Now())
+	f.to.Merge(page, true, time.Now())
 	return nil
 }
 
--- a/lib/feed/feed_test.go
+++ b/lib/feed/feed_test.go
@@ -213,11 +213,11 @@
 			s := &slowTable{parts: 20, every: 100 * time.Millisecond, stops: stops}
 			r := NewReplica(func(Update) {})
 			f := NewFollower(s, DefaultOptions, r, func(error) {})
-			err := f.Step(ctx, 0)
+			err := f.Poll(ctx, 0)
 			if stops > 0 {
 				must.ErrorIs(t, err, context.DeadlineExceeded)
 				s.stops = 0
-				err = f.Step(ctx, 0)
+				err = f.Poll(ctx, 0)
 			}
 			must.NoError(t, err)
 			must.Eq(t, want, s.calls)
--- a/lib/feed/keep.go
+++ b/lib/feed/keep.go
@@ -7,55 +7,55 @@
 	"time"
 )
 
-// Count is how a row's writer counts its own writes. It goes on when the store's versions go back.
-type Count struct {
-	Life int64 // of the writer: when it started; 0: it does not tell
-	N    int64 // of the write, within that life
+// WriteSeq is how a row's writer counts its own writes. It goes on when the store's versions go back.
+type WriteSeq struct {
+	Incarnation int64 // of the writer: when it started; 0: it does not tell
+	Number      int64 // of the write, within that life
 }
 
-func (c Count) compare(d Count) int {
-	return cmp.Or(cmp.Compare(c.Life, d.Life), cmp.Compare(c.N, d.N))
+func (c WriteSeq) compare(d WriteSeq) int {
+	return cmp.Or(cmp.Compare(c.Incarnation, d.Incarnation), cmp.Compare(c.Number, d.Number))
 }
 
-// Keep says what is believed of a table after the store has come back from a copy, until its writers have written again what the
+// Retention says what is believed of a table after the store has come back from a copy, until its writers have written again what the
 // copy lacks.
-type Keep struct {
-	// For is how long a row that the copy lacks stays, and one that had been removed stays away.
-	For time.Duration
-	// Count reads the writer's own count of a row: what is held stays for as long as the store has an older write of it. ok is false
+type Retention struct {
+	// Period is how long a row that the copy lacks stays, and one that had been removed stays away.
+	Period time.Duration
+	// WriteSeq reads the writer's own count of a row: what is held stays for as long as the store has an older write of it. ok is false
 	// where the writer does not count; nil: none does.
-	Count func(Row) (c Count, ok bool)
+	WriteSeq func(Row) (c WriteSeq, ok bool)
 }
 
 // compare orders two rows by their writer's count; ok is false where that does not tell.
-func (k Keep) compare(a, b Row) (order int, ok bool) {
+func (k Retention) compare(a, b Row) (order int, ok bool) {
 	if bytes.Equal(a.Value, b.Value) {
 		return 0, true
 	}
-	if k.Count == nil {
+	if k.WriteSeq == nil {
 		return 0, false
 	}
-	ca, oka := k.Count(a)
-	cb, okb := k.Count(b)
+	ca, oka := k.WriteSeq(a)
+	cb, okb := k.WriteSeq(b)
 	return ca.compare(cb), oka && okb
 }
 
 // newer reports whether a was written after b for certain.
-func (k Keep) newer(a, b Row) bool {
+func (k Retention) newer(a, b Row) bool {
 	order, ok := k.compare(a, b)
 	return ok && order > 0
 }
 
 // ghost reports whether what the store has is no more than what had been removed.
-func (k Keep) ghost(stored, removed Row) bool {
+func (k Retention) ghost(stored, removed Row) bool {
 	order, ok := k.compare(stored, removed)
 	return ok && order <= 0
 }
 
-// Kept is a row that is shown in place of what the store has, with its last value also where it was removed.
-type Kept struct {
+// RetainedRow is a row that is shown in place of what the store has, with its last value also where it was removed.
+type RetainedRow struct {
 	Row
-	Left time.Duration // until what the store has is shown; 0: until it has a newer write
+	Remaining time.Duration // until what the store has is shown; 0: until it has a newer write
 }
 
 // kept is a Kept as a Replica holds it.
@@ -74,8 +74,8 @@
 	lostRemoval                 // it had been removed, and the store has it again
 )
 
-// Held counts the rows that are kept, by what the copy lacks of them.
-type Held struct{ Writes, Rows, Removals int }
+// RetainedCounts counts the rows that are kept, by what the copy lacks of them.
+type RetainedCounts struct{ Writes, Rows, Removals int }
 
 // restore takes in the table of a new era and returns what is shown otherwise than before.
 func (r *Replica) restore(page Page, now time.Time) []Row {
@@ -96,11 +96,11 @@
 			r.buried = append(r.buried, burial{key: old.Key, at: tombstones[old.Key].at})
 			continue
 		}
-		r.keepRow(old, r.keep.For, now)
+		r.keepRow(old, r.keep.Period, now)
 	}
 	slices.SortFunc(r.buried, func(a, b burial) int { return a.at.Compare(b.at) })
-	for _, k := range page.Kept {
-		r.keepRow(k.Row, k.Left, now)
+	for _, k := range page.Retained {
+		r.keepRow(k.Row, k.Remaining, now)
 	}
 	return r.shownOtherwise(before)
 }
@@ -140,7 +140,7 @@
 // told is a row as it is told on: a removed one without its last value.
 func (r *Replica) told(row Row) Row {
 	if row.Removed {
-		return Row{Key: row.Key, Version: r.at.Version, Removed: true, Presumed: row.Presumed}
+		return Row{Key: row.Key, Version: r.at.Version, Removed: true, LostInRestore: row.LostInRestore}
 	}
 	return row
 }
@@ -176,11 +176,11 @@
 }
 
 // review takes in what a peer keeps, lets go of what was kept for long enough, and returns what is shown otherwise by that.
-func (r *Replica) review(peers []Kept, now time.Time) []Row {
+func (r *Replica) review(peers []RetainedRow, now time.Time) []Row {
 	var out []Row
 	for _, k := range peers {
 		before, known := r.shown(k.Key)
-		r.keepRow(k.Row, k.Left, now)
+		r.keepRow(k.Row, k.Remaining, now)
 		if after, _ := r.shown(k.Key); known && differs(before, after) || !known && !after.Removed {
 			out = append(out, r.told(after))
 		}
@@ -192,7 +192,7 @@
 		delete(r.kept, key)
 		after, known := r.shown(key)
 		if !known {
-			after = Row{Key: key, Removed: true, Presumed: true}
+			after = Row{Key: key, Removed: true, LostInRestore: true}
 		}
 		if differs(k.Row, after) {
 			out = append(out, r.told(after))
@@ -215,8 +215,8 @@
 	return a.Removed != b.Removed || !a.Removed && !bytes.Equal(a.Value, b.Value)
 }
 
-func (r *Replica) held() Held {
-	var h Held
+func (r *Replica) held() RetainedCounts {
+	var h RetainedCounts
 	for _, k := range r.kept {
 		switch k.lost {
 		case lostWrite:
@@ -230,23 +230,23 @@
 	return h
 }
 
-// Kept returns what is shown in place of what the store has.
-func (r *Replica) Kept(now time.Time) []Kept {
+// Retained returns what is shown in place of what the store has.
+func (r *Replica) Retained(now time.Time) []RetainedRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Kept
+	var out []RetainedRow
 	for _, k := range r.kept {
 		left := time.Duration(0)
 		if !k.until.IsZero() {
 			left = max(time.Millisecond, k.until.Sub(now))
 		}
-		out = append(out, Kept{Row: k.Row, Left: left})
+		out = append(out, RetainedRow{Row: k.Row, Remaining: left})
 	}
 	return out
 }
 
-// Ghosts returns the rows that had been removed and that the store has again, as it has them.
-func (r *Replica) Ghosts() []Row {
+// Resurrected returns the rows that had been removed and that the store has again, as it has them.
+func (r *Replica) Resurrected() []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Row
--- a/lib/feed/keep_test.go
+++ b/lib/feed/keep_test.go
@@ -14,7 +14,7 @@
 const keepFor = 5 * time.Second
 
 // countOf reads values such as "3: text" or "life.3: text".
-func countOf(row Row) (Count, bool) {
+func countOf(row Row) (WriteSeq, bool) {
 	head, _, _ := strings.Cut(string(row.Value), ":")
 	life, n, ok := strings.Cut(head, ".")
 	if !ok {
@@ -22,10 +22,10 @@
 	}
 	l, err := strconv.ParseInt(life, 10, 64)
 	if err != nil {
-		return Count{}, false
+		return WriteSeq{}, false
 	}
 	i, err := strconv.ParseInt(n, 10, 64)
-	return Count{Life: l, N: i}, err == nil
+	return WriteSeq{Incarnation: l, Number: i}, err == nil
 }
 
 // copied is a replica whose store comes back from copies.
@@ -46,7 +46,7 @@
 				c.shown[row.Key] = string(row.Value)
 			}
 		}
-	}).Keeping(Keep{For: keepFor, Count: countOf})
+	}).WithRetention(Retention{Period: keepFor, WriteSeq: countOf})
 	return c
 }
 
@@ -61,7 +61,7 @@
 	for i := 0; i < len(rows); i += 2 {
 		page.Rows = append(page.Rows, Row{Key: rows[i], Value: []byte(rows[i+1]), Version: at.Version, Removed: rows[i+1] == ""})
 	}
-	c.r.Take(page, whole, time.Now())
+	c.r.Merge(page, whole, time.Now())
 }
 
 // Settings that the copy has older stay, through each older write that comes again, until a newer one comes: a revoked key stays revoked.
@@ -70,7 +70,7 @@
 	c.state(Position{1, 10}, "s", "7: held")
 	c.state(Position{2, 5}, "s", "3: copy")
 	must.Eq(t, "7: held", c.shown["s"])
-	must.Eq(t, Held{Writes: 1}, c.last.Held)
+	must.Eq(t, RetainedCounts{Writes: 1}, c.last.RetainedCounts)
 	c.changes(Position{2, 6}, "s", "5: again")
 	must.Eq(t, "7: held", c.shown["s"])
 	c.changes(Position{2, 7}, "s", "7: again")
@@ -87,7 +87,7 @@
 		c.state(Position{1, 10}, "a", "x", "b", "x", "c", "x")
 		c.state(Position{2, 5})
 		must.MapLen(t, 3, c.shown)
-		must.Eq(t, Held{Rows: 3}, c.last.Held)
+		must.Eq(t, RetainedCounts{Rows: 3}, c.last.RetainedCounts)
 		c.changes(Position{2, 6}, "b", "x")
 		c.changes(Position{2, 7}, "c", "")
 		must.Eq(t, map[string]string{"a": "x", "b": "x"}, c.shown)
@@ -105,7 +105,7 @@
 		back := time.Now()
 		c.state(Position{2, 5})
 		time.Sleep(keepFor + time.Second)
-		c.r.Take(Page{Era: 2, Version: 5}, false, back) // a page from a peer that has not reached the store since
+		c.r.Merge(Page{Era: 2, Version: 5}, false, back) // a page from a peer that has not reached the store since
 		must.MapLen(t, 1, c.shown)
 	})
 }
@@ -118,8 +118,8 @@
 		c.changes(Position{1, 12}, "a", "", "b", "")
 		c.state(Position{2, 5}, "a", "1.3: x", "b", "1.3: x")
 		must.MapEmpty(t, c.shown)
-		must.Eq(t, Held{Removals: 2}, c.last.Held)
-		must.Len(t, 2, c.r.Ghosts())
+		must.Eq(t, RetainedCounts{Removals: 2}, c.last.RetainedCounts)
+		must.Len(t, 2, c.r.Resurrected())
 		c.changes(Position{2, 6}, "a", "2.1: new start")
 		must.Eq(t, map[string]string{"a": "2.1: new start"}, c.shown)
 		time.Sleep(keepFor + time.Millisecond)
@@ -136,7 +136,7 @@
 	c.changes(Position{1, 12}, "a", "", "b", "")
 	c.state(Position{2, 9}, "a", "anew", "b", "before")
 	must.Eq(t, map[string]string{"a": "anew"}, c.shown)
-	must.Eq(t, Held{Removals: 1}, c.last.Held)
+	must.Eq(t, RetainedCounts{Removals: 1}, c.last.RetainedCounts)
 }
 
 // A removed row is missing from the first copy, and back in the next, which is older.
@@ -158,9 +158,9 @@
 		peer.changes(Position{1, 11}, "gone", "")
 		peer.state(Position{2, 5}, "s", "3: copy", "gone", "x")
 		time.Sleep(keepFor / 2)
-		page, whole, contact, _ := peer.r.Since(own.r.At())
-		page.Kept = peer.r.Kept(time.Now())
-		own.r.Take(page, whole, contact)
+		page, whole, contact, _ := peer.r.Since(own.r.Position())
+		page.Retained = peer.r.Retained(time.Now())
+		own.r.Merge(page, whole, contact)
 		want := map[string]string{"s": "7: held", "lacking": "x"}
 		must.Eq(t, want, own.shown)
 		must.Eq(t, want, peer.shown)
@@ -178,7 +178,7 @@
 	own.state(Position{1, 4}, "s", "5: older")
 	own.state(Position{2, 5}, "s", "3: copy")
 	must.Eq(t, "5: older", own.shown["s"])
-	own.r.Take(Page{Era: 2, Version: 5, Kept: peer.r.Kept(time.Now())}, false, time.Now())
+	own.r.Merge(Page{Era: 2, Version: 5, Retained: peer.r.Retained(time.Now())}, false, time.Now())
 	must.Eq(t, "7: held", own.shown["s"])
 }
 
--- a/lib/feed/position.go
+++ b/lib/feed/position.go
@@ -16,8 +16,10 @@
 // build that did not know them.
 const FirstEra = 1
 
-// At returns the position of a version in an era as it was told; 0: none was.
-func At(era, version int64) Position { return Position{Era: max(FirstEra, era), Version: version} }
+// PositionOf returns the position of a version in an era as it was told; 0: none was.
+func PositionOf(era, version int64) Position {
+	return Position{Era: max(FirstEra, era), Version: version}
+}
 
 // Compare orders positions by era, then by version.
 func (p Position) Compare(q Position) int {
--- a/lib/feed/replica.go
+++ b/lib/feed/replica.go
@@ -11,7 +11,7 @@
 // copy must have lost.
 type Replica struct {
 	apply func(Update)
-	keep  Keep
+	keep  Retention
 
 	mu      sync.Mutex
 	rows    map[string]Row // as the store has them; removed rows stay for keepRemoved, so that peers can be told
@@ -55,34 +55,34 @@
 	}
 }
 
-// Keeping sets what is believed after the store has come back from a copy, and returns the Replica.
-func (r *Replica) Keeping(k Keep) *Replica {
+// WithRetention sets what is believed after the store has come back from a copy, and returns the Replica.
+func (r *Replica) WithRetention(k Retention) *Replica {
 	r.keep = k
 	return r
 }
 
-// Take merges a page that the store confirmed at contact.
-func (r *Replica) Take(page Page, whole bool, contact time.Time) {
+// Merge merges a page that the store confirmed at contact.
+func (r *Replica) Merge(page Page, whole bool, contact time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := page.At()
+	at := page.Position()
 	// Changes say nothing beside the state that they are changes of.
 	if at.Before(r.at) && !r.followsAnother(page) || !whole && (!r.known || at.Era != r.at.Era) {
 		return
 	}
 	silent := r.confirm(contact)
 	now := time.Now()
-	if silent == 0 && !whole && len(page.Rows)+len(page.Kept)+len(r.kept) == 0 {
+	if silent == 0 && !whole && len(page.Rows)+len(page.Retained)+len(r.kept) == 0 {
 		r.at = at // most of what comes
 		r.forget(now)
 		return
 	}
 	u := r.update(page, whole, now)
-	u.Silent = silent
+	u.Outage = silent
 	r.known = true
 	r.forget(now)
-	news := u.Whole || u.Restored || len(u.Rows)+len(u.Dropped) > 0
-	if news || u.Silent > 0 {
+	news := u.Initial || u.Restored || len(u.Rows)+len(u.Dropped) > 0
+	if news || u.Outage > 0 {
 		r.apply(u)
 	}
 	if news {
@@ -94,35 +94,35 @@
 // followsAnother reports whether a page of rows that this instance needs counts although it is older than what is held. Another peer than
 // before may tell it, which is a little behind, and needs differ from one to the other; each row has its own version.
 func (r *Replica) followsAnother(page Page) bool {
-	return (page.Part || r.part) && page.At().Era == r.at.Era
+	return (page.Partial || r.part) && page.Position().Era == r.at.Era
 }
 
 // update takes a page in, and returns what that changes.
 func (r *Replica) update(page Page, whole bool, now time.Time) Update {
-	at := page.At()
-	u := Update{Whole: !r.known, Read: whole, Before: r.at, Restored: r.known && at.Era != r.at.Era}
+	at := page.Position()
+	u := Update{Initial: !r.known, Snapshot: whole, Previous: r.at, Restored: r.known && at.Era != r.at.Era}
 	u.Version, u.Era = at.Version, at.Era
 	r.at = at
 	if u.Restored {
 		u.Rows = r.restore(page, now)
-		u.Held = r.held()
-		r.part = page.Part
+		u.RetainedCounts = r.held()
+		r.part = page.Partial
 		return u
 	}
-	u.Rows = r.merge(page, whole && !page.Part, now)
-	if whole && page.Part {
+	u.Rows = r.merge(page, whole && !page.Partial, now)
+	if whole && page.Partial {
 		u.Dropped = r.drop(page)
 	}
 	if whole {
-		r.part = page.Part
+		r.part = page.Partial
 	}
-	if u.Whole {
+	if u.Initial {
 		r.recent.restart(at.Version)
 	}
-	if kept := r.review(page.Kept, now); len(kept) > 0 {
+	if kept := r.review(page.Retained, now); len(kept) > 0 {
 		u.Rows = newest(append(u.Rows, kept...))
 	}
-	if u.Whole {
+	if u.Initial {
 		r.whole = at.Version
 	}
 	return u
@@ -241,11 +241,11 @@
 // Since returns what has changed after a position, the whole table when that can't be told, and when the store last
 // confirmed it. known is false when nothing has been read yet. To a position in a later era there is nothing to tell.
 func (r *Replica) Since(after Position) (page Page, whole bool, contact time.Time, known bool) {
-	return r.SinceOf(after, func(Row) bool { return true })
+	return r.SinceMatching(after, func(Row) bool { return true })
 }
 
-// SinceOf is Since for the rows that are needed; it is called for each of them while the Replica does not change.
-func (r *Replica) SinceOf(after Position, needed func(Row) bool) (page Page, whole bool, contact time.Time, known bool) {
+// SinceMatching is Since for the rows that are needed; it is called for each of them while the Replica does not change.
+func (r *Replica) SinceMatching(after Position, needed func(Row) bool) (page Page, whole bool, contact time.Time, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	whole = after.Era < r.at.Era || after.Era == r.at.Era && (after.Version == 0 || after.Version < r.whole)
@@ -272,8 +272,8 @@
 	return r.at.Version, r.known
 }
 
-// Part reports whether only those rows are held that this instance needs.
-func (r *Replica) Part() bool {
+// Partial reports whether only those rows are held that this instance needs.
+func (r *Replica) Partial() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.part
@@ -286,8 +286,8 @@
 	return len(r.rows) - len(r.removed)
 }
 
-// At returns the newest position held.
-func (r *Replica) At() Position {
+// Position returns the newest position held.
+func (r *Replica) Position() Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.at
@@ -301,8 +301,8 @@
 	return row, ok && !row.Removed
 }
 
-// Contact returns when the store last confirmed what is held.
-func (r *Replica) Contact() time.Time {
+// LastContact returns when the store last confirmed what is held.
+func (r *Replica) LastContact() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.contact
--- a/lib/feed/replica_test.go
+++ b/lib/feed/replica_test.go
@@ -24,11 +24,11 @@
 	var shown []Update
 	r := NewReplica(func(u Update) { shown = append(shown, u) })
 	now := time.Now()
-	r.Take(Page{Version: 9, Rows: []Row{{Key: "a", Value: []byte("new"), Version: 9}}}, true, now)
-	r.Take(Page{Version: 8, Rows: []Row{{Key: "a", Value: []byte("old"), Version: 4}}}, true, now)
-	r.Take(Page{Version: 12, Rows: []Row{{Key: "a", Value: []byte("old"), Version: 4}}}, false, now)
+	r.Merge(Page{Version: 9, Rows: []Row{{Key: "a", Value: []byte("new"), Version: 9}}}, true, now)
+	r.Merge(Page{Version: 8, Rows: []Row{{Key: "a", Value: []byte("old"), Version: 4}}}, true, now)
+	r.Merge(Page{Version: 12, Rows: []Row{{Key: "a", Value: []byte("old"), Version: 4}}}, false, now)
 	must.Len(t, 1, shown)
-	page, _, _, _ := r.Since(At(0, 0))
+	page, _, _, _ := r.Since(PositionOf(0, 0))
 	must.Eq(t, "new", string(page.Rows[0].Value))
 	version, known := r.Version()
 	must.True(t, known)
@@ -38,7 +38,7 @@
 // Changes that came before anything was read whole are not a state to act on.
 func TestReplicaStartsWithAWholeTable(t *testing.T) {
 	r := NewReplica(func(Update) { t.Fatal("shown") })
-	r.Take(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3}}}, false, time.Now())
+	r.Merge(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3}}}, false, time.Now())
 	_, known := r.Version()
 	must.False(t, known)
 }
@@ -48,16 +48,16 @@
 	var last Update
 	r := NewReplica(func(u Update) { last = u })
 	now := time.Now()
-	r.Take(Page{Version: 5, Rows: []Row{{Key: "a", Version: 1}, {Key: "b", Version: 5}}}, true, now)
-	r.Take(Page{Version: 8, Rows: []Row{{Key: "b", Version: 5}}}, true, now)
+	r.Merge(Page{Version: 5, Rows: []Row{{Key: "a", Version: 1}, {Key: "b", Version: 5}}}, true, now)
+	r.Merge(Page{Version: 8, Rows: []Row{{Key: "b", Version: 5}}}, true, now)
 	must.Eq(t, []Row{{Key: "a", Version: 8, Removed: true}}, last.Rows)
-	page, whole, _, _ := r.Since(At(0, 5))
+	page, whole, _, _ := r.Since(PositionOf(0, 5))
 	must.False(t, whole)
 	must.Eq(t, []Row{{Key: "a", Version: 8, Removed: true}}, page.Rows)
-	page, whole, _, _ = r.Since(At(0, 0))
+	page, whole, _, _ = r.Since(PositionOf(0, 0))
 	must.True(t, whole)
 	must.Eq(t, []string{"b"}, keys(page.Rows))
-	_, whole, _, _ = r.Since(At(0, 3)) // it can't tell what was removed before it began
+	_, whole, _, _ = r.Since(PositionOf(0, 3)) // it can't tell what was removed before it began
 	must.True(t, whole)
 }
 
@@ -65,13 +65,13 @@
 func TestForgottenRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewReplica(func(Update) {})
-		r.Take(Page{Version: 1, Rows: []Row{{Key: "a", Version: 1}}}, true, time.Now())
-		r.Take(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2, Removed: true}}}, false, time.Now())
+		r.Merge(Page{Version: 1, Rows: []Row{{Key: "a", Version: 1}}}, true, time.Now())
+		r.Merge(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2, Removed: true}}}, false, time.Now())
 		time.Sleep(keepRemoved + time.Second)
-		r.Take(Page{Version: 3, Rows: []Row{{Key: "b", Version: 3}}}, false, time.Now())
-		_, whole, _, _ := r.Since(At(0, 1))
+		r.Merge(Page{Version: 3, Rows: []Row{{Key: "b", Version: 3}}}, false, time.Now())
+		_, whole, _, _ := r.Since(PositionOf(0, 1))
 		must.True(t, whole)
-		_, whole, _, _ = r.Since(At(0, 2))
+		_, whole, _, _ = r.Since(PositionOf(0, 2))
 		must.False(t, whole)
 	})
 }
@@ -80,13 +80,13 @@
 // for a while. Time between two ordinary polls is no outage.
 func TestOutageIsTold(t *testing.T) {
 	var silent []time.Duration
-	r := NewReplica(func(u Update) { silent = append(silent, u.Silent) })
+	r := NewReplica(func(u Update) { silent = append(silent, u.Outage) })
 	at := time.Now()
-	r.Take(Page{Version: 1}, true, at)
+	r.Merge(Page{Version: 1}, true, at)
 	at = at.Add(DefaultOptions.Wait)
-	r.Take(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2}}}, false, at)
+	r.Merge(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2}}}, false, at)
 	at = at.Add(4 * time.Second)
-	r.Take(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3, Removed: true}}}, false, at)
+	r.Merge(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3, Removed: true}}}, false, at)
 	must.Eq(t, []time.Duration{0, 0, 4 * time.Second}, silent)
 }
 
@@ -95,9 +95,9 @@
 func TestOlderWholeTableRemovesNothing(t *testing.T) {
 	r := NewReplica(func(Update) {})
 	now := time.Now()
-	r.Take(Page{Version: 9, Rows: []Row{{Key: "a", Version: 1}, {Key: "b", Version: 9}}}, true, now)
-	r.Take(Page{Version: 8, Rows: []Row{{Key: "a", Version: 1}}}, true, now)
-	page, _, _, _ := r.Since(At(0, 0))
+	r.Merge(Page{Version: 9, Rows: []Row{{Key: "a", Version: 1}, {Key: "b", Version: 9}}}, true, now)
+	r.Merge(Page{Version: 8, Rows: []Row{{Key: "a", Version: 1}}}, true, now)
+	page, _, _, _ := r.Since(PositionOf(0, 0))
 	must.Len(t, 2, page.Rows)
 	must.Eq(t, 9, page.Version)
 }
--- a/lib/feedlink/crossing_test.go
+++ b/lib/feedlink/crossing_test.go
@@ -24,7 +24,7 @@
 
 // confirm makes the member's word of the store fresh.
 func (m *member) confirm() {
-	m.replica.Take(feed.Page{Version: 1, Rows: []feed.Row{{Key: "k", Value: []byte("one"), Version: 1}}}, true, time.Now())
+	m.replica.Merge(feed.Page{Version: 1, Rows: []feed.Row{{Key: "k", Value: []byte("one"), Version: 1}}}, true, time.Now())
 }
 
 // keepFresh confirms the member's word until the test ends.
@@ -54,11 +54,11 @@
 	src := &table{}
 	src.set("one")
 	src.set("two")
-	next := idle(t, "next", src, func() Place {
-		return Place{
-			Role: Reads, Rank: 1,
-			Readers: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}},
-			Others:  []mesh.Peer{{Instance: "behind", Addr: behind.addr}},
+	next := idle(t, "next", src, func() Assignment {
+		return Assignment{
+			Role: RoleReader, Rank: 1,
+			Readers:      []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}},
+			RemoteRelays: []mesh.Peer{{Instance: "behind", Addr: behind.addr}},
 		}
 	})
 	var misled atomic.Bool
@@ -90,8 +90,8 @@
 	src := &table{}
 	src.set("one")
 	src.set("two")
-	place := Place{Role: Reads, Rank: 1, Readers: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, Others: others}
-	next := idle(t, "next", src, func() Place { return place })
+	place := Assignment{Role: RoleReader, Rank: 1, Readers: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, RemoteRelays: others}
+	next := idle(t, "next", src, func() Assignment { return place })
 	var changes atomic.Int32
 	next.run(t, func(instance string) {
 		changes.Add(1)
--- a/lib/feedlink/era_test.go
+++ b/lib/feedlink/era_test.go
@@ -15,7 +15,7 @@
 
 // holds gives a member a table at a position, as if the store had just confirmed it.
 func (m *member) holds(at feed.Position, row feed.Row) {
-	m.replica.Take(feed.Page{Era: at.Era, Version: at.Version, Rows: []feed.Row{row}}, true, time.Now())
+	m.replica.Merge(feed.Page{Era: at.Era, Version: at.Version, Rows: []feed.Row{row}}, true, time.Now())
 }
 
 func rowOfValue(version int64, value string) feed.Row {
@@ -89,12 +89,12 @@
 func TestKeptRowsAreToldOnce(t *testing.T) {
 	t.Parallel()
 	m := idle(t, "a", nil, self)
-	r := feed.NewReplica(func(feed.Update) {}).Keeping(feed.Keep{For: time.Minute})
+	r := feed.NewReplica(func(feed.Update) {}).WithRetention(feed.Retention{Period: time.Minute})
 	s := &server{track: m.track, tables: map[string]Table{"t": {Name: "t", Replica: r}}, packs: newPacker()}
-	r.Take(feed.Page{Era: 1, Version: 9, Rows: []feed.Row{rowOfValue(9, "lost")}}, true, time.Now())
+	r.Merge(feed.Page{Era: 1, Version: 9, Rows: []feed.Row{rowOfValue(9, "lost")}}, true, time.Now())
 	follower := []*passed{{name: "t", replica: r, after: feed.Position{Era: 1, Version: 9}}}
 	must.SliceEmpty(t, s.page(follower).Tables[0].Kept)
-	r.Take(feed.Page{Era: 2, Version: 3}, true, time.Now())
+	r.Merge(feed.Page{Era: 2, Version: 3}, true, time.Now())
 	must.Len(t, 1, s.page(follower).Tables[0].Kept)
 	must.SliceEmpty(t, s.page(follower).Tables[0].Kept)
 	newcomer := []*passed{{name: "t", replica: r}}
--- a/lib/feedlink/feedlink_test.go
+++ b/lib/feedlink/feedlink_test.go
@@ -69,27 +69,27 @@
 	node    *mesh.Node
 	addr    string
 	replica *feed.Replica
-	track   *Track
+	track   *Syncer
 	value   atomic.Value
 }
 
-func newMember(t *testing.T, name string, src feed.Source, place func() Place) *member {
+func newMember(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
 	t.Helper()
 	m := &member{}
 	m.value.Store("")
 	m.replica = feed.NewReplica(func(u feed.Update) { m.value.Store(string(u.Rows[0].Value)) })
-	node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plain: true})
+	node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plaintext: true})
 	must.NoError(t, err)
 	m.node = node
 	m.track = New(Config{
 		Self:   name,
-		Tables: []Table{{Name: "t", Source: src, Replica: m.replica, Options: feed.DefaultOptions, Urgent: true}},
-		MaxAge: time.Second, Node: node, Place: place, Fail: func(string, error) {}, From: func(string) {},
+		Tables: []Table{{Name: "t", Source: src, Replica: m.replica, Options: feed.DefaultOptions, Critical: true}},
+		MaxAge: time.Second, Node: node, Assignment: place, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 	})
 	return m
 }
 
-func start(t *testing.T, name string, src feed.Source, place func() Place) *member {
+func start(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
 	t.Helper()
 	m := idle(t, name, src, place)
 	m.run(t, func(string) {})
@@ -99,7 +99,7 @@
 // run runs a member that was made idle, with what is to be told of its readers.
 func (m *member) run(t *testing.T, from func(instance string)) {
 	t.Helper()
-	m.track.From = from
+	m.track.OnSourceChange = from
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -126,11 +126,13 @@
 	return 0
 }
 
-func self() Place { return Place{Readers: []mesh.Peer{{}}} }
+func self() Assignment { return Assignment{Readers: []mesh.Peer{{}}} }
 
 // second ranks to read after another.
-func second(first *member, name string) func() Place {
-	return func() Place { return Place{Rank: 1, Readers: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}} }
+func second(first *member, name string) func() Assignment {
+	return func() Assignment {
+		return Assignment{Rank: 1, Readers: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}}
+	}
 }
 
 // A change reaches an instance that does not read the store itself, also a large one, and costs it no call.
@@ -175,7 +177,7 @@
 	cut.set("one")
 	b := start(t, "b", src, self)
 	b.waitFor(t, "one")
-	a := start(t, "a", cut, func() Place { return Place{Readers: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
+	a := start(t, "a", cut, func() Assignment { return Assignment{Readers: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
 	a.waitFor(t, "one")
 	cut.mu.Lock()
 	cut.away = true
@@ -201,7 +203,7 @@
 }
 
 // idle makes a member whose Track does not run.
-func idle(t *testing.T, name string, src feed.Source, place func() Place) *member {
+func idle(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
 	t.Helper()
 	m := newMember(t, name, src, place)
 	m.serve(t)
@@ -225,22 +227,22 @@
 // rank; delay holds the first back.
 func group(t *testing.T, n int, delay time.Duration) ([]*member, []*table) {
 	t.Helper()
-	return groupOf(t, n, delay, func(self int, all []mesh.Peer) Place {
+	return groupOf(t, n, delay, func(self int, all []mesh.Peer) Assignment {
 		if self < mayRead {
-			return Place{Rank: self, Readers: all}
+			return Assignment{Rank: self, Readers: all}
 		}
-		return Place{Role: Follows, Readers: all}
+		return Assignment{Role: RoleFollower, Readers: all}
 	})
 }
 
 // groupOf is group with the places that place gives; all are the instances in rank, this one with an empty address.
-func groupOf(t *testing.T, n int, delay time.Duration, place func(self int, all []mesh.Peer) Place) ([]*member, []*table) {
+func groupOf(t *testing.T, n int, delay time.Duration, place func(self int, all []mesh.Peer) Assignment) ([]*member, []*table) {
 	t.Helper()
 	members := make([]*member, n)
 	tables := make([]*table, n)
 	var mu sync.Mutex
-	ranks := func(self int) func() Place {
-		return func() Place {
+	ranks := func(self int) func() Assignment {
+		return func() Assignment {
 			mu.Lock()
 			defer mu.Unlock()
 			out := make([]mesh.Peer, n)
--- a/lib/feedlink/follow.go
+++ b/lib/feedlink/follow.go
@@ -24,7 +24,7 @@
 
 // moveTo looks for a reader that ranks higher, and subscribes to it before this instance's own reading ends: one that is
 // dead, or has lost the store, is left alone without a gap.
-func (t *Track) moveTo(ctx context.Context, now time.Time) bool {
+func (t *Syncer) moveTo(ctx context.Context, now time.Time) bool {
 	reader, self, _ := t.pick(now)
 	if self || reader.Addr == "" {
 		return false
@@ -46,10 +46,10 @@
 // Failure: three instances that ranked to read took the tables from each other in a circle, since each had given up the
 // reader that ranked before them. Nobody read the store, and settings were five seconds old although most could reach it.
 // Pages say through whom they come, so that none follows one that follows it.
-func (t *Track) worse(s *subscription) error {
+func (t *Syncer) worse(s *subscription) error {
 	var err error
 	switch {
-	case s.behind() && (!t.Lost() || s.age > t.age(time.Now())):
+	case s.behind() && (!t.StoreLost() || s.age > t.age(time.Now())):
 		err = errTooOld
 	case s.circular():
 		err = errCycle
@@ -61,10 +61,10 @@
 }
 
 // follow takes the tables from a reader until it fails, or another is better.
-func (t *Track) follow(ctx context.Context, s *subscription) {
+func (t *Syncer) follow(ctx context.Context, s *subscription) {
 	defer t.tellUp(s)()
 	defer s.close()
-	t.From(s.reader.Instance)
+	t.OnSourceChange(s.reader.Instance)
 	looked := time.Now()
 	for {
 		t.lost.Store(s.lost)
@@ -95,7 +95,7 @@
 			continue
 		}
 		t.probed = now.Add(rand.N(probeEvery / 2))
-		if t.followers[0].Step(ctx, 0) == nil {
+		if t.followers[0].Poll(ctx, 0) == nil {
 			t.cutOff = avoided{}
 			t.within = true
 			t.doubt(ctx, s.reader, errTooOld)
@@ -105,12 +105,12 @@
 }
 
 // leaves reports whether another reader, or this instance, should take over from the one followed.
-func (t *Track) leaves(ctx context.Context, now time.Time, s *subscription) bool {
+func (t *Syncer) leaves(ctx context.Context, now time.Time, s *subscription) bool {
 	reader, self, _ := t.pick(now)
 	if !self {
 		return reader.Addr != s.reader.Addr && t.moveTo(ctx, now)
 	}
-	if t.followers[0].Step(ctx, 0) != nil {
+	if t.followers[0].Poll(ctx, 0) != nil {
 		t.cutOff = t.cutOff.again(now)
 		return false
 	}
@@ -119,7 +119,7 @@
 }
 
 // wantsPart reports whether this instance holds a part of some table only.
-func (t *Track) wantsPart() bool {
+func (t *Syncer) wantsPart() bool {
 	for i := range t.Tables {
 		if t.Tables[i].wantsPart() {
 			return true
@@ -130,12 +130,12 @@
 
 // mayProbe reports whether to look for the store although the reader has lost it. Those that rank to read do so at once, one
 // after the other; the others only when these seem to be cut off, too.
-func (t *Track) mayProbe(now time.Time, s *subscription) bool {
-	place, age := t.Place(), t.age(now)
+func (t *Syncer) mayProbe(now time.Time, s *subscription) bool {
+	place, age := t.Assignment(), t.age(now)
 	switch place.Role {
-	case Reads:
+	case RoleReader:
 		return (s.lost || age > t.MaxAge) && now.Sub(t.probed) > time.Duration(1+place.Rank)*probeEvery
-	case Relays:
+	case RoleRelay:
 		if place.Rank >= probing {
 			break
 		}
--- a/lib/feedlink/gather_test.go
+++ b/lib/feedlink/gather_test.go
@@ -34,7 +34,7 @@
 	}
 	put := func(version int64) {
 		row := feed.Row{Key: fmt.Sprint("k", version), Value: []byte(fmt.Sprint("v", version)), Version: version}
-		relay.replica.Take(feed.Page{Version: version, Rows: []feed.Row{row}}, false, time.Now())
+		relay.replica.Merge(feed.Page{Version: version, Rows: []feed.Row{row}}, false, time.Now())
 	}
 	time.Sleep(beat / 2)
 	pages.Store(0)
--- a/lib/feedlink/hops_test.go
+++ b/lib/feedlink/hops_test.go
@@ -26,7 +26,7 @@
 	time.Sleep(time.Second)
 	oldest := time.Duration(0)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		oldest = max(oldest, time.Since(last.replica.Contact()))
+		oldest = max(oldest, time.Since(last.replica.LastContact()))
 	}
 	t.Logf("at most %v old", oldest)
 	must.Less(t, 1100*time.Millisecond, oldest)
@@ -40,13 +40,13 @@
 	src.set("one")
 	relay := idle(t, "relay", src, nil)
 	var ranked atomic.Bool
-	reader := idle(t, "reader", src, func() Place {
+	reader := idle(t, "reader", src, func() Assignment {
 		if ranked.Load() {
 			return self()
 		}
-		return Place{Role: Follows, Readers: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
+		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
 	})
-	relay.track.Place = second(reader, "reader")
+	relay.track.Assignment = second(reader, "reader")
 	relay.run(t, func(string) {})
 	reader.run(t, func(string) {})
 	time.Sleep(50 * time.Millisecond)
@@ -65,8 +65,8 @@
 	must.NoError(t, err)
 	addr := ln.Addr().String()
 	must.NoError(t, ln.Close())
-	f := idle(t, "f", unused, func() Place {
-		return Place{Role: Follows, Large: true, Readers: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
+	f := idle(t, "f", unused, func() Assignment {
+		return Assignment{Role: RoleFollower, LargeSite: true, Readers: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
 	})
 	f.run(t, func(string) {})
 	time.Sleep(2 * patience)
--- a/lib/feedlink/news.go
+++ b/lib/feedlink/news.go
@@ -150,14 +150,14 @@
 	return out
 }
 
-// Tell tells all other instances.
-func (t *Track) Tell(body []byte) {
+// Broadcast tells all other instances.
+func (t *Syncer) Broadcast(body []byte) {
 	newsTold.Inc()
 	t.news.tell(time.Now(), body)
 }
 
 // takeNews takes in news from a neighbour.
-func (t *Track) takeNews(list []*meshpb.FeedNews, from string) {
+func (t *Syncer) takeNews(list []*meshpb.FeedNews, from string) {
 	now := time.Now()
 	for _, m := range list {
 		if !t.news.take(now, m, from) {
@@ -165,14 +165,14 @@
 			continue
 		}
 		newsHeard.Inc()
-		if t.News != nil {
-			t.News(m.Body)
+		if t.OnBroadcast != nil {
+			t.OnBroadcast(m.Body)
 		}
 	}
 }
 
 // hearBelow takes in the news of one that follows this instance, until its stream ends.
-func (t *Track) hearBelow(stream *mesh.Stream) {
+func (t *Syncer) hearBelow(stream *mesh.Stream) {
 	for {
 		var up meshpb.FeedUp
 		if err := stream.Read(&up); err != nil {
@@ -184,7 +184,7 @@
 }
 
 // tellUp passes news on to the one that is followed until the returned function is called.
-func (t *Track) tellUp(s *subscription) (stop func()) {
+func (t *Syncer) tellUp(s *subscription) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	news := t.news.reader(s.stream.Peer().Instance)
--- a/lib/feedlink/news_test.go
+++ b/lib/feedlink/news_test.go
@@ -43,7 +43,7 @@
 			place = second(members[above], above)
 		}
 		m, h := idle(t, name, src, place), new(heard)
-		m.track.News = h.take
+		m.track.OnBroadcast = h.take
 		m.run(t, func(string) {})
 		members[name], told[name] = m, h
 		m.waitFor(t, "one")
@@ -64,7 +64,7 @@
 	names := []string{"r", "a", "a1", "b0"}
 	for _, name := range names {
 		for i := range 20 {
-			members[name].track.Tell(fmt.Append(nil, name, " ", i))
+			members[name].track.Broadcast(fmt.Append(nil, name, " ", i))
 		}
 	}
 	for name, h := range told {
@@ -93,14 +93,14 @@
 	r := start(t, "r", src, self)
 	a := start(t, "a", src, second(r, "r"))
 	a.waitFor(t, "one")
-	f, h := idle(t, "f", src, func() Place {
-		return Place{Role: Follows, Readers: []mesh.Peer{{Instance: "a", Addr: a.addr}, {Instance: "r", Addr: r.addr}, {}}}
+	f, h := idle(t, "f", src, func() Assignment {
+		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "a", Addr: a.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	}), new(heard)
-	f.track.News = h.take
+	f.track.OnBroadcast = h.take
 	f.run(t, func(string) {})
 	f.waitFor(t, "one")
 	a.node.Close()
-	r.track.Tell([]byte("x"))
+	r.track.Broadcast([]byte("x"))
 	for end := time.Now().Add(10 * time.Second); len(h.list()) == 0 && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/lib/feedlink/pack.go
+++ b/lib/feedlink/pack.go
@@ -91,7 +91,7 @@
 func (p *packer) message(table string, after feed.Position, page feed.Page, whole bool, contact time.Time) *meshpb.FeedTable {
 	m := &meshpb.FeedTable{
 		Table: table, Version: page.Version, Era: page.Era, Whole: whole, ContactAgeMs: uint32(time.Since(contact).Milliseconds()),
-		Part: page.Part,
+		Part: page.Partial,
 	}
 	if len(page.Rows) > 1 && sizeOf(page.Rows) >= packMin {
 		if b, err := p.rows(table, after, page, whole); err == nil {
@@ -119,10 +119,10 @@
 }
 
 // keptRows are the rows that a replica shows in place of the store's.
-func (p *packer) keptRows(era int64, kept []feed.Kept) []*meshpb.FeedKept {
+func (p *packer) keptRows(era int64, kept []feed.RetainedRow) []*meshpb.FeedKept {
 	var out []*meshpb.FeedKept
 	for _, k := range kept {
-		out = append(out, &meshpb.FeedKept{Row: p.row(p.kept, era, k.Row), LeftMs: uint32(k.Left.Milliseconds())})
+		out = append(out, &meshpb.FeedKept{Row: p.row(p.kept, era, k.Row), LeftMs: uint32(k.Remaining.Milliseconds())})
 	}
 	return out
 }
@@ -138,7 +138,7 @@
 		}
 		return proto.Marshal(&rows)
 	}
-	if page.Part {
+	if page.Partial {
 		// Few need the same.
 		b, err := plain()
 		if err != nil {
@@ -147,9 +147,9 @@
 		return pack(b)
 	}
 	if whole {
-		return p.once(p.tables, table, page.At(), plain)
+		return p.once(p.tables, table, page.Position(), plain)
 	}
-	return p.changes(table, after, page.At(), plain)
+	return p.changes(table, after, page.Position(), plain)
 }
 
 // changes packs the changes of a table after a position, or returns them as they were packed before. Older ones of the table are
--- a/lib/feedlink/parts_test.go
+++ b/lib/feedlink/parts_test.go
@@ -70,7 +70,7 @@
 	digest string
 }
 
-func (p *byLetter) Wanted() bool {
+func (p *byLetter) WantsSubset() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.part
@@ -82,14 +82,14 @@
 	p.part = part
 }
 
-func (p *byLetter) Needed(instance, _ string) *Need {
+func (p *byLetter) SubsetFor(instance, _ string) *Subset {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	letters := p.needs[instance]
 	if letters == "" {
 		return nil
 	}
-	return &Need{Name: letters, Has: func(r feed.Row) bool { return strings.ContainsAny(r.Key[:1], letters) }}
+	return &Subset{ID: letters, Contains: func(r feed.Row) bool { return strings.ContainsAny(r.Key[:1], letters) }}
 }
 
 func (p *byLetter) need(instance, letters string) {
@@ -100,7 +100,7 @@
 
 func (p *byLetter) Digest() []byte { return []byte("digest") }
 
-func (p *byLetter) TakeDigest(b []byte) error {
+func (p *byLetter) ApplyDigest(b []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.digest = string(b)
@@ -116,15 +116,15 @@
 	gone  []string // told as removed
 }
 
-func newHolder(t *testing.T, name string, src feed.Source, place func() Place) *holder {
+func newHolder(t *testing.T, name string, src feed.Source, place func() Assignment) *holder {
 	t.Helper()
 	h := &holder{parts: &byLetter{needs: make(map[string]string)}, keys: make(map[string]bool)}
 	h.member = newMember(t, name, src, place)
 	h.replica = feed.NewReplica(h.apply)
 	h.track = New(Config{
 		Self:   name,
-		Tables: []Table{{Name: "t", Source: src, Replica: h.replica, Options: feed.DefaultOptions, Urgent: true, Parts: h.parts}},
-		MaxAge: time.Second, Node: h.node, Place: place, Fail: func(string, error) {}, From: func(string) {},
+		Tables: []Table{{Name: "t", Source: src, Replica: h.replica, Options: feed.DefaultOptions, Critical: true, Partitioner: h.parts}},
+		MaxAge: time.Second, Node: h.node, Assignment: place, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 	})
 	h.serve(t)
 	return h
@@ -178,7 +178,7 @@
 	r.parts.need("f", "a")
 	f.run(t, func(string) {})
 	f.holds(t, "a1", "a2")
-	must.True(t, f.replica.Part())
+	must.True(t, f.replica.Partial())
 	must.Eq(t, "digest", f.parts.digest)
 	src.put("a3", "b2")
 	f.holds(t, "a1", "a2", "a3")
@@ -187,7 +187,7 @@
 	r.parts.need("f", "c")
 	f.holds(t, "c1")
 	must.SliceEmpty(t, f.gone)
-	r.replica.Take(feed.Page{Version: src.version + 1, Rows: []feed.Row{{Key: "c1", Removed: true, Version: src.version + 1}}}, false, time.Now())
+	r.replica.Merge(feed.Page{Version: src.version + 1, Rows: []feed.Row{{Key: "c1", Removed: true, Version: src.version + 1}}}, false, time.Now())
 	f.holds(t)
 	must.Eq(t, []string{"c1"}, f.gone)
 }
@@ -212,7 +212,7 @@
 	r.node.Close()
 	src.put("c1")
 	f.holds(t, "a1", "b1", "c1")
-	must.False(t, f.replica.Part())
+	must.False(t, f.replica.Partial())
 }
 
 // One that holds a part is asked for the table by another, which goes elsewhere: it would take the part for all there is.
@@ -228,8 +228,8 @@
 	r.parts.need("f", "a")
 	f.run(t, func(string) {})
 	f.holds(t, "a1")
-	g := newHolder(t, "g", src, func() Place {
-		return Place{Role: Follows, Readers: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
+	g := newHolder(t, "g", src, func() Assignment {
+		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	})
 	g.run(t, func(string) {})
 	g.holds(t, "a1", "b1")
@@ -248,13 +248,13 @@
 		h.holds(t, "a1")
 	}
 	var told atomic.Bool
-	f := newHolder(t, "f", unused, func() Place {
+	f := newHolder(t, "f", unused, func() Assignment {
 		if told.Load() {
 			return second(r.member, "r")()
 		}
-		return Place{Guess: true, Role: Follows, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
+		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
 	})
-	f.track.TakeRanks = func(b []byte) bool {
+	f.track.ApplyRanks = func(b []byte) bool {
 		told.Store(string(b) == "follow r")
 		return told.Load()
 	}
--- a/lib/feedlink/search.go
+++ b/lib/feedlink/search.go
@@ -23,15 +23,15 @@
 // failure domains. These asked one dead reader after the other, then the store, and their domains served by settings that
 // were 3.7 s old, although those that relay in a third domain had new ones. All are asked at once, since time-outs of dead
 // ones add up to more than the two seconds in which a change is to be in force.
-func (t *Track) search(ctx context.Context, lost mesh.Peer) bool {
-	place := t.Place()
-	if place.Role == Follows {
+func (t *Syncer) search(ctx context.Context, lost mesh.Peer) bool {
+	place := t.Assignment()
+	if place.Role == RoleFollower {
 		return false
 	}
 	now := time.Now()
 	found := make(chan opened)
 	asked := 0
-	for _, p := range slices.Concat(place.Readers, place.Others) {
+	for _, p := range slices.Concat(place.Readers, place.RemoteRelays) {
 		if p.Addr == "" || p.Addr == lost.Addr || now.Before(t.avoid[p.Addr].until) {
 			continue
 		}
--- a/lib/feedlink/search_test.go
+++ b/lib/feedlink/search_test.go
@@ -18,16 +18,16 @@
 func TestAllThatRankToReadAreRejected(t *testing.T) {
 	t.Parallel()
 	const relays, all = 5, 9
-	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Place {
+	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
 		case self < mayRead:
-			return Place{Rank: self, Readers: list[:relays]}
+			return Assignment{Rank: self, Readers: list[:relays]}
 		case self == mayRead:
-			return Place{Role: Relays, Readers: append(slices.Clone(list[:mayRead]), list[mayRead:relays]...)}
+			return Assignment{Role: RoleRelay, Readers: append(slices.Clone(list[:mayRead]), list[mayRead:relays]...)}
 		case self < relays:
-			return Place{Role: Relays, Rank: 1, Readers: append([]mesh.Peer{list[mayRead]}, append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
+			return Assignment{Role: RoleRelay, Rank: 1, Readers: append([]mesh.Peer{list[mayRead]}, append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
 		}
-		return Place{Role: Follows, Readers: append(slices.Clone(list[mayRead:relays]), append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
+		return Assignment{Role: RoleFollower, Readers: append(slices.Clone(list[mayRead:relays]), append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
@@ -58,19 +58,19 @@
 func TestWordIsFoundInAnotherDomain(t *testing.T) {
 	t.Parallel()
 	const relayHere, relayThere, here, there, all = 3, 4, 5, 6, 7
-	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Place {
+	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Assignment {
 		readers := slices.Clone(list[:mayRead])
 		switch self {
 		case relayHere:
-			return Place{Role: Relays, Readers: append(readers, mesh.Peer{}), Others: list[relayThere : relayThere+1]}
+			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayThere : relayThere+1]}
 		case relayThere:
-			return Place{Role: Relays, Readers: append(readers, mesh.Peer{}), Others: list[relayHere : relayHere+1]}
+			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayHere : relayHere+1]}
 		case here:
-			return Place{Role: Follows, Readers: append([]mesh.Peer{list[relayHere]}, append(readers, mesh.Peer{})...)}
+			return Assignment{Role: RoleFollower, Readers: append([]mesh.Peer{list[relayHere]}, append(readers, mesh.Peer{})...)}
 		case there:
-			return Place{Role: Follows, Readers: append([]mesh.Peer{list[relayThere]}, append(readers, mesh.Peer{})...)}
+			return Assignment{Role: RoleFollower, Readers: append([]mesh.Peer{list[relayThere]}, append(readers, mesh.Peer{})...)}
 		}
-		return Place{Rank: self, Readers: readers}
+		return Assignment{Rank: self, Readers: readers}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
@@ -96,14 +96,14 @@
 func TestReaderGivesWaySoonToOneThatFollowedIt(t *testing.T) {
 	t.Parallel()
 	var listed, reads atomic.Bool
-	members, tables := groupOf(t, 2, 0, func(self int, list []mesh.Peer) Place {
+	members, tables := groupOf(t, 2, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
 		case self == 0 && !reads.Load():
-			return Place{Role: Follows, Readers: []mesh.Peer{list[1], {}}}
+			return Assignment{Role: RoleFollower, Readers: []mesh.Peer{list[1], {}}}
 		case self == 1 && !listed.Load():
-			return Place{Readers: []mesh.Peer{{}}}
+			return Assignment{Readers: []mesh.Peer{{}}}
 		}
-		return Place{Rank: self, Readers: list}
+		return Assignment{Rank: self, Readers: list}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
--- a/lib/feedlink/serve.go
+++ b/lib/feedlink/serve.go
@@ -17,7 +17,7 @@
 
 // server passes tables on to those who ask.
 type server struct {
-	track     *Track
+	track     *Syncer
 	tables    map[string]Table
 	packs     *packer
 	making    chan struct{} // pages that are made now, from whole tables most likely
@@ -48,7 +48,7 @@
 func (s *server) gap() time.Duration { return min(time.Duration(s.followers.Load())*passTime, passMax) }
 
 // Serve passes the tables of a Track on.
-func Serve(node *mesh.Node, t *Track) {
+func Serve(node *mesh.Node, t *Syncer) {
 	s := &server{track: t, tables: make(map[string]Table), packs: newPacker(), making: make(chan struct{}, pagesAtOnce)}
 	for _, table := range t.Tables {
 		s.tables[table.Name] = table
@@ -70,7 +70,7 @@
 // refer tells one that knows nobody whom it should have the tables from.
 func (s *server) refer(stream *mesh.Stream, domain string) {
 	s.track.awaitList(referWait)
-	page := &meshpb.FeedPage{Lost: s.track.Lost()}
+	page := &meshpb.FeedPage{Lost: s.track.StoreLost()}
 	if s.track.Ranks != nil {
 		page.Ranks = s.track.Ranks(domain)
 	}
@@ -81,11 +81,11 @@
 const referWait = openFirst - 50*time.Millisecond
 
 // awaitList waits until the list of instances is known.
-func (t *Track) awaitList(most time.Duration) {
+func (t *Syncer) awaitList(most time.Duration) {
 	end := time.NewTimer(most)
 	defer end.Stop()
 	for _, table := range t.Tables {
-		if table.Urgent {
+		if table.Critical {
 			continue
 		}
 		changed := table.Replica.Changed()
@@ -109,7 +109,7 @@
 
 	urgent           bool
 	part             bool // it asks for no more than it needs
-	parts            Parts
+	parts            Partitioner
 	instance, domain string
 	needed           string // name of what it was told
 	told             string // digest
@@ -121,8 +121,8 @@
 	for _, a := range ask.Tables {
 		if table, ok := s.tables[a.Table]; ok {
 			tables = append(tables, &passed{
-				name: a.Table, replica: table.Replica, after: feed.At(a.Era, a.After), urgent: table.Urgent,
-				part: a.Part && table.Parts != nil, parts: table.Parts, instance: stream.Peer().Instance, domain: ask.Domain,
+				name: a.Table, replica: table.Replica, after: feed.PositionOf(a.Era, a.After), urgent: table.Critical,
+				part: a.Part && table.Partitioner != nil, parts: table.Partitioner, instance: stream.Peer().Instance, domain: ask.Domain,
 			})
 		}
 	}
@@ -172,7 +172,7 @@
 
 // page is what has changed since the last, with the age of the store's word of each table.
 func (s *server) page(tables []*passed) *meshpb.FeedPage {
-	out := &meshpb.FeedPage{Lost: s.track.Lost(), Path: s.track.pathNow()}
+	out := &meshpb.FeedPage{Lost: s.track.StoreLost(), Path: s.track.pathNow()}
 	for _, t := range tables {
 		after := t.after
 		page, whole, known, contact := t.next()
@@ -182,11 +182,11 @@
 		m := s.packs.message(t.name, after, page, whole, contact)
 		m.Digest = t.digest()
 		if !t.kept || t.after.Era != page.Era {
-			m.Kept, t.kept = s.packs.keptRows(page.Era, t.replica.Kept(time.Now())), true
+			m.Kept, t.kept = s.packs.keptRows(page.Era, t.replica.Retained(time.Now())), true
 		}
 		metrics.GetOrCreateCounter(fmt.Sprintf(`anvilwick_feed_bytes_total{table=%q}`, t.name)).Add(proto.Size(m))
 		out.Tables = append(out.Tables, m)
-		t.after = page.At()
+		t.after = page.Position()
 	}
 	return out
 }
--- a/lib/feedlink/start.go
+++ b/lib/feedlink/start.go
@@ -29,13 +29,13 @@
 
 // learn takes the list of instances from one that this instance was told of. While the store is away it takes all tables
 // there: those that rank to read may know nothing either.
-func (t *Track) learn(ctx context.Context, reader mesh.Peer) {
+func (t *Syncer) learn(ctx context.Context, reader mesh.Peer) {
 	ranks, err := t.ranksOf(ctx, reader)
 	if err != nil {
 		t.doubt(ctx, reader, err)
 		return
 	}
-	if len(ranks) > 0 && t.TakeRanks != nil && t.TakeRanks(ranks) {
+	if len(ranks) > 0 && t.ApplyRanks != nil && t.ApplyRanks(ranks) {
 		return
 	}
 	s, err := t.openList(ctx, reader)
@@ -56,7 +56,7 @@
 
 // ranksOf asks an instance that this one was told of who reads and relays. The list of a site's instances would be a hundred times as
 // large, and all ask that start at once.
-func (t *Track) ranksOf(ctx context.Context, reader mesh.Peer) ([]byte, error) {
+func (t *Syncer) ranksOf(ctx context.Context, reader mesh.Peer) ([]byte, error) {
 	open, cancel := context.WithTimeout(ctx, openFirst)
 	defer cancel()
 	stream, err := t.Node.Open(open, reader, meshpb.StreamKind_STREAM_FEED)
@@ -68,14 +68,14 @@
 		return nil, err
 	}
 	var page meshpb.FeedPage
-	if err := stream.ReadWithin(openFirst, &page); err != nil {
+	if err := stream.ReadWithIdleTimeout(openFirst, &page); err != nil {
 		return nil, errUnknown // it lives, and does not know the list yet
 	}
 	return page.Ranks, nil
 }
 
 // early reports whether this instance, which knows nothing, leaves the store to others for now.
-func (t *Track) early(now time.Time) bool {
+func (t *Syncer) early(now time.Time) bool {
 	if t.known() {
 		return false
 	}
@@ -83,14 +83,14 @@
 	unknown := t.unknown
 	t.mu.Unlock()
 	since, most := now.Sub(t.started), patience
-	if t.Place().Large {
+	if t.Assignment().LargeSite {
 		most = largePatience
 	}
 	return since < most || since < longPatience && now.Sub(unknown) < aliveFor
 }
 
 // toldUnknown notes that a reader lives that has read nothing.
-func (t *Track) toldUnknown(now time.Time) {
+func (t *Syncer) toldUnknown(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unknown = now
--- a/lib/feedlink/start_test.go
+++ b/lib/feedlink/start_test.go
@@ -31,7 +31,9 @@
 	seed := newMember(t, "seed", src, self)
 	list := seed.withList(t, src)
 	seed.serve(t)
-	guess := func() Place { return Place{Guess: true, Role: Follows, Readers: []mesh.Peer{{Addr: seed.addr}, {}}} }
+	guess := func() Assignment {
+		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
+	}
 	m := idle(t, "m", &table{away: true}, guess)
 	own := m.withList(t, &table{away: true})
 	at := mesh.Peer{Addr: seed.addr}
@@ -43,8 +45,8 @@
 
 	page, err := src.Snapshot(t.Context())
 	must.NoError(t, err)
-	list.Take(page, true, time.Now())
-	seed.replica.Take(page, true, time.Now())
+	list.Merge(page, true, time.Now())
+	seed.replica.Merge(page, true, time.Now())
 	m.track.learn(t.Context(), at)
 	_, known = own.Version()
 	must.True(t, known)
--- a/lib/feedlink/subscription.go
+++ b/lib/feedlink/subscription.go
@@ -15,7 +15,7 @@
 
 // subscription is a stream of pages from a reader.
 type subscription struct {
-	t      *Track
+	t      *Syncer
 	reader mesh.Peer
 	stream *mesh.Stream
 	tables []Table
@@ -28,23 +28,23 @@
 }
 
 // open subscribes to a reader and takes its first page. It fails with errUnknown when the reader lacks an urgent table.
-func (t *Track) open(ctx context.Context, reader mesh.Peer) (*subscription, error) {
+func (t *Syncer) open(ctx context.Context, reader mesh.Peer) (*subscription, error) {
 	return t.openFor(ctx, reader, t.Tables)
 }
 
 // openList subscribes to no more than the list of instances, which says whom to ask for the rest.
-func (t *Track) openList(ctx context.Context, reader mesh.Peer) (*subscription, error) {
+func (t *Syncer) openList(ctx context.Context, reader mesh.Peer) (*subscription, error) {
 	var list []Table
 	for _, table := range t.Tables {
-		if !table.Urgent {
-			table.Urgent = true // there is no other that could be had
+		if !table.Critical {
+			table.Critical = true // there is no other that could be had
 			list = append(list, table)
 		}
 	}
 	return t.openFor(ctx, reader, list)
 }
 
-func (t *Track) openFor(ctx context.Context, reader mesh.Peer, tables []Table) (*subscription, error) {
+func (t *Syncer) openFor(ctx context.Context, reader mesh.Peer, tables []Table) (*subscription, error) {
 	timeout := openTimeout
 	if !t.known() {
 		timeout = openFirst
@@ -80,9 +80,9 @@
 
 // from is from where on a table is asked for.
 func (t *Table) from() *meshpb.FeedFrom {
-	at := t.Replica.At()
+	at := t.Replica.Position()
 	from := &meshpb.FeedFrom{Table: t.Name, After: at.Version, Era: at.Era, Part: t.wantsPart()}
-	if from.Part || t.Replica.Part() {
+	if from.Part || t.Replica.Partial() {
 		from.After = 0 // what is needed differs with whoever is asked
 	}
 	return from
@@ -104,8 +104,8 @@
 }
 
 // ranksFirst reports whether this instance is the one that should read the store: others wait for it in turn.
-func (t *Track) ranksFirst() bool {
-	readers := t.Place().Readers
+func (t *Syncer) ranksFirst() bool {
+	readers := t.Assignment().Readers
 	return len(readers) > 0 && readers[0].Addr == ""
 }
 
@@ -123,7 +123,7 @@
 // receive takes in one page. It fails with errUnknown when the reader lacks a table that is urgent.
 func (s *subscription) receive() error {
 	var p meshpb.FeedPage
-	if err := s.stream.ReadWithin(silence, &p); err != nil {
+	if err := s.stream.ReadWithIdleTimeout(silence, &p); err != nil {
 		return err
 	}
 	s.lost, s.path = p.Lost, p.Path
@@ -137,19 +137,19 @@
 	for _, table := range s.tables {
 		m := got[table.Name]
 		if m == nil || m.Version == 0 {
-			if table.Urgent {
+			if table.Critical {
 				missing = errUnknown
 			}
 			continue
 		}
-		if feed.At(m.Era, m.Version).Era < table.Replica.At().Era {
+		if feed.PositionOf(m.Era, m.Version).Era < table.Replica.Position().Era {
 			s.old = true
 			continue
 		}
 		if err := table.take(m); err != nil {
 			return err
 		}
-		if table.Urgent {
+		if table.Critical {
 			s.age = max(s.age, time.Duration(m.ContactAgeMs)*time.Millisecond)
 		}
 	}
@@ -158,8 +158,8 @@
 
 // take takes in what a page says of the table.
 func (t *Table) take(m *meshpb.FeedTable) error {
-	if t.Parts != nil && len(m.Digest) > 0 {
-		if err := t.Parts.TakeDigest(m.Digest); err != nil {
+	if t.Partitioner != nil && len(m.Digest) > 0 {
+		if err := t.Partitioner.ApplyDigest(m.Digest); err != nil {
 			return err
 		}
 	}
@@ -172,7 +172,7 @@
 			return err
 		}
 	}
-	page := feed.Page{Version: m.Version, Era: m.Era, Part: m.Part, Rows: make([]feed.Row, len(m.Rows))}
+	page := feed.Page{Version: m.Version, Era: m.Era, Partial: m.Part, Rows: make([]feed.Row, len(m.Rows))}
 	for i, r := range m.Rows {
 		row, err := feedRow(r)
 		if err != nil {
@@ -188,10 +188,10 @@
 		if row.Key == "" {
 			continue
 		}
-		page.Kept = append(page.Kept, feed.Kept{Row: row, Left: time.Duration(k.LeftMs) * time.Millisecond})
+		page.Retained = append(page.Retained, feed.RetainedRow{Row: row, Remaining: time.Duration(k.LeftMs) * time.Millisecond})
 	}
 	contact := time.Now().Add(-time.Duration(m.ContactAgeMs) * time.Millisecond)
-	into.Take(page, m.Whole, contact)
+	into.Merge(page, m.Whole, contact)
 	return nil
 }
 
--- a/lib/feedlink/track.go
+++ b/lib/feedlink/track.go
@@ -48,12 +48,12 @@
 
 // Table is one table to keep.
 type Table struct {
-	Name    string
-	Source  feed.Source
-	Replica *feed.Replica
-	Options feed.Options
-	Urgent  bool  // the age of its word matters, and it must be known to serve
-	Parts   Parts // of which an instance may hold some; nil: all hold the whole table
+	Name        string
+	Source      feed.Source
+	Replica     *feed.Replica
+	Options     feed.Options
+	Critical    bool        // the age of its word matters, and it must be known to serve
+	Partitioner Partitioner // of which an instance may hold some; nil: all hold the whole table
 }
 
 // Role is what an instance ranks for.
@@ -61,49 +61,49 @@
 
 // Values of Role.
 const (
-	Reads   Role = iota // the store, for all
-	Relays              // to its failure domain
-	Follows             // others only
+	RoleReader   Role = iota // the store, for all
+	RoleRelay                // to its failure domain
+	RoleFollower             // others only
 )
 
-// Place is an instance's place among those that read and relay.
-type Place struct {
-	// Guess says that the list of instances is not known yet: the readers are those that this instance was told of at its
+// Assignment is an instance's place among those that read and relay.
+type Assignment struct {
+	// Bootstrap says that the list of instances is not known yet: the readers are those that this instance was told of at its
 	// start, and are asked for the list only.
-	Guess   bool
-	Role    Role
-	Large   bool        // several instances relay in each failure domain
-	Rank    int         // among those of the same role
-	Readers []mesh.Peer // whom it has the tables from, the best first; it contains the instance itself, as an empty address
-	// Others relay in other failure domains. They are asked only while nobody among Readers has the store's word.
-	Others []mesh.Peer
+	Bootstrap bool
+	Role      Role
+	LargeSite bool        // several instances relay in each failure domain
+	Rank      int         // among those of the same role
+	Readers   []mesh.Peer // whom it has the tables from, the best first; it contains the instance itself, as an empty address
+	// RemoteRelays relay in other failure domains. They are asked only while nobody among Readers has the store's word.
+	RemoteRelays []mesh.Peer
 }
 
 // Config is what a Track works with.
 type Config struct {
-	Self   string // name of this instance
-	Domain string // its failure domain
-	Tables []Table
-	MaxAge time.Duration // age of the last contact with the store at which a reader is doubted
-	Node   *mesh.Node
-	Place  func() Place
-	// Fail is told of each source that is lost: of a table, or of all by an empty name.
-	Fail func(table string, err error)
-	// From is told of each change of the instance that the tables are had from; empty: the store itself.
-	From func(instance string)
+	Self       string // name of this instance
+	Domain     string // its failure domain
+	Tables     []Table
+	MaxAge     time.Duration // age of the last contact with the store at which a reader is doubted
+	Node       *mesh.Node
+	Assignment func() Assignment
+	// OnSourceError is told of each source that is lost: of a table, or of all by an empty name.
+	OnSourceError func(table string, err error)
+	// OnSourceChange is told of each change of the instance that the tables are had from; empty: the store itself.
+	OnSourceChange func(instance string)
 	// Ranks says who reads and who relays in a failure domain, for an instance that knows nobody; empty: that is not known yet.
 	Ranks func(domain string) []byte
-	// TakeRanks takes in what another instance says of that, and reports whether this one knows its Place by it.
-	TakeRanks func([]byte) bool
-	// Write writes rows that instances want to be written for themselves, together: their own rows of the list of instances. What fails is
+	// ApplyRanks takes in what another instance says of that, and reports whether this one knows its Place by it.
+	ApplyRanks func([]byte) bool
+	// WriteRows writes rows that instances want to be written for themselves, together: their own rows of the list of instances. What fails is
 	// not tried again: each sees to its own row. nil: nothing is written.
-	Write func(ctx context.Context, rows []feed.Row)
-	// News is told what another instance tells all, once; nil: nobody is.
-	News func(body []byte)
+	WriteRows func(ctx context.Context, rows []feed.Row)
+	// OnBroadcast is told what another instance tells all, once; nil: nobody is.
+	OnBroadcast func(body []byte)
 }
 
-// Track keeps the tables.
-type Track struct {
+// Syncer keeps the tables.
+type Syncer struct {
 	Config
 	followers []*feed.Follower
 	started   time.Time
@@ -137,8 +137,8 @@
 }
 
 // New returns a Track.
-func New(cfg Config) *Track {
-	t := &Track{
+func New(cfg Config) *Syncer {
+	t := &Syncer{
 		Config: cfg, avoid: make(map[string]avoided), failed: make(map[string]bool), late: rand.N(lateProbe),
 		news: newNewsLog(cfg.Self, uint64(time.Now().UnixNano())), writes: newWriteQueue(),
 	}
@@ -152,7 +152,7 @@
 }
 
 // Run keeps the tables until ctx is done.
-func (t *Track) Run(ctx context.Context) {
+func (t *Syncer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s := t.better; s != nil {
 			t.better = nil
@@ -170,7 +170,7 @@
 			sleep(ctx, pause)
 		case self:
 			t.read(ctx)
-		case t.Place().Guess:
+		case t.Assignment().Bootstrap:
 			t.learn(ctx, reader)
 		default:
 			s, err := t.open(ctx, reader)
@@ -191,7 +191,7 @@
 }
 
 // doubt leaves a reader alone for a while.
-func (t *Track) doubt(ctx context.Context, reader mesh.Peer, err error) {
+func (t *Syncer) doubt(ctx context.Context, reader mesh.Peer, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -211,14 +211,14 @@
 		t.avoid[reader.Addr] = avoided{until: now.Add(reconsider)}
 		return
 	}
-	t.Fail("", err)
+	t.OnSourceError("", err)
 	t.avoid[reader.Addr] = t.avoid[reader.Addr].again(now)
 }
 
 // pick returns the best reader that has not failed lately, or that this instance reads itself, or a pause before it is to be
 // asked again.
-func (t *Track) pick(now time.Time) (reader mesh.Peer, self bool, pause time.Duration) {
-	place := t.Place()
+func (t *Syncer) pick(now time.Time) (reader mesh.Peer, self bool, pause time.Duration) {
+	place := t.Assignment()
 	early := t.early(now)
 	for _, p := range place.Readers {
 		if p.Addr != "" {
@@ -228,7 +228,7 @@
 			continue
 		}
 		switch {
-		case early && place.Role != Reads:
+		case early && place.Role != RoleReader:
 			return mesh.Peer{}, false, looks
 		case now.After(t.cutOff.until):
 			return mesh.Peer{}, true, 0
@@ -238,9 +238,9 @@
 }
 
 // read follows the store itself until another instance should.
-func (t *Track) read(ctx context.Context) {
+func (t *Syncer) read(ctx context.Context) {
 	t.comesBy(nil)
-	t.From("")
+	t.OnSourceChange("")
 	reading, cancel := context.WithCancel(ctx)
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -248,8 +248,8 @@
 	for _, f := range t.followers {
 		work.Go(func() { f.Run(reading) })
 	}
-	if t.Write != nil {
-		work.Go(func() { t.passWrites(reading, func(rows []feed.Row) { t.Write(reading, rows) }) })
+	if t.WriteRows != nil {
+		work.Go(func() { t.passWrites(reading, func(rows []feed.Row) { t.WriteRows(reading, rows) }) })
 	}
 	tick := time.NewTicker(reconsider)
 	defer tick.Stop()
@@ -262,7 +262,7 @@
 		case <-changed:
 		}
 		now := time.Now()
-		if t.Lost() && t.age(now) > cutAfter {
+		if t.StoreLost() && t.age(now) > cutAfter {
 			// Another may reach the store. Without this, an instance that alone is cut off from it would go on by old
 			// settings, with peers beside it that know the new ones.
 			t.cutOff = t.cutOff.again(now)
@@ -278,9 +278,9 @@
 
 // listChanged returns a channel that is closed when a table changes that says who the readers are. It is the one that is not
 // urgent, if any.
-func (t *Track) listChanged() <-chan struct{} {
+func (t *Syncer) listChanged() <-chan struct{} {
 	for _, table := range t.Tables {
-		if !table.Urgent {
+		if !table.Critical {
 			return table.Replica.Changed()
 		}
 	}
--- a/lib/feedlink/word.go
+++ b/lib/feedlink/word.go
@@ -8,39 +8,39 @@
 	"anvilwick.example/anvilwick/lib/feed"
 )
 
-// Lost reports whether the store can't be reached from here: the last call failed, or the reader says so.
-func (t *Track) Lost() bool { return t.lost.Load() }
+// StoreLost reports whether the store can't be reached from here: the last call failed, or the reader says so.
+func (t *Syncer) StoreLost() bool { return t.lost.Load() }
 
 // pathNow returns the instances that the tables come through, this one first.
-func (t *Track) pathNow() []string {
+func (t *Syncer) pathNow() []string {
 	if p := t.path.Load(); p != nil {
 		return *p
 	}
 	return []string{t.Self}
 }
 
-// Reads reports whether this instance reads the store itself.
-func (t *Track) Reads() bool { return len(t.pathNow()) == 1 }
+// ReadsStore reports whether this instance reads the store itself.
+func (t *Syncer) ReadsStore() bool { return len(t.pathNow()) == 1 }
 
 // comesBy notes the instances behind this one that the tables come through.
-func (t *Track) comesBy(path []string) {
+func (t *Syncer) comesBy(path []string) {
 	p := append([]string{t.Self}, path...)
 	t.path.Store(&p)
 }
 
-func (t *Track) callFailed(table string, err error) {
+func (t *Syncer) callFailed(table string, err error) {
 	t.called(table, err)
-	t.Fail(table, err)
+	t.OnSourceError(table, err)
 }
 
 // called notes how a call ended. Only urgent tables tell whether the store is lost: the others are asked seldom.
-func (t *Track) called(table string, err error) {
+func (t *Syncer) called(table string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failed[table] = err != nil && !errors.Is(err, feed.ErrHistoryGone)
 	lost := false
 	for _, table := range t.Tables {
-		lost = lost || table.Urgent && t.failed[table.Name]
+		lost = lost || table.Critical && t.failed[table.Name]
 	}
 	t.lost.Store(lost)
 }
@@ -48,7 +48,7 @@
 // watched is a source whose calls are noted.
 type watched struct {
 	Table
-	t *Track
+	t *Syncer
 }
 
 func (w watched) Snapshot(ctx context.Context) (feed.Page, error) {
@@ -68,9 +68,9 @@
 }
 
 // known reports whether all urgent tables have been read.
-func (t *Track) known() bool {
+func (t *Syncer) known() bool {
 	for _, table := range t.Tables {
-		if _, known := table.Replica.Version(); table.Urgent && !known {
+		if _, known := table.Replica.Version(); table.Critical && !known {
 			return false
 		}
 	}
@@ -78,11 +78,11 @@
 }
 
 // age is the time since the store confirmed the urgent tables.
-func (t *Track) age(now time.Time) time.Duration {
+func (t *Syncer) age(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, table := range t.Tables {
-		if table.Urgent {
-			oldest = max(oldest, now.Sub(table.Replica.Contact()))
+		if table.Critical {
+			oldest = max(oldest, now.Sub(table.Replica.LastContact()))
 		}
 	}
 	return oldest
--- a/lib/feedlink/write.go
+++ b/lib/feedlink/write.go
@@ -61,11 +61,11 @@
 	return out
 }
 
-// WriteOwn has this instance's own row written, by the one that reads the store for all.
-func (t *Track) WriteOwn(row feed.Row) { t.writes.add(row) }
+// EnqueueWrite has this instance's own row written, by the one that reads the store for all.
+func (t *Syncer) EnqueueWrite(row feed.Row) { t.writes.add(row) }
 
 // passWrites hands rows on, gathered, until ctx is done.
-func (t *Track) passWrites(ctx context.Context, on func([]feed.Row)) {
+func (t *Syncer) passWrites(ctx context.Context, on func([]feed.Row)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -89,7 +89,7 @@
 }
 
 // takeWrites takes in rows of one that follows this instance.
-func (t *Track) takeWrites(writes []*meshpb.FeedWrite) {
+func (t *Syncer) takeWrites(writes []*meshpb.FeedWrite) {
 	for _, w := range writes {
 		if w.GetKey() != "" {
 			t.writes.add(feed.Row{Key: w.Key, Value: w.GetValue()})
--- a/lib/fleetsim/scenario.go
+++ b/lib/fleetsim/scenario.go
@@ -129,9 +129,9 @@
 func (m *member) role() string {
 	k := m.Known()
 	switch {
-	case k.Role == feedlink.Reads:
+	case k.Role == feedlink.RoleReader:
 		return "reads"
-	case k.Role == feedlink.Relays:
+	case k.Role == feedlink.RoleRelay:
 		return "relays"
 	case k.Owns > 0:
 		return "owns"
--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -167,8 +167,8 @@
 	return gatewayproc.Site{
 		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, HearEngines: func(gateway.ResponseHook) {},
 		Settings: table(settings), DecodeSettings: decodeSettings, Evacuated: func(feed.Row) (string, bool) { return "", false },
-		CountSettings: func(feed.Row) (feed.Count, bool) { return feed.Count{}, false },
-		CountTarget:   func(feed.Row) (feed.Count, bool) { return feed.Count{}, false },
+		CountSettings: func(feed.Row) (feed.WriteSeq, bool) { return feed.WriteSeq{}, false },
+		CountTarget:   func(feed.Row) (feed.WriteSeq, bool) { return feed.WriteSeq{}, false },
 		Targets:       table(targets), DecodeTarget: decodeTarget,
 		Instances: table(instances), DecodeInstance: decodeInstance,
 		EncodeInstance: encodeInstance,
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -74,7 +74,7 @@
 	Engines Engines
 	Fleet   *fleet.Fleet
 	Pool    *wirehttp.Pool
-	Budget  *retry.Share
+	Budget  *retry.InstanceBudget
 	Log     Log
 	// OnLeaving is called for a target whose response says that it is leaving; may be nil.
 	OnLeaving func(t fleet.Info)
@@ -186,7 +186,7 @@
 	defer cancel()
 	stop := context.AfterFunc(g.openCtx, cancel)
 	defer stop()
-	g.Budget.Request(c.arrived, c.service)
+	g.Budget.CountRequest(c.arrived, c.service)
 	if c.route.Kind == routes.Stream {
 		g.serveStream(ctx, w, c)
 		return
--- a/lib/gateway/gateway_test.go
+++ b/lib/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 }
 
 func newTestGateway() *Gateway {
-	return New(Config{Names: testNames, Fleet: fleet.New("z"), Pool: wirehttp.NewPool(nil), Budget: retry.NewShare(0.2, 50, 10*time.Second)})
+	return New(Config{Names: testNames, Fleet: fleet.New("z"), Pool: wirehttp.NewPool(nil), Budget: retry.NewInstanceBudget(0.2, 50, 10*time.Second)})
 }
 
 func testTable(t *testing.T, version int64) *routes.Table {
--- a/lib/gateway/metrics.go
+++ b/lib/gateway/metrics.go
@@ -51,7 +51,7 @@
 	t.EachService(func(s *routes.Service) {
 		name := s.Name
 		metrics.GetOrCreateGauge(fmt.Sprintf("anvilwick_gateway_repeats_left{service=%q}", name), func() float64 {
-			return g.Budget.Left(time.Now(), name)
+			return g.Budget.Remaining(time.Now(), name)
 		})
 	})
 }
--- a/lib/gateway/notice.go
+++ b/lib/gateway/notice.go
@@ -36,7 +36,7 @@
 		return
 	}
 	now := time.Now()
-	wait := retry.After(resp.Header, now)
+	wait := retry.ParseRetryAfter(resp.Header, now)
 	if wait <= 0 || !g.Fleet.BackOff(now, target, now.Add(wait)) {
 		return
 	}
--- a/lib/gateway/poison.go
+++ b/lib/gateway/poison.go
@@ -13,8 +13,8 @@
 // poisonConfig refuses a content after the third target that died executing it. Two deaths would identify it, but targets here
 // also die for other reasons, whatever they run.
 var poisonConfig = poison.Config{
-	Weight: 3, Newest: 2, Window: 5 * time.Minute, Refuse: time.Minute, Settle: 300 * time.Millisecond,
-	Vouch: 10 * time.Minute, MaxSize: 1024,
+	Weight: 3, NewestSuspects: 2, Window: 5 * time.Minute, RefusePeriod: time.Minute, SettleTime: 300 * time.Millisecond,
+	ExonerationPeriod: 10 * time.Minute, MaxSize: 1024,
 }
 
 // maxBlames bounds the records in one message to peers. Recent records are repeated in each message.
@@ -33,7 +33,7 @@
 	case poison.Poisoned, poison.Settling:
 		return &refusal{status: 503, after: c.boundWait(max(wait, retryAfterStream)), reason: "content_" + v.String()}
 	case poison.Suspect:
-		for _, target := range g.poison.Avoid(now, c.contentHash) {
+		for _, target := range g.poison.TargetsToAvoid(now, c.contentHash) {
 			c.tried[target] = true
 		}
 	}
@@ -64,11 +64,11 @@
 		return
 	}
 	g.Log.Warn("target_died", target.ID, err)
-	g.poison.Lost(time.Now(), run, 1)
+	g.poison.TargetDied(time.Now(), run, 1)
 }
 
 // BlamesChanged receives a value when there are blames not yet sent to peers.
-func (g *Gateway) BlamesChanged() <-chan struct{} { return g.poison.News() }
+func (g *Gateway) BlamesChanged() <-chan struct{} { return g.poison.Updates() }
 
 // Blames lists the blames to send to peers, on contents that were executing on targets when these died.
 func (g *Gateway) Blames() []*ownerpb.Blame {
--- a/lib/gateway/stream.go
+++ b/lib/gateway/stream.go
@@ -109,7 +109,7 @@
 	resumed := prev.copyFrom != ""
 	if (e == endUnsent || e == endNotRun) && prev.source.ID != "" {
 		// The copy was not taken, so it is still valid, and so is the run's memory at its source.
-		r.g.Budget.Spend(time.Now(), r.c.service)
+		r.g.Budget.ForceTake(time.Now(), r.c.service)
 		return placement{target: prev.source, copyFrom: prev.copyFrom}, false
 	}
 	switch e {
@@ -131,12 +131,12 @@
 			r.giveUp(ctx, "copy_lost")
 			return placement{}, true
 		}
-		r.g.Budget.Spend(time.Now(), r.c.service)
+		r.g.Budget.ForceTake(time.Now(), r.c.service)
 		return to, false
 	case endBroken:
 		if n, ok := r.takePartialCopy(prev.target.ID); ok {
 			r.g.Log.ResumedFromBackup(r.c.entry(), n.target.ID, r.events)
-			r.g.Budget.Spend(time.Now(), r.c.service)
+			r.g.Budget.ForceTake(time.Now(), r.c.service)
 			return n, false
 		}
 		if resumed {
@@ -144,7 +144,7 @@
 		}
 		if n, ok := r.resumeFromBackup(); ok {
 			r.g.Log.ResumedFromBackup(r.c.entry(), n.target.ID, r.events)
-			r.g.Budget.Spend(time.Now(), r.c.service)
+			r.g.Budget.ForceTake(time.Now(), r.c.service)
 			return n, false
 		}
 	}
--- a/lib/gateway/watch.go
+++ b/lib/gateway/watch.go
@@ -64,7 +64,7 @@
 		return
 	}
 	left := w.r.silenceLimit() - now.Sub(w.r.lastContactAt())
-	if left <= 0 && !alive && w.r.g.Budget.Left(now, w.r.c.service) >= 1 {
+	if left <= 0 && !alive && w.r.g.Budget.Remaining(now, w.r.c.service) >= 1 {
 		w.r.g.Log.TargetSilent(w.r.c.entry(), w.target, now.Sub(w.r.lastContactAt()))
 		w.conn.Close()
 		return
--- a/lib/gatewayproc/era_test.go
+++ b/lib/gatewayproc/era_test.go
@@ -191,7 +191,7 @@
 // reading is an instance as far as it keeps tables.
 type reading struct {
 	replicas map[string]*feed.Replica
-	track    *feedlink.Track
+	track    *feedlink.Syncer
 	node     *mesh.Node
 	mu       sync.Mutex
 	shown    map[string]time.Time // when each value was first shown
@@ -220,19 +220,19 @@
 	n := &network{nodes: make(map[string]chan net.Conn)}
 	var out []*reading
 	for _, in := range list {
-		node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: in.Name, Incarnation: 1}, Plain: true, Dial: n.dial})
+		node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: in.Name, Incarnation: 1}, Plaintext: true, Dial: n.dial})
 		must.NoError(t, err)
 		r := &reading{node: node, shown: make(map[string]time.Time), replicas: make(map[string]*feed.Replica)}
 		place := placeAmong(in.Name, in.Domain, list)
 		cfg := feedlink.Config{
-			Self: in.Name, MaxAge: maxAge, Node: node, Place: func() feedlink.Place { return place },
-			Fail: func(string, error) {}, From: func(string) {},
+			Self: in.Name, MaxAge: maxAge, Node: node, Assignment: func() feedlink.Assignment { return place },
+			OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 		}
 		for _, name := range []string{settingsTable, targetsTable, instancesTable} {
-			r.replicas[name] = feed.NewReplica(r.show).Keeping(feed.Keep{For: keepSettings})
-			tab := feedlink.Table{Name: name, Source: table{h, name}, Replica: r.replicas[name], Options: feed.DefaultOptions, Urgent: true}
+			r.replicas[name] = feed.NewReplica(r.show).WithRetention(feed.Retention{Period: keepSettings})
+			tab := feedlink.Table{Name: name, Source: table{h, name}, Replica: r.replicas[name], Options: feed.DefaultOptions, Critical: true}
 			if name == instancesTable {
-				tab.Options, tab.Urgent = instanceOptions, false
+				tab.Options, tab.Critical = instanceOptions, false
 			}
 			cfg.Tables = append(cfg.Tables, tab)
 		}
--- a/lib/gatewayproc/feedlog.go
+++ b/lib/gatewayproc/feedlog.go
@@ -17,7 +17,7 @@
 func (p *Process) replica(table string, apply func(feed.Update)) *feed.Replica {
 	eras := metrics.GetOrCreateCounter(fmt.Sprintf(`anvilwick_feed_eras_total{table=%q}`, table))
 	r := feed.NewReplica(func(u feed.Update) {
-		if u.Silent > 0 && table != instancesTable {
+		if u.Outage > 0 && table != instancesTable {
 			logRegained(table, u)
 		}
 		if u.Restored {
@@ -27,24 +27,24 @@
 		apply(u)
 	})
 	metrics.GetOrCreateGauge(fmt.Sprintf(`anvilwick_feed_age_seconds{table=%q}`, table), func() float64 {
-		return time.Since(r.Contact()).Seconds()
+		return time.Since(r.LastContact()).Seconds()
 	})
-	metrics.GetOrCreateGauge(fmt.Sprintf(`anvilwick_feed_era{table=%q}`, table), func() float64 { return float64(r.At().Era) })
-	metrics.GetOrCreateGauge(fmt.Sprintf(`anvilwick_feed_version{table=%q}`, table), func() float64 { return float64(r.At().Version) })
+	metrics.GetOrCreateGauge(fmt.Sprintf(`anvilwick_feed_era{table=%q}`, table), func() float64 { return float64(r.Position().Era) })
+	metrics.GetOrCreateGauge(fmt.Sprintf(`anvilwick_feed_version{table=%q}`, table), func() float64 { return float64(r.Position().Version) })
 	return r
 }
 
 // logEra tells that the store has come back from a copy, and what is held on to although the copy lacks it.
 func logEra(table string, u feed.Update) {
-	at := log.Warn().Str("event", "feed_era").Str("feed", table).Str("before", u.Before.String()).Str("now", u.At().String())
-	at = at.Int("rows", len(u.Rows)).Int("kept_writes", u.Held.Writes).Int("kept_rows", u.Held.Rows)
-	at.Int("kept_removals", u.Held.Removals).Msg("")
+	at := log.Warn().Str("event", "feed_era").Str("feed", table).Str("before", u.Previous.String()).Str("now", u.Position().String())
+	at = at.Int("rows", len(u.Rows)).Int("kept_writes", u.RetainedCounts.Writes).Int("kept_rows", u.RetainedCounts.Rows)
+	at.Int("kept_removals", u.RetainedCounts.Removals).Msg("")
 }
 
 // logRegained tells that a table is heard again after an outage.
 func logRegained(name string, u feed.Update) {
-	at := log.Info().Str("event", "feed_regained").Str("feed", name).Int64("silent_ms", u.Silent.Milliseconds())
-	at.Str("before", u.Before.String()).Str("now", u.At().String()).Bool("read_whole", u.Read).Int("rows", len(u.Rows)).Msg("")
+	at := log.Info().Str("event", "feed_regained").Str("feed", name).Int64("silent_ms", u.Outage.Milliseconds())
+	at.Str("before", u.Previous.String()).Str("now", u.Position().String()).Bool("read_whole", u.Snapshot).Int("rows", len(u.Rows)).Msg("")
 }
 
 // targetsLogged bounds the lines about targets of one change of their list. Of more only the number is told: a site's start would
@@ -96,7 +96,7 @@
 	var told time.Time // the contact before the failure that was last logged
 	logged := false
 	return func(err error) {
-		contact := r.Contact()
+		contact := r.LastContact()
 		mu.Lock()
 		defer mu.Unlock()
 		if logged && contact.Equal(told) {
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -47,9 +47,9 @@
 )
 
 func (p *Process) newReplicas() {
-	p.feeds.settings = p.replica(settingsTable, p.applySettings).Keeping(feed.Keep{For: keepSettings, Count: p.site.CountSettings})
-	p.feeds.targets = p.replica(targetsTable, p.applyTargets).Keeping(feed.Keep{For: fleet.OutageGrace, Count: p.site.CountTarget})
-	p.feeds.instances = p.replica(instancesTable, p.applyInstances).Keeping(feed.Keep{For: keepInstances})
+	p.feeds.settings = p.replica(settingsTable, p.applySettings).WithRetention(feed.Retention{Period: keepSettings, WriteSeq: p.site.CountSettings})
+	p.feeds.targets = p.replica(targetsTable, p.applyTargets).WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.CountTarget})
+	p.feeds.instances = p.replica(instancesTable, p.applyInstances).WithRetention(feed.Retention{Period: keepInstances})
 }
 
 // openLinks listens for peers and passes the replicas on to them.
@@ -57,7 +57,7 @@
 	node, err := mesh.New(mesh.Options{
 		Self: mesh.Identity{Instance: p.cfg.Instance, Incarnation: p.born},
 		// The platform's network is the instances' own, and it hands out no certificates.
-		Plain: true,
+		Plaintext: true,
 		// What goes over a link that matters has beats of its own.
 		KeepAlive:  linkKeepAlive,
 		BackoffMin: linkBackoffMin, BackoffMax: linkBackoffMax,
@@ -70,12 +70,12 @@
 	p.track = feedlink.New(feedlink.Config{
 		Self: p.cfg.Instance, Domain: p.cfg.Domain,
 		Tables: []feedlink.Table{
-			{Name: settingsTable, Source: p.site.Settings, Replica: p.feeds.settings, Options: feed.DefaultOptions, Urgent: true},
-			{Name: targetsTable, Source: p.site.Targets, Replica: p.feeds.targets, Options: feed.DefaultOptions, Urgent: true, Parts: p},
+			{Name: settingsTable, Source: p.site.Settings, Replica: p.feeds.settings, Options: feed.DefaultOptions, Critical: true},
+			{Name: targetsTable, Source: p.site.Targets, Replica: p.feeds.targets, Options: feed.DefaultOptions, Critical: true, Partitioner: p},
 			{Name: instancesTable, Source: p.site.Instances, Replica: p.feeds.instances, Options: instanceOptions},
 		},
-		MaxAge: maxAge, Node: node, Place: p.place, Fail: p.feedFailed(), From: p.feedFrom,
-		Ranks: p.ranksOf, TakeRanks: p.takeRanks, Write: p.writeRows, News: p.link.ReceiveBroadcast,
+		MaxAge: maxAge, Node: node, Assignment: p.place, OnSourceError: p.feedFailed(), OnSourceChange: p.feedFrom,
+		Ranks: p.ranksOf, ApplyRanks: p.takeRanks, WriteRows: p.writeRows, OnBroadcast: p.link.ReceiveBroadcast,
 	})
 	feedlink.Serve(node, p.track)
 	listen := p.cfg.Network.Listen
@@ -148,13 +148,13 @@
 }
 
 func (p *Process) applyTargets(u feed.Update) {
-	if u.Whole || u.Read {
-		p.holdsPart(u.Part)
+	if u.Initial || u.Snapshot {
+		p.holdsPart(u.Partial)
 	}
 	var entries []fleet.Info
 	var removed, lapsed, unreadable []string
 	for _, row := range u.Rows {
-		if row.Removed && row.Presumed {
+		if row.Removed && row.LostInRestore {
 			lapsed = append(lapsed, row.Key)
 			continue
 		}
@@ -177,7 +177,7 @@
 	p.fleet.MarkUnreadable(unreadable)
 	now := time.Now()
 	p.changed(p.fleet.PresumeGone(now, lapsed))
-	p.changed(p.fleet.Apply(now, entries, removed, u.Silent))
+	p.changed(p.fleet.Apply(now, entries, removed, u.Outage))
 	p.changed(p.fleet.Drop(now, u.Dropped))
 	p.mu.Lock()
 	p.listed = true
--- a/lib/gatewayproc/listed.go
+++ b/lib/gatewayproc/listed.go
@@ -38,7 +38,7 @@
 			p.haveRowWritten(ctx, row.tries >= handedOn)
 			row = ownRow{written: time.Now(), tries: row.tries + 1}
 		}
-		if p.track.Reads() {
+		if p.track.ReadsStore() {
 			p.removeGhosts(ctx)
 			p.keepRanks(ctx, ranks)
 		}
@@ -93,7 +93,7 @@
 	case itself:
 		p.writeRows(ctx, []feed.Row{row})
 	default:
-		p.track.WriteOwn(row)
+		p.track.EnqueueWrite(row)
 	}
 }
 
@@ -115,7 +115,7 @@
 // removeGhosts takes rows away of instances that had been removed, and that a copy of the store has again: nobody else would, and
 // the others would ask those instances in vain for good. One that has written its row meanwhile keeps it.
 func (p *Process) removeGhosts(ctx context.Context) {
-	for _, row := range p.feeds.instances.Ghosts() {
+	for _, row := range p.feeds.instances.Resurrected() {
 		if row.Key == p.cfg.Instance {
 			continue
 		}
--- a/lib/gatewayproc/member.go
+++ b/lib/gatewayproc/member.go
@@ -39,7 +39,7 @@
 // Known tells what the Member knows now.
 func (m *Member) Known() Known {
 	return Known{
-		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Part: m.p.feeds.targets.Part(),
+		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Part: m.p.feeds.targets.Partial(),
 		Role: m.p.place().Role, Owns: len(m.p.link.OwnedEngines()),
 	}
 }
--- a/lib/gatewayproc/parts.go
+++ b/lib/gatewayproc/parts.go
@@ -36,27 +36,27 @@
 // site start, each list of them names others, and those that follow it by the list before are told nothing any more.
 const wholeFor = 5 * time.Second
 
-// Wanted implements feedlink.Parts: those that read or relay pass all targets on.
-func (p *Process) Wanted() bool {
+// WantsSubset implements feedlink.Parts: those that read or relay pass all targets on.
+func (p *Process) WantsSubset() bool {
 	now := time.Now()
-	if p.place().Role != feedlink.Follows {
+	if p.place().Role != feedlink.RoleFollower {
 		p.passedOn.Store(&now)
 		return false
 	}
-	if _, known := p.feeds.targets.Version(); !known || p.feeds.targets.Part() {
+	if _, known := p.feeds.targets.Version(); !known || p.feeds.targets.Partial() {
 		return true
 	}
 	at := p.passedOn.Load()
 	return at == nil || now.Sub(*at) > wholeFor
 }
 
-// Needed implements feedlink.Parts.
-func (p *Process) Needed(instance, domain string) *feedlink.Need {
+// SubsetFor implements feedlink.Parts.
+func (p *Process) SubsetFor(instance, domain string) *feedlink.Subset {
 	if !p.divides() {
 		return nil
 	}
 	n := needOf(p.fleet, p.shards.layout(), instance, domain)
-	return &feedlink.Need{Name: n.name(), Has: n.has}
+	return &feedlink.Subset{ID: n.name(), Contains: n.has}
 }
 
 // needOf is what an instance needs of the targets of a layout.
@@ -184,8 +184,8 @@
 // shardsMost bounds the shards of a failure domain that are believed.
 const shardsMost = 1 << 12
 
-// TakeDigest implements feedlink.Parts.
-func (p *Process) TakeDigest(b []byte) error {
+// ApplyDigest implements feedlink.Parts.
+func (p *Process) ApplyDigest(b []byte) error {
 	var told ownerpb.Division
 	if err := proto.Unmarshal(b, &told); err != nil {
 		return fmt.Errorf("gatewayproc: division of engines: %w", err)
--- a/lib/gatewayproc/parts_test.go
+++ b/lib/gatewayproc/parts_test.go
@@ -102,5 +102,5 @@
 // A division that was told by a peer is believed as far as it can be.
 func TestBadDigestIsLeftOut(t *testing.T) {
 	p := &Process{}
-	must.Error(t, p.TakeDigest([]byte{0xff, 1, 2}))
+	must.Error(t, p.ApplyDigest([]byte{0xff, 1, 2}))
 }
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -16,11 +16,11 @@
 // instanceOptions follow the instances: they change seldom, and late news of one costs only worse choices.
 var instanceOptions = feed.Options{
 	Wait: 5 * time.Second, Timeout: time.Second, Retry: 200 * time.Millisecond, RetryMax: 2 * time.Second,
-	Gap: 500 * time.Millisecond,
+	MinInterval: 500 * time.Millisecond,
 }
 
 func (p *Process) applyInstances(u feed.Update) {
-	if len(u.Rows) == 0 && !u.Whole {
+	if len(u.Rows) == 0 && !u.Initial {
 		return // it was heard again, and says nothing new
 	}
 	p.mu.Lock()
@@ -93,8 +93,8 @@
 
 		OnRestarted:    func(id string, born int64) { p.changed(p.fleet.MarkRestarted(time.Now(), id, born)) },
 		OnGranted:      func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
-		HasPartialList: p.feeds.targets.Part,
-		Broadcast:      func(b []byte) { p.track.Tell(b) },
+		HasPartialList: p.feeds.targets.Partial,
+		Broadcast:      func(b []byte) { p.track.Broadcast(b) },
 		OnBlames:       p.gate.MergeBlames,
 		OnSuspected: func(target string, permille uint32) {
 			log.Warn().Str("event", "target_suspected").Str("target", target).Uint32("failing_permille", permille).Msg("")
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -77,7 +77,7 @@
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
 	// CountSettings and CountTarget return the writer's own count of a row, which goes on when the store comes back from a copy.
-	CountSettings, CountTarget func(feed.Row) (feed.Count, bool)
+	CountSettings, CountTarget func(feed.Row) (feed.WriteSeq, bool)
 	// Evacuated returns the failure domain that a row of the table of settings evacuates while it is there.
 	Evacuated    func(feed.Row) (domain string, ok bool)
 	Targets      feed.Source
@@ -126,14 +126,14 @@
 	site  Site
 	fleet *fleet.Fleet
 	gate  *gateway.Gateway
-	share *retry.Share
+	share *retry.InstanceBudget
 	link  *ownerlink.Link
 
 	shards *shards
 	born   uint64 // incarnation
 	node   *mesh.Node
 	feeds  struct{ settings, targets, instances *feed.Replica }
-	track  *feedlink.Track
+	track  *feedlink.Syncer
 
 	front, ready *http.Server
 	cancel       context.CancelFunc
@@ -141,7 +141,7 @@
 
 	era        atomic.Int64              // of the store's history that the settings were last read in
 	listFailed atomic.Pointer[time.Time] // when a call for the list of targets last failed
-	placed     atomic.Pointer[feedlink.Place]
+	placed     atomic.Pointer[feedlink.Assignment]
 	passedOn   atomic.Pointer[time.Time] // when this instance last read or relayed
 	divided    atomic.Bool               // most instances hold a part of the targets
 
@@ -161,7 +161,7 @@
 	p.fleet.SetRegions(cfg.Regions)
 	p.fleet.SetSenders(p.maySendAlone)
 	p.newReplicas()
-	p.share = retry.NewShare(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
+	p.share = retry.NewInstanceBudget(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
 	p.gate = gateway.New(gateway.Config{
 		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.share,
 		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.leftByAnswer,
--- a/lib/gatewayproc/ranks_test.go
+++ b/lib/gatewayproc/ranks_test.go
@@ -37,7 +37,7 @@
 			starts.site.ReadRanks = func(_ context.Context, domain string) ([]byte, error) { return rows[domain], nil }
 			must.True(t, starts.readRanks(t.Context()))
 			want := placeAmong(in.Name, in.Domain, list)
-			want.Others = nil // these come with the list
+			want.RemoteRelays = nil // these come with the list
 			must.Eq(t, want, starts.place())
 		}
 		p.site.WriteRanks = func(context.Context, map[string][]byte) error { return errors.New("nothing has changed") }
@@ -52,14 +52,14 @@
 		p := &Process{cfg: Config{Instance: "me", Link: "me:1", Domain: "z", Seeds: seeds}}
 		p.site.ReadRanks = func(context.Context, string) ([]byte, error) { return []byte(row), nil }
 		p.readRanks(t.Context())
-		must.True(t, p.place().Guess, must.Sprint(row))
+		must.True(t, p.place().Bootstrap, must.Sprint(row))
 	}
 	p := &Process{cfg: Config{Instance: "me", Link: "me:1", Seeds: seeds}}
 	p.site.ReadRanks = func(context.Context, string) ([]byte, error) { return nil, errors.New("away") }
 	must.False(t, p.readRanks(t.Context()))
-	must.True(t, p.place().Guess)
+	must.True(t, p.place().Bootstrap)
 	must.True(t, p.takeRanks([]byte(`{"readers":[{"Name":"x","Link":"x:1"}],"relays":[{"Name":"y","Link":"y:1"}],"serving":-5}`)))
-	must.Eq(t, feedlink.Follows, p.place().Role)
+	must.Eq(t, feedlink.RoleFollower, p.place().Role)
 }
 
 // A thousand instances start at once, and the store turns many calls away. One that was turned away asks again: it may be the one that all
@@ -77,7 +77,7 @@
 		start := time.Now()
 		p.join(t.Context())
 		must.Eq(t, 3, calls)
-		must.Eq(t, feedlink.Reads, p.place().Role)
+		must.Eq(t, feedlink.RoleReader, p.place().Role)
 		must.LessEq(t, 3*joinSpread, time.Since(start))
 	})
 }
--- a/lib/gatewayproc/readers.go
+++ b/lib/gatewayproc/readers.go
@@ -23,7 +23,7 @@
 
 // place is this instance's place among those that read the store and relay it, as of the last list of instances. Before the
 // first list it is a guess by the seeds.
-func (p *Process) place() feedlink.Place {
+func (p *Process) place() feedlink.Assignment {
 	if at := p.placed.Load(); at != nil {
 		return *at
 	}
@@ -33,14 +33,14 @@
 // placeBySeeds is the place of an instance that knows of no other than its seeds: seeds read the store, the others wait for
 // them, each for another one first. Otherwise hundreds that start while the store is away would each ask it several times a
 // second.
-func placeBySeeds(own string, seeds []string) feedlink.Place {
+func placeBySeeds(own string, seeds []string) feedlink.Assignment {
 	if i := slices.Index(seeds, own); i >= 0 {
-		return feedlink.Place{Role: feedlink.Reads, Rank: i, Readers: []mesh.Peer{{}}}
+		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Readers: []mesh.Peer{{}}}
 	}
 	h := rendezvous.Hash(own)
 	rank := func(addr string) uint64 { return rendezvous.Rank(h, rendezvous.Hash(addr)) }
 	seeds = slices.SortedFunc(slices.Values(seeds), func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
-	at := feedlink.Place{Guess: true, Role: feedlink.Follows}
+	at := feedlink.Assignment{Bootstrap: true, Role: feedlink.RoleFollower}
 	for _, addr := range seeds {
 		at.Readers = append(at.Readers, mesh.Peer{Addr: addr})
 	}
@@ -53,10 +53,10 @@
 // Load pattern: all instances of a new site start in one moment, before any has written its row. Each found nobody else in the
 // list, took itself for the one that reads, and read all tables: some nine calls each, 2,600 for 295 instances. One that is
 // not listed is known to nobody and reads for nobody, so it follows those that are, and before there are any the seeds.
-func placeOf(self owner.Instance, list []owner.Instance, seeds []string) feedlink.Place {
+func placeOf(self owner.Instance, list []owner.Instance, seeds []string) feedlink.Assignment {
 	if len(list) == 0 {
 		at := placeBySeeds(self.Link, seeds)
-		at.Guess = false // the list is known: nobody is on it
+		at.Bootstrap = false // the list is known: nobody is on it
 		return at
 	}
 	at := placeAmong(self.Name, self.Domain, list)
@@ -78,11 +78,11 @@
 
 // placeAmong works out an instance's place. The first in rank reads for all, the first of each failure domain has it from
 // that one and relays it, so that little goes between domains.
-func placeAmong(self string, domain string, list []owner.Instance) feedlink.Place {
+func placeAmong(self string, domain string, list []owner.Instance) feedlink.Assignment {
 	c := owner.NewCandidates(list)
 	at := ranksIn(c, domain).place(self)
-	if at.Role != feedlink.Follows {
-		at.Others = relaysElsewhere(c, domain)
+	if at.Role != feedlink.RoleFollower {
+		at.RemoteRelays = relaysElsewhere(c, domain)
 	}
 	return at
 }
@@ -99,16 +99,16 @@
 }
 
 // place is an instance's place by the ranks in its failure domain.
-func (r ranks) place(self string) feedlink.Place {
+func (r ranks) place(self string) feedlink.Assignment {
 	if i := indexOf(r.Readers, self); i >= 0 {
-		return feedlink.Place{Role: feedlink.Reads, Rank: i, Readers: peers(self, r.Readers, r.Relays[:min(readersMax, len(r.Relays))])}
+		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Readers: peers(self, r.Readers, r.Relays[:min(readersMax, len(r.Relays))])}
 	}
 	if i := indexOf(r.Relays, self); i >= 0 {
 		readers := peers(self, r.Relays[:min(i, before)], r.Readers, r.Relays[i:i+1])
-		return feedlink.Place{Role: feedlink.Relays, Rank: i, Readers: readers}
+		return feedlink.Assignment{Role: feedlink.RoleRelay, Rank: i, Readers: readers}
 	}
 	readers := append(peers(self, preferred(self, r.Relays, r.Serving), r.Readers), mesh.Peer{})
-	return feedlink.Place{Role: feedlink.Follows, Readers: readers, Large: r.Serving > 1}
+	return feedlink.Assignment{Role: feedlink.RoleFollower, Readers: readers, LargeSite: r.Serving > 1}
 }
 
 // before is how many of those that relay and rank before another are asked by it.
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -37,16 +37,16 @@
 		if firsts[at.Role] == nil {
 			firsts[at.Role] = make(map[string]bool)
 		}
-		if at.Role != feedlink.Reads || at.Rank > 0 {
+		if at.Role != feedlink.RoleReader || at.Rank > 0 {
 			firsts[at.Role][at.Readers[0].Instance] = true
 		}
 		must.SliceContains(t, at.Readers, mesh.Peer{})
 		must.LessEq(t, 2*readersMax+1, len(at.Readers))
 	}
-	must.Eq(t, readersMax, roles[feedlink.Reads])
-	must.LessEq(t, 5*readersMax, roles[feedlink.Relays])
-	must.MapLen(t, 1, firsts[feedlink.Reads])
-	must.MapLen(t, 5, firsts[feedlink.Follows])
+	must.Eq(t, readersMax, roles[feedlink.RoleReader])
+	must.LessEq(t, 5*readersMax, roles[feedlink.RoleRelay])
+	must.MapLen(t, 1, firsts[feedlink.RoleReader])
+	must.MapLen(t, 5, firsts[feedlink.RoleFollower])
 }
 
 // Those that read or relay know who relays elsewhere, for when nobody near has the store's word. The others, who are many, ask
@@ -55,12 +55,12 @@
 	list := siteOf(295, 5)
 	for _, in := range list {
 		at := placeAmong(in.Name, in.Domain, list)
-		if at.Role == feedlink.Follows {
-			must.SliceEmpty(t, at.Others)
+		if at.Role == feedlink.RoleFollower {
+			must.SliceEmpty(t, at.RemoteRelays)
 			continue
 		}
-		must.Len(t, 4*readersMax, at.Others)
-		for _, p := range at.Others {
+		must.Len(t, 4*readersMax, at.RemoteRelays)
+		for _, p := range at.RemoteRelays {
 			i := slices.IndexFunc(list, func(o owner.Instance) bool { return o.Name == p.Instance })
 			must.NotEq(t, in.Domain, list[i].Domain)
 		}
@@ -73,7 +73,7 @@
 	reads := 0
 	for _, in := range list {
 		at := placeAmong(in.Name, in.Domain, list)
-		must.Eq(t, feedlink.Reads, at.Role)
+		must.Eq(t, feedlink.RoleReader, at.Role)
 		if at.Readers[0].Addr == "" {
 			reads++
 		}
@@ -87,9 +87,9 @@
 // themselves in the end.
 func TestSeedsReadBeforeTheListIsKnown(t *testing.T) {
 	seeds := []string{"a:1", "b:1"}
-	must.Eq(t, feedlink.Place{Role: feedlink.Reads, Rank: 1, Readers: []mesh.Peer{{}}}, placeBySeeds("b:1", seeds))
+	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Readers: []mesh.Peer{{}}}, placeBySeeds("b:1", seeds))
 	other := placeBySeeds("c:1", seeds)
-	must.True(t, other.Guess)
+	must.True(t, other.Bootstrap)
 	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Readers)
 	must.Eq(t, []mesh.Peer{{}}, placeBySeeds("c:1", nil).Readers)
 }
@@ -110,11 +110,11 @@
 	firsts := make(map[string]int)
 	for _, in := range list {
 		at := placeOf(in, nil, seeds)
-		if at.Role == feedlink.Reads {
+		if at.Role == feedlink.RoleReader {
 			reading++
 			continue
 		}
-		must.False(t, at.Guess)
+		must.False(t, at.Bootstrap)
 		must.Len(t, len(seeds)+1, at.Readers)
 		must.Eq(t, mesh.Peer{}, at.Readers[len(seeds)])
 		firsts[at.Readers[0].Addr]++
@@ -126,9 +126,9 @@
 
 	early := list[:2]
 	at := placeOf(list[100], early, seeds)
-	must.Eq(t, feedlink.Follows, at.Role)
+	must.Eq(t, feedlink.RoleFollower, at.Role)
 	must.SliceContains(t, []string{"i0", "i1"}, at.Readers[0].Instance)
-	must.Eq(t, feedlink.Reads, placeOf(list[0], early, seeds).Role)
+	must.Eq(t, feedlink.RoleReader, placeOf(list[0], early, seeds).Role)
 }
 
 // A single instance without seeds reads by itself.
--- a/lib/gatewayproc/reload_test.go
+++ b/lib/gatewayproc/reload_test.go
@@ -23,7 +23,7 @@
 		err error
 	}, 2)
 	read := make(chan struct{}, 2)
-	p := &Process{fleet: fleet.New("z"), share: retry.NewShare(0, 10, 10*time.Second)}
+	p := &Process{fleet: fleet.New("z"), share: retry.NewInstanceBudget(0, 10, 10*time.Second)}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.site.Reload = func() (Config, error) {
 		select {
@@ -61,10 +61,10 @@
 		}
 	}
 	hangup(Config{}, errors.New("no such file"))
-	must.Eq(t, 7, p.share.Left(time.Now(), "s"))
+	must.Eq(t, 7, p.share.Remaining(time.Now(), "s"))
 	hangup(Config{RepeatFloor: 100}, nil)
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && p.share.Left(time.Now(), "s") != 70; {
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && p.share.Remaining(time.Now(), "s") != 70; {
 		time.Sleep(time.Millisecond)
 	}
-	must.Eq(t, 70, p.share.Left(time.Now(), "s"))
+	must.Eq(t, 70, p.share.Remaining(time.Now(), "s"))
 }
--- a/lib/gatewayproc/watch.go
+++ b/lib/gatewayproc/watch.go
@@ -94,12 +94,12 @@
 // listLost reports whether a call for the list has failed and none has succeeded since, here or at the reader.
 func (p *Process) listLost() bool {
 	failed := p.listFailed.Load()
-	return failed != nil && failed.After(p.feeds.targets.Contact())
+	return failed != nil && failed.After(p.feeds.targets.LastContact())
 }
 
 // listAway reports whether the list of targets can't be relied on: it is old, or lost.
 func (p *Process) listAway() bool {
-	return time.Since(p.feeds.targets.Contact()) >= listSilent || p.listLost() || p.track.Lost()
+	return time.Since(p.feeds.targets.LastContact()) >= listSilent || p.listLost() || p.track.StoreLost()
 }
 
 func (p *Process) ask(ctx context.Context, e fleet.Info) {
--- a/lib/guardlink/bench_test.go
+++ b/lib/guardlink/bench_test.go
@@ -26,7 +26,7 @@
 					wg.Go(func() { p.request(ctx, uint64(i), c.keys) })
 				}
 			}
-			time.Sleep(2 * limit.DefaultConfig.WaitOut())
+			time.Sleep(2 * limit.DefaultConfig.HandoverDelay())
 			for b.Loop() {
 				measureTraffic(b, procs)
 			}
@@ -76,7 +76,7 @@
 // entries to another, when all requests (of 300 ms) move at once. Run it with -benchtime=5x.
 func BenchmarkFollowDemand(b *testing.B) {
 	procs := startAll(b, 8, limit.DefaultConfig)
-	time.Sleep(2 * limit.DefaultConfig.WaitOut())
+	time.Sleep(2 * limit.DefaultConfig.HandoverDelay())
 	at := 0
 	procs[at].saturate(b, 64)
 	took := time.Duration(0)
--- a/lib/guardlink/link.go
+++ b/lib/guardlink/link.go
@@ -75,7 +75,7 @@
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-l.opts.Poison.News():
+		case <-l.opts.Poison.Updates():
 			l.round()
 		case <-t.C:
 			l.round()
--- a/lib/guardlink/link_test.go
+++ b/lib/guardlink/link_test.go
@@ -40,7 +40,7 @@
 
 var quickLimits = limit.Config{
 	Interval: 20 * time.Millisecond, TTL: 150 * time.Millisecond, SupportTTL: 100 * time.Millisecond, ClockSkew: 0.02,
-	OrphanHold: time.Second, FloorFraction: 0.25, MaxInstances: 4,
+	OrphanTimeout: time.Second, FloorFraction: 0.25, MaxInstances: 4,
 }
 
 // wideKey has a limit of 64, all other keys of 8.
@@ -51,7 +51,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	p := &process{self: member.Member{Instance: name, Incarnation: 1, MeshAddr: ln.Addr().String()}, poison: poison.New(poison.DefaultConfig)}
-	p.node, err = mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plain: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
+	p.node, err = mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plaintext: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
 	must.NoError(t, err)
 	e.mu.Lock()
 	e.view = append(e.view, p.self)
@@ -128,7 +128,7 @@
 	const content = 77
 	for i, target := range []string{"planner-1", "planner-2"} {
 		run := procs[i].poison.Started(target, content)
-		procs[i].poison.Lost(time.Now(), run, uint64(i+1))
+		procs[i].poison.TargetDied(time.Now(), run, uint64(i+1))
 	}
 	for _, p := range procs {
 		eventually(t, "poisoned at "+p.self.Instance, func() bool {
--- a/lib/lease/campaign.go
+++ b/lib/lease/campaign.go
@@ -23,7 +23,7 @@
 }
 
 // campaign watches the lease until it can be taken. It returns nil when ctx ends first.
-func campaign(ctx context.Context, s Store, cfg Config) *Held {
+func campaign(ctx context.Context, s Store, cfg Config) *Term {
 	var last sighting
 	for {
 		if h := attempt(ctx, s, cfg, &last); h != nil {
@@ -37,8 +37,8 @@
 
 func (c *Config) watchEvery() time.Duration {
 	every := fraction(c.TTL, RenewFraction)
-	if c.Watch != nil {
-		every = max(every, c.Watch())
+	if c.PollInterval != nil {
+		every = max(every, c.PollInterval())
 	}
 	return every
 }
@@ -47,7 +47,7 @@
 //
 // A stale read can hide renewals and make a live holder look dead. The takeover is conditional on the revision that
 // was read, so the table refuses it then.
-func attempt(ctx context.Context, s Store, cfg Config, last *sighting) *Held {
+func attempt(ctx context.Context, s Store, cfg Config, last *sighting) *Term {
 	it, found, err := s.Get(ctx, key(cfg.Name))
 	if err != nil {
 		return nil
@@ -84,7 +84,7 @@
 }
 
 // take writes a new term over revision rev of the record.
-func take(ctx context.Context, s Store, cfg Config, rev uint64) *Held {
+func take(ctx context.Context, s Store, cfg Config, rev uint64) *Term {
 	sent := time.Now()
 	r := record{Holder: cfg.Holder, Nonce: newNonce(), TTLMS: cfg.TTL.Milliseconds(), Era: s.Era()}
 	res, err := s.Txn(ctx, platformapi.Txn{
@@ -97,14 +97,14 @@
 	if err != nil || !res.Committed {
 		return nil // an unknown outcome leaves at worst a term that nobody uses, which expires
 	}
-	h := &Held{name: cfg.Name, nonce: r.Nonce, fence: res.Rev, ttl: cfg.TTL, rev: res.Rev, cond: res.Rev, renewed: sent}
+	h := &Term{name: cfg.Name, nonce: r.Nonce, fence: res.Rev, ttl: cfg.TTL, rev: res.Rev, cond: res.Rev, renewed: sent}
 	h.cancel = func() {}
 	return h
 }
 
 // keep renews the term until it ends, and ends it when it can't be renewed in time.
-func keep(ctx context.Context, s Store, cfg Config, h *Held) {
-	stop := time.AfterFunc(h.Left(), h.end)
+func keep(ctx context.Context, s Store, cfg Config, h *Term) {
+	stop := time.AfterFunc(h.Remaining(), h.end)
 	defer stop.Stop()
 	wait := fraction(cfg.TTL, RenewFraction)
 	for pause(ctx, wait) {
@@ -116,7 +116,7 @@
 		case unanswered:
 			wait /= retryDivisor
 		case renewed:
-			stop.Reset(max(0, h.Left()))
+			stop.Reset(max(0, h.Remaining()))
 		}
 	}
 }
@@ -132,8 +132,8 @@
 
 // renew writes the record once. A write that got no answer is not a loss: the next one finds its own record in the
 // way and goes on from there.
-func renew(ctx context.Context, s Store, cfg Config, h *Held) renewal {
-	ctx, cancel := context.WithTimeout(ctx, max(0, min(h.Left(), fraction(h.ttl, RenewFraction))))
+func renew(ctx context.Context, s Store, cfg Config, h *Term) renewal {
+	ctx, cancel := context.WithTimeout(ctx, max(0, min(h.Remaining(), fraction(h.ttl, RenewFraction))))
 	defer cancel()
 	for range 2 {
 		sent := time.Now()
@@ -155,13 +155,13 @@
 }
 
 // reread returns the record as it stands after the table came back from a copy.
-func reread(ctx context.Context, s Store, h *Held) ([]platformapi.Item, error) {
+func reread(ctx context.Context, s Store, h *Term) ([]platformapi.Item, error) {
 	it, _, err := s.Get(ctx, key(h.name))
 	return []platformapi.Item{it}, err
 }
 
 // confirm makes Cond hold in the era that the table is in.
-func (h *Held) confirm(ctx context.Context, s Store) renewal {
+func (h *Term) confirm(ctx context.Context, s Store) renewal {
 	if platformapi.EraOf(h.Cond().Rev) == s.Era() {
 		return renewed
 	}
@@ -176,7 +176,7 @@
 }
 
 // adopt takes over the revision of a record that is this term's own.
-func (h *Held) adopt(failed []platformapi.Item) bool {
+func (h *Term) adopt(failed []platformapi.Item) bool {
 	for _, it := range failed {
 		if it.Key == key(h.name) && decode(it).Nonce == h.nonce {
 			h.mu.Lock()
@@ -188,7 +188,7 @@
 	return false
 }
 
-func (h *Held) write(cfg Config, era uint64, released bool) platformapi.Txn {
+func (h *Term) write(cfg Config, era uint64, released bool) platformapi.Txn {
 	r := record{Holder: cfg.Holder, Nonce: h.nonce, TTLMS: cfg.TTL.Milliseconds(), Fence: h.fence, Released: released, Era: era}
 	txn := platformapi.Txn{
 		Conds: []platformapi.Cond{{Key: key(h.name), Rev: h.revision()}},
@@ -201,7 +201,7 @@
 }
 
 // release gives the lease back, also while the process is stopping. When it fails, the next holder waits out the TTL.
-func release(ctx context.Context, s Store, cfg Config, h *Held) {
+func release(ctx context.Context, s Store, cfg Config, h *Term) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 	defer cancel()
 	for range 2 {
--- a/lib/lease/copy_test.go
+++ b/lib/lease/copy_test.go
@@ -78,9 +78,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCampaign(t, 0)
 		a := newLink(c.s)
-		held := make(chan *lease.Held, 1)
+		held := make(chan *lease.Term, 1)
 		c.wg.Go(func() {
-			lease.Run(c.ctx, a, lease.Config{Name: "r", Holder: "a", TTL: ttl}, func(ctx context.Context, h *lease.Held) {
+			lease.Run(c.ctx, a, lease.Config{Name: "r", Holder: "a", TTL: ttl}, func(ctx context.Context, h *lease.Term) {
 				held <- h
 				<-ctx.Done()
 			})
--- a/lib/lease/example_test.go
+++ b/lib/lease/example_test.go
@@ -16,7 +16,7 @@
 	client := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: store.Transport()})
 	ctx, cancel := context.WithCancel(context.Background())
 	cfg := lease.Config{Name: "placement", Holder: "govan-1"}
-	lease.Run(ctx, client, cfg, func(ctx context.Context, h *lease.Held) {
+	lease.Run(ctx, client, cfg, func(ctx context.Context, h *lease.Term) {
 		defer cancel()
 		if !h.Valid() {
 			return
@@ -27,7 +27,7 @@
 		})
 		fmt.Println("fence", h.Fence(), "committed", res.Committed, err)
 	})
-	status, err := lease.Look(context.Background(), client, "placement")
+	status, err := lease.GetStatus(context.Background(), client, "placement")
 	fmt.Println("free", status.Free, err)
 	// Output:
 	// fence 1 committed true <nil>
--- a/lib/lease/lease.go
+++ b/lib/lease/lease.go
@@ -56,13 +56,13 @@
 	Name   string        // of the role; no slash
 	Holder string        // told to operators; need not be unique
 	TTL    time.Duration // default DefaultTTL
-	// Watch returns the least time between two looks of a process that waits for the lease; nil: RenewFraction of the TTL.
+	// PollInterval returns the least time between two looks of a process that waits for the lease; nil: RenewFraction of the TTL.
 	// Many that wait would else take much of the table's reads; as they look at different times, one comes soon all the same.
-	Watch func() time.Duration
+	PollInterval func() time.Duration
 }
 
-// Held is a lease in force. Its methods are safe for concurrent use.
-type Held struct {
+// Term is a lease in force. Its methods are safe for concurrent use.
+type Term struct {
 	name  string
 	nonce string
 	fence uint64
@@ -77,23 +77,23 @@
 }
 
 // Fence returns the fencing number; every order must carry it.
-func (h *Held) Fence() uint64 { return h.fence }
+func (h *Term) Fence() uint64 { return h.fence }
 
 // Name returns the role.
-func (h *Held) Name() string { return h.name }
+func (h *Term) Name() string { return h.name }
 
 // Cond holds while this holder's term lasts. Put it into every transaction made under the lease.
-func (h *Held) Cond() platformapi.Cond {
+func (h *Term) Cond() platformapi.Cond {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return platformapi.Cond{Key: fenceKey(h.name), Rev: h.cond}
 }
 
 // Valid reports whether the holder may act. Ask right before each order: after a pause, the context's end is late.
-func (h *Held) Valid() bool { return h.Left() > 0 }
+func (h *Term) Valid() bool { return h.Remaining() > 0 }
 
-// Left returns the time until the holder must stop; 0 or less when it must have.
-func (h *Held) Left() time.Duration {
+// Remaining returns the time until the holder must stop; 0 or less when it must have.
+func (h *Term) Remaining() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ended {
@@ -111,7 +111,7 @@
 
 func fraction(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
 
-func (h *Held) end() {
+func (h *Term) end() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ended = true
@@ -120,7 +120,7 @@
 
 // rebase takes over the revision of the term's own item after the table came back from a copy; it reports false when the copy has
 // another's.
-func (h *Held) rebase(it platformapi.Item) bool {
+func (h *Term) rebase(it platformapi.Item) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if decode(it).Nonce != h.nonce {
@@ -131,7 +131,7 @@
 }
 
 // renewedAt starts a new span; it reports false when the term ended meanwhile.
-func (h *Held) renewedAt(rev uint64, sent time.Time) bool {
+func (h *Term) renewedAt(rev uint64, sent time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ended {
@@ -141,14 +141,14 @@
 	return true
 }
 
-func (h *Held) revision() uint64 {
+func (h *Term) revision() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.rev
 }
 
-// Look returns the lease's state in the table, which may be stale.
-func Look(ctx context.Context, s Store, name string) (Status, error) {
+// GetStatus returns the lease's state in the table, which may be stale.
+func GetStatus(ctx context.Context, s Store, name string) (Status, error) {
 	it, found, err := s.Get(ctx, key(name))
 	if err != nil {
 		return Status{}, errorx.Decorate(err, "lease %s", name)
@@ -159,7 +159,7 @@
 // Run campaigns for the lease until ctx ends. Each time that it is won, Run calls work with the term, and with a
 // context that ends when the term does; work must return soon after, and may return earlier to give the lease up.
 // Run releases a lease that is still its own when work returns, so that another need not wait out the TTL.
-func Run(ctx context.Context, s Store, cfg Config, work func(context.Context, *Held)) {
+func Run(ctx context.Context, s Store, cfg Config, work func(context.Context, *Term)) {
 	if cfg.TTL == 0 {
 		cfg.TTL = DefaultTTL
 	}
@@ -173,7 +173,7 @@
 }
 
 // serve runs one term.
-func serve(ctx context.Context, s Store, cfg Config, h *Held, work func(context.Context, *Held)) {
+func serve(ctx context.Context, s Store, cfg Config, h *Term, work func(context.Context, *Term)) {
 	term, cancel := context.WithCancel(ctx)
 	h.mu.Lock()
 	h.cancel = cancel
@@ -194,7 +194,7 @@
 
 // countOverrun counts a term whose work went on for longer than the TTL, when another may have worked too. After a
 // pause that is nobody's fault; without one, the work does not heed its context.
-func countOverrun(cfg Config, h *Held) {
+func countOverrun(cfg Config, h *Term) {
 	h.mu.Lock()
 	over := elapsed(h.renewed, time.Now()) > h.ttl
 	h.mu.Unlock()
@@ -204,7 +204,7 @@
 	}
 }
 
-func logTerm(event string, cfg Config, h *Held) {
+func logTerm(event string, cfg Config, h *Term) {
 	log.Info().Str("event", event).Str("lease", cfg.Name).Str("holder", cfg.Holder).Uint64("fence", h.fence).Msg("")
 }
 
--- a/lib/lease/lease_test.go
+++ b/lib/lease/lease_test.go
@@ -89,7 +89,7 @@
 
 // record runs a candidate and notes its terms.
 func record(ctx context.Context, s lease.Store, who string, mu *sync.Mutex, terms *[]term) {
-	lease.Run(ctx, s, lease.Config{Name: "r", Holder: who, TTL: ttl}, func(ctx context.Context, h *lease.Held) {
+	lease.Run(ctx, s, lease.Config{Name: "r", Holder: who, TTL: ttl}, func(ctx context.Context, h *lease.Term) {
 		t := term{who: who, fence: h.Fence(), start: time.Now()}
 		<-ctx.Done()
 		t.end = time.Now()
@@ -193,7 +193,7 @@
 		c := newCampaign(t, 0)
 		a := newLink(c.s)
 		c.wg.Go(func() {
-			lease.Run(c.ctx, a, lease.Config{Name: "r", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Held) {
+			lease.Run(c.ctx, a, lease.Config{Name: "r", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Term) {
 				must.True(t, h.Valid())
 				time.Sleep(5 * time.Second)
 				a.cut.Store(true)
@@ -265,7 +265,7 @@
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			cfg := lease.Config{Name: "r", Holder: fmt.Sprint(i), TTL: ttl}
 			wg.Go(func() {
-				lease.Run(ctx, l, cfg, func(ctx context.Context, h *lease.Held) { work(ctx, tg, h, i, rng, gap) })
+				lease.Run(ctx, l, cfg, func(ctx context.Context, h *lease.Term) { work(ctx, tg, h, i, rng, gap) })
 			})
 		}
 		chaos(rand.New(rand.NewPCG(seed, 99)), s, links)
@@ -277,7 +277,7 @@
 }
 
 // work gives orders until the term ends. Like a paused process, it does not hear its context while it sleeps.
-func work(ctx context.Context, tg *target, h *lease.Held, client int, rng *rand.Rand, gap bool) {
+func work(ctx context.Context, tg *target, h *lease.Term, client int, rng *rand.Rand, gap bool) {
 	for ctx.Err() == nil {
 		nap := time.Duration(rng.Int64N(int64(time.Second)))
 		if rng.IntN(20) == 0 {
--- a/lib/lease/watch_test.go
+++ b/lib/lease/watch_test.go
@@ -26,9 +26,9 @@
 		for i := range 40 {
 			l := newLink(s)
 			links = append(links, l)
-			cfg := lease.Config{Name: "r", Holder: fmt.Sprint(i), TTL: ttl, Watch: func() time.Duration { return ttl }}
+			cfg := lease.Config{Name: "r", Holder: fmt.Sprint(i), TTL: ttl, PollInterval: func() time.Duration { return ttl }}
 			wg.Go(func() {
-				lease.Run(ctx, l, cfg, func(ctx context.Context, _ *lease.Held) {
+				lease.Run(ctx, l, cfg, func(ctx context.Context, _ *lease.Term) {
 					won <- i
 					<-ctx.Done()
 				})
--- a/lib/limit/bench_test.go
+++ b/lib/limit/bench_test.go
@@ -41,6 +41,6 @@
 	now := simBase
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		n.Ask(now, keys[i%len(keys)])
+		n.RequestMore(now, keys[i%len(keys)])
 	}
 }
--- a/lib/limit/borrower.go
+++ b/lib/limit/borrower.go
@@ -70,7 +70,7 @@
 				end = l.until
 			}
 		}
-		if now.Sub(end) > cfg.OrphanHold {
+		if now.Sub(end) > cfg.OrphanTimeout {
 			delete(k.clients, id)
 		}
 	}
--- a/lib/limit/client.go
+++ b/lib/limit/client.go
@@ -92,7 +92,7 @@
 	if k.open.IsZero() {
 		return k.satisfied || now.Sub(k.told) > cfg.TTL
 	}
-	return now.Sub(k.open) < cfg.AskWait
+	return now.Sub(k.open) < cfg.HolderTimeout
 }
 
 // release ends a request that was admitted.
--- a/lib/limit/example_test.go
+++ b/lib/limit/example_test.go
@@ -35,7 +35,7 @@
 		name := fmt.Sprint("entry-", i%2+1)
 		a := nodes[name].Acquire(now, key)
 		if a.Verdict == limit.Pending { // ask the holder for more, and try again
-			if o, ok := nodes[name].Ask(now, key); ok {
+			if o, ok := nodes[name].RequestMore(now, key); ok {
 				send(name, o)
 			}
 			a = nodes[name].Acquire(now, key)
--- a/lib/limit/holder.go
+++ b/lib/limit/holder.go
@@ -121,7 +121,7 @@
 	if since.Before(h.clock.start) {
 		since = h.clock.start
 	}
-	return since.Add(h.cfg.WaitOut())
+	return since.Add(h.cfg.HandoverDelay())
 }
 
 // wantFull asks for a Full message sent under the current view, after the change to it was waited out.
@@ -158,7 +158,7 @@
 func (h *holder) accounted(now time.Time, key Key) bool {
 	since, _ := h.views.heldSince(h.self, key)
 	took := h.took(since)
-	if now.Sub(took) >= h.cfg.OrphanHold {
+	if now.Sub(took) >= h.cfg.OrphanTimeout {
 		return true
 	}
 	for _, v := range h.views.views {
--- a/lib/limit/limit.go
+++ b/lib/limit/limit.go
@@ -37,9 +37,9 @@
 	Interval      time.Duration // between messages of a client to a holder
 	TTL           time.Duration // life of a share
 	SupportTTL    time.Duration // life of a member's support of a holder
-	AskWait       time.Duration // how long a request waits for a holder that may have more to lend
+	HolderTimeout time.Duration // how long a request waits for a holder that may have more to lend
 	ClockSkew     float64       // bound on the difference in rate of two monotonic clocks
-	OrphanHold    time.Duration // how long requests of a silent instance count as in progress
+	OrphanTimeout time.Duration // how long requests of a silent instance count as in progress
 	FloorFraction float64       // part of each limit that is split evenly, for use without a holder
 	MaxInstances  int           // instances that split it; no more than so many may run
 }
@@ -48,11 +48,11 @@
 // nobody while fewer than MaxInstances run: with a quarter, 8 instances could use 56 of 64.
 var DefaultConfig = Config{
 	Interval: 200 * time.Millisecond, TTL: 1500 * time.Millisecond, SupportTTL: time.Second,
-	AskWait: 50 * time.Millisecond, ClockSkew: 0.02, OrphanHold: 10 * time.Second, FloorFraction: 0.1, MaxInstances: 16,
+	HolderTimeout: 50 * time.Millisecond, ClockSkew: 0.02, OrphanTimeout: 10 * time.Second, FloorFraction: 0.1, MaxInstances: 16,
 }
 
-// AloneConfig suits a single instance without peers: the whole limit is its floor, so that it needs no holder.
-func AloneConfig() Config {
+// SingleInstanceConfig suits a single instance without peers: the whole limit is its floor, so that it needs no holder.
+func SingleInstanceConfig() Config {
 	cfg := DefaultConfig
 	cfg.FloorFraction, cfg.MaxInstances = 1, 1
 	return cfg
@@ -63,9 +63,9 @@
 	return time.Duration(float64(c.TTL) * (1 + c.ClockSkew))
 }
 
-// WaitOut is how long a new holder waits before it lends: the old one may count on support for SupportTTL and then
+// HandoverDelay is how long a new holder waits before it lends: the old one may count on support for SupportTTL and then
 // lend one last share.
-func (c Config) WaitOut() time.Duration {
+func (c Config) HandoverDelay() time.Duration {
 	return time.Duration(float64(c.SupportTTL+c.TTL) * (1 + c.ClockSkew) * (1 + c.ClockSkew))
 }
 
--- a/lib/limit/limit_test.go
+++ b/lib/limit/limit_test.go
@@ -26,7 +26,7 @@
 		s.loss = rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss")
 		s.delay = rapid.SampledFrom([]time.Duration{time.Millisecond, 50 * time.Millisecond, time.Second}).Draw(t, "delay")
 		s.spread = rapid.SampledFrom([]time.Duration{500 * time.Millisecond, 4 * time.Second}).Draw(t, "spread")
-		life := rapid.SampledFrom([]time.Duration{500 * time.Millisecond, cfg.OrphanHold * 9 / 10}).Draw(t, "life")
+		life := rapid.SampledFrom([]time.Duration{500 * time.Millisecond, cfg.OrphanTimeout * 9 / 10}).Draw(t, "life")
 		trouble := rapid.SampledFrom([]int{300, 1200}).Draw(t, "trouble")
 		kinds := rapid.SliceOfNDistinct(rapid.SampledFrom(allTrouble), 1, len(allTrouble), rapid.ID).Draw(t, "kinds")
 		s.run(20*time.Second, func() {
@@ -64,7 +64,7 @@
 	other := s.insts[s.rng.IntN(len(s.insts))]
 	switch kinds[s.rng.IntN(len(kinds))] {
 	case pauses:
-		in.paused = s.now + time.Duration(s.rng.Int64N(int64(2*cfg.WaitOut())))
+		in.paused = s.now + time.Duration(s.rng.Int64N(int64(2*cfg.HandoverDelay())))
 	case kills:
 		if in.alive {
 			s.kill(in)
@@ -116,7 +116,7 @@
 	cfg.FloorFraction = 0
 	for seed := range uint64(5) {
 		s := newSim(cfg, seed, 8, Limit{Concurrency: 64})
-		s.run(2*cfg.WaitOut(), nil)
+		s.run(2*cfg.HandoverDelay(), nil)
 		busy := func(in *simInst) func() {
 			return func() {
 				for range 4 {
@@ -144,7 +144,7 @@
 // What callers see when all their requests come to one instance: they can use the whole of an ordinary limit there.
 func TestOneInstanceCanUseTheWholeLimit(t *testing.T) {
 	s := newSim(DefaultConfig, 2, 8, Limit{Concurrency: 64})
-	s.run(2*DefaultConfig.WaitOut(), nil)
+	s.run(2*DefaultConfig.HandoverDelay(), nil)
 	s.run(2*time.Second, func() {
 		for range 4 {
 			s.request(s.insts[3], 300*time.Millisecond)
@@ -158,7 +158,7 @@
 	cfg := DefaultConfig
 	cfg.FloorFraction, cfg.MaxInstances = 0.25, 8
 	s := newSim(cfg, 1, 8, Limit{Concurrency: 80})
-	s.run(2*cfg.WaitOut(), nil)
+	s.run(2*cfg.HandoverDelay(), nil)
 	s.run(5*time.Second, func() {
 		for _, in := range s.insts {
 			s.request(in, 200*time.Millisecond)
@@ -177,7 +177,7 @@
 	cfg := DefaultConfig
 	cfg.FloorFraction = 0.25
 	s := newSim(cfg, 3, 4, Limit{Concurrency: 64})
-	s.run(2*cfg.WaitOut(), nil)
+	s.run(2*cfg.HandoverDelay(), nil)
 	holder := s.index(s.insts[0].node.holderOf(simKey))
 	away := s.insts[(holder+1)%4]
 	for j := range s.insts {
@@ -199,7 +199,7 @@
 func TestNewHolderWaitsOutOldShares(t *testing.T) {
 	cfg := DefaultConfig
 	s := newSim(cfg, 4, 4, Limit{Concurrency: 64})
-	s.run(2*cfg.WaitOut(), nil)
+	s.run(2*cfg.HandoverDelay(), nil)
 	old := s.index(s.insts[0].node.holderOf(simKey))
 	client := s.insts[(old+1)%4]
 	load := func() { s.request(client, 100*time.Millisecond) }
@@ -214,7 +214,7 @@
 	}
 	s.views = append(s.views, members)
 	low, back := time.Duration(0), time.Duration(0)
-	s.run(3*cfg.WaitOut(), func() {
+	s.run(3*cfg.HandoverDelay(), func() {
 		load()
 		switch {
 		case low == 0 && client.node.client.keys[simKey].allowed(s.clock(client)) == 0:
@@ -225,7 +225,7 @@
 	})
 	t.Logf("shares ended %v after the holder's death, new ones came after %v", low, back)
 	must.Positive(t, back)
-	must.GreaterEq(t, cfg.WaitOut(), back)
+	must.GreaterEq(t, cfg.HandoverDelay(), back)
 }
 
 // What callers see when the holder is replaced while another instance, cut off from the new holder, has requests that
@@ -247,15 +247,15 @@
 	cfg := DefaultConfig
 	cfg.FloorFraction = 0
 	s := newSim(cfg, 6, 4, Limit{Concurrency: 8})
-	s.run(2*cfg.WaitOut(), nil)
+	s.run(2*cfg.HandoverDelay(), nil)
 	old := s.index(s.insts[0].node.holderOf(simKey))
 	next := s.index(newView(without(s.views[0], s.insts[old].name)).holder(simKey))
 	silent, other := s.others(old, next)
-	s.run(2*time.Second, func() { s.request(silent, cfg.OrphanHold*9/10) })
+	s.run(2*time.Second, func() { s.request(silent, cfg.OrphanTimeout*9/10) })
 	must.Eq(t, 8, s.inProgress())
 	trouble(s, silent, next)
 	s.views = append(s.views, without(s.views[0], s.insts[old].name))
-	s.run(cfg.WaitOut()+cfg.OrphanHold*2, func() {
+	s.run(cfg.HandoverDelay()+cfg.OrphanTimeout*2, func() {
 		s.request(other, 100*time.Millisecond)
 		must.LessEq(t, 8, s.inProgress())
 	})
@@ -283,7 +283,7 @@
 // A single instance has its whole limit from the first moment.
 func TestAloneNeedsNoHolder(t *testing.T) {
 	now := simBase
-	n := NewNode(now, AloneConfig(), "only", 1, func(Key) Limit { return Limit{Concurrency: 3} })
+	n := NewNode(now, SingleInstanceConfig(), "only", 1, func(Key) Limit { return Limit{Concurrency: 3} })
 	n.SetView(now, []string{"only"})
 	for range 3 {
 		must.Eq(t, Admitted, n.Acquire(now, simKey).Verdict)
@@ -300,7 +300,7 @@
 	s := newSim(cfg, 5, 3, Limit{Concurrency: 8})
 	up := func() Up { return s.insts[0].node.up(s.clock(s.insts[0]), s.insts[1].name, nil, false) }
 	must.SliceEmpty(t, up().Views)
-	s.run(cfg.WaitOut()-100*time.Millisecond, nil)
+	s.run(cfg.HandoverDelay()-100*time.Millisecond, nil)
 	must.SliceEmpty(t, up().Views)
 	s.run(200*time.Millisecond, nil)
 	must.SliceLen(t, 1, up().Views)
@@ -311,21 +311,21 @@
 func TestForgottenInstanceComesBack(t *testing.T) {
 	cfg := DefaultConfig
 	s := newSim(cfg, 8, 4, Limit{Concurrency: 8})
-	s.run(2*cfg.WaitOut(), nil)
+	s.run(2*cfg.HandoverDelay(), nil)
 	holder := s.index(s.insts[0].node.holderOf(simKey))
 	back := s.insts[(holder+1)%4]
 	all := s.views[0]
 	for _, in := range s.insts {
 		if in != back {
 			in.node.SetView(s.clock(in), without(all, back.name))
-			in.node.Forget(back.name)
+			in.node.MarkDead(back.name)
 		}
 	}
 	s.run(time.Second, nil)
 	for _, in := range s.insts {
 		in.node.SetView(s.clock(in), all)
 	}
-	s.run(cfg.WaitOut()+cfg.OrphanHold, nil)
+	s.run(cfg.HandoverDelay()+cfg.OrphanTimeout, nil)
 	s.run(time.Second, func() { s.request(back, 100*time.Millisecond) })
 	must.Positive(t, len(back.ends))
 }
--- a/lib/limit/node.go
+++ b/lib/limit/node.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// Forget tells that an instance's process is known to be gone, and its requests in progress with it. Without it, a new
+// MarkDead tells that an instance's process is known to be gone, and its requests in progress with it. Without it, a new
 // holder of its keys lends no more than is in progress until OrphanHold has passed. A view that names it again takes it
 // back.
-func (n *Node) Forget(instance string) {
+func (n *Node) MarkDead(instance string) {
 	n.holder.forget(instance)
 	delete(n.links, instance)
 }
@@ -66,7 +66,7 @@
 // Ready reports whether this process has a view and has waited out its predecessor. A later change of view does not make
 // it unready.
 func (n *Node) Ready(now time.Time) bool {
-	return n.views.current() != nil && now.Sub(n.holder.clock.start) >= n.cfg.WaitOut()
+	return n.views.current() != nil && now.Sub(n.holder.clock.start) >= n.cfg.HandoverDelay()
 }
 
 // Acquire decides on one request. Pending is only given when this instance is not itself the holder.
@@ -93,8 +93,8 @@
 // Release ends a request that was admitted.
 func (n *Node) Release(key Key) { n.client.release(key) }
 
-// Ask returns the message that asks key's holder for more at once; ok is false when there is no holder to ask.
-func (n *Node) Ask(now time.Time, key Key) (out Outgoing, ok bool) {
+// RequestMore returns the message that asks key's holder for more at once; ok is false when there is no holder to ask.
+func (n *Node) RequestMore(now time.Time, key Key) (out Outgoing, ok bool) {
 	to := n.holderOf(key)
 	if to == "" || to == n.self {
 		return Outgoing{}, false
@@ -212,7 +212,7 @@
 	l := n.link(to)
 	up := Up{
 		Stamp: n.nextStamp(now), Echo: l.echo,
-		Views: n.views.recent(now.Add(-n.cfg.WaitOut())), Full: all && l.wantFull,
+		Views: n.views.recent(now.Add(-n.cfg.HandoverDelay())), Full: all && l.wantFull,
 	}
 	for _, key := range keys {
 		k := n.client.key(now, key)
@@ -238,7 +238,7 @@
 }
 
 func (n *Node) sweep(now time.Time) {
-	if now.Sub(n.swept) < n.cfg.OrphanHold {
+	if now.Sub(n.swept) < n.cfg.OrphanTimeout {
 		return
 	}
 	n.swept = now
--- a/lib/limit/service.go
+++ b/lib/limit/service.go
@@ -58,11 +58,11 @@
 	s.node.SetView(time.Now(), members)
 }
 
-// Forget is Node.Forget.
-func (s *Service) Forget(instance string) {
+// MarkDead is Node.Forget.
+func (s *Service) MarkDead(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.node.Forget(instance)
+	s.node.MarkDead(instance)
 }
 
 // Ready is Node.Ready.
@@ -92,7 +92,7 @@
 // Acquire admits or refuses one request. It waits only for a holder that may have more to lend, and never longer than
 // AskWait: a holder that takes longer is taken to be gone, and the request is refused at once. After Admitted, Release must be called when the request ends.
 func (s *Service) Acquire(ctx context.Context, key Key) Answer {
-	deadline := time.Now().Add(s.cfg.AskWait)
+	deadline := time.Now().Add(s.cfg.HolderTimeout)
 	for {
 		a, answers := s.try(key)
 		if a.Verdict != Pending {
@@ -124,10 +124,10 @@
 
 func (s *Service) ask(now time.Time, key Key) (Outgoing, bool) {
 	to := s.node.holderOf(key)
-	if since, open := s.asking[to]; open && now.Sub(since) < s.cfg.AskWait {
+	if since, open := s.asking[to]; open && now.Sub(since) < s.cfg.HolderTimeout {
 		return Outgoing{}, false
 	}
-	out, ok := s.node.Ask(now, key)
+	out, ok := s.node.RequestMore(now, key)
 	if ok {
 		s.asking[to] = now
 	}
--- a/lib/limit/sim_test.go
+++ b/lib/limit/sim_test.go
@@ -81,7 +81,7 @@
 	in.alive, in.ends = false, nil
 	for _, other := range s.insts {
 		if other.alive {
-			other.node.Forget(in.name)
+			other.node.MarkDead(in.name)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	}
 	a := in.node.Acquire(s.clock(in), simKey)
 	if a.Verdict == Pending {
-		if out, ok := in.node.Ask(s.clock(in), simKey); ok {
+		if out, ok := in.node.RequestMore(s.clock(in), simKey); ok {
 			s.post(in.id, s.index(out.To), &out.Up, nil)
 		}
 		return false
--- a/lib/locallink/link_test.go
+++ b/lib/locallink/link_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	n, err := mesh.New(mesh.Options{
 		Self:       mesh.Identity{Instance: instance, Incarnation: 7},
-		Plain:      true,
+		Plaintext:  true,
 		BackoffMin: time.Millisecond,
 		BackoffMax: 20 * time.Millisecond,
 	})
--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -31,7 +31,7 @@
 	Interval     time.Duration // between rounds of heartbeats
 	SuspectAfter time.Duration // default 4 intervals
 	DeadAfter    time.Duration // after suspicion; default 4 intervals
-	Forget       time.Duration // a dead member that the instance list no longer has is dropped after it
+	ForgetAfter  time.Duration // a dead member that the instance list no longer has is dropped after it
 	FullMesh     int           // up to so many members, each sends to all
 	Neighbours   int           // over it, to so many
 	MaxMembers   int
@@ -55,8 +55,8 @@
 	if c.DeadAfter <= 0 {
 		c.DeadAfter = deadIntervals * c.Interval
 	}
-	if c.Forget <= 0 {
-		c.Forget = DefaultForget
+	if c.ForgetAfter <= 0 {
+		c.ForgetAfter = DefaultForget
 	}
 	if c.FullMesh <= 0 {
 		c.FullMesh = DefaultFullMesh
--- a/lib/member/example_test.go
+++ b/lib/member/example_test.go
@@ -16,8 +16,8 @@
 	a, b := tableOf("a"), tableOf("b")
 	exchange := func(now time.Duration) {
 		for _, o := range a.Tick(now) {
-			if answer := b.Receive(now, o.Beat); answer != nil {
-				a.Receive(now, answer)
+			if answer := b.HandleHeartbeat(now, o.Heartbeat); answer != nil {
+				a.HandleHeartbeat(now, answer)
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 	b.Leave()
 	exchange(2 * time.Second)
 	m, _ := a.Get("b")
-	fmt.Println("b takes work:", m.TakesWork())
+	fmt.Println("b takes work:", m.AcceptsWork())
 
 	// b is gone without another word: it is suspect, then dead.
 	for now := 3 * time.Second; now < 13*time.Second; now += time.Second {
--- a/lib/member/member.go
+++ b/lib/member/member.go
@@ -48,9 +48,9 @@
 	MeshAddr      string // IP:port
 }
 
-// TakesWork reports whether the member may own anything or be sent anything new. A suspect still counts: most
+// AcceptsWork reports whether the member may own anything or be sent anything new. A suspect still counts: most
 // suspicions are refuted, and moving everything it owns twice costs more than a short silence.
-func (m Member) TakesWork() bool { return m.State != Dead && !m.Leaving }
+func (m Member) AcceptsWork() bool { return m.State != Dead && !m.Leaving }
 
 // Merge joins two pieces of news on the same instance. It is commutative, associative and idempotent.
 func Merge(a, b Member) Member {
--- a/lib/member/receive.go
+++ b/lib/member/receive.go
@@ -4,8 +4,8 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// Receive takes a heartbeat that came directly from its sender. The result, when not nil, is the answer to send back.
-func (t *Table) Receive(now Time, hb *meshpb.Heartbeat) *meshpb.Heartbeat {
+// HandleHeartbeat takes a heartbeat that came directly from its sender. The result, when not nil, is the answer to send back.
+func (t *Table) HandleHeartbeat(now Time, hb *meshpb.Heartbeat) *meshpb.Heartbeat {
 	from := senderOf(hb)
 	if from.Instance == "" || from.Instance == t.self.Instance {
 		return nil
--- a/lib/member/runner.go
+++ b/lib/member/runner.go
@@ -131,13 +131,13 @@
 	var beats []Outgoing
 	r.locked(func(now Time) { beats = r.table.Tick(now) })
 	for _, o := range beats {
-		out.Send(mesh.Peer{Instance: o.To.Instance, Addr: o.To.MeshAddr}, o.Beat)
+		out.Send(mesh.Peer{Instance: o.To.Instance, Addr: o.To.MeshAddr}, o.Heartbeat)
 	}
 }
 
 // receive passes a heartbeat to the table and returns the answer, if one is due.
 func (r *Runner) receive(hb *meshpb.Heartbeat) (answer *meshpb.Heartbeat) {
-	r.locked(func(now Time) { answer = r.table.Receive(now, hb) })
+	r.locked(func(now Time) { answer = r.table.HandleHeartbeat(now, hb) })
 	return answer
 }
 
--- a/lib/member/runner_test.go
+++ b/lib/member/runner_test.go
@@ -28,7 +28,7 @@
 	ln, err := net.Listen("tcp", addr)
 	must.NoError(t, err)
 	self := Member{Instance: name, Incarnation: incarnation, FailureDomain: "d", MeshAddr: ln.Addr().String()}
-	node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: incarnation}, Plain: true})
+	node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: incarnation}, Plaintext: true})
 	must.NoError(t, err)
 	p := &process{Runner: NewRunner(node, Config{Self: self, Interval: interval}), node: node, self: self}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/lib/member/sim_test.go
+++ b/lib/member/sim_test.go
@@ -59,7 +59,7 @@
 // start begins a new life of slot i, which knows nobody yet.
 func (s *sim) start(i int) {
 	s.inc[i]++
-	cfg := Config{Self: s.self(i), Interval: testInterval, Seed: uint64(i), Forget: time.Hour, FullMesh: s.full}
+	cfg := Config{Self: s.self(i), Interval: testInterval, Seed: uint64(i), ForgetAfter: time.Hour, FullMesh: s.full}
 	side := 0
 	if s.nodes[i] != nil {
 		side = s.nodes[i].side
@@ -105,13 +105,13 @@
 func (s *sim) send(from int, n *simNode, out []Outgoing) {
 	for _, o := range out {
 		n.messages++
-		n.bytes += proto.Size(o.Beat)
+		n.bytes += proto.Size(o.Heartbeat)
 		to, ok := s.addrs[o.To.MeshAddr]
 		if !ok || s.nodes[to].killed || s.names[to] != o.To.Instance {
 			n.table.Unreachable(s.now, o.To.Instance, o.To.Incarnation)
 			continue
 		}
-		s.deliver(n, s.nodes[to], o.Beat)
+		s.deliver(n, s.nodes[to], o.Heartbeat)
 	}
 }
 
@@ -119,14 +119,14 @@
 	if s.lost(from, to) {
 		return
 	}
-	answer := to.table.Receive(s.now, hb)
+	answer := to.table.HandleHeartbeat(s.now, hb)
 	if answer == nil {
 		return
 	}
 	to.messages++
 	to.bytes += proto.Size(answer)
 	if !s.lost(to, from) {
-		from.table.Receive(s.now, answer)
+		from.table.HandleHeartbeat(s.now, answer)
 	}
 }
 
--- a/lib/member/table_test.go
+++ b/lib/member/table_test.go
@@ -85,8 +85,8 @@
 func (s *sim) beatOf(old *simNode) {
 	for _, o := range old.table.Tick(s.now) {
 		to := s.nodes[s.addrs[o.To.MeshAddr]]
-		if answer := to.table.Receive(s.now, o.Beat); answer != nil {
-			old.table.Receive(s.now, answer)
+		if answer := to.table.HandleHeartbeat(s.now, o.Heartbeat); answer != nil {
+			old.table.HandleHeartbeat(s.now, answer)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 // for its silence would leave work with it for that time.
 func TestNewInstanceOnAnAddressPutsTheOldOneInDoubt(t *testing.T) {
 	s := started(t, 3)
-	s.nodes[0].table.Receive(s.now, &meshpb.Heartbeat{Instance: "new", Incarnation: 1, Seq: 1, MeshAddr: s.addr(2)})
+	s.nodes[0].table.HandleHeartbeat(s.now, &meshpb.Heartbeat{Instance: "new", Incarnation: 1, Seq: 1, MeshAddr: s.addr(2)})
 	must.EqOp(t, Suspect, s.state(0, 2).State)
 	must.EqOp(t, Live, s.state(0, 1).State)
 }
@@ -119,8 +119,8 @@
 	}
 	rounds := 0
 	for ; len(b.members) < 51 && rounds < 20; rounds++ {
-		if answer := a.Receive(0, b.beat(0, &entry{})); answer != nil {
-			b.Receive(0, answer)
+		if answer := a.HandleHeartbeat(0, b.beat(0, &entry{})); answer != nil {
+			b.HandleHeartbeat(0, answer)
 		}
 	}
 	must.Len(t, 51, b.order)
@@ -186,7 +186,7 @@
 				if (i == a && to == b) || (i == b && to == a) {
 					continue
 				}
-				s.deliver(n, s.nodes[to], o.Beat)
+				s.deliver(n, s.nodes[to], o.Heartbeat)
 			}
 		}
 	}
@@ -320,8 +320,8 @@
 	s.run(time.Second)
 	s.nodes[50].table.SetLocal(1, make([]*meshpb.ShardDigest, 1000))
 	for _, o := range s.nodes[50].table.Tick(s.now + testInterval) {
-		must.LessEq(t, maxChanged, len(o.Beat.GetChanged()))
-		must.LessEq(t, maxDigests, len(o.Beat.GetShards()))
+		must.LessEq(t, maxChanged, len(o.Heartbeat.GetChanged()))
+		must.LessEq(t, maxDigests, len(o.Heartbeat.GetShards()))
 	}
 }
 
--- a/lib/member/tick.go
+++ b/lib/member/tick.go
@@ -6,8 +6,8 @@
 
 // Outgoing is one heartbeat to send.
 type Outgoing struct {
-	To   Member
-	Beat *meshpb.Heartbeat
+	To        Member
+	Heartbeat *meshpb.Heartbeat
 }
 
 // Tick moves the table to now and returns what to send. Calling it too often sends nothing.
@@ -101,7 +101,7 @@
 // way would else add them again as live.
 func (t *Table) forget(now Time) {
 	for name, e := range t.members {
-		if e.State == Dead && !e.listed && now-e.died > t.cfg.Forget {
+		if e.State == Dead && !e.listed && now-e.died > t.cfg.ForgetAfter {
 			t.drop(name)
 		}
 	}
@@ -117,10 +117,10 @@
 	out := make([]Outgoing, 0, len(t.neighbours)+1)
 	for _, name := range t.neighbours {
 		e := t.members[name]
-		out = append(out, Outgoing{To: e.Member, Beat: t.beat(0, e)})
+		out = append(out, Outgoing{To: e.Member, Heartbeat: t.beat(0, e)})
 	}
 	if e := t.someDead(); e != nil {
-		out = append(out, Outgoing{To: e.Member, Beat: t.beat(0, e)})
+		out = append(out, Outgoing{To: e.Member, Heartbeat: t.beat(0, e)})
 	}
 	return out
 }
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -12,17 +12,17 @@
 	Self     Member
 	Members  []Member // all known, self included, sorted by instance
 	Replaced bool     // a higher incarnation of this instance exists
-	Alone    bool     // others are known and none of them counts as live
+	Isolated bool     // others are known and none of them counts as live
 }
 
 // View copies the table.
 func (t *Table) View() *View {
-	v := &View{Version: t.version, Self: t.self, Replaced: t.replaced, Alone: len(t.members) > 0}
+	v := &View{Version: t.version, Self: t.self, Replaced: t.replaced, Isolated: len(t.members) > 0}
 	v.Members = make([]Member, 0, len(t.members)+1)
 	v.Members = append(v.Members, t.self)
 	for _, e := range t.members {
 		v.Members = append(v.Members, e.Member)
-		v.Alone = v.Alone && e.State == Dead
+		v.Isolated = v.Isolated && e.State == Dead
 	}
 	slices.SortFunc(v.Members, compareNames)
 	return v
@@ -46,7 +46,7 @@
 		if v.Replaced && m.Instance == v.Self.Instance {
 			continue
 		}
-		if m.TakesWork() {
+		if m.AcceptsWork() {
 			out = append(out, m)
 		}
 	}
@@ -65,7 +65,7 @@
 	var out []Digest
 	for _, name := range t.order {
 		e := t.members[name]
-		if !e.TakesWork() {
+		if !e.AcceptsWork() {
 			continue
 		}
 		for _, d := range e.digests {
--- a/lib/mesh/mesh_test.go
+++ b/lib/mesh/mesh_test.go
@@ -19,7 +19,7 @@
 func quick(instance string) Options {
 	return Options{
 		Self:         Identity{Instance: instance, Incarnation: 1},
-		Plain:        true,
+		Plaintext:    true,
 		KeepAlive:    50 * time.Millisecond,
 		WriteTimeout: 150 * time.Millisecond,
 		DialTimeout:  300 * time.Millisecond,
@@ -102,7 +102,7 @@
 
 func TestPlainMustBeAskedFor(t *testing.T) {
 	o := quick("a")
-	o.Plain = false
+	o.Plaintext = false
 	_, err := New(o)
 	must.True(t, errorx.IsOfType(err, ErrConfig))
 }
--- a/lib/mesh/node.go
+++ b/lib/mesh/node.go
@@ -192,7 +192,7 @@
 
 // secureDialed runs the client's handshake unless links are plain.
 func (n *Node) secureDialed(ctx context.Context, conn net.Conn) (net.Conn, error) {
-	if n.opts.Plain {
+	if n.opts.Plaintext {
 		return conn, nil
 	}
 	tc := tls.Client(conn, n.opts.TLS)
--- a/lib/mesh/options.go
+++ b/lib/mesh/options.go
@@ -50,9 +50,9 @@
 
 // Options of a Node. Zero durations and bounds take the defaults.
 type Options struct {
-	Self  Identity
-	TLS   *tls.Config // from LoadTLS
-	Plain bool        // no TLS; must be asked for by name, because links then prove nothing about the peer
+	Self      Identity
+	TLS       *tls.Config // from LoadTLS
+	Plaintext bool        // no TLS; must be asked for by name, because links then prove nothing about the peer
 
 	KeepAlive    time.Duration // between pings on a session
 	WriteTimeout time.Duration // bound on a ping's answer and on each write; a link silent for KeepAlive+WriteTimeout is cut
@@ -72,10 +72,10 @@
 	if o.Self.Instance == "" {
 		return o, ErrConfig.New("no instance name")
 	}
-	if o.TLS == nil && !o.Plain {
+	if o.TLS == nil && !o.Plaintext {
 		return o, ErrConfig.New("links need TLS files, or the plain mode asked for by name")
 	}
-	if o.TLS != nil && o.Plain {
+	if o.TLS != nil && o.Plaintext {
 		return o, ErrConfig.New("both TLS files and the plain mode are set")
 	}
 	setDuration(&o.KeepAlive, DefaultKeepAlive)
--- a/lib/mesh/serve.go
+++ b/lib/mesh/serve.go
@@ -57,7 +57,7 @@
 
 // secureAccepted bounds the handshake: a peer that connects and says nothing would else hold the connection for ever.
 func (n *Node) secureAccepted(conn net.Conn) (net.Conn, error) {
-	if n.opts.Plain {
+	if n.opts.Plaintext {
 		return conn, nil
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, n.opts.DialTimeout)
--- a/lib/mesh/stall_test.go
+++ b/lib/mesh/stall_test.go
@@ -119,7 +119,7 @@
 	})
 	start := time.Now()
 	var got meshpb.FeedTable
-	must.NoError(t, s.ReadWithin(idle, &got))
+	must.NoError(t, s.ReadWithIdleTimeout(idle, &got))
 	must.Len(t, len(page.Packed), got.Packed)
 	must.Greater(t, 2*idle, time.Since(start))
 
@@ -127,6 +127,6 @@
 		_, _ = s.conn.Write([]byte{0xff, 0xff, 0x03, 0x0a}) // the head of a message of 64 KiB
 	})
 	start = time.Now()
-	must.Error(t, s.ReadWithin(idle, &got))
+	must.Error(t, s.ReadWithIdleTimeout(idle, &got))
 	must.Less(t, 5*idle, time.Since(start))
 }
--- a/lib/mesh/stream.go
+++ b/lib/mesh/stream.go
@@ -89,11 +89,11 @@
 	return nil
 }
 
-// ReadWithin is Read that fails when nothing comes for idle. A message may take any time as long as it comes.
+// ReadWithIdleTimeout is Read that fails when nothing comes for idle. A message may take any time as long as it comes.
 //
 // Failure: hundreds of instances that started at once had a large table from a few over links of some Mbit/s. Each took longer
 // than its time-out for the whole of it, began anew at another, and none had it half a minute later.
-func (s *Stream) ReadWithin(idle time.Duration, m proto.Message) error {
+func (s *Stream) ReadWithIdleTimeout(idle time.Duration, m proto.Message) error {
 	s.in.idle = idle
 	defer func() { s.in.idle = 0 }()
 	return s.Read(m)
--- a/lib/mesh/tls_test.go
+++ b/lib/mesh/tls_test.go
@@ -78,7 +78,7 @@
 func secure(t *testing.T, instance string, f TLSFiles) Options {
 	t.Helper()
 	o := quick(instance)
-	o.Plain = false
+	o.Plaintext = false
 	c, err := LoadTLS(f)
 	must.NoError(t, err)
 	o.TLS = c
--- a/lib/placement/run.go
+++ b/lib/placement/run.go
@@ -43,7 +43,7 @@
 // runner places models for one lease term.
 type runner struct {
 	env           Environment
-	lease         *lease.Held
+	lease         *lease.Term
 	term          Term
 	intents       map[string]*intent   // by target
 	lastOrders    map[string]lastOrder // by target
@@ -61,7 +61,7 @@
 }
 
 // Run places models until ctx ends. It is meant to be run under a lease: see lease.Run.
-func Run(ctx context.Context, h *lease.Held, env Environment) {
+func Run(ctx context.Context, h *lease.Term, env Environment) {
 	r := &runner{
 		env:        env,
 		lease:      h,
@@ -138,7 +138,7 @@
 }
 
 func (r *runner) execute(ctx context.Context, s Step) error {
-	ctx, cancel := context.WithTimeout(ctx, min(OrderTimeout, max(0, r.lease.Left())))
+	ctx, cancel := context.WithTimeout(ctx, min(OrderTimeout, max(0, r.lease.Remaining())))
 	defer cancel()
 	switch s.Kind {
 	case WriteIntent:
--- a/lib/placement/run_test.go
+++ b/lib/placement/run_test.go
@@ -103,7 +103,7 @@
 
 // holder campaigns for the lease and places models, sending orders through order.
 func (s *cluster) holder(ctx context.Context, c *platform.Client, name string, order func(context.Context, string, engineapi.Order) error) {
-	lease.Run(ctx, c, lease.Config{Name: "placement", Holder: name, TTL: ttl}, func(ctx context.Context, h *lease.Held) {
+	lease.Run(ctx, c, lease.Config{Name: "placement", Holder: name, TTL: ttl}, func(ctx context.Context, h *lease.Term) {
 		placement.Run(ctx, h, placement.Environment{Store: c, Services: s.services, Order: order, Drain: s.drain})
 	})
 }
@@ -165,7 +165,7 @@
 		}
 		link := &pausableClient{Client: client(store), paused: holderCtx}
 		wg.Go(func() {
-			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(ctx context.Context, h *lease.Held) {
+			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(ctx context.Context, h *lease.Term) {
 				placement.Run(holderCtx, h, placement.Environment{Store: link, Services: s.services, Order: delayedOrder, Drain: s.drain})
 			})
 		})
@@ -248,7 +248,7 @@
 		link := &delayedIntentStore{&pausableClient{client(store), holderCtx}, kill, make(chan platformapi.TxnResult, 1)}
 		var wg sync.WaitGroup
 		wg.Go(func() {
-			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Held) {
+			lease.Run(ctx, link, lease.Config{Name: "placement", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Term) {
 				placement.Run(holderCtx, h, placement.Environment{Store: link, Services: s.services, Order: s.order, Drain: s.drain})
 			})
 		})
--- a/lib/platform/client.go
+++ b/lib/platform/client.go
@@ -116,7 +116,7 @@
 	breaker *gobreaker.CircuitBreaker[response]
 	budget  *budget
 	group   grouper
-	eras    era.Seen
+	eras    era.Tracker
 }
 
 // New returns a Client. It does not contact the platform.
@@ -222,7 +222,7 @@
 
 // eraOf returns the era of the table that an answer is of.
 func (c *Client) eraOf(h http.Header) uint64 {
-	return max(platformapi.FirstEra, uint64(c.eras.Of(h.Get(platformapi.HeaderEra))))
+	return max(platformapi.FirstEra, uint64(c.eras.Observe(h.Get(platformapi.HeaderEra))))
 }
 
 func parseAfter(h http.Header) time.Duration {
--- a/lib/poison/blame.go
+++ b/lib/poison/blame.go
@@ -7,11 +7,11 @@
 
 // Levels.
 const (
-	LevelNone     Level = iota
-	LevelWeak           // was aboard, among many, when an engine died
-	LevelStrong         // had only just started when an engine died, or was aboard more than once
-	LevelVouched        // finished elsewhere not long before: not to blame
-	LevelFinished       // marks a Record of a run that finished
+	LevelNone       Level = iota
+	LevelWeak             // was aboard, among many, when an engine died
+	LevelStrong           // had only just started when an engine died, or was aboard more than once
+	LevelExonerated       // finished elsewhere not long before: not to blame
+	LevelFinished         // marks a Record of a run that finished
 )
 
 // rounding is how far a sum of parts may fall short of the whole.
@@ -42,7 +42,7 @@
 	top, n := LevelNone, 0
 	for _, b := range d.aboard {
 		switch {
-		case b.level == LevelVouched:
+		case b.level == LevelExonerated:
 		case b.level > top:
 			top, n = b.level, 1
 		case b.level == top:
@@ -50,7 +50,7 @@
 		}
 	}
 	switch {
-	case d.aboard[fingerprint].level < top, d.aboard[fingerprint].level == LevelVouched:
+	case d.aboard[fingerprint].level < top, d.aboard[fingerprint].level == LevelExonerated:
 		return 0
 	case top == LevelNone:
 		return 1
--- a/lib/poison/gossip.go
+++ b/lib/poison/gossip.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// News has a value when there is something new to tell peers. They should hear of it within Config.Settle.
-func (t *Table) News() <-chan struct{} { return t.news }
+// Updates has a value when there is something new to tell peers. They should hear of it within Config.Settle.
+func (t *Table) Updates() <-chan struct{} { return t.news }
 
 // Since returns the records after seq, and the seq to ask with next time. Start from 0 for a peer that is new or has
 // restarted. What was merged is in it too, so that news crosses between instances that have no link.
@@ -87,9 +87,9 @@
 	t.record(now, l)
 }
 
-// Avoid lists the targets on which this instance runs another suspect that is suspected as strongly or more. A
+// TargetsToAvoid lists the targets on which this instance runs another suspect that is suspected as strongly or more. A
 // suspect is not to be placed there: were the engine to die, its death would name neither.
-func (t *Table) Avoid(now time.Time, fingerprint uint64) []string {
+func (t *Table) TargetsToAvoid(now time.Time, fingerprint uint64) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	level := t.level(now, fingerprint, 0)
