--- a/lib/poison/poison_test.go
+++ b/lib/poison/poison_test.go
@@ -15,7 +15,7 @@
 
 var (
 	t0      = time.Unix(1_700_000_000, 0)
-	settled = poison.DefaultConfig.Settle
+	settled = poison.DefaultConfig.SettleTime
 )
 
 func verdict(t *poison.Table, now time.Time, f uint64) poison.Verdict {
@@ -30,15 +30,15 @@
 	const bad, good, later = 1, 2, 3
 	now := t0
 	tab.Started("engine-1", good)
-	tab.Lost(now, tab.Started("engine-1", bad), 10)
+	tab.TargetDied(now, tab.Started("engine-1", bad), 10)
 	must.Eq(t, poison.Suspect, verdict(tab, now, bad))
 	must.Eq(t, poison.Suspect, verdict(tab, now, good))
 
 	spared := tab.Started("engine-2", good)
-	must.Eq(t, []string{"engine-2"}, tab.Avoid(now, bad)) // kept apart
+	must.Eq(t, []string{"engine-2"}, tab.TargetsToAvoid(now, bad)) // kept apart
 	tab.Started("engine-3", later)
 	now = now.Add(time.Second)
-	tab.Lost(now, tab.Started("engine-3", bad), 11)
+	tab.TargetDied(now, tab.Started("engine-3", bad), 11)
 	must.Eq(t, poison.Settling, verdict(tab, now, bad))
 	now = now.Add(settled)
 	must.Eq(t, poison.Poisoned, verdict(tab, now, bad))
@@ -46,7 +46,7 @@
 
 	tab.Finished(now, spared)
 	must.Eq(t, poison.Clean, verdict(tab, now, good))
-	must.Eq(t, poison.Suspect, verdict(tab, now.Add(poison.DefaultConfig.Refuse), bad)) // refused for a while only
+	must.Eq(t, poison.Suspect, verdict(tab, now.Add(poison.DefaultConfig.RefusePeriod), bad)) // refused for a while only
 }
 
 // What callers see when a target restarts quickly: the late news of its first death, told by each run that was aboard,
@@ -54,10 +54,10 @@
 func TestLateNewsOfOneDeathCountOnce(t *testing.T) {
 	tab := poison.New(poison.DefaultConfig)
 	first, second := tab.Started("engine-1", 1), tab.Started("engine-1", 2)
-	tab.Lost(t0, first, 5)
+	tab.TargetDied(t0, first, 5)
 	tab.Started("engine-1", 2) // the target has restarted
 	tab.Started("engine-1", 3)
-	tab.Lost(t0, second, 5)
+	tab.TargetDied(t0, second, 5)
 	must.Eq(t, poison.Clean, verdict(tab, t0, 3))
 	must.Eq(t, poison.Suspect, verdict(tab, t0.Add(settled), 2))
 }
@@ -67,7 +67,7 @@
 func TestSecondDeathUnderUnlearntIncarnation(t *testing.T) {
 	tab := poison.New(poison.DefaultConfig)
 	for range 2 {
-		tab.Lost(t0, tab.Started("engine-1", 1), 5)
+		tab.TargetDied(t0, tab.Started("engine-1", 1), 5)
 	}
 	must.Eq(t, poison.Poisoned, verdict(tab, t0.Add(settled), 1))
 }
@@ -77,7 +77,7 @@
 func TestOneDeathCountsOnceWhoeverTells(t *testing.T) {
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	for _, tab := range []*poison.Table{a, b} {
-		tab.Lost(t0, tab.Started("engine-1", 7), 3)
+		tab.TargetDied(t0, tab.Started("engine-1", 7), 3)
 	}
 	now := exchange(t0.Add(50*time.Millisecond), a, b)
 	must.Eq(t, poison.Suspect, verdict(a, now.Add(settled), 7))
@@ -94,8 +94,8 @@
 	now := t0.Add(time.Minute)
 	for _, target := range []string{"dispatch-1", "dispatch-2"} {
 		inA, inB := a.Started(target, status), b.Started(target, status)
-		b.Lost(now, inB, 1)
-		a.Lost(now, inA, 1)
+		b.TargetDied(now, inB, 1)
+		a.TargetDied(now, inA, 1)
 	}
 	must.Eq(t, poison.Clean, verdict(a, now, status))
 	must.Eq(t, poison.Settling, verdict(b, now, status))
@@ -109,22 +109,22 @@
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	inA, inB := a.Started("engine-1", 1), b.Started("engine-1", 1)
 	b.Started("engine-1", 2)
-	a.Lost(t0, inA, 3)
+	a.TargetDied(t0, inA, 3)
 	now := exchange(t0.Add(10*time.Millisecond), a, b)
-	b.Lost(now, inB, 3)
+	b.TargetDied(now, inB, 3)
 	must.Eq(t, poison.Suspect, verdict(b, now, 2))
 }
 
 // Parts of blame add up to the whole, in whatever order: a third thrice makes a second death.
 func TestPartsOfBlameAddUp(t *testing.T) {
 	cfg := poison.DefaultConfig
-	cfg.Newest = 3
+	cfg.NewestSuspects = 3
 	for range 50 {
 		tab := poison.New(cfg)
 		for life := range uint64(4) {
 			tab.Started("engine-1", 2)
 			tab.Started("engine-1", 3)
-			tab.Lost(t0, tab.Started("engine-1", 1), life)
+			tab.TargetDied(t0, tab.Started("engine-1", 1), life)
 		}
 		must.Eq(t, poison.Poisoned, verdict(tab, t0.Add(settled), 1))
 	}
@@ -134,9 +134,9 @@
 // refused, though each entry saw one death only.
 func TestDeathsAreCountedAcrossInstances(t *testing.T) {
 	a, b, c := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
-	a.Lost(t0, a.Started("engine-1", 7), 3)
+	a.TargetDied(t0, a.Started("engine-1", 7), 3)
 	now := exchange(t0.Add(100*time.Millisecond), a, b, c)
-	b.Lost(now, b.Started("engine-2", 7), 9)
+	b.TargetDied(now, b.Started("engine-2", 7), 9)
 	now = exchange(now.Add(100*time.Millisecond), a, b, c)
 	must.Eq(t, poison.Poisoned, verdict(c, now.Add(settled), 7))
 }
@@ -146,12 +146,12 @@
 func TestNewsOfOtherSuspectSpareTheInnocent(t *testing.T) {
 	a, b := poison.New(poison.DefaultConfig), poison.New(poison.DefaultConfig)
 	inA, inB := a.Started("engine-1", 1), b.Started("engine-1", 2)
-	a.Lost(t0, inA, 3)
-	b.Lost(t0, inB, 3)
+	a.TargetDied(t0, inA, 3)
+	b.TargetDied(t0, inB, 3)
 	now := exchange(t0.Add(time.Second), a, b)
 	inA, inB = a.Started("engine-2", 1), b.Started("engine-2", 2)
-	a.Lost(now, inA, 4)
-	b.Lost(now, inB, 4)
+	a.TargetDied(now, inA, 4)
+	b.TargetDied(now, inB, 4)
 	must.Eq(t, poison.Settling, verdict(a, now, 1))
 	now = exchange(now.Add(100*time.Millisecond), a, b)
 	must.Eq(t, poison.Suspect, verdict(a, now.Add(settled), 1))
@@ -165,11 +165,11 @@
 	for f := uint64(1); f <= 20; f++ {
 		run = tab.Started("engine-1", f)
 	}
-	tab.Lost(t0, run, 1)
+	tab.TargetDied(t0, run, 1)
 	tab.Started("engine-2", 1)
-	must.SliceEmpty(t, tab.Avoid(t0, 2))
+	must.SliceEmpty(t, tab.TargetsToAvoid(t0, 2))
 	tab.Started("engine-3", 20)
-	must.Eq(t, []string{"engine-3"}, tab.Avoid(t0, 2))
+	must.Eq(t, []string{"engine-3"}, tab.TargetsToAvoid(t0, 2))
 }
 
 // exchange gives each table the news of all others, and returns the time.
@@ -267,7 +267,7 @@
 			w.deaths[a.fingerprint]++
 		}
 		seen[a.fingerprint] = true
-		tell := func() { a.table.Lost(w.now, a.run, life) }
+		tell := func() { a.table.TargetDied(w.now, a.run, life) }
 		if told[a.table] {
 			w.late = append(w.late, tell)
 			continue
@@ -301,7 +301,7 @@
 	tab := poison.New(cfg)
 	for f := uint64(1); f <= 100; f++ {
 		now := t0.Add(time.Duration(f) * time.Second)
-		tab.Lost(now, tab.Started("engine-1", f), f)
+		tab.TargetDied(now, tab.Started("engine-1", f), f)
 	}
 	suspects := 0
 	for f := uint64(1); f <= 100; f++ {
@@ -318,11 +318,11 @@
 	now := time.Unix(0, 0)
 	f := poison.Fingerprint("roads", []byte(`{"prompt":"..."}`))
 	for incarnation := range uint64(2) {
-		table.Lost(now, table.Started("engine-3", f), incarnation)
+		table.TargetDied(now, table.Started("engine-3", f), incarnation)
 	}
 	v, wait := table.Check(now.Add(time.Second), f)
 	fmt.Println(v, wait)
-	fmt.Println(slices.Contains(table.Avoid(now, f), "engine-3"))
+	fmt.Println(slices.Contains(table.TargetsToAvoid(now, f), "engine-3"))
 	// Output:
 	// poisoned 14m59s
 	// false
--- a/lib/poison/table.go
+++ b/lib/poison/table.go
@@ -19,19 +19,19 @@
 
 // Config holds the rule's numbers.
 type Config struct {
-	Weight  float64       // blame that makes a content poisoned; a first death weighs 1
-	Newest  int           // of an instance's contents on a dying engine, how many of the last started are strong suspects
-	Window  time.Duration // a death older than this is forgotten
-	Refuse  time.Duration // how long a poisoned content is refused after its last death
-	Vouch   time.Duration // a content that finished within it is not blamed
-	Settle  time.Duration // how long peers may take to tell who else was aboard, before a content is refused
-	MaxSize int           // contents kept; over it the one touched longest ago is dropped
+	Weight            float64       // blame that makes a content poisoned; a first death weighs 1
+	NewestSuspects    int           // of an instance's contents on a dying engine, how many of the last started are strong suspects
+	Window            time.Duration // a death older than this is forgotten
+	RefusePeriod      time.Duration // how long a poisoned content is refused after its last death
+	ExonerationPeriod time.Duration // a content that finished within it is not blamed
+	SettleTime        time.Duration // how long peers may take to tell who else was aboard, before a content is refused
+	MaxSize           int           // contents kept; over it the one touched longest ago is dropped
 }
 
 // DefaultConfig refuses after the second death within an hour, for 15 minutes.
 var DefaultConfig = Config{
-	Weight: 2, Newest: 2, Window: time.Hour, Refuse: 15 * time.Minute, Settle: 300 * time.Millisecond,
-	Vouch: 10 * time.Minute, MaxSize: 4096,
+	Weight: 2, NewestSuspects: 2, Window: time.Hour, RefusePeriod: 15 * time.Minute, SettleTime: 300 * time.Millisecond,
+	ExonerationPeriod: 10 * time.Minute, MaxSize: 4096,
 }
 
 // Verdict is what a Table thinks of a content.
@@ -97,7 +97,7 @@
 	return &Table{
 		cfg: cfg, contents: make(map[uint64]*content), deaths: make(map[uint64]*death),
 		running: make(map[string]map[uint64]uint64), news: make(chan struct{}, 1),
-		vouchers: vouchers{period: cfg.Vouch, max: vouchersFor * cfg.MaxSize},
+		vouchers: vouchers{period: cfg.ExonerationPeriod, max: vouchersFor * cfg.MaxSize},
 	}
 }
 
@@ -140,8 +140,8 @@
 		return Clean, 0
 	}
 	weight, last, heard := t.weigh(now, fingerprint, 0, c)
-	refusedUntil := last.Add(t.cfg.Refuse)
-	settled := heard.Add(t.cfg.Settle)
+	refusedUntil := last.Add(t.cfg.RefusePeriod)
+	settled := heard.Add(t.cfg.SettleTime)
 	switch {
 	case weight == 0:
 		return Clean, 0
@@ -193,13 +193,13 @@
 	t.finish(now, logged{fingerprint: r.fingerprint, death: finishID(now, r), at: now, level: LevelFinished})
 }
 
-// Lost is Stopped for a run whose target died under it; incarnation is the one that died, as far as it is known. The
+// TargetDied is Stopped for a run whose target died under it; incarnation is the one that died, as far as it is known. The
 // first run to tell blames all that are aboard and ends them; those that tell the same death later change nothing. It is
 // not for a target that left in good order, nor for a link that broke.
 //
 // Failure: the news of one death come from each run that was aboard, some after the target has restarted. Were each to
 // blame what runs there now, one death would count twice, against contents that were not aboard.
-func (t *Table) Lost(now time.Time, r Run, incarnation uint64) {
+func (t *Table) TargetDied(now time.Time, r Run, incarnation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, aboard := t.running[r.target][r.start]; !aboard {
@@ -211,7 +211,7 @@
 	for i, f := range newestFirst(last) {
 		id := t.deathOf(r.target, incarnation, last[f])
 		t.record(now, logged{
-			fingerprint: f, death: id, at: now, level: t.level(now, f, id), newest: i < t.cfg.Newest,
+			fingerprint: f, death: id, at: now, level: t.level(now, f, id), newest: i < t.cfg.NewestSuspects,
 		})
 	}
 }
@@ -252,7 +252,7 @@
 		t.deaths[l.death] = d
 	}
 	if t.vouchers.has(now, l.fingerprint) {
-		l.level = LevelVouched
+		l.level = LevelExonerated
 	}
 	old, known := d.aboard[l.fingerprint]
 	merged := blame{level: max(old.level, l.level), newest: old.newest || l.newest}
--- a/lib/procflags/procflags.go
+++ b/lib/procflags/procflags.go
@@ -33,7 +33,7 @@
 	case l.Plain && any:
 		return mesh.Options{}, errors.New("-plain-links: not together with -link-ca, -link-cert or -link-key")
 	case l.Plain:
-		return mesh.Options{Plain: true}, nil
+		return mesh.Options{Plaintext: true}, nil
 	case l.Files.CA == "" || l.Files.Cert == "" || l.Files.Key == "":
 		return mesh.Options{}, errors.New("-link-ca, -link-cert and -link-key: all three are needed, or -plain-links")
 	}
--- a/lib/procflags/procflags_test.go
+++ b/lib/procflags/procflags_test.go
@@ -28,7 +28,7 @@
 	l, _ := parse(t, "-plain-links")
 	opts, err := l.Options()
 	must.NoError(t, err)
-	must.True(t, opts.Plain)
+	must.True(t, opts.Plaintext)
 }
 
 func TestOperators(t *testing.T) {
--- a/lib/prove/book.go
+++ b/lib/prove/book.go
@@ -76,7 +76,7 @@
 	case err == nil:
 		return true
 	case errors.As(err, &refused):
-		return result.Lookup(refused.Detail.Code).Again != result.AgainLater
+		return result.Lookup(refused.Detail.Code).RetryAdvice != result.RetryLater
 	}
 	return false
 }
--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -50,7 +50,7 @@
 	b := &bench{}
 	var via func(link, addr string) (string, error)
 	if relayed {
-		via = b.relays.Via
+		via = b.relays.Add
 	}
 	site, err := localsite.Start(ctx, siteConfig(cfg.Binaries, via, nil))
 	if err != nil {
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -85,7 +85,7 @@
 		tee = io.MultiWriter(f, r.watcher)
 	}
 	var err error
-	r.site, err = localsite.Start(ctx, siteConfig(r.cfg.Binaries, r.relays.Via, tee))
+	r.site, err = localsite.Start(ctx, siteConfig(r.cfg.Binaries, r.relays.Add, tee))
 	if err != nil {
 		return err
 	}
--- a/lib/record/replicator_test.go
+++ b/lib/record/replicator_test.go
@@ -46,7 +46,7 @@
 	ln, err := net.Listen("tcp", addr)
 	must.NoError(c.t, err)
 	id := mesh.Identity{Instance: name, Incarnation: 1}
-	node, err := mesh.New(mesh.Options{Self: id, Plain: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
+	node, err := mesh.New(mesh.Options{Self: id, Plaintext: true, BackoffMin: time.Millisecond, BackoffMax: 10 * time.Millisecond})
 	must.NoError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &testEntry{self: member.Member{Instance: name, Incarnation: 1, FailureDomain: fmt.Sprint("d", domain%3), MeshAddr: ln.Addr().String()}}
--- a/lib/record/sender.go
+++ b/lib/record/sender.go
@@ -138,7 +138,7 @@
 func (r *Replicator) nextIncrement(s *sender) (id key, inc *meshpb.Record, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m, ok := r.opts.View().Get(s.to.Instance); !ok || !m.TakesWork() {
+	if m, ok := r.opts.View().Get(s.to.Instance); !ok || !m.AcceptsWork() {
 		clear(s.pending) // the next Put chooses another peer
 	}
 	for id := range s.pending {
--- a/lib/relay/relay.go
+++ b/lib/relay/relay.go
@@ -17,11 +17,11 @@
 type Mode uint8
 
 const (
-	Up       Mode = iota
-	Stalled       // connections stand and carry nothing, new ones too
-	Cut           // connections are reset, and new ones too
-	DeafTo        // nothing gets to the target; its bytes still come back
-	DeafFrom      // nothing comes back from the target; it still gets the caller's bytes
+	Up              Mode = iota
+	Stalled              // connections stand and carry nothing, new ones too
+	Cut                  // connections are reset, and new ones too
+	BlockToTarget        // nothing gets to the target; its bytes still come back
+	BlockFromTarget      // nothing comes back from the target; it still gets the caller's bytes
 )
 
 var modeNames = [...]string{"up", "stalled", "cut", "deaf_to", "deaf_from"}
@@ -239,9 +239,9 @@
 	switch m {
 	case Stalled:
 		return true
-	case DeafTo:
+	case BlockToTarget:
 		return way == toTarget
-	case DeafFrom:
+	case BlockFromTarget:
 		return way == fromTarget
 	default:
 		return false
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -77,11 +77,11 @@
 // A link that is deaf one way still carries the other: the target gets the request, and its answer waits.
 func TestDeafLinkCarriesOneWay(t *testing.T) {
 	r, c := open(t)
-	r.Set(DeafFrom)
+	r.Set(BlockFromTarget)
 	_, err := c.Write([]byte("b"))
 	must.NoError(t, err)
 	mustBeSilent(t, c)
-	r.Set(DeafTo)
+	r.Set(BlockToTarget)
 	must.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = io.ReadFull(c, make([]byte, 1))
 	must.NoError(t, err)
--- a/lib/relay/set.go
+++ b/lib/relay/set.go
@@ -11,8 +11,8 @@
 	byName map[string]*Relay
 }
 
-// Via puts a relay into the link to addr and returns the relay's address.
-func (s *Set) Via(link, addr string) (string, error) {
+// Add puts a relay into the link to addr and returns the relay's address.
+func (s *Set) Add(link, addr string) (string, error) {
 	r, err := New(link, addr)
 	if err != nil {
 		return "", err
--- a/lib/result/result.go
+++ b/lib/result/result.go
@@ -75,66 +75,66 @@
 	UnknownStream Code = 5003 // was 2008, "not run": of a stream that is kept nowhere that is not proved
 )
 
-// Again says whether the caller may send the same request again.
-type Again uint8
+// RetryAdvice says whether the caller may send the same request again.
+type RetryAdvice uint8
 
 // Values of Again.
 const (
-	AgainNo         Again = iota + 1 // asking again gives the same refusal
-	AgainLater                       // ask again after Retry-After
-	AgainWithKey                     // ask again only with the same Idempotency-Key
-	AgainIdempotent                  // ask again only if the call is idempotent
+	RetryNever        RetryAdvice = iota + 1 // asking again gives the same refusal
+	RetryLater                               // ask again after Retry-After
+	RetryWithKey                             // ask again only with the same Idempotency-Key
+	RetryIfIdempotent                        // ask again only if the call is idempotent
 )
 
 var againNames = [...]string{"", "no", "after Retry-After", "with the same Idempotency-Key", "only if idempotent"}
 
 // String returns the wording used in docs.
-func (a Again) String() string { return againNames[a] }
+func (a RetryAdvice) String() string { return againNames[a] }
 
 // Info is one row of the table.
 type Info struct {
-	Code    Code
-	Name    string
-	HTTP    int
-	Outcome Outcome
-	Again   Again
-	Text    string
+	Code        Code
+	Name        string
+	HTTP        int
+	Outcome     Outcome
+	RetryAdvice RetryAdvice
+	Text        string
 }
 
 // Table lists every code in ascending order.
 var Table = []Info{
-	{OK, "ok", http.StatusOK, Completed, AgainNo, "the answer is complete"},
-	{AnswerGone, "answer_gone", http.StatusGone, Completed, AgainNo, "the first request with this key completed; its answer is no longer kept"},
-	{BadRequest, "bad_request", http.StatusBadRequest, NotRun, AgainNo, "the body can't be read as the route's format"},
-	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, NotRun, AgainNo, "the body is over the route's bound"},
-	{Unauthenticated, "unauthenticated", http.StatusUnauthorized, NotRun, AgainNo, "no workspace has this key"},
-	{Forbidden, "forbidden", http.StatusForbidden, NotRun, AgainNo, "the workspace may not use this service or class"},
-	{NoRoute, "no_route", http.StatusNotFound, NotRun, AgainNo, "no service answers this path"},
-	{BadHeader, "bad_header", http.StatusBadRequest, NotRun, AgainNo, "a header has a bad value"},
-	{KeyReused, "key_reused", http.StatusUnprocessableEntity, NotRun, AgainNo, "the Idempotency-Key was used for another request"},
-	{Poisoned, "poisoned", http.StatusUnprocessableEntity, NotRun, AgainLater, "targets died while they ran this content"},
-	{WorkspaceLimit, "workspace_limit", http.StatusTooManyRequests, NotRun, AgainLater, "the workspace or class is at its limit"},
-	{QueueFull, "queue_full", http.StatusServiceUnavailable, NotRun, AgainLater, "the queue is at its bound"},
-	{DeadlineTooNear, "deadline_too_near", http.StatusServiceUnavailable, NotRun, AgainLater, "the answer can't be had before its deadline"},
-	{NoTarget, "no_target", http.StatusServiceUnavailable, NotRun, AgainLater, "no target can take the request"},
-	{StoreDown, "store_down", http.StatusServiceUnavailable, NotRun, AgainLater, "the claim can't be recorded"},
-	{Stopping, "stopping", http.StatusServiceUnavailable, NotRun, AgainLater, "this instance is stopping"},
-	{RetryBudget, "retry_budget", http.StatusServiceUnavailable, NotRun, AgainLater, "the retry budget is spent"},
-	{PowerCap, "power_cap", http.StatusServiceUnavailable, NotRun, AgainLater, "the site's power cap leaves no room"},
-	{TooManyStreams, "too_many_streams", http.StatusServiceUnavailable, NotRun, AgainLater, "this instance holds its bound of streams"},
-	{AlreadyRunning, "already_running", http.StatusConflict, NotRun, AgainLater, "a request with this key is in progress; this one started nothing"},
-	{TargetFailed, "target_failed", http.StatusBadGateway, FailedRan, AgainIdempotent, "the target reported an error"},
-	{CannotResume, "cannot_resume", http.StatusBadGateway, FailedRan, AgainIdempotent, "the stream broke and can't be resumed"},
-	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, FailedRan, AgainIdempotent, "the deadline passed while it ran"},
-	{CallerTooSlow, "caller_too_slow", http.StatusRequestTimeout, FailedRan, AgainWithKey, "the caller read too slowly"},
-	{CallerGone, "caller_gone", 499, FailedRan, AgainWithKey, "the caller closed its connection"},
-	{TargetCutShort, "target_cut_short", http.StatusBadGateway, FailedRan, AgainIdempotent, "the target's answer ended without its end mark"},
-	{InvariantBroken, "invariant_broken", http.StatusInternalServerError, FailedRan, AgainIdempotent, "an internal check failed; this request was stopped"},
-	{TakenOver, "taken_over", http.StatusConflict, FailedRan, AgainWithKey, "this instance was cut off, and another goes on with the request"},
-	{Unknown, "outcome_unknown", http.StatusBadGateway, OutcomeUnknown, AgainNo, "the target may have run it; nobody can prove which"},
-	{ClaimOrphan, "claim_orphan", http.StatusConflict, OutcomeUnknown, AgainNo, "the key was claimed, its holder is gone, and the outcome is not known"},
-	{TargetSilent, "target_silent", http.StatusGatewayTimeout, OutcomeUnknown, AgainNo, "the target fell silent while it ran the call"},
-	{UnknownStream, "unknown_stream", http.StatusNotFound, OutcomeUnknown, AgainNo, "no stream is kept for this key and event id; what ran of it is not known"},
+	{OK, "ok", http.StatusOK, Completed, RetryNever, "the answer is complete"},
+	{AnswerGone, "answer_gone", http.StatusGone, Completed, RetryNever, "the first request with this key completed; its answer is no longer kept"},
+	{BadRequest, "bad_request", http.StatusBadRequest, NotRun, RetryNever, "the body can't be read as the route's format"},
+	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, NotRun, RetryNever, "the body is over the route's bound"},
+	{Unauthenticated, "unauthenticated", http.StatusUnauthorized, NotRun, RetryNever, "no workspace has this key"},
+	{Forbidden, "forbidden", http.StatusForbidden, NotRun, RetryNever, "the workspace may not use this service or class"},
+	{NoRoute, "no_route", http.StatusNotFound, NotRun, RetryNever, "no service answers this path"},
+	{BadHeader, "bad_header", http.StatusBadRequest, NotRun, RetryNever, "a header has a bad value"},
+	{KeyReused, "key_reused", http.StatusUnprocessableEntity, NotRun, RetryNever, "the Idempotency-Key was used for another request"},
+	{Poisoned, "poisoned", http.StatusUnprocessableEntity, NotRun, RetryLater, "targets died while they ran this content"},
+	{WorkspaceLimit, "workspace_limit", http.StatusTooManyRequests, NotRun, RetryLater, "the workspace or class is at its limit"},
+	{QueueFull, "queue_full", http.StatusServiceUnavailable, NotRun, RetryLater, "the queue is at its bound"},
+	{DeadlineTooNear, "deadline_too_near", http.StatusServiceUnavailable, NotRun, RetryLater, "the answer can't be had before its deadline"},
+	{NoTarget, "no_target", http.StatusServiceUnavailable, NotRun, RetryLater, "no target can take the request"},
+	{StoreDown, "store_down", http.StatusServiceUnavailable, NotRun, RetryLater, "the claim can't be recorded"},
+	{Stopping, "stopping", http.StatusServiceUnavailable, NotRun, RetryLater, "this instance is stopping"},
+	{RetryBudget, "retry_budget", http.StatusServiceUnavailable, NotRun, RetryLater, "the retry budget is spent"},
+	{PowerCap, "power_cap", http.StatusServiceUnavailable, NotRun, RetryLater, "the site's power cap leaves no room"},
+	{TooManyStreams, "too_many_streams", http.StatusServiceUnavailable, NotRun, RetryLater, "this instance holds its bound of streams"},
+	{AlreadyRunning, "already_running", http.StatusConflict, NotRun, RetryLater, "a request with this key is in progress; this one started nothing"},
+	{TargetFailed, "target_failed", http.StatusBadGateway, FailedRan, RetryIfIdempotent, "the target reported an error"},
+	{CannotResume, "cannot_resume", http.StatusBadGateway, FailedRan, RetryIfIdempotent, "the stream broke and can't be resumed"},
+	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, FailedRan, RetryIfIdempotent, "the deadline passed while it ran"},
+	{CallerTooSlow, "caller_too_slow", http.StatusRequestTimeout, FailedRan, RetryWithKey, "the caller read too slowly"},
+	{CallerGone, "caller_gone", 499, FailedRan, RetryWithKey, "the caller closed its connection"},
+	{TargetCutShort, "target_cut_short", http.StatusBadGateway, FailedRan, RetryIfIdempotent, "the target's answer ended without its end mark"},
+	{InvariantBroken, "invariant_broken", http.StatusInternalServerError, FailedRan, RetryIfIdempotent, "an internal check failed; this request was stopped"},
+	{TakenOver, "taken_over", http.StatusConflict, FailedRan, RetryWithKey, "this instance was cut off, and another goes on with the request"},
+	{Unknown, "outcome_unknown", http.StatusBadGateway, OutcomeUnknown, RetryNever, "the target may have run it; nobody can prove which"},
+	{ClaimOrphan, "claim_orphan", http.StatusConflict, OutcomeUnknown, RetryNever, "the key was claimed, its holder is gone, and the outcome is not known"},
+	{TargetSilent, "target_silent", http.StatusGatewayTimeout, OutcomeUnknown, RetryNever, "the target fell silent while it ran the call"},
+	{UnknownStream, "unknown_stream", http.StatusNotFound, OutcomeUnknown, RetryNever, "no stream is kept for this key and event id; what ran of it is not known"},
 }
 
 var byCode = func() map[Code]Info {
--- a/lib/result/table.go
+++ b/lib/result/table.go
@@ -10,7 +10,7 @@
 	_, err := fmt.Fprint(w, "| code | name | HTTP | outcome | ask again | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, in := range Table {
 		if err == nil {
-			_, err = fmt.Fprintf(w, "| %d | `%s` | %d | %s | %s | %s |\n", in.Code, in.Name, in.HTTP, in.Outcome, in.Again, in.Text)
+			_, err = fmt.Fprintf(w, "| %d | `%s` | %d | %s | %s | %s |\n", in.Code, in.Name, in.HTTP, in.Outcome, in.RetryAdvice, in.Text)
 		}
 	}
 	return err
--- a/lib/result/table_test.go
+++ b/lib/result/table_test.go
@@ -32,7 +32,7 @@
 		must.Eq(t, thousands[in.Code/1000], in.Outcome, must.Sprint(in.Name))
 		must.False(t, names[in.Name], must.Sprint(in.Name))
 		names[in.Name] = true
-		must.NotEq(t, "", in.Again.String())
+		must.NotEq(t, "", in.RetryAdvice.String())
 		must.NotEq(t, "", in.Text)
 		must.Eq(t, in, Lookup(in.Code))
 	}
@@ -42,7 +42,7 @@
 func TestUnknownOutcomesAreNotAskedAgainFreely(t *testing.T) {
 	for _, in := range Table {
 		if in.Outcome == OutcomeUnknown || in.Outcome == FailedRan {
-			must.NotEq(t, AgainLater, in.Again, must.Sprint(in.Name))
+			must.NotEq(t, RetryLater, in.RetryAdvice, must.Sprint(in.Name))
 		}
 	}
 }
--- a/lib/retry/after_test.go
+++ b/lib/retry/after_test.go
@@ -23,12 +23,12 @@
 		{http.Header{"Retry-After": {"-3"}}, 0},
 		{http.Header{"Retry-After": {"NaN"}}, 0},
 		{http.Header{"Retry-After": {"soon"}}, 0},
-		{http.Header{"Retry-After": {"1e300"}}, MaxAfter},
+		{http.Header{"Retry-After": {"1e300"}}, MaxRetryAfter},
 		{http.Header{"Retry-After": {date(3 * time.Second)}}, 3 * time.Second},
 		{http.Header{"Retry-After": {date(3 * time.Second)}, "Date": {date(time.Second)}}, 2 * time.Second},
-		{http.Header{"Retry-After": {date(24 * time.Hour)}}, MaxAfter},
+		{http.Header{"Retry-After": {date(24 * time.Hour)}}, MaxRetryAfter},
 		{http.Header{"Retry-After": {date(-time.Second)}}, 0},
 	} {
-		must.Eq(t, c.want, After(c.header, now), must.Sprint(c.header))
+		must.Eq(t, c.want, ParseRetryAfter(c.header, now), must.Sprint(c.header))
 	}
 }
--- a/lib/retry/plan.go
+++ b/lib/retry/plan.go
@@ -73,8 +73,8 @@
 	return result.New(result.DeadlineTooNear, "%v left after %d attempts", p.Deadline.Sub(now), p.Attempt)
 }
 
-// Left is the time that an attempt started now may take, to be sent down with it; 0 means no deadline.
-func (p *Plan) Left(now time.Time) time.Duration {
+// Remaining is the time that an attempt started now may take, to be sent down with it; 0 means no deadline.
+func (p *Plan) Remaining(now time.Time) time.Duration {
 	if p.Deadline.IsZero() {
 		return 0
 	}
--- a/lib/retry/retry_test.go
+++ b/lib/retry/retry_test.go
@@ -58,7 +58,7 @@
 	b := retry.NewBudgets(retry.BudgetConfig{FloorPerSecond: 100, Window: time.Second, Idle: time.Minute})
 	p := retry.Plan{Workspace: "roads", MaxAttempts: 2, Deadline: t0.Add(time.Second), MinRun: 100 * time.Millisecond}
 	must.Nil(t, p.Next(t0, b))
-	must.Eq(t, time.Second, p.Left(t0))
+	must.Eq(t, time.Second, p.Remaining(t0))
 	must.Nil(t, p.Next(t0.Add(500*time.Millisecond), b))
 	must.Eq(t, result.RetryBudget, p.Next(t0.Add(600*time.Millisecond), b).Code)
 
@@ -92,7 +92,7 @@
 			fmt.Println("give up:", err.Code, "come back in", err.RetryAfter)
 			return
 		}
-		fmt.Println("attempt", plan.Attempt, "may take", plan.Left(now))
+		fmt.Println("attempt", plan.Attempt, "may take", plan.Remaining(now))
 		now = now.Add(100 * time.Millisecond) // it failed
 	}
 	// Output:
--- a/lib/retry/share.go
+++ b/lib/retry/share.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Share bounds the repeats that one instance sends, so that all instances together stay under
+// InstanceBudget bounds the repeats that one instance sends, so that all instances together stay under
 // ratio x requests + floor in each sliding window, without a message between them: the floor is divided by the number
 // of instances, and each adds the ratio of its own requests.
-type Share struct {
+type InstanceBudget struct {
 	ratio  float64
 	floor  float64
 	window time.Duration
@@ -27,37 +27,37 @@
 // leaves out an event that is within the window.
 const shareSlots = 20
 
-// NewShare returns a Share of a bound of ratio x requests + floor in each window.
-func NewShare(ratio, floor float64, window time.Duration) *Share {
-	return &Share{
+// NewInstanceBudget returns a Share of a bound of ratio x requests + floor in each window.
+func NewInstanceBudget(ratio, floor float64, window time.Duration) *InstanceBudget {
+	return &InstanceBudget{
 		ratio: ratio, floor: floor, window: window, instances: 1,
 		requests: make(map[string]*ring), repeats: make(map[string]*ring),
 	}
 }
 
 // SetInstances sets how many instances divide the floor.
-func (s *Share) SetInstances(n int) {
+func (s *InstanceBudget) SetInstances(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances = max(1, n)
 }
 
 // SetBound changes the bound.
-func (s *Share) SetBound(ratio, floor float64) {
+func (s *InstanceBudget) SetBound(ratio, floor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ratio, s.floor = ratio, floor
 }
 
-// Request counts a request of a caller for a service.
-func (s *Share) Request(now time.Time, service string) {
+// CountRequest counts a request of a caller for a service.
+func (s *InstanceBudget) CountRequest(now time.Time, service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ring(s.requests, service).add(now)
 }
 
 // Take counts a repeat at a service and reports whether it may be sent.
-func (s *Share) Take(now time.Time, service string) bool {
+func (s *InstanceBudget) Take(now time.Time, service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.left(now, service) < 1 {
@@ -67,27 +67,27 @@
 	return true
 }
 
-// Spend counts a repeat that is sent whatever is left, so that later ones wait for it.
-func (s *Share) Spend(now time.Time, service string) {
+// ForceTake counts a repeat that is sent whatever is left, so that later ones wait for it.
+func (s *InstanceBudget) ForceTake(now time.Time, service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ring(s.repeats, service).add(now)
 }
 
-// Left returns how many repeats may still be sent to a service now.
-func (s *Share) Left(now time.Time, service string) float64 {
+// Remaining returns how many repeats may still be sent to a service now.
+func (s *InstanceBudget) Remaining(now time.Time, service string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.left(now, service)
 }
 
-func (s *Share) left(now time.Time, service string) float64 {
+func (s *InstanceBudget) left(now time.Time, service string) float64 {
 	requests := s.ring(s.requests, service).sum(now)
 	repeats := s.ring(s.repeats, service).sum(now)
 	return shareSafety*(s.floor/float64(s.instances)+s.ratio*float64(requests)) - float64(repeats)
 }
 
-func (s *Share) ring(m map[string]*ring, service string) *ring {
+func (s *InstanceBudget) ring(m map[string]*ring, service string) *ring {
 	r := m[service]
 	if r == nil {
 		r = &ring{slot: s.window / shareSlots}
--- a/lib/retry/share_test.go
+++ b/lib/retry/share_test.go
@@ -13,9 +13,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		n := rapid.IntRange(1, 8).Draw(t, "instances")
-		shares := make([]*Share, n)
+		shares := make([]*InstanceBudget, n)
 		for i := range shares {
-			shares[i] = NewShare(0.2, 54, window)
+			shares[i] = NewInstanceBudget(0.2, 54, window)
 			shares[i].SetInstances(n)
 		}
 		type event struct {
@@ -28,7 +28,7 @@
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond
 			s := shares[rapid.IntRange(0, n-1).Draw(t, "who")]
 			at := time.Unix(1000, 0).Add(now)
-			s.Request(at, "svc")
+			s.CountRequest(at, "svc")
 			events = append(events, event{now, false})
 			if s.Take(at, "svc") {
 				events = append(events, event{now, true})
@@ -52,11 +52,11 @@
 
 // Repeats that were sent whatever was left are made up for by later ones.
 func TestSpendIsCounted(t *testing.T) {
-	s := NewShare(0, 10, 10*time.Second)
+	s := NewInstanceBudget(0, 10, 10*time.Second)
 	now := time.Unix(1000, 0)
-	must.Eq(t, 7, s.Left(now, "svc"))
+	must.Eq(t, 7, s.Remaining(now, "svc"))
 	for range 7 {
-		s.Spend(now, "svc")
+		s.ForceTake(now, "svc")
 	}
 	must.False(t, s.Take(now, "svc"))
 	must.True(t, s.Take(now, "other"))
--- a/lib/schedlink/rig_test.go
+++ b/lib/schedlink/rig_test.go
@@ -169,7 +169,7 @@
 	p := &proc{self: member.Member{Instance: name, Incarnation: 1, MeshAddr: ln.Addr().String()}}
 	p.node, err = mesh.New(mesh.Options{
 		Self:         mesh.Identity{Instance: name, Incarnation: 1},
-		Plain:        true,
+		Plaintext:    true,
 		KeepAlive:    100 * time.Millisecond,
 		WriteTimeout: 200 * time.Millisecond,
 		DialTimeout:  300 * time.Millisecond,
--- a/lib/target/client.go
+++ b/lib/target/client.go
@@ -156,7 +156,7 @@
 			e.Err = wrapped.Error
 		}
 	}
-	e.RetryAfter = retry.After(resp.Header, time.Now())
+	e.RetryAfter = retry.ParseRetryAfter(resp.Header, time.Now())
 	return e
 }
 
