--- a/lib/settingsync/commit.go
+++ b/lib/settingsync/commit.go
@@ -56,7 +56,7 @@
 			return nil, Unchanged.New("revision %d holds the same text", head.Revision)
 		}
 		rec, res, err := tryCommit(ctx, t, c, head, item)
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			err = nil // the head was read before the table was restored: read it again
 		}
 		if err != nil || res.Committed {
@@ -111,7 +111,7 @@
 		if err == nil || !ambiguous {
 			return res, err
 		}
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			return res, Unknown.Wrap(err, "operation %s", txn.OpID)
 		}
 		if !sleep(ctx, outcomeRetryInterval) {
