--- a/lib/feed/bench_test.go
+++ b/lib/feed/bench_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// BenchmarkPageWithoutNews takes a page that says only that nothing has changed, beside the entries of 3,000 targets: most of what an
-// instance gets.
-func BenchmarkPageWithoutNews(b *testing.B) {
+// BenchmarkEmptyPage merges an empty page into a table of 3,000 targets: the most common page that an instance receives.
+func BenchmarkEmptyPage(b *testing.B) {
 	r := NewReplica(func(Update) {})
 	rows := make([]Row, 3000)
 	for i := range rows {
@@ -21,7 +20,7 @@
 	}
 }
 
-// BenchmarkNewEra takes the whole table of a new era, of which nothing was lost.
+// BenchmarkNewEra merges the whole table of a new era when nothing was lost.
 func BenchmarkNewEra(b *testing.B) {
 	rows := make([]Row, 3000)
 	for i := range rows {
--- a/lib/feed/feed.go
+++ b/lib/feed/feed.go
@@ -1,8 +1,8 @@
-// Package feed follows a table of the platform's store: one snapshot, then long polls for what has changed.
+// Package feed replicates a table of the platform's store: one snapshot, then long polls for changes.
 //
-// A Replica holds the table; a Follower fills it from the store. Neither goes back: pages older than what is held are
-// left out, since reads may be seconds behind. Waits are short, because a silent store shows itself by nothing but
-// a time-out, and an instance that has not read its settings yet can serve nothing.
+// A Replica holds the table; a Follower fills it from the store. Neither moves backwards: pages older than the state held are
+// discarded, since the store's reads may lag by seconds. Waits are short, because only a time-out reveals that the store has
+// stopped answering, and an instance that has not read its settings yet can't serve anything.
 package feed
 
 import (
@@ -13,34 +13,35 @@
 	"time"
 )
 
-// ErrHistoryGone is returned by a Source that no longer has the changes asked for.
+// ErrHistoryGone is returned by a Source that no longer has the requested changes.
 var ErrHistoryGone = errors.New("feed: history is gone")
 
-// Row is one row, or the news that it was removed.
+// Row is one row of a table, or its removal.
 type Row struct {
 	Key     string
 	Value   []byte
 	Version int64
 	Removed bool
-	// LostInRestore says of a removed row that nobody removed it: the store came back from a copy without it, and it was not written again.
+	// LostInRestore is set on a removed row that nobody removed: the store was restored from a backup without it, and it was not
+	// written again.
 	LostInRestore bool
 }
 
-// Page is an answer of the store.
+// Page is one response of the store or of a peer.
 type Page struct {
 	Rows    []Row
 	Version int64 // newest version that the page reflects
-	Era     int64 // of the store's history in which that version was given out; 0: it was not told
+	Era     int64 // era of the store's history that Version belongs to; 0: the response did not say
 
-	Retained []RetainedRow // what a peer goes on showing in place of the store's rows, where the page comes from one
-	Partial  bool          // Rows are those that this instance needs: of a whole table others than these are dropped, not removed
+	Retained []RetainedRow // rows that the responding peer shows in place of the store's; empty in responses of the store
+	Partial  bool          // Rows are only those that this instance needs: other rows are dropped, not removed
 }
 
 // Position returns the newest position that the page reflects.
 func (p *Page) Position() Position { return PositionOf(p.Era, p.Version) }
 
-// Source is a table to follow. It calls Progress with the context of a call for each part of the answer that comes: a call is
-// given up when nothing comes for a while, however long the whole takes.
+// Source is a table to follow. An implementation calls Progress with the context of a call for each part of the response that
+// arrives: a call is cancelled when nothing arrives for a while, however long the whole response takes.
 type Source interface {
 	Snapshot(ctx context.Context) (Page, error)
 	// Changes returns the rows changed after a version, at the latest after wait.
@@ -52,27 +53,27 @@
 	Page
 	Initial  bool     // the first state: Rows are the whole table
 	Snapshot bool     // the page was the whole table, not changes
-	Previous Position // what was held before
-	// Restored says that a new era has begun: Rows are what is shown otherwise than before, Held counts what is held on to.
+	Previous Position // position before the update
+	// Restored says that a new era has begun: Rows are those whose visible state changed, RetainedCounts counts the retained rows.
 	Restored       bool
 	RetainedCounts RetainedCounts
-	Dropped        []string      // keys of rows that this instance no longer needs and is not told of any more
-	Outage         time.Duration // how long the store was out of everybody's reach before this update; 0: it was not
+	Dropped        []string      // keys of rows that this instance no longer needs and gets no more updates of
+	Outage         time.Duration // how long no instance could reach the store before this update; 0: no outage
 }
 
-// Options bound a follower's calls.
+// Options bound a Follower's calls.
 type Options struct {
 	Wait    time.Duration // of one long poll
-	Timeout time.Duration // of a call in which nothing comes, beyond its wait
-	Retry   time.Duration // pause after a failure, doubled up to RetryMax
+	Timeout time.Duration // of a call during which nothing arrives, beyond its wait
+	Retry   time.Duration // delay after a failure, doubled up to RetryMax
 	// RetryMax is short: it is part of the time that an instance stays out of service after the store's return.
 	RetryMax time.Duration
-	// MinInterval is the least time between two calls. It gathers changes that come one by one, as when all instances start.
+	// MinInterval is the least time between two calls. It batches changes that arrive one by one, as when all instances start.
 	MinInterval time.Duration
 }
 
-// DefaultOptions suit a store that answers within some milliseconds. Wait plus Timeout is how long a change can stay
-// unseen on a connection that has gone silent; operators are promised changes within two seconds.
+// DefaultOptions suit a store that responds within some milliseconds. Wait plus Timeout is how long a change can go unnoticed on
+// a connection that has stalled; operators are promised changes within two seconds.
 var DefaultOptions = Options{
 	Wait:     700 * time.Millisecond,
 	Timeout:  600 * time.Millisecond,
@@ -82,80 +83,80 @@
 
 // Follower fills a Replica from the store.
 type Follower struct {
-	src  Source
-	opt  Options
-	to   *Replica
-	fail func(error)
+	src     Source
+	opt     Options
+	replica *Replica
+	onError func(error)
 
-	gone  bool // the store no longer has the changes after the version held
-	stale bool // the last snapshot came from a replica that is behind: changes are asked for instead
-	pause time.Duration
-	fails int // calls that failed one after another
+	historyGone bool // the store no longer has the changes after the replica's version
+	stale       bool // the last snapshot came from a lagging store replica: request changes instead
+	retryDelay  time.Duration
+	failures    int // consecutive failed calls
 }
 
-// patientEvery and patience: one of so many calls in a row that failed gets so many times the time-out. A large answer
-// over a slow link would otherwise never arrive, and the instance would serve by old settings for good.
+// After extendedEvery-1 consecutive failures the next call gets extendedFactor times the time-out. Otherwise a large response over a
+// slow link would never arrive, and the instance would serve by outdated settings indefinitely.
 const (
-	patientEvery = 3
-	patience     = 4
+	extendedEvery  = 3
+	extendedFactor = 4
 )
 
 const (
-	// firstTimeout bounds a call while nothing is known. A store that was silent is found at most so long after its
-	// return, and an instance can serve nothing before; its tables are read in tens of milliseconds.
-	firstTimeout = 250 * time.Millisecond
-	// firstRetryMax bounds the pause between two calls then.
-	firstRetryMax = 200 * time.Millisecond
-	// firstRounds is how many patient calls fail at firstTimeout's multiple before they get the whole time: an answer that
-	// takes over a second over a slow link arrives after some ten seconds.
-	firstRounds = 4
+	// initialTimeout bounds a call while nothing has been read yet. It bounds how late the return of an unresponsive store is
+	// noticed, and an instance can't serve anything before; its tables are read in tens of milliseconds.
+	initialTimeout = 250 * time.Millisecond
+	// initialRetryMax bounds the delay between two calls during that time.
+	initialRetryMax = 200 * time.Millisecond
+	// initialExtendedCalls is how many extended calls may fail with a multiple of initialTimeout before calls get the full time-out:
+	// a response that takes over a second on a slow link arrives after some ten seconds.
+	initialExtendedCalls = 4
 )
 
 func (f *Follower) timeout() time.Duration {
 	limit := f.opt.Timeout
-	if f.isNew() && f.fails < firstRounds*patientEvery {
-		limit = min(firstTimeout, limit)
+	if f.isEmpty() && f.failures < initialExtendedCalls*extendedEvery {
+		limit = min(initialTimeout, limit)
 	}
-	if f.fails%patientEvery == patientEvery-1 {
-		return patience * limit
+	if f.failures%extendedEvery == extendedEvery-1 {
+		return extendedFactor * limit
 	}
 	return limit
 }
 
-// isNew reports whether nothing has been read yet.
-func (f *Follower) isNew() bool {
-	_, known := f.to.Version()
+// isEmpty reports whether nothing has been read yet.
+func (f *Follower) isEmpty() bool {
+	_, known := f.replica.Version()
 	return !known
 }
 
-// NewFollower returns a Follower that tells of failed calls to fail.
-func NewFollower(src Source, opt Options, to *Replica, fail func(error)) *Follower {
-	return &Follower{src: src, opt: opt, to: to, fail: fail, pause: opt.Retry}
+// NewFollower returns a Follower that reports failed calls to fail.
+func NewFollower(src Source, opt Options, replica *Replica, onError func(error)) *Follower {
+	return &Follower{src: src, opt: opt, replica: replica, onError: onError, retryDelay: opt.Retry}
 }
 
-// Run follows until ctx is done.
+// Run polls until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.Poll(ctx, f.opt.Wait)
 		if err == nil {
-			f.pause = f.opt.Retry
+			f.retryDelay = f.opt.Retry
 			sleep(ctx, f.opt.MinInterval)
 			continue
 		}
 		if ctx.Err() == nil {
-			f.fail(err)
-			f.rest(ctx)
+			f.onError(err)
+			f.backOff(ctx)
 		}
 	}
 }
 
-// rest pauses after a failure. The pause is drawn at random so that instances that lost the store in one moment don't
-// come back to it in one moment, past what it serves.
-func (f *Follower) rest(ctx context.Context) {
-	d := f.pause/2 + rand.N(f.pause)
-	f.pause = min(2*f.pause, f.opt.RetryMax)
-	if f.isNew() {
-		f.pause = min(f.pause, firstRetryMax)
+// backOff waits after a failure. The delay is randomized so that instances that lost the store at the same moment don't return to
+// it at the same moment, which would exceed its capacity.
+func (f *Follower) backOff(ctx context.Context) {
+	d := f.retryDelay/2 + rand.N(f.retryDelay)
+	f.retryDelay = min(2*f.retryDelay, f.opt.RetryMax)
+	if f.isEmpty() {
+		f.retryDelay = min(f.retryDelay, initialRetryMax)
 	}
 	sleep(ctx, d)
 }
@@ -170,82 +171,82 @@
 	}
 }
 
-// Poll makes one call: for the whole table when nothing is held or much may have changed, else for the changes within
-// wait.
+// Poll makes one call: for the whole table when nothing is held or many changes are likely, else for the changes, which the
+// store returns within wait.
 func (f *Follower) Poll(ctx context.Context, wait time.Duration) error {
-	err := f.step(ctx, wait)
+	err := f.poll(ctx, wait)
 	if err == nil {
-		f.fails = 0
+		f.failures = 0
 	} else {
-		f.fails++
+		f.failures++
 	}
 	return err
 }
 
-func (f *Follower) step(ctx context.Context, wait time.Duration) error {
-	held := f.to.Position()
+func (f *Follower) poll(ctx context.Context, wait time.Duration) error {
+	current := f.replica.Position()
 	behind := f.behind()
-	if f.isNew() || f.gone || f.to.Partial() || behind && !f.stale {
+	if f.isEmpty() || f.historyGone || f.replica.Partial() || behind && !f.stale {
 		return f.snapshot(ctx)
 	}
 	f.stale = false
-	ctx, cancel := withSilence(ctx, wait+f.timeout())
+	ctx, cancel := withIdleTimeout(ctx, wait+f.timeout())
 	defer cancel()
-	page, err := f.src.Changes(ctx, held.Version, wait)
-	if errors.Is(err, ErrHistoryGone) || err == nil && page.Position().Era > held.Era {
-		// Versions of another era may name anything, so the answer may lack what was written below the one that is held.
-		f.gone = true
+	page, err := f.src.Changes(ctx, current.Version, wait)
+	if errors.Is(err, ErrHistoryGone) || err == nil && page.Position().Era > current.Era {
+		// Versions of another era are not comparable, so the response may lack rows written below the replica's version.
+		f.historyGone = true
 		return f.snapshot(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	if page.Position().Era < held.Era {
-		return &StaleError{Held: held, Got: page.Position()}
+	if page.Position().Era < current.Era {
+		return &StaleError{Current: current, Got: page.Position()}
 	}
 	contact := time.Now()
 	if behind && len(page.Rows) > 0 {
-		// An answer is bounded, so later changes may be missing: it doesn't confirm that this is the newest state.
-		contact = f.to.LastContact()
+		// A response is bounded, so later changes may be missing: it does not confirm that this is the newest state.
+		contact = f.replica.LastContact()
 	}
-	f.to.Merge(page, false, contact)
+	f.replica.Merge(page, false, contact)
 	return nil
 }
 
-// behind reports whether the whole table is likely to be less to read than its changes. An answer of changes holds each
-// version of a row: after an outage in which large settings changed often it takes a slow link longer than any time-out,
-// at every try, and the instance would serve by old settings for good.
+// behind reports whether reading the whole table is likely to be cheaper than reading its changes. A response with changes
+// holds every version of a row: after an outage during which large settings changed often, it takes longer than any time-out
+// on a slow link, at every attempt, and the instance would serve by outdated settings indefinitely.
 func (f *Follower) behind() bool {
-	return time.Since(f.to.LastContact()) > outage
+	return time.Since(f.replica.LastContact()) > outageThreshold
 }
 
-// StaleError says that the store answered with an older state than is held.
-type StaleError struct{ Held, Got Position }
+// StaleError reports that the store returned an older state than the replica holds.
+type StaleError struct{ Current, Got Position }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("feed: the store answered with an older state than shown: %v, held is %v", e.Got, e.Held)
+	return fmt.Sprintf("feed: stale response from the store: got position %v, replica is at %v", e.Got, e.Current)
 }
 
 func (f *Follower) snapshot(ctx context.Context) error {
-	ctx, cancel := withSilence(ctx, f.timeout())
+	ctx, cancel := withIdleTimeout(ctx, f.timeout())
 	defer cancel()
 	page, err := f.src.Snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	if held := f.to.Position(); page.Position().Before(held) {
+	if current := f.replica.Position(); page.Position().Before(current) {
 		f.stale = true
-		return &StaleError{Held: held, Got: page.Position()}
+		return &StaleError{Current: current, Got: page.Position()}
 	}
-	f.gone = false
-	f.to.Merge(page, true, time.Now())
+	f.historyGone = false
+	f.replica.Merge(page, true, time.Now())
 	return nil
 }
 
 // newest keeps the last row of each key.
 //
-// Failure: after an outage one page holds several changes of a key in order. Whoever took the first for the state would
-// serve by an old one until the next change, since nothing comes after the page's version.
+// After an outage one page can hold several changes of a key, in order. Applying the first one would leave the instance on an
+// outdated row until the next change, since no later page repeats changes up to this page's version.
 func newest(rows []Row) []Row {
 	last := make(map[string]int, len(rows))
 	for i, r := range rows {
--- a/lib/feed/position.go
+++ b/lib/feed/position.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// Position is a place in the store's history. A store that comes back from a copy begins a new era and gives versions out again,
-// so a version alone names no state.
+// Position is a point in the store's history. A store restored from a backup begins a new era and assigns versions again, so a
+// version alone does not identify a state.
 type Position struct {
-	Era     int64 // 0: of none, nothing has been read
+	Era     int64 // 0: nothing has been read
 	Version int64
 }
 
-// FirstEra is the era of a store that has never come back from a copy, and of whoever tells none: a store without eras, or an instance of a
-// build that did not know them.
+// FirstEra is the era of a store that was never restored from a backup. It is also assumed for sources that send no era: a store
+// without eras, or an instance of a build that did not know them.
 const FirstEra = 1
 
-// PositionOf returns the position of a version in an era as it was told; 0: none was.
+// PositionOf returns the position of a version in an era as received; an era of 0 means that none was sent.
 func PositionOf(era, version int64) Position {
 	return Position{Era: max(FirstEra, era), Version: version}
 }
--- a/lib/feed/replica.go
+++ b/lib/feed/replica.go
@@ -6,146 +6,146 @@
 	"time"
 )
 
-// Replica holds a followed table as far as this instance knows it, from whichever source it came. It never goes back in an era:
-// a page older than what is held changes nothing. In a new era it takes the table as the store has it, and goes on showing what a
-// copy must have lost.
+// Replica holds this instance's copy of a followed table, whichever source it comes from. It never moves backwards within an
+// era: a page older than its position changes nothing. When a new era begins it takes the table as the store has it, and retains
+// rows that the backup must have lost.
 type Replica struct {
-	apply func(Update)
-	keep  Retention
+	onUpdate  func(Update)
+	retention Retention
 
-	mu      sync.Mutex
-	rows    map[string]Row // as the store has them; removed rows stay for keepRemoved, so that peers can be told
-	at      Position
-	whole   int64 // rows are complete from this version of the era on; removed ones before it are forgotten
-	known   bool
-	part    bool      // rows are those that this instance needs
-	contact time.Time // when the store last confirmed the position, to anybody
-	removed map[string]tombstone
-	buried  []burial // of removed rows, the oldest first
-	recent  changeLog
-	kept    map[string]kept // shown in place of rows
-	changed chan struct{}   // closed and replaced at each change
+	mu            sync.Mutex
+	rows          map[string]Row // as the store has them; removed rows stay for tombstoneTTL, so that peers get the removal
+	position      Position
+	completeSince int64 // changes are complete from this version of the era on; removals before it are forgotten
+	initialized   bool
+	partial       bool      // rows are only those that this instance needs
+	lastContact   time.Time // when the store last confirmed the position, to any instance
+	tombstones    map[string]tombstone
+	removals      []removal // of removed rows, oldest first
+	changes       changeLog
+	retained      map[string]retainedEntry // shown in place of rows
+	changed       chan struct{}            // closed and replaced at each change
 
-	confirmed   chan struct{} // closed and replaced when the store has confirmed the position again
-	confirmedAt time.Time     // contact when it was last closed
+	confirmed        chan struct{} // closed and replaced when the store has confirmed the position again
+	signalledContact time.Time     // value of lastContact when confirmed was last closed
 }
 
-// tombstone is what is remembered of a removed row.
+// tombstone records a removed row.
 type tombstone struct {
 	at    time.Time
-	value []byte // its last
+	value []byte // last value before the removal
 }
 
 const (
-	// keepRemoved is how long a removed row can still be told as a change. A peer that asks from before is sent the
+	// tombstoneTTL is how long a removal can still be sent as a change. A peer that asks for changes from before it is sent the
 	// whole table.
-	keepRemoved = time.Minute
-	// outage is the age of the last contact from which the store is taken to have been away: longer than a poll takes,
-	// shorter than entries take to lapse.
-	outage = 1500 * time.Millisecond
-	// confirmStep is by how much newer a contact is that is told as such.
-	confirmStep = 200 * time.Millisecond
+	tombstoneTTL = time.Minute
+	// outageThreshold is the age of the last contact from which the store counts as unreachable: longer than a poll takes, shorter than
+	// entries take to expire.
+	outageThreshold = 1500 * time.Millisecond
+	// minConfirmAdvance is the least advance of the last contact that is signalled as a confirmation.
+	minConfirmAdvance = 200 * time.Millisecond
 )
 
-// NewReplica returns an empty Replica that shows each change to apply, one at a time and in order.
-func NewReplica(apply func(Update)) *Replica {
+// NewReplica returns an empty Replica that passes each update to onUpdate, one at a time and in order.
+func NewReplica(onUpdate func(Update)) *Replica {
 	return &Replica{
-		apply: apply, rows: make(map[string]Row), removed: make(map[string]tombstone), kept: make(map[string]kept),
+		onUpdate: onUpdate, rows: make(map[string]Row), tombstones: make(map[string]tombstone), retained: make(map[string]retainedEntry),
 		changed: make(chan struct{}), confirmed: make(chan struct{}),
 	}
 }
 
-// WithRetention sets what is believed after the store has come back from a copy, and returns the Replica.
+// WithRetention sets which rows are retained after the store was restored from a backup, and returns the Replica.
 func (r *Replica) WithRetention(k Retention) *Replica {
-	r.keep = k
+	r.retention = k
 	return r
 }
 
-// Merge merges a page that the store confirmed at contact.
+// Merge merges a page whose state the store confirmed at contact.
 func (r *Replica) Merge(page Page, whole bool, contact time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := page.Position()
-	// Changes say nothing beside the state that they are changes of.
-	if at.Before(r.at) && !r.followsAnother(page) || !whole && (!r.known || at.Era != r.at.Era) {
+	// Changes are meaningful only relative to a state of the same era.
+	if at.Before(r.position) && !r.acceptsOlder(page) || !whole && (!r.initialized || at.Era != r.position.Era) {
 		return
 	}
-	silent := r.confirm(contact)
+	outage := r.recordContact(contact)
 	now := time.Now()
-	if silent == 0 && !whole && len(page.Rows)+len(page.Retained)+len(r.kept) == 0 {
-		r.at = at // most of what comes
-		r.forget(now)
+	if outage == 0 && !whole && len(page.Rows)+len(page.Retained)+len(r.retained) == 0 {
+		r.position = at // the common case
+		r.expireTombstones(now)
 		return
 	}
-	u := r.update(page, whole, now)
-	u.Outage = silent
-	r.known = true
-	r.forget(now)
-	news := u.Initial || u.Restored || len(u.Rows)+len(u.Dropped) > 0
-	if news || u.Outage > 0 {
-		r.apply(u)
+	u := r.applyPage(page, whole, now)
+	u.Outage = outage
+	r.initialized = true
+	r.expireTombstones(now)
+	changed := u.Initial || u.Restored || len(u.Rows)+len(u.Dropped) > 0
+	if changed || u.Outage > 0 {
+		r.onUpdate(u)
 	}
-	if news {
+	if changed {
 		close(r.changed)
 		r.changed = make(chan struct{})
 	}
 }
 
-// followsAnother reports whether a page of rows that this instance needs counts although it is older than what is held. Another peer than
-// before may tell it, which is a little behind, and needs differ from one to the other; each row has its own version.
-func (r *Replica) followsAnother(page Page) bool {
-	return (page.Partial || r.part) && page.Position().Era == r.at.Era
+// acceptsOlder reports whether a page is accepted although it is older than the replica's position. Partial pages may come
+// from another peer than before, which may lag a little, and the rows needed differ between peers; each row has its own version.
+func (r *Replica) acceptsOlder(page Page) bool {
+	return (page.Partial || r.partial) && page.Position().Era == r.position.Era
 }
 
-// update takes a page in, and returns what that changes.
-func (r *Replica) update(page Page, whole bool, now time.Time) Update {
+// applyPage applies a page and returns the resulting update.
+func (r *Replica) applyPage(page Page, whole bool, now time.Time) Update {
 	at := page.Position()
-	u := Update{Initial: !r.known, Snapshot: whole, Previous: r.at, Restored: r.known && at.Era != r.at.Era}
+	u := Update{Initial: !r.initialized, Snapshot: whole, Previous: r.position, Restored: r.initialized && at.Era != r.position.Era}
 	u.Version, u.Era = at.Version, at.Era
-	r.at = at
+	r.position = at
 	if u.Restored {
-		u.Rows = r.restore(page, now)
-		u.RetainedCounts = r.held()
-		r.part = page.Partial
+		u.Rows = r.applyRestore(page, now)
+		u.RetainedCounts = r.countRetained()
+		r.partial = page.Partial
 		return u
 	}
-	u.Rows = r.merge(page, whole && !page.Partial, now)
+	u.Rows = r.mergeRows(page, whole && !page.Partial, now)
 	if whole && page.Partial {
-		u.Dropped = r.drop(page)
+		u.Dropped = r.dropUnlisted(page)
 	}
 	if whole {
-		r.part = page.Partial
+		r.partial = page.Partial
 	}
 	if u.Initial {
-		r.recent.restart(at.Version)
+		r.changes.reset(at.Version)
 	}
-	if kept := r.review(page.Retained, now); len(kept) > 0 {
-		u.Rows = newest(append(u.Rows, kept...))
+	if retained := r.reviewRetained(page.Retained, now); len(retained) > 0 {
+		u.Rows = newest(append(u.Rows, retained...))
 	}
 	if u.Initial {
-		r.whole = at.Version
+		r.completeSince = at.Version
 	}
 	return u
 }
 
-// confirm notes that the store has confirmed a page, and returns for how long it was silent before, if that was an outage.
-func (r *Replica) confirm(contact time.Time) (silent time.Duration) {
-	if r.known && contact.Sub(r.contact) > outage {
-		silent = contact.Sub(r.contact)
+// recordContact records that the store confirmed a page, and returns how long the store had been unreachable if that was an outage.
+func (r *Replica) recordContact(contact time.Time) (outage time.Duration) {
+	if r.initialized && contact.Sub(r.lastContact) > outageThreshold {
+		outage = contact.Sub(r.lastContact)
 	}
-	if contact.After(r.contact) {
-		r.contact = contact
+	if contact.After(r.lastContact) {
+		r.lastContact = contact
 	}
-	if r.contact.Sub(r.confirmedAt) >= confirmStep {
-		r.confirmedAt = r.contact
+	if r.lastContact.Sub(r.signalledContact) >= minConfirmAdvance {
+		r.signalledContact = r.lastContact
 		close(r.confirmed)
 		r.confirmed = make(chan struct{})
 	}
-	return silent
+	return outage
 }
 
-// merge takes in rows of the era that is held and returns those that changed what is shown.
-func (r *Replica) merge(page Page, whole bool, now time.Time) []Row {
+// mergeRows applies rows of the current era and returns those that changed the visible state.
+func (r *Replica) mergeRows(page Page, whole bool, now time.Time) []Row {
 	var out []Row
 	listed := make(map[string]bool, len(page.Rows))
 	for _, row := range newest(page.Rows) {
@@ -153,12 +153,12 @@
 		if row.Removed && row.Version == 0 {
 			row.Version = page.Version
 		}
-		_, kept := r.kept[row.Key]
+		_, retained := r.retained[row.Key]
 		old, held := r.rows[row.Key]
-		if held && row.Version <= old.Version || !held && !kept && row.Removed {
+		if held && row.Version <= old.Version || !held && !retained && row.Removed {
 			continue
 		}
-		if r.change(row, now) {
+		if r.applyRow(row, now) {
 			out = append(out, row)
 		}
 	}
@@ -169,16 +169,16 @@
 		if listed[key] || old.Removed {
 			continue
 		}
-		gone := Row{Key: key, Version: page.Version, Removed: true}
-		if r.change(gone, now) {
-			out = append(out, gone)
+		removal := Row{Key: key, Version: page.Version, Removed: true}
+		if r.applyRow(removal, now) {
+			out = append(out, removal)
 		}
 	}
 	return out
 }
 
-// drop forgets the rows that a page does not list of those that this instance needs.
-func (r *Replica) drop(page Page) []string {
+// dropUnlisted forgets the rows missing from a partial page: this instance no longer needs them.
+func (r *Replica) dropUnlisted(page Page) []string {
 	listed := make(map[string]bool, len(page.Rows))
 	for _, row := range page.Rows {
 		listed[row.Key] = true
@@ -189,111 +189,111 @@
 			continue
 		}
 		delete(r.rows, key)
-		delete(r.kept, key)
+		delete(r.retained, key)
 		out = append(out, key)
 	}
 	return out
 }
 
-// change takes in a row as the store has it now, and reports whether that is to be shown.
-func (r *Replica) change(row Row, now time.Time) bool {
-	before, kept := r.kept[row.Key]
-	r.put(row, now)
-	r.release(row)
-	if !kept {
+// applyRow stores a row as the store has it now, and reports whether the visible state changed.
+func (r *Replica) applyRow(row Row, now time.Time) bool {
+	before, retained := r.retained[row.Key]
+	r.storeRow(row, now)
+	r.releaseRetained(row)
+	if !retained {
 		return true
 	}
-	after, _ := r.shown(row.Key)
+	after, _ := r.visibleRow(row.Key)
 	return differs(before.Row, after)
 }
 
-func (r *Replica) put(row Row, now time.Time) {
+func (r *Replica) storeRow(row Row, now time.Time) {
 	if row.Removed {
-		r.removed[row.Key] = tombstone{at: now, value: r.rows[row.Key].Value}
-		r.buried = append(r.buried, burial{key: row.Key, at: now})
+		r.tombstones[row.Key] = tombstone{at: now, value: r.rows[row.Key].Value}
+		r.removals = append(r.removals, removal{key: row.Key, at: now})
 	} else {
-		delete(r.removed, row.Key)
+		delete(r.tombstones, row.Key)
 	}
 	r.rows[row.Key] = row
-	r.recent.add(row)
+	r.changes.add(row)
 }
 
-// burial is when a row was removed.
-type burial struct {
+// removal records when a row was removed.
+type removal struct {
 	key string
 	at  time.Time
 }
 
-func (r *Replica) forget(now time.Time) {
+func (r *Replica) expireTombstones(now time.Time) {
 	n := 0
-	for ; n < len(r.buried) && now.Sub(r.buried[n].at) > keepRemoved; n++ {
-		b := r.buried[n]
-		if t, removed := r.removed[b.key]; !removed || !t.at.Equal(b.at) {
-			continue // it has come back, or was removed again
+	for ; n < len(r.removals) && now.Sub(r.removals[n].at) > tombstoneTTL; n++ {
+		b := r.removals[n]
+		if t, removed := r.tombstones[b.key]; !removed || !t.at.Equal(b.at) {
+			continue // written or removed again since
 		}
-		r.whole = max(r.whole, r.rows[b.key].Version)
+		r.completeSince = max(r.completeSince, r.rows[b.key].Version)
 		delete(r.rows, b.key)
-		delete(r.removed, b.key)
+		delete(r.tombstones, b.key)
 	}
-	r.buried = r.buried[n:]
+	r.removals = r.removals[n:]
 }
 
-// Since returns what has changed after a position, the whole table when that can't be told, and when the store last
-// confirmed it. known is false when nothing has been read yet. To a position in a later era there is nothing to tell.
+// Since returns the changes after a position, or the whole table if the changes are not known, and when the store last confirmed
+// the state. known is false before anything has been read. After a position of a later era there are no changes.
 func (r *Replica) Since(after Position) (page Page, whole bool, contact time.Time, known bool) {
 	return r.SinceMatching(after, func(Row) bool { return true })
 }
 
-// SinceMatching is Since for the rows that are needed; it is called for each of them while the Replica does not change.
+// SinceMatching is like Since for the rows that needed accepts. It calls needed with the Replica locked.
 func (r *Replica) SinceMatching(after Position, needed func(Row) bool) (page Page, whole bool, contact time.Time, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	whole = after.Era < r.at.Era || after.Era == r.at.Era && (after.Version == 0 || after.Version < r.whole)
-	page.Version, page.Era = r.at.Version, r.at.Era
-	if !whole && !after.Before(r.at) {
-		return page, whole, r.contact, r.known // most of what is passed on: nothing has changed since the last
+	whole = after.Era < r.position.Era || after.Era == r.position.Era && (after.Version == 0 || after.Version < r.completeSince)
+	page.Version, page.Era = r.position.Version, r.position.Era
+	if !whole && !after.Before(r.position) {
+		return page, whole, r.lastContact, r.initialized // the common case: nothing has changed since the last call
 	}
-	if rows, told := r.recent.since(after.Version, r.rows); told && !whole {
+	if rows, ok := r.changes.since(after.Version, r.rows); ok && !whole {
 		page.Rows = slices.DeleteFunc(rows, func(row Row) bool { return !needed(row) })
-		return page, whole, r.contact, r.known
+		return page, whole, r.lastContact, r.initialized
 	}
 	for _, row := range r.rows {
 		if (whole && !row.Removed || !whole && row.Version > after.Version) && needed(row) {
 			page.Rows = append(page.Rows, row)
 		}
 	}
-	return page, whole, r.contact, r.known
+	return page, whole, r.lastContact, r.initialized
 }
 
-// Version returns the newest version held; known is false before the first.
+// Version returns the newest version held; known is false before anything has been read.
 func (r *Replica) Version() (version int64, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at.Version, r.known
+	return r.position.Version, r.initialized
 }
 
-// Partial reports whether only those rows are held that this instance needs.
+// Partial reports whether the replica holds only the rows that this instance needs.
 func (r *Replica) Partial() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.part
+	return r.partial
 }
 
-// Len returns how many rows are held.
+// Len returns the number of rows held.
 func (r *Replica) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.rows) - len(r.removed)
+	return len(r.rows) - len(r.tombstones)
 }
 
 // Position returns the newest position held.
 func (r *Replica) Position() Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at
+	return r.position
 }
 
-// Stored returns a row as the store has it, as far as is known; ok is false where it has none.
+// Stored returns the last known state of a row in the store; ok is false if the store lacks the row.
 func (r *Replica) Stored(key string) (row Row, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -301,11 +301,11 @@
 	return row, ok && !row.Removed
 }
 
-// LastContact returns when the store last confirmed what is held.
+// LastContact returns when the store last confirmed the state held.
 func (r *Replica) LastContact() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.contact
+	return r.lastContact
 }
 
 // Confirmed returns a channel that is closed when the store has confirmed the position again.
--- a/lib/feed/replica_test.go
+++ b/lib/feed/replica_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// A version in force never goes back, whichever way the older one comes: by a stale read, or from a peer that was cut
-// off. Nothing is shown and nothing held changes.
+// A version in force never goes back, whether the older one comes from a stale read or from a peer that was cut off. Nothing is
+// shown and the state does not change.
 func TestReplicaNeverGoesBack(t *testing.T) {
 	var shown []Update
 	r := NewReplica(func(u Update) { shown = append(shown, u) })
@@ -35,16 +35,16 @@
 	must.Eq(t, 12, version)
 }
 
-// Changes that came before anything was read whole are not a state to act on.
-func TestReplicaStartsWithAWholeTable(t *testing.T) {
+// Changes received before the first whole table are not a state to act on.
+func TestReplicaIgnoresChangesBeforeFirstSnapshot(t *testing.T) {
 	r := NewReplica(func(Update) { t.Fatal("shown") })
 	r.Merge(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3}}}, false, time.Now())
 	_, known := r.Version()
 	must.False(t, known)
 }
 
-// A whole table shows what is missing from it as removed, and a peer can be told so.
-func TestRemovedRowsAreTold(t *testing.T) {
+// Rows missing from a whole table are removed, and peers get the removals as changes.
+func TestMissingRowsAreReturnedAsRemoved(t *testing.T) {
 	var last Update
 	r := NewReplica(func(u Update) { last = u })
 	now := time.Now()
@@ -57,17 +57,17 @@
 	page, whole, _, _ = r.Since(PositionOf(0, 0))
 	must.True(t, whole)
 	must.Eq(t, []string{"b"}, keys(page.Rows))
-	_, whole, _, _ = r.Since(PositionOf(0, 3)) // it can't tell what was removed before it began
+	_, whole, _, _ = r.Since(PositionOf(0, 3)) // removals before its first version are unknown
 	must.True(t, whole)
 }
 
-// A peer that asks after removed rows were forgotten gets the whole table, so that no removal is missed.
-func TestForgottenRemovals(t *testing.T) {
+// A peer that asks for changes from before forgotten removals gets the whole table, so that it misses no removal.
+func TestWholeTableAfterForgottenRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewReplica(func(Update) {})
 		r.Merge(Page{Version: 1, Rows: []Row{{Key: "a", Version: 1}}}, true, time.Now())
 		r.Merge(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2, Removed: true}}}, false, time.Now())
-		time.Sleep(keepRemoved + time.Second)
+		time.Sleep(tombstoneTTL + time.Second)
 		r.Merge(Page{Version: 3, Rows: []Row{{Key: "b", Version: 3}}}, false, time.Now())
 		_, whole, _, _ := r.Since(PositionOf(0, 1))
 		must.True(t, whole)
@@ -76,22 +76,21 @@
 	})
 }
 
-// The store was away: the first update after it says for how long, so that entries which lapsed meanwhile are believed
-// for a while. Time between two ordinary polls is no outage.
-func TestOutageIsTold(t *testing.T) {
-	var silent []time.Duration
-	r := NewReplica(func(u Update) { silent = append(silent, u.Outage) })
+// The first update after an outage of the store says how long it lasted, so that entries which expired meanwhile are trusted for a
+// while. The time between two ordinary polls is no outage.
+func TestOutageDurationIsReported(t *testing.T) {
+	var outages []time.Duration
+	r := NewReplica(func(u Update) { outages = append(outages, u.Outage) })
 	at := time.Now()
 	r.Merge(Page{Version: 1}, true, at)
 	at = at.Add(DefaultOptions.Wait)
 	r.Merge(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2}}}, false, at)
 	at = at.Add(4 * time.Second)
 	r.Merge(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3, Removed: true}}}, false, at)
-	must.Eq(t, []time.Duration{0, 0, 4 * time.Second}, silent)
+	must.Eq(t, []time.Duration{0, 0, 4 * time.Second}, outages)
 }
 
-// A whole table from a peer or replica that lags lacks a row that came since. The row stays, and so does the version:
-// what is older removes nothing.
+// A whole table from a lagging peer or store replica lacks a row that was added since. The row and the version stay.
 func TestOlderWholeTableRemovesNothing(t *testing.T) {
 	r := NewReplica(func(Update) {})
 	now := time.Now()
--- a/lib/feed/copy_test.go
+++ b/lib/feed/restore_test.go
@@ -12,21 +12,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// model is a store with one table. It can be away, and come back from a copy.
-type model struct {
-	mu      sync.Mutex
-	era     int64
-	ver     int64
-	log     []Row // every change, in order
-	away    bool
-	changed chan struct{}
-	calls   int
+// fakeStore is a fake store with one table. It can become unavailable and be restored from a backup.
+type fakeStore struct {
+	mu          sync.Mutex
+	era         int64
+	ver         int64
+	log         []Row // every change, in order
+	unavailable bool
+	changed     chan struct{}
+	calls       int
 }
 
-func newModel() *model { return &model{era: 1, changed: make(chan struct{})} }
+func newFakeStore() *fakeStore { return &fakeStore{era: 1, changed: make(chan struct{})} }
 
 // put writes a row; an empty value removes it.
-func (m *model) put(key, value string) {
+func (m *fakeStore) put(key, value string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ver++
@@ -35,15 +35,15 @@
 	m.changed = make(chan struct{})
 }
 
-// advance gives out versions that other tables use.
-func (m *model) advance(n int64) {
+// advance assigns versions to writes of other tables.
+func (m *fakeStore) advance(n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ver += n
 }
 
-// copied returns what puts the store back to its state of now, in a new era.
-func (m *model) copied() (restore func()) {
+// backUp returns a function that restores the store to its present state, in a new era.
+func (m *fakeStore) backUp() (restore func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n, ver := len(m.log), m.ver
@@ -56,22 +56,22 @@
 	}
 }
 
-func (m *model) setAway(away bool) {
+func (m *fakeStore) setUnavailable(unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.unavailable = unavailable
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
-func (m *model) Snapshot(context.Context) (Page, error) {
+func (m *fakeStore) Snapshot(context.Context) (Page, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.calls++
-	if m.away {
-		return Page{}, errAway
+	if m.unavailable {
+		return Page{}, errUnavailable
 	}
 	page := Page{Version: m.ver, Era: m.era}
 	for _, r := range newest(m.log) {
@@ -82,7 +82,7 @@
 	return page, nil
 }
 
-func (m *model) Changes(ctx context.Context, after int64, wait time.Duration) (Page, error) {
+func (m *fakeStore) Changes(ctx context.Context, after int64, wait time.Duration) (Page, error) {
 	end := time.After(wait)
 	for asked := true; ; asked = false {
 		page, changed, err := m.since(after, asked)
@@ -99,14 +99,14 @@
 	}
 }
 
-func (m *model) since(after int64, asked bool) (Page, <-chan struct{}, error) {
+func (m *fakeStore) since(after int64, asked bool) (Page, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if asked {
 		m.calls++
 	}
-	if m.away {
-		return Page{}, m.changed, errAway
+	if m.unavailable {
+		return Page{}, m.changed, errUnavailable
 	}
 	if after > m.ver {
 		return Page{}, m.changed, ErrHistoryGone
@@ -120,33 +120,33 @@
 	return page, m.changed, nil
 }
 
-// A key is revoked right after the store has come back from a copy. The change gets a version below the one that is held: it must be
-// seen in time all the same, whether versions soon pass that one or not.
-func TestChangesAfterACopyAreSeen(t *testing.T) {
-	for _, away := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
-		for _, each := range []int64{1, 10} { // versions that others take in 100 ms
-			t.Run(fmt.Sprintf("%v,%d", away, each), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { changeAfterCopy(t, away, each) })
+// A key is revoked right after the store was restored from a backup. The change gets a version below the replica's: it must
+// arrive in time all the same, whether or not versions soon pass the replica's.
+func TestChangesAfterRestoreArriveInTime(t *testing.T) {
+	for _, outage := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
+		for _, each := range []int64{1, 10} { // versions that other tables take in 100 ms
+			t.Run(fmt.Sprintf("%v,%d", outage, each), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { testChangeAfterRestore(t, outage, each) })
 			})
 		}
 	}
 }
 
 const (
-	// applyLimit is the time in which a change is to be in force; half of it is left for the ways between instances.
+	// applyLimit is the time within which a change must take effect; half of it is left for forwarding between instances.
 	applyLimit = 2 * time.Second
 	readLimit  = applyLimit / 2
 )
 
-func changeAfterCopy(t *testing.T, away time.Duration, each int64) {
+func testChangeAfterRestore(t *testing.T, outage time.Duration, each int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	var work sync.WaitGroup
 	defer work.Wait()
 	defer cancel()
-	m := newModel()
+	m := newFakeStore()
 	m.put("settings", "with the key")
 	m.advance(70)
-	restore := m.copied()
+	restore := m.backUp()
 	m.advance(36)
 	seen := make(chan time.Time, 1)
 	r := NewReplica(func(u Update) {
@@ -158,10 +158,10 @@
 	})
 	work.Go(func() { NewFollower(m, DefaultOptions, r, func(error) {}).Run(ctx) })
 	time.Sleep(time.Second)
-	m.setAway(true)
-	time.Sleep(away)
+	m.setUnavailable(true)
+	time.Sleep(outage)
 	restore()
-	m.setAway(false)
+	m.setUnavailable(false)
 	time.Sleep(200 * time.Millisecond)
 	m.put("settings", "without the key")
 	written := time.Now()
@@ -179,23 +179,23 @@
 	}
 }
 
-// era returns an answer of an era.
+// era sets the era of an answer.
 func era(n int64, a answer) answer {
 	a.page.Era = n
 	return a
 }
 
-// A long poll began before the store came back from a copy and is answered after, by versions that have passed the one asked from. The
-// answer may lack what was written below: the whole table is read.
-func TestAnswerOfANewEraIsReadWhole(t *testing.T) {
-	s := &script{
+// A long poll begins before the store is restored from a backup and is answered afterwards, with versions beyond the requested
+// one. The answer may lack rows written below it, so the whole table is read.
+func TestAnswerOfNewEraTriggersSnapshot(t *testing.T) {
+	s := &scriptedSource{
 		snapshots: []answer{
 			era(1, page(5, Row{Key: "a", Value: []byte("old"), Version: 5})),
 			era(2, page(9, Row{Key: "a", Value: []byte("new"), Version: 4}, Row{Key: "b", Version: 9})),
 		},
 		changes: []answer{era(2, page(9, Row{Key: "b", Version: 9}))},
 	}
-	got := follow(t, s, time.Second)
+	got := runFollower(t, s, time.Second)
 	must.Len(t, 2, got)
 	must.True(t, got[1].Restored)
 	must.Eq(t, Position{Era: 1, Version: 5}, got[1].Previous)
@@ -204,22 +204,22 @@
 	must.Eq(t, []int64{5, 9}, s.after)
 }
 
-// An answer of the era before comes late, by another connection, with a larger version. Nothing goes back.
-func TestLateAnswerOfAnOldEraChangesNothing(t *testing.T) {
-	s := &script{
+// A late answer of the previous era arrives over another connection with a larger version. It must not move the replica back.
+func TestLateAnswerOfOldEraIsIgnored(t *testing.T) {
+	s := &scriptedSource{
 		snapshots: []answer{era(2, page(5, Row{Key: "a", Value: []byte("new"), Version: 5}))},
 		changes: []answer{
 			era(1, page(90, Row{Key: "a", Value: []byte("old"), Version: 90})),
 			era(2, page(6, Row{Key: "b", Version: 6})),
 		},
 	}
-	got := follow(t, s, time.Second)
+	got := runFollower(t, s, time.Second)
 	must.Len(t, 2, got)
 	must.Eq(t, []Row{{Key: "b", Version: 6}}, got[1].Rows)
 }
 
-// An instance was cut off while the store came back from a copy twice. It takes the newest state, and no change of an era beside it.
-func TestReplicaOverTwoEras(t *testing.T) {
+// The store was restored twice while an instance was cut off. The replica takes the newest snapshot and no changes of another era.
+func TestReplicaSkipsAnEra(t *testing.T) {
 	r := NewReplica(func(Update) {})
 	now := time.Now()
 	r.Merge(Page{Era: 1, Version: 50, Rows: []Row{{Key: "a", Value: []byte("one"), Version: 50}}}, true, now)
--- /dev/null
+++ b/lib/feed/retention_test.go
@@ -0,0 +1,194 @@
+package feed
+
+import (
+	"strconv"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+)
+
+// retentionPeriod is the retention period in these tests.
+const retentionPeriod = 5 * time.Second
+
+// parseWriteSeq parses values such as "3: text" or "incarnation.3: text".
+func parseWriteSeq(row Row) (WriteSeq, bool) {
+	head, _, _ := strings.Cut(string(row.Value), ":")
+	incarnation, n, ok := strings.Cut(head, ".")
+	if !ok {
+		incarnation, n = "0", head
+	}
+	inc, err := strconv.ParseInt(incarnation, 10, 64)
+	if err != nil {
+		return WriteSeq{}, false
+	}
+	i, err := strconv.ParseInt(n, 10, 64)
+	return WriteSeq{Incarnation: inc, Number: i}, err == nil
+}
+
+// restoredReplica is a replica of a store that is restored from backups.
+type restoredReplica struct {
+	r       *Replica
+	visible map[string]string
+	last    Update
+}
+
+func newRestoredReplica() *restoredReplica {
+	c := &restoredReplica{visible: make(map[string]string)}
+	c.r = NewReplica(func(u Update) {
+		c.last = u
+		for _, row := range u.Rows {
+			if row.Removed {
+				delete(c.visible, row.Key)
+			} else {
+				c.visible[row.Key] = string(row.Value)
+			}
+		}
+	}).WithRetention(Retention{Period: retentionPeriod, WriteSeq: parseWriteSeq})
+	return c
+}
+
+// snapshot merges a whole table given as alternating keys and values.
+func (c *restoredReplica) snapshot(at Position, rows ...string) { c.merge(at, true, rows...) }
+
+// changes merges changes; an empty value is a removal.
+func (c *restoredReplica) changes(at Position, rows ...string) { c.merge(at, false, rows...) }
+
+func (c *restoredReplica) merge(at Position, whole bool, rows ...string) {
+	page := Page{Era: at.Era, Version: at.Version}
+	for i := 0; i < len(rows); i += 2 {
+		page.Rows = append(page.Rows, Row{Key: rows[i], Value: []byte(rows[i+1]), Version: at.Version, Removed: rows[i+1] == ""})
+	}
+	c.r.Merge(page, whole, time.Now())
+}
+
+// The backup has older settings. The newer ones stay in force through repeated older writes until a newer write: a revoked key stays
+// revoked.
+func TestNewerWriteSurvivesRestore(t *testing.T) {
+	c := newRestoredReplica()
+	c.snapshot(Position{1, 10}, "s", "7: held")
+	c.snapshot(Position{2, 5}, "s", "3: copy")
+	must.Eq(t, "7: held", c.visible["s"])
+	must.Eq(t, RetainedCounts{Writes: 1}, c.last.RetainedCounts)
+	c.changes(Position{2, 6}, "s", "5: again")
+	must.Eq(t, "7: held", c.visible["s"])
+	c.changes(Position{2, 7}, "s", "7: again")
+	c.changes(Position{2, 8}, "s", "9: next")
+	must.Eq(t, "9: next", c.visible["s"])
+	c.snapshot(Position{3, 1}, "s", "1: copy")
+	must.Eq(t, "9: next", c.visible["s"])
+}
+
+// A row missing from the backup stays for the retention period and is removed if nobody has written it again; a removal in the new era
+// takes effect at once.
+func TestRowMissingAfterRestoreIsRetainedForPeriod(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newRestoredReplica()
+		c.snapshot(Position{1, 10}, "a", "x", "b", "x", "c", "x")
+		c.snapshot(Position{2, 5})
+		must.MapLen(t, 3, c.visible)
+		must.Eq(t, RetainedCounts{Rows: 3}, c.last.RetainedCounts)
+		c.changes(Position{2, 6}, "b", "x")
+		c.changes(Position{2, 7}, "c", "")
+		must.Eq(t, map[string]string{"a": "x", "b": "x"}, c.visible)
+		time.Sleep(retentionPeriod + time.Millisecond)
+		c.changes(Position{2, 7})
+		must.Eq(t, map[string]string{"b": "x"}, c.visible)
+	})
+}
+
+// The store becomes unreachable right after a restore. Retained rows stay until it is reachable again: nobody could write meanwhile.
+func TestRetentionDoesNotExpireDuringOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newRestoredReplica()
+		c.snapshot(Position{1, 10}, "a", "x")
+		back := time.Now()
+		c.snapshot(Position{2, 5})
+		time.Sleep(retentionPeriod + time.Second)
+		c.r.Merge(Page{Era: 2, Version: 5}, false, back) // from a peer that has not reached the store since
+		must.MapLen(t, 1, c.visible)
+	})
+}
+
+// A removed row is back after a restore and stays hidden for the retention period; one written by a new incarnation is shown at once.
+func TestRemovedRowStaysHiddenAfterRestore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newRestoredReplica()
+		c.snapshot(Position{1, 10}, "a", "1.4: x", "b", "1.4: x")
+		c.changes(Position{1, 12}, "a", "", "b", "")
+		c.snapshot(Position{2, 5}, "a", "1.3: x", "b", "1.3: x")
+		must.MapEmpty(t, c.visible)
+		must.Eq(t, RetainedCounts{Removals: 2}, c.last.RetainedCounts)
+		must.Len(t, 2, c.r.Resurrected())
+		c.changes(Position{2, 6}, "a", "2.1: new start")
+		must.Eq(t, map[string]string{"a": "2.1: new start"}, c.visible)
+		time.Sleep(retentionPeriod + time.Millisecond)
+		c.changes(Position{2, 6})
+		must.Eq(t, "1.3: x", c.visible["b"])
+	})
+}
+
+// A row was removed and written again by a writer without sequence numbers, before anything of the new era was read. Its value differs
+// from before, so the restore did not bring back the old row.
+func TestRewrittenRowIsShownAfterRestore(t *testing.T) {
+	c := newRestoredReplica()
+	c.snapshot(Position{1, 10}, "a", "before", "b", "before")
+	c.changes(Position{1, 12}, "a", "", "b", "")
+	c.snapshot(Position{2, 9}, "a", "anew", "b", "before")
+	must.Eq(t, map[string]string{"a": "anew"}, c.visible)
+	must.Eq(t, RetainedCounts{Removals: 1}, c.last.RetainedCounts)
+}
+
+// A removed row is missing after the first restore, and back after the next, from an older backup.
+func TestRemovedRowStaysHiddenAfterSecondRestore(t *testing.T) {
+	c := newRestoredReplica()
+	c.snapshot(Position{1, 10}, "a", "x")
+	c.changes(Position{1, 12}, "a", "")
+	c.snapshot(Position{2, 11})
+	c.snapshot(Position{3, 5}, "a", "x")
+	must.MapEmpty(t, c.visible)
+}
+
+// An instance that starts right after a restore knows no earlier state. It takes the retained rows from a peer, for no longer than the
+// peer retains them.
+func TestNewInstanceTakesRetainedRowsFromPeer(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		peer, own := newRestoredReplica(), newRestoredReplica()
+		peer.snapshot(Position{1, 10}, "s", "7: held", "gone", "x", "lacking", "x")
+		peer.changes(Position{1, 11}, "gone", "")
+		peer.snapshot(Position{2, 5}, "s", "3: copy", "gone", "x")
+		time.Sleep(retentionPeriod / 2)
+		page, whole, contact, _ := peer.r.Since(own.r.Position())
+		page.Retained = peer.r.Retained(time.Now())
+		own.r.Merge(page, whole, contact)
+		want := map[string]string{"s": "7: held", "lacking": "x"}
+		must.Eq(t, want, own.visible)
+		must.Eq(t, want, peer.visible)
+		time.Sleep(retentionPeriod/2 + time.Millisecond)
+		own.changes(Position{2, 5})
+		must.Eq(t, map[string]string{"s": "7: held", "gone": "x"}, own.visible)
+	})
+}
+
+// An instance that was cut off before the restore gets from a peer of the same era the newer rows that the peer retains.
+func TestNewerRetainedRowFromPeerOfSameEra(t *testing.T) {
+	peer, own := newRestoredReplica(), newRestoredReplica()
+	peer.snapshot(Position{1, 10}, "s", "7: held")
+	peer.snapshot(Position{2, 5}, "s", "3: copy")
+	own.snapshot(Position{1, 4}, "s", "5: older")
+	own.snapshot(Position{2, 5}, "s", "3: copy")
+	must.Eq(t, "5: older", own.visible["s"])
+	own.r.Merge(Page{Era: 2, Version: 5, Retained: peer.r.Retained(time.Now())}, false, time.Now())
+	must.Eq(t, "7: held", own.visible["s"])
+}
+
+// A new era in which nothing was lost is reported, without rows: nobody is notified of rows that are unchanged.
+func TestEraWithoutLossesReportsNoRows(t *testing.T) {
+	c := newRestoredReplica()
+	c.snapshot(Position{1, 10}, "a", "x", "b", "y")
+	c.snapshot(Position{2, 10}, "a", "x", "b", "y")
+	must.True(t, c.last.Restored)
+	must.SliceEmpty(t, c.last.Rows)
+}
