--- a/lib/feedlink/gather_test.go
+++ b/lib/feedlink/batch_test.go
@@ -12,16 +12,16 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-// Load pattern: hundreds of entries are written one after the other, and many follow one relay. Each follower gets them in a few pages,
-// the last of them soon; a single change among quiet ones goes at once.
-func TestChangesInQuickSuccessionAreGathered(t *testing.T) {
+// Hundreds of entries are written one after the other, and many followers share one relay. Each follower gets them in a few pages, the
+// last of them soon; a single change after a pause is forwarded at once.
+func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	t.Parallel()
 	const followers, changes = 60, 300
-	relay := staged(t, "relay", false)
-	b := idle(t, "b", &table{}, self)
+	relay := newStagedMember(t, "relay", false)
+	b := newIdleMember(t, "b", &table{}, ranksFirst)
 	var pages atomic.Int32
 	for i := range followers {
-		s, err := b.track.open(t.Context(), mesh.Peer{Instance: "relay", Addr: relay.addr})
+		s, err := b.syncer.subscribe(t.Context(), mesh.Peer{Instance: "relay", Addr: relay.addr})
 		must.NoError(t, err)
 		t.Cleanup(s.close)
 		go func() {
@@ -36,7 +36,7 @@
 		row := feed.Row{Key: fmt.Sprint("k", version), Value: []byte(fmt.Sprint("v", version)), Version: version}
 		relay.replica.Merge(feed.Page{Version: version, Rows: []feed.Row{row}}, false, time.Now())
 	}
-	time.Sleep(beat / 2)
+	time.Sleep(pageInterval / 2)
 	pages.Store(0)
 	begin := time.Now()
 	for v := range int64(changes) {
@@ -44,17 +44,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	spread := time.Since(begin)
-	reaches(t, b, changes+1)
-	must.LessEq(t, int32(spread/(followers*passTime))+3, pages.Load())
-	time.Sleep(2 * followers * passTime)
+	waitForVersion(t, b, changes+1)
+	must.LessEq(t, int32(spread/(followers*gapPerFollower))+3, pages.Load())
+	time.Sleep(2 * followers * gapPerFollower)
 	begin = time.Now()
 	put(changes + 2)
-	reaches(t, b, changes+2)
-	must.Less(t, beat/2, time.Since(begin))
+	waitForVersion(t, b, changes+2)
+	must.Less(t, pageInterval/2, time.Since(begin))
 }
 
-// reaches waits until a member holds a version.
-func reaches(t *testing.T, m *member, version int64) {
+// waitForVersion waits until a member's replica reaches a version.
+func waitForVersion(t *testing.T, m *member, version int64) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if v, _ := m.replica.Version(); v >= version {
--- a/lib/feedlink/feedlink_test.go
+++ b/lib/feedlink/feedlink_test.go
@@ -19,15 +19,15 @@
 
 // table is a Source whose rows tests change.
 type table struct {
-	mu      sync.Mutex
-	version int64
-	era     int64
-	value   string
-	away    bool
-	calls   atomic.Int32
+	mu          sync.Mutex
+	version     int64
+	era         int64
+	value       string
+	unavailable bool
+	calls       atomic.Int32
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("away")
 
 func (s *table) set(value string) {
 	s.mu.Lock()
@@ -40,8 +40,8 @@
 	s.calls.Add(1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return feed.Page{}, errAway
+	if s.unavailable {
+		return feed.Page{}, errUnavailable
 	}
 	return feed.Page{Era: s.era, Version: s.version, Rows: []feed.Row{{Key: "k", Value: []byte(s.value), Version: s.version}}}, nil
 }
@@ -69,7 +69,7 @@
 	node    *mesh.Node
 	addr    string
 	replica *feed.Replica
-	track   *Syncer
+	syncer  *Syncer
 	value   atomic.Value
 }
 
@@ -81,7 +81,7 @@
 	node, err := mesh.New(mesh.Options{Self: mesh.Identity{Instance: name, Incarnation: 1}, Plaintext: true})
 	must.NoError(t, err)
 	m.node = node
-	m.track = New(Config{
+	m.syncer = New(Config{
 		Self:   name,
 		Tables: []Table{{Name: "t", Source: src, Replica: m.replica, Options: feed.DefaultOptions, Critical: true}},
 		MaxAge: time.Second, Node: node, Assignment: place, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
@@ -89,22 +89,22 @@
 	return m
 }
 
-func start(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
+func startMember(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
 	t.Helper()
-	m := idle(t, name, src, place)
+	m := newIdleMember(t, name, src, place)
 	m.run(t, func(string) {})
 	return m
 }
 
-// run runs a member that was made idle, with what is to be told of its readers.
+// run runs a member that was created by newIdleMember; from is called for each change of its upstream.
 func (m *member) run(t *testing.T, from func(instance string)) {
 	t.Helper()
-	m.track.OnSourceChange = from
+	m.syncer.OnSourceChange = from
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.track.Run(ctx)
+		m.syncer.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -126,23 +126,23 @@
 	return 0
 }
 
-func self() Assignment { return Assignment{Readers: []mesh.Peer{{}}} }
+func ranksFirst() Assignment { return Assignment{Readers: []mesh.Peer{{}}} }
 
-// second ranks to read after another.
-func second(first *member, name string) func() Assignment {
+// ranksAfter returns the assignment of an instance that ranks to read after first.
+func ranksAfter(first *member, name string) func() Assignment {
 	return func() Assignment {
 		return Assignment{Rank: 1, Readers: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}}
 	}
 }
 
-// A change reaches an instance that does not read the store itself, also a large one, and costs it no call.
-func TestChangeIsPassedOn(t *testing.T) {
+// A change, small or large, reaches an instance that does not read the store itself, without a call of its own.
+func TestChangeIsForwarded(t *testing.T) {
 	t.Parallel()
 	src, unused := &table{}, &table{}
 	src.set("one")
-	a := start(t, "a", src, self)
+	a := startMember(t, "a", src, ranksFirst)
 	a.waitFor(t, "one")
-	b := start(t, "b", unused, second(a, "a"))
+	b := startMember(t, "b", unused, ranksAfter(a, "a"))
 	b.waitFor(t, "one")
 	large := strings.Repeat("routes ", 20_000)
 	src.set(large)
@@ -150,37 +150,36 @@
 	must.Eq(t, 0, unused.calls.Load())
 }
 
-// The reader is cut off from the store and goes on passing on what it has. The other notices by the age of the store's
-// word, reads for itself, and has the next change in time.
+// The reader is cut off from the store and keeps forwarding what it has. The other instance notices by the age of the last contact,
+// reads the store itself, and gets the next change in time.
 func TestReaderCutOffFromTheStore(t *testing.T) {
 	t.Parallel()
 	cut, src := &table{}, &table{}
 	cut.set("one")
 	src.set("one")
-	a := start(t, "a", cut, self)
+	a := startMember(t, "a", cut, ranksFirst)
 	a.waitFor(t, "one")
-	b := start(t, "b", src, second(a, "a"))
+	b := startMember(t, "b", src, ranksAfter(a, "a"))
 	b.waitFor(t, "one")
 	cut.mu.Lock()
-	cut.away = true
+	cut.unavailable = true
 	cut.mu.Unlock()
 	src.set("two")
 	must.Less(t, 4*time.Second, b.waitFor(t, "two"))
 }
 
-// The instance that should read is alone cut off from the store. It has changes from a peer that reaches the store, and
-// reads again once it can.
-func TestCutOffReaderTakesFromAPeer(t *testing.T) {
+// The instance that should read the store is the only one cut off from it. It gets changes from a peer that reaches the store.
+func TestCutOffReaderFollowsPeer(t *testing.T) {
 	t.Parallel()
 	src, cut := &table{}, &table{}
 	src.set("one")
 	cut.set("one")
-	b := start(t, "b", src, self)
+	b := startMember(t, "b", src, ranksFirst)
 	b.waitFor(t, "one")
-	a := start(t, "a", cut, func() Assignment { return Assignment{Readers: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
+	a := startMember(t, "a", cut, func() Assignment { return Assignment{Readers: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
 	a.waitFor(t, "one")
 	cut.mu.Lock()
-	cut.away = true
+	cut.unavailable = true
 	cut.mu.Unlock()
 	src.set("two")
 	must.Less(t, 4*time.Second, a.waitFor(t, "two"))
@@ -188,22 +187,22 @@
 	must.Less(t, time.Second, a.waitFor(t, "three"))
 }
 
-// The reader dies: the other reads for itself.
+// The reader dies: the other instance reads the store itself.
 func TestReaderDies(t *testing.T) {
 	t.Parallel()
 	src := &table{}
 	src.set("one")
-	a := start(t, "a", src, self)
+	a := startMember(t, "a", src, ranksFirst)
 	a.waitFor(t, "one")
-	b := start(t, "b", src, second(a, "a"))
+	b := startMember(t, "b", src, ranksAfter(a, "a"))
 	b.waitFor(t, "one")
 	a.node.Close()
 	src.set("two")
 	must.Less(t, 2*time.Second, b.waitFor(t, "two"))
 }
 
-// idle makes a member whose Track does not run.
-func idle(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
+// newIdleMember creates a member whose Syncer does not run.
+func newIdleMember(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
 	t.Helper()
 	m := newMember(t, name, src, place)
 	m.serve(t)
@@ -215,28 +214,28 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	m.addr = ln.Addr().String()
-	Serve(m.node, m.track)
+	Serve(m.node, m.syncer)
 	go func() { _ = m.node.Serve(ln) }()
 	t.Cleanup(m.node.Close)
 }
 
-// mayRead is how many instances of a group rank to read.
-const mayRead = 3
+// readerCandidates is the number of reader candidates of a group.
+const readerCandidates = 3
 
-// group starts instances that all rank the same way, each with a source of its own. It returns them and the sources, in
-// rank; delay holds the first back.
-func group(t *testing.T, n int, delay time.Duration) ([]*member, []*table) {
+// startGroup starts instances that all rank the same way, each with its own source. It returns them and the sources in order of rank;
+// delay delays the start of the first.
+func startGroup(t *testing.T, n int, delay time.Duration) ([]*member, []*table) {
 	t.Helper()
-	return groupOf(t, n, delay, func(self int, all []mesh.Peer) Assignment {
-		if self < mayRead {
+	return startGroupWith(t, n, delay, func(self int, all []mesh.Peer) Assignment {
+		if self < readerCandidates {
 			return Assignment{Rank: self, Readers: all}
 		}
 		return Assignment{Role: RoleFollower, Readers: all}
 	})
 }
 
-// groupOf is group with the places that place gives; all are the instances in rank, this one with an empty address.
-func groupOf(t *testing.T, n int, delay time.Duration, place func(self int, all []mesh.Peer) Assignment) ([]*member, []*table) {
+// startGroupWith is like group with the assignments that place returns; all are the instances in rank, this one with an empty address.
+func startGroupWith(t *testing.T, n int, delay time.Duration, place func(self int, all []mesh.Peer) Assignment) ([]*member, []*table) {
 	t.Helper()
 	members := make([]*member, n)
 	tables := make([]*table, n)
@@ -250,7 +249,7 @@
 				switch {
 				case i == self:
 				case m == nil:
-					out[i] = mesh.Peer{Instance: fmt.Sprint("m", i), Addr: "127.0.0.1:1"} // not there yet
+					out[i] = mesh.Peer{Instance: fmt.Sprint("m", i), Addr: "127.0.0.1:1"} // not started yet
 				default:
 					out[i] = mesh.Peer{Instance: fmt.Sprint("m", i), Addr: m.addr}
 				}
@@ -264,7 +263,7 @@
 		if i == 0 {
 			time.Sleep(delay)
 		}
-		m := start(t, fmt.Sprint("m", i), tables[i], ranks(i))
+		m := startMember(t, fmt.Sprint("m", i), tables[i], ranks(i))
 		mu.Lock()
 		members[i] = m
 		mu.Unlock()
@@ -272,24 +271,24 @@
 	return members, tables
 }
 
-// The store turns the reader away, and serves the others. The next in rank takes over at once, all have the next change in
-// time, and those that don't rank to read leave the store alone.
-func TestRejectedReaderIsReplacedByOne(t *testing.T) {
+// The store rejects the reader and serves the others. The next in rank takes over at once, all instances get the next change in time,
+// and those that are not reader candidates don't call the store.
+func TestRejectedReaderIsReplacedByNextInRank(t *testing.T) {
 	t.Parallel()
-	members, tables := group(t, 8, 0)
+	members, tables := startGroup(t, 8, 0)
 	for _, m := range members {
 		m.waitFor(t, "one")
 	}
 	for i, s := range tables {
 		s.mu.Lock()
-		s.away = i == 0
+		s.unavailable = i == 0
 		s.mu.Unlock()
 		s.set("two")
 	}
 	for _, m := range members {
 		must.Less(t, 2*time.Second, m.waitFor(t, "two"))
 	}
-	for i := mayRead; i < len(tables); i++ {
+	for i := readerCandidates; i < len(tables); i++ {
 		must.Eq(t, 0, tables[i].calls.Load(), must.Sprint(i))
 	}
 }
--- a/lib/feedlink/follow.go
+++ b/lib/feedlink/follow.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Times of one that has the tables from a reader.
+// Intervals of an instance that takes the tables from an upstream.
 const (
-	// probeEvery is the pause between two calls of one that ranks to read while the reader has lost the store, by its rank.
-	probeEvery = 400 * time.Millisecond
-	// relayProbe is the pause between two calls of one that relays once the reader is doubted: all that rank to read may be
-	// cut off, and changes are to be in force in two seconds.
-	relayProbe = 800 * time.Millisecond
-	// lateProbe is when, after the age at which a reader is doubted, all others look for themselves, and how often: all that
-	// rank to relay to them may be cut off, too.
-	lateProbe = 2500 * time.Millisecond
-	// probing is how many that relay in a failure domain look for the store as soon as the reader is doubted.
-	probing = 3
-	// reconsider is how often an instance looks whether it should read the store, or have it from another.
-	reconsider = 500 * time.Millisecond
+	// readerProbeInterval is the interval, per rank, at which reader candidates probe the store while the upstream has lost it.
+	readerProbeInterval = 400 * time.Millisecond
+	// relayProbeInterval is the interval at which a relay probes the store once the upstream's contact is older than MaxAge: all reader
+	// candidates may be cut off, and changes must take effect within two seconds.
+	relayProbeInterval = 800 * time.Millisecond
+	// followerProbeDelay is how long after MaxAge all other instances start to probe the store, and how often they do: all their relays
+	// may be cut off, too.
+	followerProbeDelay = 2500 * time.Millisecond
+	// maxProbingRelays is the number of relays in a failure domain that probe the store as soon as the contact is older than MaxAge.
+	maxProbingRelays = 3
+	// reconsiderInterval is how often an instance checks whether it should read the store or take the tables from another upstream.
+	reconsiderInterval = 500 * time.Millisecond
 )
 
-// moveTo looks for a reader that ranks higher, and subscribes to it before this instance's own reading ends: one that is
-// dead, or has lost the store, is left alone without a gap.
-func (t *Syncer) moveTo(ctx context.Context, now time.Time) bool {
-	reader, self, _ := t.pick(now)
-	if self || reader.Addr == "" {
+// switchUpstream looks for an upstream that ranks higher, and subscribes to it before the current source is given up, so that an upstream
+// that is dead or has lost the store causes no gap.
+func (t *Syncer) switchUpstream(ctx context.Context, now time.Time) bool {
+	upstream, readSelf, _ := t.pickUpstream(now)
+	if readSelf || upstream.Addr == "" {
 		return false
 	}
-	s, err := t.open(ctx, reader)
+	s, err := t.subscribe(ctx, upstream)
 	if err == nil {
-		err = t.worse(s)
+		err = t.rejectReason(s)
 	}
 	if err != nil {
-		t.doubt(ctx, reader, err)
+		t.avoidUpstream(ctx, upstream, err)
 		return false
 	}
-	t.better = s
+	t.next = s
 	return true
 }
 
-// worse tells why a reader that ranks higher is not to be followed all the same, and closes the subscription then.
+// rejectReason returns the reason why a higher-ranked upstream must not be followed, and closes the subscription in that case.
 //
-// Failure: three instances that ranked to read took the tables from each other in a circle, since each had given up the
-// reader that ranked before them. Nobody read the store, and settings were five seconds old although most could reach it.
-// Pages say through whom they come, so that none follows one that follows it.
-func (t *Syncer) worse(s *subscription) error {
+// A cycle must be ruled out: three reader candidates, each of which had given up the reader ranked before it, took the tables from
+// one another. Nobody read the store, and settings were five seconds old although most of the instances could reach it. Pages
+// therefore carry the path they came by, and no instance follows one that follows it.
+func (t *Syncer) rejectReason(s *subscription) error {
 	var err error
 	switch {
-	case s.behind() && (!t.StoreLost() || s.age > t.age(time.Now())):
-		err = errTooOld
-	case s.circular():
+	case s.isStale() && (!t.StoreLost() || s.contactAge > t.contactAge(time.Now())):
+		err = errUpstreamStale
+	case s.isCycle():
 		err = errCycle
 	default:
 		return nil
@@ -60,86 +60,86 @@
 	return err
 }
 
-// follow takes the tables from a reader until it fails, or another is better.
+// follow takes the tables from an upstream until it fails or should be replaced.
 func (t *Syncer) follow(ctx context.Context, s *subscription) {
-	defer t.tellUp(s)()
+	defer t.sendUpstream(s)()
 	defer s.close()
-	t.OnSourceChange(s.reader.Instance)
-	looked := time.Now()
+	t.OnSourceChange(s.upstream.Instance)
+	reconsidered := time.Now()
 	for {
-		t.lost.Store(s.lost)
-		t.comesBy(s.path)
+		t.storeLost.Store(s.storeLost)
+		t.setUpstreamPath(s.path)
 		if err := s.receive(); err != nil {
-			t.doubt(ctx, s.reader, err)
+			t.avoidUpstream(ctx, s.upstream, err)
 			return
 		}
-		if s.circular() {
-			t.doubt(ctx, s.reader, errCycle)
+		if s.isCycle() {
+			t.avoidUpstream(ctx, s.upstream, errCycle)
 			return
 		}
-		if s.old {
-			t.doubt(ctx, s.reader, errOldEra)
+		if s.oldEra {
+			t.avoidUpstream(ctx, s.upstream, errOldEra)
 			return
 		}
-		if s.part != t.wantsPart() {
-			return // as another kind of holder it asks for more, or for less
+		if s.partial != t.wantsSubset() {
+			return // its role changed, so it needs more rows, or fewer
 		}
 		now := time.Now()
-		if now.Sub(looked) >= reconsider {
-			looked = now
-			if t.leaves(ctx, now, s) || s.behind() && t.search(ctx, s.reader) {
+		if now.Sub(reconsidered) >= reconsiderInterval {
+			reconsidered = now
+			if t.shouldSwitch(ctx, now, s) || s.isStale() && t.search(ctx, s.upstream) {
 				return
 			}
 		}
-		if !t.mayProbe(now, s) {
+		if !t.shouldProbe(now, s) {
 			continue
 		}
-		t.probed = now.Add(rand.N(probeEvery / 2))
+		t.lastProbe = now.Add(rand.N(readerProbeInterval / 2))
 		if t.followers[0].Poll(ctx, 0) == nil {
-			t.cutOff = avoided{}
-			t.within = true
-			t.doubt(ctx, s.reader, errTooOld)
+			t.cutOff = avoidance{}
+			t.storeReachable = true
+			t.avoidUpstream(ctx, s.upstream, errUpstreamStale)
 			return
 		}
 	}
 }
 
-// leaves reports whether another reader, or this instance, should take over from the one followed.
-func (t *Syncer) leaves(ctx context.Context, now time.Time, s *subscription) bool {
-	reader, self, _ := t.pick(now)
-	if !self {
-		return reader.Addr != s.reader.Addr && t.moveTo(ctx, now)
+// shouldSwitch reports whether another upstream, or this instance itself, should replace the current upstream.
+func (t *Syncer) shouldSwitch(ctx context.Context, now time.Time, s *subscription) bool {
+	upstream, readSelf, _ := t.pickUpstream(now)
+	if !readSelf {
+		return upstream.Addr != s.upstream.Addr && t.switchUpstream(ctx, now)
 	}
 	if t.followers[0].Poll(ctx, 0) != nil {
-		t.cutOff = t.cutOff.again(now)
+		t.cutOff = t.cutOff.extend(now)
 		return false
 	}
-	t.cutOff = avoided{}
+	t.cutOff = avoidance{}
 	return true
 }
 
-// wantsPart reports whether this instance holds a part of some table only.
-func (t *Syncer) wantsPart() bool {
+// wantsSubset reports whether this instance wants only a subset of some table.
+func (t *Syncer) wantsSubset() bool {
 	for i := range t.Tables {
-		if t.Tables[i].wantsPart() {
+		if t.Tables[i].wantsSubset() {
 			return true
 		}
 	}
 	return false
 }
 
-// mayProbe reports whether to look for the store although the reader has lost it. Those that rank to read do so at once, one
-// after the other; the others only when these seem to be cut off, too.
-func (t *Syncer) mayProbe(now time.Time, s *subscription) bool {
-	place, age := t.Assignment(), t.age(now)
+// shouldProbe reports whether to probe the store because the upstream has lost it. Reader candidates do so immediately, in order of
+// rank; the others only when the reader candidates seem to be cut off, too.
+func (t *Syncer) shouldProbe(now time.Time, s *subscription) bool {
+	place, age := t.Assignment(), t.contactAge(now)
 	switch place.Role {
 	case RoleReader:
-		return (s.lost || age > t.MaxAge) && now.Sub(t.probed) > time.Duration(1+place.Rank)*probeEvery
+		return (s.storeLost || age > t.MaxAge) && now.Sub(t.lastProbe) > time.Duration(1+place.Rank)*readerProbeInterval
 	case RoleRelay:
-		if place.Rank >= probing {
+		if place.Rank >= maxProbingRelays {
 			break
 		}
-		return age > t.MaxAge && now.Sub(t.probed) > relayProbe
+		return age > t.MaxAge && now.Sub(t.lastProbe) > relayProbeInterval
 	}
-	return age > t.MaxAge+lateProbe+t.late && now.Sub(t.probed) > lateProbe+t.late
+	return age > t.MaxAge+followerProbeDelay+t.probeJitter && now.Sub(t.lastProbe) > followerProbeDelay+t.probeJitter
 }
--- a/lib/feedlink/hops_test.go
+++ b/lib/feedlink/hops_test.go
@@ -11,16 +11,16 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-// Three relays stand between the one that reads the store and an instance. Its tables are no older than those of the reader but for some
-// milliseconds: with one more beat at each hop it would take the reader to have lost the store.
-func TestStoresWordIsAsNewAfterManyHops(t *testing.T) {
+// Three relays lie between the reader and an instance. Its tables must be only milliseconds older than the reader's: with one more page
+// interval per hop it would assume that the reader had lost the store.
+func TestContactAgeDoesNotGrowPerHop(t *testing.T) {
 	t.Parallel()
 	src := &table{}
 	src.set("one")
-	last := start(t, "r", src, self)
+	last := startMember(t, "r", src, ranksFirst)
 	for _, name := range []string{"a", "b", "c", "d"} {
 		above := last
-		last = start(t, name, src, second(above, above.node.Self().Instance))
+		last = startMember(t, name, src, ranksAfter(above, above.node.Self().Instance))
 		last.waitFor(t, "one")
 	}
 	time.Sleep(time.Second)
@@ -32,32 +32,32 @@
 	must.Less(t, 1100*time.Millisecond, oldest)
 }
 
-// An instance that starts waits for one that relays, and learns meanwhile that it is the one that should read the store itself: the other
-// waits for it. It reads at once; both would else know nothing for another second.
-func TestOneThatShouldReadWaitsForNobody(t *testing.T) {
+// A starting instance waits for a relay, and learns meanwhile that it should read the store itself while the relay waits for it. It must
+// read at once; otherwise both would have no tables for another second.
+func TestFirstReaderDoesNotWaitForRelay(t *testing.T) {
 	t.Parallel()
 	src := &table{}
 	src.set("one")
-	relay := idle(t, "relay", src, nil)
+	relay := newIdleMember(t, "relay", src, nil)
 	var ranked atomic.Bool
-	reader := idle(t, "reader", src, func() Assignment {
+	reader := newIdleMember(t, "reader", src, func() Assignment {
 		if ranked.Load() {
-			return self()
+			return ranksFirst()
 		}
 		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
 	})
-	relay.track.Assignment = second(reader, "reader")
+	relay.syncer.Assignment = ranksAfter(reader, "reader")
 	relay.run(t, func(string) {})
 	reader.run(t, func(string) {})
 	time.Sleep(50 * time.Millisecond)
 	ranked.Store(true)
-	must.Less(t, waitNew*7/10, reader.waitFor(t, "one"))
-	must.Less(t, waitNew, relay.waitFor(t, "one"))
+	must.Less(t, emptyUpstreamWait*7/10, reader.waitFor(t, "one"))
+	must.Less(t, emptyUpstreamWait, relay.waitFor(t, "one"))
 }
 
-// All instances of a large site start at once, and those that an instance follows start later than it. It waits for them, and does not read
-// all tables itself: it would be at it for seconds.
-func TestFollowerOfALargeSiteWaitsForThoseThatStartLater(t *testing.T) {
+// All instances of a large site start at once, and an instance's upstreams start later than itself. It waits for them instead of reading
+// all tables itself, which would take seconds.
+func TestFollowerOfLargeSiteWaitsForLaterUpstream(t *testing.T) {
 	t.Parallel()
 	src, unused := &table{}, &table{}
 	src.set("one")
@@ -65,13 +65,13 @@
 	must.NoError(t, err)
 	addr := ln.Addr().String()
 	must.NoError(t, ln.Close())
-	f := idle(t, "f", unused, func() Assignment {
+	f := newIdleMember(t, "f", unused, func() Assignment {
 		return Assignment{Role: RoleFollower, LargeSite: true, Readers: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
 	})
 	f.run(t, func(string) {})
-	time.Sleep(2 * patience)
-	late := newMember(t, "r", src, self)
-	Serve(late.node, late.track)
+	time.Sleep(2 * startDelay)
+	late := newMember(t, "r", src, ranksFirst)
+	Serve(late.node, late.syncer)
 	ln, err = net.Listen("tcp", addr)
 	must.NoError(t, err)
 	go func() { _ = late.node.Serve(ln) }()
--- a/lib/feedlink/pack.go
+++ b/lib/feedlink/pack.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// packMin is the size in bytes from which a value, or many rows together, are compressed: settings of a thousand routes
-	// shrink to a tenth, and an instance with a slow link passes them to twenty others.
-	packMin = 2 << 10
-	// unpackMax bounds, in bytes, what is unpacked: the rows of some tens of thousands of targets.
-	unpackMax = 16 << 20
+	// compressMinSize is the size in bytes from which a value, or several rows together, are compressed: settings of a thousand routes
+	// shrink to a tenth, and an instance with a slow link sends them to twenty others.
+	compressMinSize = 2 << 10
+	// maxUnpackedSize bounds the decompressed size in bytes: the rows of some tens of thousands of targets.
+	maxUnpackedSize = 16 << 20
 )
 
-// A table is packed once and sent to many over narrow links, so its size goes before the time that it takes.
+// A table is compressed once and sent to many instances over slow links, so the compressed size matters more than the time.
 var (
 	encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 		return zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 	})
 	decoder = sync.OnceValues(func() (*zstd.Decoder, error) {
-		return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(unpackMax))
+		return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedSize))
 	})
 )
 
@@ -48,32 +48,32 @@
 	return d.DecodeAll(b, nil)
 }
 
-// packer keeps the compressed form of the last large values and whole tables, since one is sent to many.
+// packer caches the compressed form of the latest large values and whole tables, since each is sent to many instances.
 type packer struct {
-	mu     sync.Mutex
-	last   map[string]packed // values by key
-	kept   map[string]packed // values that are kept, by key
-	tables map[string]packed // whole tables by name
-	pages  map[string]packed // the last changes of a table, by its name and the position before them
+	mu       sync.Mutex
+	values   map[string]packed // values by key
+	retained map[string]packed // retained values by key
+	tables   map[string]packed // whole tables by name
+	pages    map[string]packed // latest changes of a table, by its name and the position before them
 }
 
 type packed struct {
-	at    feed.Position
-	value []byte
+	position feed.Position
+	value    []byte
 }
 
 func newPacker() *packer {
 	return &packer{
-		last: make(map[string]packed), kept: make(map[string]packed),
+		values: make(map[string]packed), retained: make(map[string]packed),
 		tables: make(map[string]packed), pages: make(map[string]packed),
 	}
 }
 
-// once returns the compressed form of a position that was packed before, or packs it.
-func (p *packer) once(of map[string]packed, key string, at feed.Position, plain func() ([]byte, error)) ([]byte, error) {
+// packCached returns the cached compressed form if it is of the given position, or compresses what plain returns and caches it.
+func (p *packer) packCached(cache map[string]packed, key string, position feed.Position, plain func() ([]byte, error)) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if old, ok := of[key]; ok && old.at == at {
+	if old, ok := cache[key]; ok && old.position == position {
 		return old.value, nil
 	}
 	b, err := plain()
@@ -82,64 +82,64 @@
 	}
 	b, err = pack(b)
 	if err == nil {
-		of[key] = packed{at: at, value: b}
+		cache[key] = packed{position: position, value: b}
 	}
 	return b, err
 }
 
-// message is a page of a table as it is sent. What can't be packed goes as it is.
-func (p *packer) message(table string, after feed.Position, page feed.Page, whole bool, contact time.Time) *meshpb.FeedTable {
-	m := &meshpb.FeedTable{
+// tableMessage returns the message for a page of a table. Rows that can't be compressed are sent as they are.
+func (p *packer) tableMessage(table string, after feed.Position, page feed.Page, whole bool, contact time.Time) *meshpb.FeedTable {
+	msg := &meshpb.FeedTable{
 		Table: table, Version: page.Version, Era: page.Era, Whole: whole, ContactAgeMs: uint32(time.Since(contact).Milliseconds()),
 		Part: page.Partial,
 	}
-	if len(page.Rows) > 1 && sizeOf(page.Rows) >= packMin {
-		if b, err := p.rows(table, after, page, whole); err == nil {
-			m.Packed = b
-			return m
+	if len(page.Rows) > 1 && rowsSize(page.Rows) >= compressMinSize {
+		if b, err := p.packRows(table, after, page, whole); err == nil {
+			msg.Packed = b
+			return msg
 		}
 	}
 	for _, r := range page.Rows {
-		m.Rows = append(m.Rows, p.row(p.last, page.Era, r))
+		msg.Rows = append(msg.Rows, p.rowMessage(p.values, page.Era, r))
 	}
-	return m
+	return msg
 }
 
-// row is a row as it is sent, its value compressed where that is large.
-func (p *packer) row(of map[string]packed, era int64, r feed.Row) *meshpb.FeedRow {
-	row := rowOf(r)
-	if len(r.Value) < packMin {
+// rowMessage returns the message for a row, with its value compressed if it is large.
+func (p *packer) rowMessage(cache map[string]packed, era int64, r feed.Row) *meshpb.FeedRow {
+	row := rowToProto(r)
+	if len(r.Value) < compressMinSize {
 		return row
 	}
-	at := feed.Position{Era: era, Version: r.Version}
-	if b, err := p.once(of, r.Key, at, func() ([]byte, error) { return r.Value, nil }); err == nil {
+	position := feed.Position{Era: era, Version: r.Version}
+	if b, err := p.packCached(cache, r.Key, position, func() ([]byte, error) { return r.Value, nil }); err == nil {
 		row.Value, row.Packed = b, true
 	}
 	return row
 }
 
-// keptRows are the rows that a replica shows in place of the store's.
-func (p *packer) keptRows(era int64, kept []feed.RetainedRow) []*meshpb.FeedKept {
+// retainedMessages returns the messages for the rows that a replica shows in place of the store's.
+func (p *packer) retainedMessages(era int64, retained []feed.RetainedRow) []*meshpb.FeedKept {
 	var out []*meshpb.FeedKept
-	for _, k := range kept {
-		out = append(out, &meshpb.FeedKept{Row: p.row(p.kept, era, k.Row), LeftMs: uint32(k.Remaining.Milliseconds())})
+	for _, k := range retained {
+		out = append(out, &meshpb.FeedKept{Row: p.rowMessage(p.retained, era, k.Row), LeftMs: uint32(k.Remaining.Milliseconds())})
 	}
 	return out
 }
 
-// rows packs many rows together: the lists of hundreds of targets and instances shrink to a tenth, and all that start at once
-// have them from a few. Whole tables are packed once for all that ask for the same version, and changes once for all that have the
-// same position before them: a relay passes each change on to a hundred others in one moment.
-func (p *packer) rows(table string, after feed.Position, page feed.Page, whole bool) ([]byte, error) {
+// packRows compresses several rows together: the lists of hundreds of targets and instances shrink to a tenth, and when all instances
+// start at once they get them from a few. Whole tables are compressed once for all requests of a version, and changes once for all
+// downstream instances at the same position: a relay forwards each change to a hundred others at the same moment.
+func (p *packer) packRows(table string, after feed.Position, page feed.Page, whole bool) ([]byte, error) {
 	plain := func() ([]byte, error) {
 		var rows meshpb.FeedRows
 		for _, r := range page.Rows {
-			rows.Rows = append(rows.Rows, rowOf(r))
+			rows.Rows = append(rows.Rows, rowToProto(r))
 		}
 		return proto.Marshal(&rows)
 	}
 	if page.Partial {
-		// Few need the same.
+		// Few instances need the same subset, so it is not cached.
 		b, err := plain()
 		if err != nil {
 			return nil, err
@@ -147,28 +147,28 @@
 		return pack(b)
 	}
 	if whole {
-		return p.once(p.tables, table, page.Position(), plain)
+		return p.packCached(p.tables, table, page.Position(), plain)
 	}
-	return p.changes(table, after, page.Position(), plain)
+	return p.packChanges(table, after, page.Position(), plain)
 }
 
-// changes packs the changes of a table after a position, or returns them as they were packed before. Older ones of the table are
-// forgotten: hardly anybody is still to be sent them.
-func (p *packer) changes(table string, after, at feed.Position, plain func() ([]byte, error)) ([]byte, error) {
+// packChanges compresses the changes of a table after a position, or returns the cached form. Older entries of the table are dropped:
+// hardly any instance still needs them.
+func (p *packer) packChanges(table string, after, position feed.Position, plain func() ([]byte, error)) ([]byte, error) {
 	key := fmt.Sprint(table, " ", after)
 	p.mu.Lock()
 	if _, known := p.pages[key]; !known {
 		maps.DeleteFunc(p.pages, func(old string, _ packed) bool { return strings.HasPrefix(old, table+" ") })
 	}
 	p.mu.Unlock()
-	return p.once(p.pages, key, at, plain)
+	return p.packCached(p.pages, key, position, plain)
 }
 
-func rowOf(r feed.Row) *meshpb.FeedRow {
+func rowToProto(r feed.Row) *meshpb.FeedRow {
 	return &meshpb.FeedRow{Key: r.Key, Value: r.Value, Version: r.Version, Removed: r.Removed}
 }
 
-func sizeOf(rows []feed.Row) int {
+func rowsSize(rows []feed.Row) int {
 	n := 0
 	for _, r := range rows {
 		n += len(r.Key) + len(r.Value)
--- a/lib/feedlink/pack_test.go
+++ b/lib/feedlink/pack_test.go
@@ -19,12 +19,12 @@
 	return out
 }
 
-// A change of many rows goes to all that follow a relay in one moment. It is packed once; who has another version before it gets what
-// that one lacks, and a later change is not answered by an earlier one's bytes.
-func TestChangesArePackedOnceForAll(t *testing.T) {
+// A change of many rows goes to all followers of a relay at the same moment. It is compressed once; an instance at another position gets
+// what it lacks, and a later change is not answered from the cache.
+func TestChangesArePackedOncePerPosition(t *testing.T) {
 	p := newPacker()
 	pack := func(after, version int64, rows []feed.Row) []byte {
-		m := p.message("t", feed.Position{Version: after}, feed.Page{Rows: rows, Version: version}, false, time.Now())
+		m := p.tableMessage("t", feed.Position{Version: after}, feed.Page{Rows: rows, Version: version}, false, time.Now())
 		must.NotNil(t, m.Packed)
 		return m.Packed
 	}
--- a/lib/feedlink/crossing_test.go
+++ b/lib/feedlink/probe_test.go
@@ -12,22 +12,22 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-// staged is a member that does not run: the test says what its pages tell.
-func staged(t *testing.T, name string, lost bool, path ...string) *member {
+// newStagedMember is a member that does not run; the test sets what its pages report.
+func newStagedMember(t *testing.T, name string, lost bool, path ...string) *member {
 	t.Helper()
-	m := idle(t, name, &table{}, self)
-	m.track.lost.Store(lost)
-	m.track.comesBy(path)
+	m := newIdleMember(t, name, &table{}, ranksFirst)
+	m.syncer.storeLost.Store(lost)
+	m.syncer.setUpstreamPath(path)
 	m.confirm()
 	return m
 }
 
-// confirm makes the member's word of the store fresh.
+// confirm sets the member's last contact with the store to now.
 func (m *member) confirm() {
 	m.replica.Merge(feed.Page{Version: 1, Rows: []feed.Row{{Key: "k", Value: []byte("one"), Version: 1}}}, true, time.Now())
 }
 
-// keepFresh confirms the member's word until the test ends.
+// keepFresh keeps confirming the member's tables until the test ends.
 func (m *member) keepFresh(t *testing.T) {
 	t.Helper()
 	done := make(chan struct{})
@@ -44,17 +44,17 @@
 	}()
 }
 
-// The reader has lost the store. One that has the tables through it has not been told so yet, and looks sound. The next in rank
-// must not go there: it would hear nothing newer, and stop looking for the store while it seems to be followed well.
-func TestNoHelpFromThoseBehindTheLostReader(t *testing.T) {
+// The reader has lost the store, and an instance that takes the tables through it does not report that yet. The next in rank must not
+// follow that instance: it would get nothing newer, and would stop probing the store while its upstream looks healthy.
+func TestInstanceBehindLostReaderIsNotFollowed(t *testing.T) {
 	t.Parallel()
-	reader := staged(t, "reader", true)
-	behind := staged(t, "behind", false, "reader")
+	reader := newStagedMember(t, "reader", true)
+	behind := newStagedMember(t, "behind", false, "reader")
 	behind.keepFresh(t)
 	src := &table{}
 	src.set("one")
 	src.set("two")
-	next := idle(t, "next", src, func() Assignment {
+	next := newIdleMember(t, "next", src, func() Assignment {
 		return Assignment{
 			Role: RoleReader, Rank: 1,
 			Readers:      []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}},
@@ -71,18 +71,18 @@
 	must.False(t, misled.Load())
 }
 
-// News of a lost store spreads: each instance that the next in rank turns to looks sound at first, and says a moment later that it
-// has lost the store, too, so it goes back to the first. The wait for its own look at the store goes on through all of these
-// changes of reader; begun anew with each it would last for as long as there are others to turn to.
-func TestWaitForOwnLookOutlivesReaders(t *testing.T) {
+// While the loss of the store spreads, each upstream that the next in rank switches to looks healthy at first and reports the loss a
+// moment later, so it goes back to the reader. The wait for its own probe must continue through these switches; restarted with
+// each, it would last as long as there are other upstreams.
+func TestProbeDelaySurvivesUpstreamChanges(t *testing.T) {
 	t.Parallel()
-	reader := staged(t, "reader", true)
+	reader := newStagedMember(t, "reader", true)
 	reader.keepFresh(t)
 	var others []mesh.Peer
 	followed := make(map[string]*member)
 	for i := range 6 {
 		name := fmt.Sprint("other", i)
-		m := staged(t, name, false)
+		m := newStagedMember(t, name, false)
 		m.keepFresh(t)
 		followed[name] = m
 		others = append(others, mesh.Peer{Instance: name, Addr: m.addr})
@@ -91,12 +91,12 @@
 	src.set("one")
 	src.set("two")
 	place := Assignment{Role: RoleReader, Rank: 1, Readers: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, RemoteRelays: others}
-	next := idle(t, "next", src, func() Assignment { return place })
+	next := newIdleMember(t, "next", src, func() Assignment { return place })
 	var changes atomic.Int32
 	next.run(t, func(instance string) {
 		changes.Add(1)
 		if m := followed[instance]; m != nil {
-			time.AfterFunc(50*time.Millisecond, func() { m.track.lost.Store(true) })
+			time.AfterFunc(50*time.Millisecond, func() { m.syncer.storeLost.Store(true) })
 		}
 	})
 	must.Less(t, 2*time.Second, next.waitFor(t, "two"))
--- a/lib/feedlink/search.go
+++ b/lib/feedlink/search.go
@@ -8,60 +8,60 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-// opened is how opening a subscription ended.
-type opened struct {
-	reader mesh.Peer
-	s      *subscription
-	err    error
+// openResult is the result of opening a subscription.
+type openResult struct {
+	upstream mesh.Peer
+	sub      *subscription
+	err      error
 }
 
-// search looks for one that has the store's word among all that read or relay, in other failure domains, too, and
-// subscribes to it. lost is the one that has lost the store; who has the tables through it knows nothing newer, although its last
-// page may not say so yet. Those that only follow leave it to the one that relays to them.
+// search queries all readers and relays, those of other failure domains too, for one that is in contact with the store, and
+// subscribes to it. lost is the peer that has lost the store; an instance that has the tables through it knows nothing newer, even
+// if its last page does not say so yet. Followers don't search: their relay does.
 //
-// Failure: the instances that read for all died with half of the others while the store turned away those that relay in two
-// failure domains. These asked one dead reader after the other, then the store, and their domains served by settings that
-// were 3.7 s old, although those that relay in a third domain had new ones. All are asked at once, since time-outs of dead
-// ones add up to more than the two seconds in which a change is to be in force.
+// The case behind it: the reader candidates died together with half of the other instances, while the store rejected the relays of
+// two failure domains. These tried one dead reader after the other, then the store, and their domains served by settings that were
+// 3.7 s old, although the relays of a third domain had new ones. All peers are queried at once, since the time-outs of dead ones
+// add up to more than the two seconds within which a change must take effect.
 func (t *Syncer) search(ctx context.Context, lost mesh.Peer) bool {
-	place := t.Assignment()
-	if place.Role == RoleFollower {
+	assignment := t.Assignment()
+	if assignment.Role == RoleFollower {
 		return false
 	}
 	now := time.Now()
-	found := make(chan opened)
-	asked := 0
-	for _, p := range slices.Concat(place.Readers, place.RemoteRelays) {
-		if p.Addr == "" || p.Addr == lost.Addr || now.Before(t.avoid[p.Addr].until) {
+	results := make(chan openResult)
+	pending := 0
+	for _, p := range slices.Concat(assignment.Readers, assignment.RemoteRelays) {
+		if p.Addr == "" || p.Addr == lost.Addr || now.Before(t.avoidances[p.Addr].until) {
 			continue
 		}
-		asked++
+		pending++
 		go func() {
-			s, err := t.open(ctx, p)
-			found <- opened{reader: p, s: s, err: err}
+			s, err := t.subscribe(ctx, p)
+			results <- openResult{upstream: p, sub: s, err: err}
 		}()
 	}
-	for ; asked > 0; asked-- {
-		o := <-found
+	for ; pending > 0; pending-- {
+		o := <-results
 		switch {
 		case o.err != nil:
-			t.doubt(ctx, o.reader, o.err)
-		case o.s.behind() || o.s.circular() || slices.Contains(o.s.path, lost.Instance):
-			o.s.close()
+			t.avoidUpstream(ctx, o.upstream, o.err)
+		case o.sub.isStale() || o.sub.isCycle() || slices.Contains(o.sub.path, lost.Instance):
+			o.sub.close()
 		default:
-			t.better = o.s
-			go closeRest(found, asked-1)
+			t.next = o.sub
+			go closeRemaining(results, pending-1)
 			return true
 		}
 	}
 	return false
 }
 
-// closeRest closes what is opened later than the one that is used.
-func closeRest(found <-chan opened, left int) {
-	for range left {
-		if o := <-found; o.err == nil {
-			o.s.close()
+// closeRemaining closes the subscriptions that are opened after one was chosen.
+func closeRemaining(results <-chan openResult, remaining int) {
+	for range remaining {
+		if o := <-results; o.err == nil {
+			o.sub.close()
 		}
 	}
 }
--- a/lib/feedlink/search_test.go
+++ b/lib/feedlink/search_test.go
@@ -12,29 +12,31 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// The store turns away all three that rank to read, and serves the two that relay in a failure domain and those that follow
-// them. Each that relays was told by its own look that the store is there, and went on to another of the three, which is as
-// cut off: nobody read, and settings were four seconds old. One that the store answers reads; the others find it.
-func TestAllThatRankToReadAreRejected(t *testing.T) {
+// The store rejects all three reader candidates, and serves the two relays of a failure domain and their followers. A relay whose probe
+// succeeded used to switch to another of the three, which was cut off as well: nobody read, and settings were four seconds old. Now an
+// instance whose probe succeeds reads; the others find it.
+func TestAllReaderCandidatesAreRejected(t *testing.T) {
 	t.Parallel()
 	const relays, all = 5, 9
-	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Assignment {
+	members, tables := startGroupWith(t, all, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
-		case self < mayRead:
+		case self < readerCandidates:
 			return Assignment{Rank: self, Readers: list[:relays]}
-		case self == mayRead:
-			return Assignment{Role: RoleRelay, Readers: append(slices.Clone(list[:mayRead]), list[mayRead:relays]...)}
+		case self == readerCandidates:
+			return Assignment{Role: RoleRelay, Readers: append(slices.Clone(list[:readerCandidates]), list[readerCandidates:relays]...)}
 		case self < relays:
-			return Assignment{Role: RoleRelay, Rank: 1, Readers: append([]mesh.Peer{list[mayRead]}, append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
+			return Assignment{Role: RoleRelay, Rank: 1,
+				Readers: append([]mesh.Peer{list[readerCandidates]}, append(slices.Clone(list[:readerCandidates]), mesh.Peer{})...)}
 		}
-		return Assignment{Role: RoleFollower, Readers: append(slices.Clone(list[mayRead:relays]), append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
+		return Assignment{Role: RoleFollower,
+			Readers: append(slices.Clone(list[readerCandidates:relays]), append(slices.Clone(list[:readerCandidates]), mesh.Peer{})...)}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
 	}
 	for i, s := range tables {
 		s.mu.Lock()
-		s.away = i < mayRead
+		s.unavailable = i < readerCandidates
 		s.mu.Unlock()
 		s.set("two")
 	}
@@ -52,14 +54,14 @@
 	}
 }
 
-// The instances that rank to read are gone, and the store turns away those that relay in one failure domain, while it serves those
-// in another. The former had nobody left to ask, and their domain went on by old settings until those that only follow looked
-// for the store themselves, four seconds and more later. They ask the ones that relay elsewhere, all at once.
-func TestWordIsFoundInAnotherDomain(t *testing.T) {
+// The reader candidates are dead, and the store rejects the relays of one failure domain while it serves those of another. The former had
+// nobody left to query, and their domain used old settings until its followers probed the store, four seconds and more later. They must
+// query the relays of other domains, all at once.
+func TestUpstreamIsFoundInAnotherDomain(t *testing.T) {
 	t.Parallel()
 	const relayHere, relayThere, here, there, all = 3, 4, 5, 6, 7
-	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Assignment {
-		readers := slices.Clone(list[:mayRead])
+	members, tables := startGroupWith(t, all, 0, func(self int, list []mesh.Peer) Assignment {
+		readers := slices.Clone(list[:readerCandidates])
 		switch self {
 		case relayHere:
 			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayThere : relayThere+1]}
@@ -77,9 +79,9 @@
 	}
 	for i, s := range tables {
 		s.mu.Lock()
-		s.away = i != relayThere
+		s.unavailable = i != relayThere
 		s.mu.Unlock()
-		if i < mayRead {
+		if i < readerCandidates {
 			members[i].node.Close()
 			continue
 		}
@@ -91,12 +93,12 @@
 	must.Eq(t, 0, tables[here].calls.Load())
 }
 
-// An instance comes that ranks before the one that reads, and for half a second still has its tables from that one, which looks
-// at once, finds a circle and left the newcomer alone for five seconds: meanwhile both read the store. It looks again soon.
-func TestReaderGivesWaySoonToOneThatFollowedIt(t *testing.T) {
+// A new instance ranks before the current reader, and still takes the tables from it for half a second. The reader checks at once, finds
+// a cycle, and used to avoid the new instance for five seconds, while both read the store. It must check again soon.
+func TestReaderYieldsSoonToFormerFollower(t *testing.T) {
 	t.Parallel()
 	var listed, reads atomic.Bool
-	members, tables := groupOf(t, 2, 0, func(self int, list []mesh.Peer) Assignment {
+	members, tables := startGroupWith(t, 2, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
 		case self == 0 && !reads.Load():
 			return Assignment{Role: RoleFollower, Readers: []mesh.Peer{list[1], {}}}
@@ -109,7 +111,7 @@
 		m.waitFor(t, "one")
 	}
 	listed.Store(true)
-	time.Sleep(2 * reconsider)
+	time.Sleep(2 * reconsiderInterval)
 	reads.Store(true)
 	time.Sleep(2 * time.Second)
 	before := tables[1].calls.Load()
@@ -118,21 +120,21 @@
 	must.Positive(t, tables[0].calls.Load())
 }
 
-// Three instances that rank to read had each given up the reader before them, and went on to each other: a followed c, c
-// followed b, and b was about to follow a. Each page was fresh when it was sent on, and nobody read the store. One whose pages
-// come through this instance is not followed, however high it ranks; nor is one whose word of the store is older.
-func TestNobodyFollowsInACircle(t *testing.T) {
+// Three reader candidates had each given up the reader before them and switched to one another: a followed c, c followed b, and b was
+// about to follow a. Each page was fresh when it was sent, and nobody read the store. An upstream whose pages come through this instance
+// is not followed, however high it ranks; nor is one whose last contact with the store is older.
+func TestCyclesAreRejected(t *testing.T) {
 	t.Parallel()
-	a := start(t, "a", &table{}, self)
+	a := startMember(t, "a", &table{}, ranksFirst)
 	tr := New(Config{Self: "b", MaxAge: time.Second, Node: a.node})
 	sub := func(age time.Duration, path ...string) *subscription {
 		stream, err := a.node.Open(t.Context(), mesh.Peer{Instance: "a", Addr: a.addr}, meshpb.StreamKind_STREAM_FEED)
 		must.NoError(t, err)
-		return &subscription{t: tr, stream: stream, stop: func() bool { return true }, age: age, path: path}
+		return &subscription{syncer: tr, stream: stream, stop: func() bool { return true }, contactAge: age, path: path}
 	}
-	must.ErrorIs(t, tr.worse(sub(0, "a", "c", "b")), errCycle)
-	must.ErrorIs(t, tr.worse(sub(2*time.Second, "a", "x")), errTooOld)
-	must.NoError(t, tr.worse(sub(0, "a", "x")))
-	tr.comesBy([]string{"a", "x"})
-	must.Eq(t, []string{"b", "a", "x"}, tr.pathNow())
+	must.ErrorIs(t, tr.rejectReason(sub(0, "a", "c", "b")), errCycle)
+	must.ErrorIs(t, tr.rejectReason(sub(2*time.Second, "a", "x")), errUpstreamStale)
+	must.NoError(t, tr.rejectReason(sub(0, "a", "x")))
+	tr.setUpstreamPath([]string{"a", "x"})
+	must.Eq(t, []string{"b", "a", "x"}, tr.upstreamPath())
 }
--- a/lib/feedlink/serve.go
+++ b/lib/feedlink/serve.go
@@ -15,74 +15,76 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// server passes tables on to those who ask.
+// server serves the tables to downstream instances.
 type server struct {
-	track     *Syncer
+	syncer    *Syncer
 	tables    map[string]Table
-	packs     *packer
-	making    chan struct{} // pages that are made now, from whole tables most likely
-	followers atomic.Int32  // subscriptions that are open
+	packer    *packer
+	pageSlots chan struct{} // semaphore of pages being built
+	followers atomic.Int32  // open subscriptions
 }
 
 const (
-	// passTime is what one more follower adds to the least time between two pages with news.
-	passTime = time.Millisecond
-	// passMax bounds that time: changes are to be in force within two seconds, and take two hops.
-	passMax = 250 * time.Millisecond
+	// gapPerFollower is how much each follower adds to the least time between two pages with changes.
+	gapPerFollower = time.Millisecond
+	// maxPageGap bounds that time: changes must take effect within two seconds, and take two hops.
+	maxPageGap = 250 * time.Millisecond
 )
 
-// pagesAtOnce bounds the pages that are made at once. Hundreds that start ask for their parts of a large table in one moment, and all
-// that is made for them would be held together.
-const pagesAtOnce = 4
+// maxConcurrentPages bounds the pages that are built concurrently. When hundreds of instances start, all request their subsets of a large
+// table at the same moment, and all the pages would be held in memory together.
+const maxConcurrentPages = 4
 
-func (s *server) pageInTurn(tables []*passed) *meshpb.FeedPage {
-	s.making <- struct{}{}
-	defer func() { <-s.making }()
-	return s.page(tables)
+func (s *server) buildPageLimited(tables []*tableCursor) *meshpb.FeedPage {
+	s.pageSlots <- struct{}{}
+	defer func() { <-s.pageSlots }()
+	return s.buildPage(tables)
 }
 
-// gap is the least time between two pages with news to one follower.
+// pageGap returns the least time between two pages with changes to one follower.
 //
-// Load pattern: thousands of targets write their entries one after the other when a site starts. Each would be passed on by itself to a
-// hundred followers, as it is and unpacked; gathered for as long as passing one on to all takes, they shrink to a tenth.
-func (s *server) gap() time.Duration { return min(time.Duration(s.followers.Load())*passTime, passMax) }
+// When a site starts, thousands of targets write their entries one after the other. Forwarded singly, each would go to a hundred
+// followers uncompressed; batched for as long as forwarding one to all followers takes, they shrink to a tenth.
+func (s *server) pageGap() time.Duration {
+	return min(time.Duration(s.followers.Load())*gapPerFollower, maxPageGap)
+}
 
-// Serve passes the tables of a Track on.
+// Serve serves the tables of a Syncer to other instances.
 func Serve(node *mesh.Node, t *Syncer) {
-	s := &server{track: t, tables: make(map[string]Table), packs: newPacker(), making: make(chan struct{}, pagesAtOnce)}
+	s := &server{syncer: t, tables: make(map[string]Table), packer: newPacker(), pageSlots: make(chan struct{}, maxConcurrentPages)}
 	for _, table := range t.Tables {
 		s.tables[table.Name] = table
 	}
 	node.Handle(meshpb.StreamKind_STREAM_FEED, func(ctx context.Context, stream *mesh.Stream) {
-		var ask meshpb.FeedAsk
-		if err := stream.Read(&ask); err != nil {
+		var request meshpb.FeedAsk
+		if err := stream.Read(&request); err != nil {
 			return
 		}
-		if len(ask.Tables) == 0 {
-			s.refer(stream, ask.Domain)
+		if len(request.Tables) == 0 {
+			s.sendReferral(stream, request.Domain)
 			return
 		}
-		go s.track.hearBelow(stream)
-		s.pass(ctx, stream, &ask)
+		go s.syncer.receiveFromDownstream(stream)
+		s.servePages(ctx, stream, &request)
 	})
 }
 
-// refer tells one that knows nobody whom it should have the tables from.
-func (s *server) refer(stream *mesh.Stream, domain string) {
-	s.track.awaitList(referWait)
-	page := &meshpb.FeedPage{Lost: s.track.StoreLost()}
-	if s.track.Ranks != nil {
-		page.Ranks = s.track.Ranks(domain)
+// sendReferral tells an instance that knows no peers which instances it should take the tables from.
+func (s *server) sendReferral(stream *mesh.Stream, domain string) {
+	s.syncer.awaitInstanceList(referralWait)
+	page := &meshpb.FeedPage{Lost: s.syncer.StoreLost()}
+	if s.syncer.Ranks != nil {
+		page.Ranks = s.syncer.Ranks(domain)
 	}
-	_ = stream.Write(page) // whoever has gone asks again elsewhere
+	_ = stream.Write(page) // on failure the instance asks another peer
 }
 
-// referWait bounds the wait for the list of instances on behalf of one that knows nobody.
-const referWait = openFirst - 50*time.Millisecond
+// referralWait bounds the wait for the instance list before a referral is sent.
+const referralWait = initialSubscribeTimeout - 50*time.Millisecond
 
-// awaitList waits until the list of instances is known.
-func (t *Syncer) awaitList(most time.Duration) {
-	end := time.NewTimer(most)
+// awaitInstanceList waits until the list of instances is known, at most for the given time.
+func (t *Syncer) awaitInstanceList(limit time.Duration) {
+	end := time.NewTimer(limit)
 	defer end.Stop()
 	for _, table := range t.Tables {
 		if table.Critical {
@@ -100,67 +102,69 @@
 	}
 }
 
-// passed is how far a subscriber has a table.
-type passed struct {
-	name    string
-	replica *feed.Replica
-	after   feed.Position
-	kept    bool // it was told what is kept in the era of after
+// tableCursor tracks what a subscriber has received of a table.
+type tableCursor struct {
+	name         string
+	replica      *feed.Replica
+	after        feed.Position
+	retainedSent bool // the retained rows were sent in the era of after
 
-	urgent           bool
-	part             bool // it asks for no more than it needs
-	parts            Partitioner
+	critical         bool
+	subsetRequested  bool // it requested only the rows that it needs
+	partitioner      Partitioner
 	instance, domain string
-	needed           string // name of what it was told
-	told             string // digest
+	sentSubset       string // ID of the subset that was sent
+	sentDigest       string // digest that was sent
 }
 
-// pass sends pages until the stream breaks, which ends the subscription at its other end, too.
-func (s *server) pass(ctx context.Context, stream *mesh.Stream, ask *meshpb.FeedAsk) {
-	var tables []*passed
-	for _, a := range ask.Tables {
+// servePages sends pages until the stream breaks, which ends the subscription at the subscriber, too.
+func (s *server) servePages(ctx context.Context, stream *mesh.Stream, request *meshpb.FeedAsk) {
+	var tables []*tableCursor
+	for _, a := range request.Tables {
 		if table, ok := s.tables[a.Table]; ok {
-			tables = append(tables, &passed{
-				name: a.Table, replica: table.Replica, after: feed.PositionOf(a.Era, a.After), urgent: table.Critical,
-				part: a.Part && table.Partitioner != nil, parts: table.Partitioner, instance: stream.Peer().Instance, domain: ask.Domain,
+			tables = append(tables, &tableCursor{
+				name: a.Table, replica: table.Replica, after: feed.PositionOf(a.Era, a.After), critical: table.Critical,
+				subsetRequested: a.Part && table.Partitioner != nil, partitioner: table.Partitioner,
+				instance: stream.Peer().Instance, domain: request.Domain,
 			})
 		}
 	}
-	news := s.track.news.reader(stream.Peer().Instance)
+	broadcasts := s.syncer.broadcasts.newReader(stream.Peer().Instance)
 	s.followers.Add(1)
 	defer s.followers.Add(-1)
-	t := time.NewTimer(beat)
+	t := time.NewTimer(pageInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
-		changed := append(anyChanged(tables), s.track.news.changed())
-		page := s.pageInTurn(tables)
-		page.News = news.next(time.Now())
+		changed := append(changeChannels(tables), s.syncer.broadcasts.changed())
+		page := s.buildPageLimited(tables)
+		page.News = broadcasts.nextBatch(time.Now())
 		if err := stream.Write(page); err != nil {
 			return
 		}
 		sent := time.Now()
-		t.Reset(beat)
-		wait(ctx, t.C, changed)
-		sleep(ctx, s.gap()-time.Since(sent))
+		t.Reset(pageInterval)
+		waitAny(ctx, t.C, changed)
+		sleep(ctx, s.pageGap()-time.Since(sent))
 	}
 }
 
-// anyChanged returns the channels that are closed at the tables' next changes, and when the store confirms one that is urgent.
+// changeChannels returns the channels that are closed at the tables' next changes, and when the store confirms a critical table.
 //
-// Failure: the store's word was passed on with the next beat, at each of three hops from the reader of a large site. At the last it was
-// so old by then that instances took the reader to have lost the store, asked it themselves, and asked their engines whether they left.
-func anyChanged(tables []*passed) []<-chan struct{} {
+// Confirmations are forwarded at once: when they waited for the next periodic page, the delays of three hops on a large site added up
+// to a contact so old that instances assumed the reader had lost the store, read the store themselves, and asked their engines
+// whether they were leaving.
+func changeChannels(tables []*tableCursor) []<-chan struct{} {
 	var out []<-chan struct{}
 	for _, t := range tables {
 		out = append(out, t.replica.Changed())
-		if t.urgent {
+		if t.critical {
 			out = append(out, t.replica.Confirmed())
 		}
 	}
 	return out
 }
 
-func wait(ctx context.Context, tick <-chan time.Time, changed []<-chan struct{}) {
+func waitAny(ctx context.Context, tick <-chan time.Time, changed []<-chan struct{}) {
 	cases := []reflect.SelectCase{
 		{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(ctx.Done())}, {Dir: reflect.SelectRecv, Chan: reflect.ValueOf(tick)},
 	}
@@ -170,19 +174,19 @@
 	reflect.Select(cases)
 }
 
-// page is what has changed since the last, with the age of the store's word of each table.
-func (s *server) page(tables []*passed) *meshpb.FeedPage {
-	out := &meshpb.FeedPage{Lost: s.track.StoreLost(), Path: s.track.pathNow()}
+// buildPage returns the changes since the last page, with the age of the last contact with the store for each table.
+func (s *server) buildPage(tables []*tableCursor) *meshpb.FeedPage {
+	out := &meshpb.FeedPage{Lost: s.syncer.StoreLost(), Path: s.syncer.upstreamPath()}
 	for _, t := range tables {
 		after := t.after
-		page, whole, known, contact := t.next()
-		if !known || t.hasPart() {
-			page = feed.Page{Era: page.Era} // it can't tell what it does not hold
+		page, whole, known, contact := t.nextPage()
+		if !known || t.isPartial() {
+			page = feed.Page{Era: page.Era} // it can't serve rows that it does not hold
 		}
-		m := s.packs.message(t.name, after, page, whole, contact)
-		m.Digest = t.digest()
-		if !t.kept || t.after.Era != page.Era {
-			m.Kept, t.kept = s.packs.keptRows(page.Era, t.replica.Retained(time.Now())), true
+		m := s.packer.tableMessage(t.name, after, page, whole, contact)
+		m.Digest = t.nextDigest()
+		if !t.retainedSent || t.after.Era != page.Era {
+			m.Kept, t.retainedSent = s.packer.retainedMessages(page.Era, t.replica.Retained(time.Now())), true
 		}
 		metrics.GetOrCreateCounter(fmt.Sprintf(`anvilwick_feed_bytes_total{table=%q}`, t.name)).Add(proto.Size(m))
 		out.Tables = append(out.Tables, m)
--- a/lib/feedlink/start.go
+++ b/lib/feedlink/start.go
@@ -8,58 +8,58 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// Times of an instance that knows nothing yet.
+// Delays of an instance that has no tables yet.
 const (
-	// patience is how long an instance that has just started leaves the store to those that rank to read it. When all
-	// start in one moment each would else read all tables, ten calls an instance.
-	patience = 500 * time.Millisecond
-	// waitNew is how long one waits for a reader that has read nothing before it asks another.
-	waitNew = time.Second
-	// longPatience is for how long it does so while one of those lives and has read nothing either: the store is away, and
-	// hundreds that ask it, too, would be hundreds of calls a second in vain.
-	longPatience = 6 * time.Second
-	// largePatience is patience on a large site, where several relay in each failure domain, and all tables are much to read for one that
-	// needs few of their rows.
-	largePatience = 2 * time.Second
-	// aliveFor is how long one that was heard is taken to live.
-	aliveFor = 2 * time.Second
-	// looks is the pause between two looks at the readers while they know nothing.
-	looks = 50 * time.Millisecond
+	// startDelay is how long an instance that has just started leaves reading the store to the reader candidates. When all instances
+	// start at the same moment, each would otherwise read all tables, with ten calls per instance.
+	startDelay = 500 * time.Millisecond
+	// emptyUpstreamWait is how long an instance waits for an upstream that has read nothing before it tries another.
+	emptyUpstreamWait = time.Second
+	// maxStartDelay replaces startDelay while one of the candidates is alive and has read nothing either: the store is unreachable, and
+	// hundreds of instances calling it, too, would make hundreds of useless calls a second.
+	maxStartDelay = 6 * time.Second
+	// largeSiteStartDelay replaces startDelay on a large site, where several instances relay in each failure domain, and reading all tables
+	// is expensive for an instance that needs few of their rows.
+	largeSiteStartDelay = 2 * time.Second
+	// aliveWindow is how long a peer counts as alive after it was last seen.
+	aliveWindow = 2 * time.Second
+	// startPollInterval is the interval at which upstreams are polled while they have no tables.
+	startPollInterval = 50 * time.Millisecond
 )
 
-// learn takes the list of instances from one that this instance was told of. While the store is away it takes all tables
-// there: those that rank to read may know nothing either.
-func (t *Syncer) learn(ctx context.Context, reader mesh.Peer) {
-	ranks, err := t.ranksOf(ctx, reader)
+// bootstrap gets the list of instances from a seed, an instance that this one was configured with. While the store is unreachable it
+// takes all tables from the seed: the reader candidates may have nothing either.
+func (t *Syncer) bootstrap(ctx context.Context, seed mesh.Peer) {
+	ranks, err := t.requestRanks(ctx, seed)
 	if err != nil {
-		t.doubt(ctx, reader, err)
+		t.avoidUpstream(ctx, seed, err)
 		return
 	}
 	if len(ranks) > 0 && t.ApplyRanks != nil && t.ApplyRanks(ranks) {
 		return
 	}
-	s, err := t.openList(ctx, reader)
+	s, err := t.subscribeToList(ctx, seed)
 	if err != nil {
-		t.doubt(ctx, reader, err)
+		t.avoidUpstream(ctx, seed, err)
 		return
 	}
 	s.close()
-	if !s.lost {
+	if !s.storeLost {
 		return
 	}
-	if all, err := t.open(ctx, reader); err == nil {
-		t.better = all
+	if all, err := t.subscribe(ctx, seed); err == nil {
+		t.next = all
 		return
 	}
-	t.doubt(ctx, reader, errUnknown)
+	t.avoidUpstream(ctx, seed, errUpstreamEmpty)
 }
 
-// ranksOf asks an instance that this one was told of who reads and relays. The list of a site's instances would be a hundred times as
-// large, and all ask that start at once.
-func (t *Syncer) ranksOf(ctx context.Context, reader mesh.Peer) ([]byte, error) {
-	open, cancel := context.WithTimeout(ctx, openFirst)
+// requestRanks asks a seed which instances read and relay. The full list of a site's instances would be a hundred times as large, and
+// all starting instances ask at once.
+func (t *Syncer) requestRanks(ctx context.Context, seed mesh.Peer) ([]byte, error) {
+	openCtx, cancel := context.WithTimeout(ctx, initialSubscribeTimeout)
 	defer cancel()
-	stream, err := t.Node.Open(open, reader, meshpb.StreamKind_STREAM_FEED)
+	stream, err := t.Node.Open(openCtx, seed, meshpb.StreamKind_STREAM_FEED)
 	if err != nil {
 		return nil, err
 	}
@@ -68,30 +68,30 @@
 		return nil, err
 	}
 	var page meshpb.FeedPage
-	if err := stream.ReadWithIdleTimeout(openFirst, &page); err != nil {
-		return nil, errUnknown // it lives, and does not know the list yet
+	if err := stream.ReadWithIdleTimeout(initialSubscribeTimeout, &page); err != nil {
+		return nil, errUpstreamEmpty // the seed is alive, but does not know the list yet
 	}
 	return page.Ranks, nil
 }
 
-// early reports whether this instance, which knows nothing, leaves the store to others for now.
-func (t *Syncer) early(now time.Time) bool {
-	if t.known() {
+// deferToReaders reports whether this instance, which has no tables yet, still leaves reading the store to others.
+func (t *Syncer) deferToReaders(now time.Time) bool {
+	if t.initialized() {
 		return false
 	}
 	t.mu.Lock()
-	unknown := t.unknown
+	emptySeen := t.emptyUpstreamSeen
 	t.mu.Unlock()
-	since, most := now.Sub(t.started), patience
+	since, delay := now.Sub(t.started), startDelay
 	if t.Assignment().LargeSite {
-		most = largePatience
+		delay = largeSiteStartDelay
 	}
-	return since < most || since < longPatience && now.Sub(unknown) < aliveFor
+	return since < delay || since < maxStartDelay && now.Sub(emptySeen) < aliveWindow
 }
 
-// toldUnknown notes that a reader lives that has read nothing.
-func (t *Syncer) toldUnknown(now time.Time) {
+// noteEmptyUpstream records that an upstream is alive but has read nothing.
+func (t *Syncer) noteEmptyUpstream(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unknown = now
+	t.emptyUpstreamSeen = now
 }
--- a/lib/feedlink/subscription.go
+++ b/lib/feedlink/subscription.go
@@ -13,62 +13,62 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// subscription is a stream of pages from a reader.
+// subscription is a stream of pages from an upstream.
 type subscription struct {
-	t      *Syncer
-	reader mesh.Peer
-	stream *mesh.Stream
-	tables []Table
-	lost   bool          // as its last page says
-	path   []string      // instances that its tables come through, as its last page says
-	age    time.Duration // of the store's word on the urgent tables, as its last page says
-	old    bool          // its last page is of an era before the one that this instance knows
-	part   bool          // no more than a part was asked for of some table
-	stop   func() bool
+	syncer     *Syncer
+	upstream   mesh.Peer
+	stream     *mesh.Stream
+	tables     []Table
+	storeLost  bool          // the upstream has lost the store, according to its last page
+	path       []string      // instances between the store and this one, according to the last page
+	contactAge time.Duration // age of the last contact with the store for the critical tables, according to the last page
+	oldEra     bool          // the last page is of an era before the one that this instance knows
+	partial    bool          // only a subset of some table was requested
+	stop       func() bool
 }
 
-// open subscribes to a reader and takes its first page. It fails with errUnknown when the reader lacks an urgent table.
-func (t *Syncer) open(ctx context.Context, reader mesh.Peer) (*subscription, error) {
-	return t.openFor(ctx, reader, t.Tables)
+// subscribe subscribes to an upstream and applies its first page. It fails with errUpstreamEmpty if the upstream lacks a critical table.
+func (t *Syncer) subscribe(ctx context.Context, upstream mesh.Peer) (*subscription, error) {
+	return t.subscribeTo(ctx, upstream, t.Tables)
 }
 
-// openList subscribes to no more than the list of instances, which says whom to ask for the rest.
-func (t *Syncer) openList(ctx context.Context, reader mesh.Peer) (*subscription, error) {
+// subscribeToList subscribes only to the list of instances, which says where to get the other tables.
+func (t *Syncer) subscribeToList(ctx context.Context, upstream mesh.Peer) (*subscription, error) {
 	var list []Table
 	for _, table := range t.Tables {
 		if !table.Critical {
-			table.Critical = true // there is no other that could be had
+			table.Critical = true // no other table is requested
 			list = append(list, table)
 		}
 	}
-	return t.openFor(ctx, reader, list)
+	return t.subscribeTo(ctx, upstream, list)
 }
 
-func (t *Syncer) openFor(ctx context.Context, reader mesh.Peer, tables []Table) (*subscription, error) {
-	timeout := openTimeout
-	if !t.known() {
-		timeout = openFirst
+func (t *Syncer) subscribeTo(ctx context.Context, upstream mesh.Peer, tables []Table) (*subscription, error) {
+	timeout := subscribeTimeout
+	if !t.initialized() {
+		timeout = initialSubscribeTimeout
 	}
-	open, cancel := context.WithTimeout(ctx, timeout)
+	openCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	stream, err := t.Node.Open(open, reader, meshpb.StreamKind_STREAM_FEED)
+	stream, err := t.Node.Open(openCtx, upstream, meshpb.StreamKind_STREAM_FEED)
 	if err != nil {
 		return nil, err
 	}
-	s := &subscription{t: t, reader: reader, stream: stream, tables: tables}
+	s := &subscription{syncer: t, upstream: upstream, stream: stream, tables: tables}
 	s.stop = context.AfterFunc(ctx, func() { _ = stream.Close() })
-	ask := &meshpb.FeedAsk{Domain: t.Domain}
+	request := &meshpb.FeedAsk{Domain: t.Domain}
 	for _, table := range tables {
-		from := table.from()
-		s.part = s.part || from.Part
-		ask.Tables = append(ask.Tables, from)
+		tableRequest := table.request()
+		s.partial = s.partial || tableRequest.Part
+		request.Tables = append(request.Tables, tableRequest)
 	}
-	if err := stream.Write(ask); err != nil {
+	if err := stream.Write(request); err != nil {
 		s.close()
 		return nil, err
 	}
-	err = s.first()
-	if err == nil && s.old {
+	err = s.receiveFirst()
+	if err == nil && s.oldEra {
 		err = errOldEra
 	}
 	if err != nil {
@@ -78,95 +78,95 @@
 	return s, nil
 }
 
-// from is from where on a table is asked for.
-func (t *Table) from() *meshpb.FeedFrom {
-	at := t.Replica.Position()
-	from := &meshpb.FeedFrom{Table: t.Name, After: at.Version, Era: at.Era, Part: t.wantsPart()}
-	if from.Part || t.Replica.Partial() {
-		from.After = 0 // what is needed differs with whoever is asked
+// request returns the request for the table, starting at the replica's position.
+func (t *Table) request() *meshpb.FeedFrom {
+	position := t.Replica.Position()
+	request := &meshpb.FeedFrom{Table: t.Name, After: position.Version, Era: position.Era, Part: t.wantsSubset()}
+	if request.Part || t.Replica.Partial() {
+		request.After = 0 // the rows needed differ between upstreams
 	}
-	return from
+	return request
 }
 
-// first takes the first page that holds something. From a reader that has read nothing yet it is waited for a while: it comes
-// the moment that the reader has it, and opening a stream again and again would find it half a second later at each of the
+// receiveFirst waits for the first page with content. If the upstream has read nothing yet, the stream is kept open for a while: the page
+// arrives as soon as the upstream has it, whereas reopening the stream repeatedly would find it half a second later at each of the
 // hops from the store.
-func (s *subscription) first() error {
+func (s *subscription) receiveFirst() error {
 	err := s.receive()
-	for start := time.Now(); errors.Is(err, errUnknown) && time.Since(start) < waitNew; err = s.receive() {
+	for start := time.Now(); errors.Is(err, errUpstreamEmpty) && time.Since(start) < emptyUpstreamWait; err = s.receive() {
 		now := time.Now()
-		s.t.toldUnknown(now)
-		if !s.t.early(now) || s.t.ranksFirst() {
+		s.syncer.noteEmptyUpstream(now)
+		if !s.syncer.deferToReaders(now) || s.syncer.isFirstReader() {
 			return err
 		}
 	}
 	return err
 }
 
-// ranksFirst reports whether this instance is the one that should read the store: others wait for it in turn.
-func (t *Syncer) ranksFirst() bool {
+// isFirstReader reports whether this instance is the one that should read the store, so that others are waiting for it in turn.
+func (t *Syncer) isFirstReader() bool {
 	readers := t.Assignment().Readers
 	return len(readers) > 0 && readers[0].Addr == ""
 }
 
-// behind reports whether the reader does not have the store's word itself: it has lost the store, or follows one that has.
-func (s *subscription) behind() bool { return s.lost || s.age > s.t.MaxAge }
+// isStale reports whether the upstream is not in contact with the store: it has lost the store, or follows a peer that has.
+func (s *subscription) isStale() bool { return s.storeLost || s.contactAge > s.syncer.MaxAge }
 
-// circular reports whether the reader has the tables from this instance.
-func (s *subscription) circular() bool { return slices.Contains(s.path, s.t.Self) }
+// isCycle reports whether the upstream takes the tables from this instance.
+func (s *subscription) isCycle() bool { return slices.Contains(s.path, s.syncer.Self) }
 
 func (s *subscription) close() {
 	s.stop()
 	_ = s.stream.Close()
 }
 
-// receive takes in one page. It fails with errUnknown when the reader lacks a table that is urgent.
+// receive reads and applies one page. It fails with errUpstreamEmpty if the upstream lacks a critical table.
 func (s *subscription) receive() error {
-	var p meshpb.FeedPage
-	if err := s.stream.ReadWithIdleTimeout(silence, &p); err != nil {
+	var page meshpb.FeedPage
+	if err := s.stream.ReadWithIdleTimeout(upstreamTimeout, &page); err != nil {
 		return err
 	}
-	s.lost, s.path = p.Lost, p.Path
-	s.t.takeNews(p.News, s.stream.Peer().Instance)
-	got := make(map[string]*meshpb.FeedTable, len(p.Tables))
-	for _, m := range p.Tables {
-		got[m.Table] = m
+	s.storeLost, s.path = page.Lost, page.Path
+	s.syncer.receiveBroadcasts(page.News, s.stream.Peer().Instance)
+	byName := make(map[string]*meshpb.FeedTable, len(page.Tables))
+	for _, m := range page.Tables {
+		byName[m.Table] = m
 	}
 	var missing error
-	s.age, s.old = 0, false
+	s.contactAge, s.oldEra = 0, false
 	for _, table := range s.tables {
-		m := got[table.Name]
+		m := byName[table.Name]
 		if m == nil || m.Version == 0 {
 			if table.Critical {
-				missing = errUnknown
+				missing = errUpstreamEmpty
 			}
 			continue
 		}
 		if feed.PositionOf(m.Era, m.Version).Era < table.Replica.Position().Era {
-			s.old = true
+			s.oldEra = true
 			continue
 		}
-		if err := table.take(m); err != nil {
+		if err := table.apply(m); err != nil {
 			return err
 		}
 		if table.Critical {
-			s.age = max(s.age, time.Duration(m.ContactAgeMs)*time.Millisecond)
+			s.contactAge = max(s.contactAge, time.Duration(m.ContactAgeMs)*time.Millisecond)
 		}
 	}
 	return missing
 }
 
-// take takes in what a page says of the table.
-func (t *Table) take(m *meshpb.FeedTable) error {
+// apply applies the table's part of a page.
+func (t *Table) apply(m *meshpb.FeedTable) error {
 	if t.Partitioner != nil && len(m.Digest) > 0 {
 		if err := t.Partitioner.ApplyDigest(m.Digest); err != nil {
 			return err
 		}
 	}
-	return take(t.Replica, m)
+	return applyPage(t.Replica, m)
 }
 
-func take(into *feed.Replica, m *meshpb.FeedTable) error {
+func applyPage(into *feed.Replica, m *meshpb.FeedTable) error {
 	if len(m.Packed) > 0 {
 		if err := unpackRows(m); err != nil {
 			return err
@@ -174,14 +174,14 @@
 	}
 	page := feed.Page{Version: m.Version, Era: m.Era, Partial: m.Part, Rows: make([]feed.Row, len(m.Rows))}
 	for i, r := range m.Rows {
-		row, err := feedRow(r)
+		row, err := rowFromProto(r)
 		if err != nil {
 			return err
 		}
 		page.Rows[i] = row
 	}
 	for _, k := range m.Kept {
-		row, err := feedRow(k.Row)
+		row, err := rowFromProto(k.Row)
 		if err != nil {
 			return err
 		}
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func feedRow(r *meshpb.FeedRow) (feed.Row, error) {
+func rowFromProto(r *meshpb.FeedRow) (feed.Row, error) {
 	row := feed.Row{Key: r.GetKey(), Value: r.GetValue(), Version: r.GetVersion(), Removed: r.GetRemoved()}
 	if !r.GetPacked() {
 		return row, nil
--- a/lib/feedlink/parts_test.go
+++ b/lib/feedlink/subset_test.go
@@ -44,7 +44,7 @@
 	return page, nil
 }
 
-// Changes tells what has come.
+// Changes waits for rows written after a version.
 func (s *rows) Changes(ctx context.Context, after int64, wait time.Duration) (feed.Page, error) {
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
@@ -62,68 +62,68 @@
 	return feed.Page{Version: after}, nil
 }
 
-// byLetter divides a table by the first letter of its keys.
-type byLetter struct {
-	mu     sync.Mutex
-	part   bool              // this instance holds a part
-	needs  map[string]string // letters, by instance; none: all
-	digest string
+// letterPartitioner partitions a table by the first letter of its keys.
+type letterPartitioner struct {
+	mu      sync.Mutex
+	subset  bool              // this instance holds a subset
+	letters map[string]string // letters by instance; none: all
+	digest  string
 }
 
-func (p *byLetter) WantsSubset() bool {
+func (p *letterPartitioner) WantsSubset() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.part
+	return p.subset
 }
 
-func (p *byLetter) want(part bool) {
+func (p *letterPartitioner) setSubset(part bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.part = part
+	p.subset = part
 }
 
-func (p *byLetter) SubsetFor(instance, _ string) *Subset {
+func (p *letterPartitioner) SubsetFor(instance, _ string) *Subset {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	letters := p.needs[instance]
+	letters := p.letters[instance]
 	if letters == "" {
 		return nil
 	}
 	return &Subset{ID: letters, Contains: func(r feed.Row) bool { return strings.ContainsAny(r.Key[:1], letters) }}
 }
 
-func (p *byLetter) need(instance, letters string) {
+func (p *letterPartitioner) setLetters(instance, letters string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.needs[instance] = letters
+	p.letters[instance] = letters
 }
 
-func (p *byLetter) Digest() []byte { return []byte("digest") }
+func (p *letterPartitioner) Digest() []byte { return []byte("digest") }
 
-func (p *byLetter) ApplyDigest(b []byte) error {
+func (p *letterPartitioner) ApplyDigest(b []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.digest = string(b)
 	return nil
 }
 
-// holder is a member that keeps a divided table.
+// holder is a member with a partitioned table.
 type holder struct {
 	*member
-	parts *byLetter
-	mu    sync.Mutex
-	keys  map[string]bool
-	gone  []string // told as removed
+	partitioner *letterPartitioner
+	mu          sync.Mutex
+	keys        map[string]bool
+	removed     []string // keys reported as removed
 }
 
 func newHolder(t *testing.T, name string, src feed.Source, place func() Assignment) *holder {
 	t.Helper()
-	h := &holder{parts: &byLetter{needs: make(map[string]string)}, keys: make(map[string]bool)}
+	h := &holder{partitioner: &letterPartitioner{letters: make(map[string]string)}, keys: make(map[string]bool)}
 	h.member = newMember(t, name, src, place)
 	h.replica = feed.NewReplica(h.apply)
-	h.track = New(Config{
+	h.syncer = New(Config{
 		Self:   name,
-		Tables: []Table{{Name: "t", Source: src, Replica: h.replica, Options: feed.DefaultOptions, Critical: true, Partitioner: h.parts}},
+		Tables: []Table{{Name: "t", Source: src, Replica: h.replica, Options: feed.DefaultOptions, Critical: true, Partitioner: h.partitioner}},
 		MaxAge: time.Second, Node: h.node, Assignment: place, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 	})
 	h.serve(t)
@@ -136,7 +136,7 @@
 	for _, r := range u.Rows {
 		if r.Removed {
 			delete(h.keys, r.Key)
-			h.gone = append(h.gone, r.Key)
+			h.removed = append(h.removed, r.Key)
 			continue
 		}
 		h.keys[r.Key] = true
@@ -146,7 +146,7 @@
 	}
 }
 
-func (h *holder) holds(t *testing.T, want ...string) {
+func (h *holder) waitForKeys(t *testing.T, want ...string) {
 	t.Helper()
 	var got []string
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -164,102 +164,104 @@
 	t.Fatalf("holds %v, want %v", got, want)
 }
 
-// An instance that only follows holds what it needs of a table, also when it comes to need something else. Nothing that it gives up is told
-// as removed; what is removed of its part is.
-func TestFollowerHoldsItsPart(t *testing.T) {
+// A follower holds the subset of a table that it needs, also after the subset changes. Rows that it no longer needs are not reported as
+// removed; removed rows of its subset are.
+func TestFollowerHoldsItsSubset(t *testing.T) {
 	t.Parallel()
 	src := new(rows)
 	src.put("a1", "a2", "b1", "c1")
-	r := newHolder(t, "r", src, self)
+	r := newHolder(t, "r", src, ranksFirst)
 	r.run(t, func(string) {})
-	r.holds(t, "a1", "a2", "b1", "c1")
-	f := newHolder(t, "f", src, second(r.member, "r"))
-	f.parts.want(true)
-	r.parts.need("f", "a")
+	r.waitForKeys(t, "a1", "a2", "b1", "c1")
+	f := newHolder(t, "f", src, ranksAfter(r.member, "r"))
+	f.partitioner.setSubset(true)
+	r.partitioner.setLetters("f", "a")
 	f.run(t, func(string) {})
-	f.holds(t, "a1", "a2")
+	f.waitForKeys(t, "a1", "a2")
 	must.True(t, f.replica.Partial())
-	must.Eq(t, "digest", f.parts.digest)
+	must.Eq(t, "digest", f.partitioner.digest)
 	src.put("a3", "b2")
-	f.holds(t, "a1", "a2", "a3")
-	r.parts.need("f", "ab")
-	f.holds(t, "a1", "a2", "a3", "b1", "b2")
-	r.parts.need("f", "c")
-	f.holds(t, "c1")
-	must.SliceEmpty(t, f.gone)
-	r.replica.Merge(feed.Page{Version: src.version + 1, Rows: []feed.Row{{Key: "c1", Removed: true, Version: src.version + 1}}}, false, time.Now())
-	f.holds(t)
-	must.Eq(t, []string{"c1"}, f.gone)
+	f.waitForKeys(t, "a1", "a2", "a3")
+	r.partitioner.setLetters("f", "ab")
+	f.waitForKeys(t, "a1", "a2", "a3", "b1", "b2")
+	r.partitioner.setLetters("f", "c")
+	f.waitForKeys(t, "c1")
+	must.SliceEmpty(t, f.removed)
+	r.replica.Merge(feed.Page{Version: src.version + 1, Rows: []feed.Row{
+		{Key: "c1", Removed: true, Version: src.version + 1},
+	}}, false, time.Now())
+	f.waitForKeys(t)
+	must.Eq(t, []string{"c1"}, f.removed)
 }
 
-// An instance that held a part comes to relay, and holds all; one that reads the store itself does, too.
-func TestHolderOfAPartComesToHoldAll(t *testing.T) {
+// An instance that held a subset becomes a relay, or reads the store itself, and then holds the whole table.
+func TestSubsetHolderSwitchesToWholeTable(t *testing.T) {
 	t.Parallel()
 	src := new(rows)
 	src.put("a1", "b1")
-	r := newHolder(t, "r", src, self)
+	r := newHolder(t, "r", src, ranksFirst)
 	r.run(t, func(string) {})
-	r.holds(t, "a1", "b1")
-	f := newHolder(t, "f", src, second(r.member, "r"))
-	f.parts.want(true)
-	r.parts.need("f", "a")
+	r.waitForKeys(t, "a1", "b1")
+	f := newHolder(t, "f", src, ranksAfter(r.member, "r"))
+	f.partitioner.setSubset(true)
+	r.partitioner.setLetters("f", "a")
 	f.run(t, func(string) {})
-	f.holds(t, "a1")
-	f.parts.want(false)
-	f.holds(t, "a1", "b1")
-	f.parts.want(true)
-	f.holds(t, "a1")
+	f.waitForKeys(t, "a1")
+	f.partitioner.setSubset(false)
+	f.waitForKeys(t, "a1", "b1")
+	f.partitioner.setSubset(true)
+	f.waitForKeys(t, "a1")
 	r.node.Close()
 	src.put("c1")
-	f.holds(t, "a1", "b1", "c1")
+	f.waitForKeys(t, "a1", "b1", "c1")
 	must.False(t, f.replica.Partial())
 }
 
-// One that holds a part is asked for the table by another, which goes elsewhere: it would take the part for all there is.
-func TestHolderOfAPartPassesNothingOn(t *testing.T) {
+// An instance that holds a subset can't serve the table: the subscriber would take the subset for the whole table, so it goes elsewhere.
+func TestSubsetHolderDoesNotServe(t *testing.T) {
 	t.Parallel()
 	src := new(rows)
 	src.put("a1", "b1")
-	r := newHolder(t, "r", src, self)
+	r := newHolder(t, "r", src, ranksFirst)
 	r.run(t, func(string) {})
-	r.holds(t, "a1", "b1")
-	f := newHolder(t, "f", src, second(r.member, "r"))
-	f.parts.want(true)
-	r.parts.need("f", "a")
+	r.waitForKeys(t, "a1", "b1")
+	f := newHolder(t, "f", src, ranksAfter(r.member, "r"))
+	f.partitioner.setSubset(true)
+	r.partitioner.setLetters("f", "a")
 	f.run(t, func(string) {})
-	f.holds(t, "a1")
+	f.waitForKeys(t, "a1")
 	g := newHolder(t, "g", src, func() Assignment {
 		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	})
 	g.run(t, func(string) {})
-	g.holds(t, "a1", "b1")
+	g.waitForKeys(t, "a1", "b1")
 }
 
-// An instance that knows no more than its seeds is told by one of them whom to follow.
-func TestStartIsReferred(t *testing.T) {
+// An instance that knows only its seeds is referred to an upstream by one of them.
+func TestNewInstanceIsReferred(t *testing.T) {
 	t.Parallel()
 	src, unused := new(rows), new(rows)
 	src.put("a1")
-	r := newHolder(t, "r", src, self)
-	seed := newHolder(t, "s", src, second(r.member, "r"))
-	seed.track.Ranks = func(domain string) []byte { return []byte("follow r") }
+	r := newHolder(t, "r", src, ranksFirst)
+	seed := newHolder(t, "s", src, ranksAfter(r.member, "r"))
+	seed.syncer.Ranks = func(domain string) []byte { return []byte("follow r") }
 	for _, h := range []*holder{r, seed} {
 		h.run(t, func(string) {})
-		h.holds(t, "a1")
+		h.waitForKeys(t, "a1")
 	}
-	var told atomic.Bool
+	var referred atomic.Bool
 	f := newHolder(t, "f", unused, func() Assignment {
-		if told.Load() {
-			return second(r.member, "r")()
+		if referred.Load() {
+			return ranksAfter(r.member, "r")()
 		}
 		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
 	})
-	f.track.ApplyRanks = func(b []byte) bool {
-		told.Store(string(b) == "follow r")
-		return told.Load()
+	f.syncer.ApplyRanks = func(b []byte) bool {
+		referred.Store(string(b) == "follow r")
+		return referred.Load()
 	}
 	from := make(chan string, 10)
 	f.run(t, func(reader string) { from <- reader })
-	f.holds(t, "a1")
+	f.waitForKeys(t, "a1")
 	must.Eq(t, "r", <-from)
 }
--- a/lib/feedlink/write.go
+++ b/lib/feedlink/write.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// writeGap gathers the rows of instances that start at once.
-	writeGap = 50 * time.Millisecond
-	// writesMost bounds the rows that are gathered: as many as one transaction takes.
-	writesMost = 100
-	// writesHeld bounds the rows that wait.
-	writesHeld = 4096
+	// writeBatchDelay is how long rows are batched, for instances that start at once.
+	writeBatchDelay = 50 * time.Millisecond
+	// maxWriteBatch bounds a batch: as many rows as one transaction takes.
+	maxWriteBatch = 100
+	// maxQueuedWrites bounds the queued rows.
+	maxQueuedWrites = 4096
 )
 
-// writeQueue holds rows on their way to the one that reads the store.
+// writeQueue holds rows on their way to the instance that reads the store.
 //
-// Load pattern: all instances of a site start at once, and the store takes a few hundred transactions a second of a table. With one for
-// each of a thousand instances most were turned away, and tried again.
+// Batching limits the transactions: when all instances of a site start at once, each writes a row, and the store takes a few hundred
+// transactions a second per table. With one transaction for each of a thousand instances most were rejected and retried.
 type writeQueue struct {
 	mu   sync.Mutex
-	rows map[string]feed.Row // by key: the last of each
+	rows map[string]feed.Row // last row of each key
 	wake chan struct{}
 }
 
@@ -36,7 +36,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range rows {
-		if len(q.rows) < writesHeld {
+		if len(q.rows) < maxQueuedWrites {
 			q.rows[r.Key] = r
 		}
 	}
@@ -46,13 +46,13 @@
 	}
 }
 
-// take returns as many rows as are passed on together.
-func (q *writeQueue) take() []feed.Row {
+// nextBatch removes and returns one batch of rows.
+func (q *writeQueue) nextBatch() []feed.Row {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var out []feed.Row
 	for key, r := range q.rows {
-		if len(out) == writesMost {
+		if len(out) == maxWriteBatch {
 			break
 		}
 		out = append(out, r)
@@ -61,35 +61,35 @@
 	return out
 }
 
-// EnqueueWrite has this instance's own row written, by the one that reads the store for all.
+// EnqueueWrite has this instance's own row written by the instance that reads the store.
 func (t *Syncer) EnqueueWrite(row feed.Row) { t.writes.add(row) }
 
-// passWrites hands rows on, gathered, until ctx is done.
-func (t *Syncer) passWrites(ctx context.Context, on func([]feed.Row)) {
+// forwardWrites passes batches of queued rows to write until ctx is done.
+func (t *Syncer) forwardWrites(ctx context.Context, write func([]feed.Row)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.writes.wake:
 		}
-		sleep(ctx, writeGap)
-		for rows := t.writes.take(); len(rows) > 0 && ctx.Err() == nil; rows = t.writes.take() {
-			on(rows)
+		sleep(ctx, writeBatchDelay)
+		for rows := t.writes.nextBatch(); len(rows) > 0 && ctx.Err() == nil; rows = t.writes.nextBatch() {
+			write(rows)
 		}
 	}
 }
 
-// writeUp hands rows on to the one that is followed.
-func (s *subscription) writeUp(rows []feed.Row) {
+// sendWrites sends rows to the upstream.
+func (s *subscription) sendWrites(rows []feed.Row) {
 	up := new(meshpb.FeedUp)
 	for _, r := range rows {
 		up.Writes = append(up.Writes, &meshpb.FeedWrite{Key: r.Key, Value: r.Value})
 	}
-	_ = s.stream.Write(up) // whoever wants it written sees whether it was
+	_ = s.stream.Write(up) // the instance that wants the row written checks whether it was
 }
 
-// takeWrites takes in rows of one that follows this instance.
-func (t *Syncer) takeWrites(writes []*meshpb.FeedWrite) {
+// enqueueWrites queues rows received from a downstream instance.
+func (t *Syncer) enqueueWrites(writes []*meshpb.FeedWrite) {
 	for _, w := range writes {
 		if w.GetKey() != "" {
 			t.writes.add(feed.Row{Key: w.Key, Value: w.GetValue()})
