--- a/lib/claim/again.go
+++ b/lib/claim/again.go
@@ -206,7 +206,7 @@
 // crossed reports whether a write over an earlier one of this claim failed because the table came back from a copy since.
 func (c *Claim) crossed(res platformapi.TxnResult, err error) bool {
 	if err != nil {
-		return platform.IsOtherEra(err)
+		return platform.IsStaleEra(err)
 	}
 	return c.rev != 0 && !res.Committed && c.table.store.Era() > platformapi.EraOf(c.rev)
 }
--- a/lib/lease/campaign.go
+++ b/lib/lease/campaign.go
@@ -54,7 +54,7 @@
 	}
 	at := it.Rev
 	if !found {
-		at = platformapi.Start(s.Era())
+		at = platformapi.EraStart(s.Era())
 	}
 	if last.seen && at < last.rev {
 		return nil // an old read: it tells nothing that was not known
@@ -71,7 +71,7 @@
 // free reports whether nobody holds the lease for certain. In a copy it may be free only because a term was lost.
 func free(it platformapi.Item, found bool, at uint64) bool {
 	if !found {
-		return at == platformapi.Start(platformapi.FirstEra)
+		return at == platformapi.EraStart(platformapi.FirstEra)
 	}
 	r := decode(it)
 	return r.Released && !r.outlived(it)
@@ -138,7 +138,7 @@
 	for range 2 {
 		sent := time.Now()
 		res, err := s.Txn(ctx, h.write(cfg, s.Era(), false))
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			res.Failed, err = reread(ctx, s, h)
 		}
 		if err != nil {
