--- a/lib/feedlink/broadcast_test.go
+++ b/lib/feedlink/broadcast_test.go
@@ -94,7 +94,7 @@
 	a := startMember(t, "a", src, ranksAfter(r, "r"))
 	a.waitFor(t, "one")
 	f, h := newIdleMember(t, "f", src, func() Assignment {
-		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "a", Addr: a.addr}, {Instance: "r", Addr: r.addr}, {}}}
+		return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{{Instance: "a", Addr: a.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	}), new(receivedBroadcasts)
 	f.syncer.OnBroadcast = h.record
 	f.run(t, func(string) {})
--- a/lib/feedlink/feedlink_test.go
+++ b/lib/feedlink/feedlink_test.go
@@ -126,12 +126,12 @@
 	return 0
 }
 
-func ranksFirst() Assignment { return Assignment{Readers: []mesh.Peer{{}}} }
+func ranksFirst() Assignment { return Assignment{Upstreams: []mesh.Peer{{}}} }
 
 // ranksAfter returns the assignment of an instance that ranks to read after first.
 func ranksAfter(first *member, name string) func() Assignment {
 	return func() Assignment {
-		return Assignment{Rank: 1, Readers: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}}
+		return Assignment{Rank: 1, Upstreams: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}}
 	}
 }
 
@@ -176,7 +176,7 @@
 	cut.set("one")
 	b := startMember(t, "b", src, ranksFirst)
 	b.waitFor(t, "one")
-	a := startMember(t, "a", cut, func() Assignment { return Assignment{Readers: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
+	a := startMember(t, "a", cut, func() Assignment { return Assignment{Upstreams: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
 	a.waitFor(t, "one")
 	cut.mu.Lock()
 	cut.unavailable = true
@@ -219,18 +219,18 @@
 	t.Cleanup(m.node.Close)
 }
 
-// readerCandidates is the number of reader candidates of a group.
-const readerCandidates = 3
+// numReaders is the number of reader candidates of a group.
+const numReaders = 3
 
 // startGroup starts instances that all rank the same way, each with its own source. It returns them and the sources in order of rank;
 // delay delays the start of the first.
 func startGroup(t *testing.T, n int, delay time.Duration) ([]*member, []*table) {
 	t.Helper()
 	return startGroupWith(t, n, delay, func(self int, all []mesh.Peer) Assignment {
-		if self < readerCandidates {
-			return Assignment{Rank: self, Readers: all}
+		if self < numReaders {
+			return Assignment{Rank: self, Upstreams: all}
 		}
-		return Assignment{Role: RoleFollower, Readers: all}
+		return Assignment{Role: RoleFollower, Upstreams: all}
 	})
 }
 
@@ -288,7 +288,7 @@
 	for _, m := range members {
 		must.Less(t, 2*time.Second, m.waitFor(t, "two"))
 	}
-	for i := readerCandidates; i < len(tables); i++ {
+	for i := numReaders; i < len(tables); i++ {
 		must.Eq(t, 0, tables[i].calls.Load(), must.Sprint(i))
 	}
 }
--- a/lib/feedlink/follow.go
+++ b/lib/feedlink/follow.go
@@ -131,12 +131,12 @@
 // shouldProbe reports whether to probe the store because the upstream has lost it. Reader candidates do so immediately, in order of
 // rank; the others only when the reader candidates seem to be cut off, too.
 func (t *Syncer) shouldProbe(now time.Time, s *subscription) bool {
-	place, age := t.Assignment(), t.contactAge(now)
-	switch place.Role {
+	assignment, age := t.Assignment(), t.contactAge(now)
+	switch assignment.Role {
 	case RoleReader:
-		return (s.storeLost || age > t.MaxAge) && now.Sub(t.lastProbe) > time.Duration(1+place.Rank)*readerProbeInterval
+		return (s.storeLost || age > t.MaxAge) && now.Sub(t.lastProbe) > time.Duration(1+assignment.Rank)*readerProbeInterval
 	case RoleRelay:
-		if place.Rank >= maxProbingRelays {
+		if assignment.Rank >= maxProbingRelays {
 			break
 		}
 		return age > t.MaxAge && now.Sub(t.lastProbe) > relayProbeInterval
--- a/lib/feedlink/hops_test.go
+++ b/lib/feedlink/hops_test.go
@@ -44,7 +44,7 @@
 		if ranked.Load() {
 			return ranksFirst()
 		}
-		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
+		return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
 	})
 	relay.syncer.Assignment = ranksAfter(reader, "reader")
 	relay.run(t, func(string) {})
@@ -66,7 +66,7 @@
 	addr := ln.Addr().String()
 	must.NoError(t, ln.Close())
 	f := newIdleMember(t, "f", unused, func() Assignment {
-		return Assignment{Role: RoleFollower, LargeSite: true, Readers: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
+		return Assignment{Role: RoleFollower, LargeSite: true, Upstreams: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
 	})
 	f.run(t, func(string) {})
 	time.Sleep(2 * startDelay)
--- a/lib/feedlink/search.go
+++ b/lib/feedlink/search.go
@@ -31,7 +31,7 @@
 	now := time.Now()
 	results := make(chan openResult)
 	pending := 0
-	for _, p := range slices.Concat(assignment.Readers, assignment.RemoteRelays) {
+	for _, p := range slices.Concat(assignment.Upstreams, assignment.RemoteRelays) {
 		if p.Addr == "" || p.Addr == lost.Addr || now.Before(t.avoidances[p.Addr].until) {
 			continue
 		}
--- a/lib/feedlink/search_test.go
+++ b/lib/feedlink/search_test.go
@@ -20,23 +20,23 @@
 	const relays, all = 5, 9
 	members, tables := startGroupWith(t, all, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
-		case self < readerCandidates:
-			return Assignment{Rank: self, Readers: list[:relays]}
-		case self == readerCandidates:
-			return Assignment{Role: RoleRelay, Readers: append(slices.Clone(list[:readerCandidates]), list[readerCandidates:relays]...)}
+		case self < numReaders:
+			return Assignment{Rank: self, Upstreams: list[:relays]}
+		case self == numReaders:
+			return Assignment{Role: RoleRelay, Upstreams: append(slices.Clone(list[:numReaders]), list[numReaders:relays]...)}
 		case self < relays:
 			return Assignment{Role: RoleRelay, Rank: 1,
-				Readers: append([]mesh.Peer{list[readerCandidates]}, append(slices.Clone(list[:readerCandidates]), mesh.Peer{})...)}
+				Upstreams: append([]mesh.Peer{list[numReaders]}, append(slices.Clone(list[:numReaders]), mesh.Peer{})...)}
 		}
 		return Assignment{Role: RoleFollower,
-			Readers: append(slices.Clone(list[readerCandidates:relays]), append(slices.Clone(list[:readerCandidates]), mesh.Peer{})...)}
+			Upstreams: append(slices.Clone(list[numReaders:relays]), append(slices.Clone(list[:numReaders]), mesh.Peer{})...)}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
 	}
 	for i, s := range tables {
 		s.mu.Lock()
-		s.unavailable = i < readerCandidates
+		s.unavailable = i < numReaders
 		s.mu.Unlock()
 		s.set("two")
 	}
@@ -61,18 +61,18 @@
 	t.Parallel()
 	const relayHere, relayThere, here, there, all = 3, 4, 5, 6, 7
 	members, tables := startGroupWith(t, all, 0, func(self int, list []mesh.Peer) Assignment {
-		readers := slices.Clone(list[:readerCandidates])
+		readers := slices.Clone(list[:numReaders])
 		switch self {
 		case relayHere:
-			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayThere : relayThere+1]}
+			return Assignment{Role: RoleRelay, Upstreams: append(readers, mesh.Peer{}), RemoteRelays: list[relayThere : relayThere+1]}
 		case relayThere:
-			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayHere : relayHere+1]}
+			return Assignment{Role: RoleRelay, Upstreams: append(readers, mesh.Peer{}), RemoteRelays: list[relayHere : relayHere+1]}
 		case here:
-			return Assignment{Role: RoleFollower, Readers: append([]mesh.Peer{list[relayHere]}, append(readers, mesh.Peer{})...)}
+			return Assignment{Role: RoleFollower, Upstreams: append([]mesh.Peer{list[relayHere]}, append(readers, mesh.Peer{})...)}
 		case there:
-			return Assignment{Role: RoleFollower, Readers: append([]mesh.Peer{list[relayThere]}, append(readers, mesh.Peer{})...)}
+			return Assignment{Role: RoleFollower, Upstreams: append([]mesh.Peer{list[relayThere]}, append(readers, mesh.Peer{})...)}
 		}
-		return Assignment{Rank: self, Readers: readers}
+		return Assignment{Rank: self, Upstreams: readers}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
@@ -81,7 +81,7 @@
 		s.mu.Lock()
 		s.unavailable = i != relayThere
 		s.mu.Unlock()
-		if i < readerCandidates {
+		if i < numReaders {
 			members[i].node.Close()
 			continue
 		}
@@ -101,11 +101,11 @@
 	members, tables := startGroupWith(t, 2, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
 		case self == 0 && !reads.Load():
-			return Assignment{Role: RoleFollower, Readers: []mesh.Peer{list[1], {}}}
+			return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{list[1], {}}}
 		case self == 1 && !listed.Load():
-			return Assignment{Readers: []mesh.Peer{{}}}
+			return Assignment{Upstreams: []mesh.Peer{{}}}
 		}
-		return Assignment{Rank: self, Readers: list}
+		return Assignment{Rank: self, Upstreams: list}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
--- a/lib/feedlink/start_test.go
+++ b/lib/feedlink/start_test.go
@@ -31,7 +31,7 @@
 	list := seed.withList(t, src)
 	seed.serve(t)
 	guess := func() Assignment {
-		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
+		return Assignment{Bootstrap: true, Role: RoleFollower, Upstreams: []mesh.Peer{{Addr: seed.addr}, {}}}
 	}
 	m := newIdleMember(t, "m", &table{unavailable: true}, guess)
 	own := m.withList(t, &table{unavailable: true})
@@ -86,7 +86,7 @@
 	for _, m := range members {
 		m.waitFor(t, "one")
 	}
-	for i := readerCandidates; i < len(tables); i++ {
+	for i := numReaders; i < len(tables); i++ {
 		must.Eq(t, 0, tables[i].calls.Load(), must.Sprint(i))
 	}
 }
--- a/lib/feedlink/subscription.go
+++ b/lib/feedlink/subscription.go
@@ -105,7 +105,7 @@
 
 // isFirstReader reports whether this instance is the one that should read the store, so that others are waiting for it in turn.
 func (t *Syncer) isFirstReader() bool {
-	readers := t.Assignment().Readers
+	readers := t.Assignment().Upstreams
 	return len(readers) > 0 && readers[0].Addr == ""
 }
 
--- a/lib/feedlink/subset_test.go
+++ b/lib/feedlink/subset_test.go
@@ -231,7 +231,7 @@
 	f.run(t, func(string) {})
 	f.waitForKeys(t, "a1")
 	g := newHolder(t, "g", src, func() Assignment {
-		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
+		return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	})
 	g.run(t, func(string) {})
 	g.waitForKeys(t, "a1", "b1")
@@ -254,7 +254,7 @@
 		if referred.Load() {
 			return ranksAfter(r.member, "r")()
 		}
-		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
+		return Assignment{Bootstrap: true, Role: RoleFollower, Upstreams: []mesh.Peer{{Addr: seed.addr}, {}}}
 	})
 	f.syncer.ApplyRanks = func(b []byte) bool {
 		referred.Store(string(b) == "follow r")
--- a/lib/feedlink/syncer.go
+++ b/lib/feedlink/syncer.go
@@ -75,7 +75,7 @@
 	Role      Role
 	LargeSite bool        // several instances relay in each failure domain
 	Rank      int         // among the instances of the same role
-	Readers   []mesh.Peer // upstreams in order of preference; an empty address stands for this instance, which then reads the store
+	Upstreams []mesh.Peer // upstreams in order of preference; an empty address stands for this instance, which then reads the store
 	// RemoteRelays relay in other failure domains. They are queried only while none of Readers is in contact with the store.
 	RemoteRelays []mesh.Peer
 }
@@ -221,7 +221,7 @@
 func (t *Syncer) pickUpstream(now time.Time) (upstream mesh.Peer, readSelf bool, pause time.Duration) {
 	place := t.Assignment()
 	deferring := t.deferToReaders(now)
-	for _, p := range place.Readers {
+	for _, p := range place.Upstreams {
 		if p.Addr != "" {
 			if now.After(t.avoidances[p.Addr].until) {
 				return p, false, 0
--- a/lib/gatewayproc/ranks.go
+++ b/lib/gatewayproc/ranks.go
@@ -68,7 +68,7 @@
 	}
 	r.Serving = min(max(1, r.Serving), len(r.Relays))
 	at := r.assign(p.cfg.Instance)
-	at.Readers = withSeeds(at.Readers, p.cfg.Link, p.cfg.Seeds)
+	at.Upstreams = withSeeds(at.Upstreams, p.cfg.Link, p.cfg.Seeds)
 	return p.assigned.CompareAndSwap(nil, &at)
 }
 
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -38,10 +38,10 @@
 			firsts[at.Role] = make(map[string]bool)
 		}
 		if at.Role != feedlink.RoleReader || at.Rank > 0 {
-			firsts[at.Role][at.Readers[0].Instance] = true
+			firsts[at.Role][at.Upstreams[0].Instance] = true
 		}
-		must.SliceContains(t, at.Readers, mesh.Peer{})
-		must.LessEq(t, 2*readersMax+1, len(at.Readers))
+		must.SliceContains(t, at.Upstreams, mesh.Peer{})
+		must.LessEq(t, 2*readersMax+1, len(at.Upstreams))
 	}
 	must.Eq(t, readersMax, roles[feedlink.RoleReader])
 	must.LessEq(t, 5*readersMax, roles[feedlink.RoleRelay])
@@ -74,24 +74,24 @@
 	for _, in := range list {
 		at := assignAmong(in.Name, in.Domain, list)
 		must.Eq(t, feedlink.RoleReader, at.Role)
-		if at.Readers[0].Addr == "" {
+		if at.Upstreams[0].Addr == "" {
 			reads++
 		}
 	}
 	must.Eq(t, 1, reads)
 	alone := assignAmong("me", "z", nil)
-	must.Eq(t, []mesh.Peer{{}}, alone.Readers)
+	must.Eq(t, []mesh.Peer{{}}, alone.Upstreams)
 }
 
 // Before the first list an instance knows only the seeds. A seed reads the store; other instances follow the seeds, with the store
 // as the last fallback.
 func TestSeedsReadBeforeTheListIsKnown(t *testing.T) {
 	seeds := []string{"a:1", "b:1"}
-	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Readers: []mesh.Peer{{}}}, assignBySeeds("b:1", seeds))
+	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Upstreams: []mesh.Peer{{}}}, assignBySeeds("b:1", seeds))
 	other := assignBySeeds("c:1", seeds)
 	must.True(t, other.Bootstrap)
-	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Readers)
-	must.Eq(t, []mesh.Peer{{}}, assignBySeeds("c:1", nil).Readers)
+	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Upstreams)
+	must.Eq(t, []mesh.Peer{{}}, assignBySeeds("c:1", nil).Upstreams)
 }
 
 // Seeds that are not among the readers are appended, each once and without this instance itself.
@@ -115,9 +115,9 @@
 			continue
 		}
 		must.False(t, at.Bootstrap)
-		must.Len(t, len(seeds)+1, at.Readers)
-		must.Eq(t, mesh.Peer{}, at.Readers[len(seeds)])
-		firsts[at.Readers[0].Addr]++
+		must.Len(t, len(seeds)+1, at.Upstreams)
+		must.Eq(t, mesh.Peer{}, at.Upstreams[len(seeds)])
+		firsts[at.Upstreams[0].Addr]++
 	}
 	must.Eq(t, len(seeds), reading)
 	for _, seed := range seeds {
@@ -127,12 +127,12 @@
 	early := list[:2]
 	at := assignByList(list[100], early, seeds)
 	must.Eq(t, feedlink.RoleFollower, at.Role)
-	must.SliceContains(t, []string{"i0", "i1"}, at.Readers[0].Instance)
+	must.SliceContains(t, []string{"i0", "i1"}, at.Upstreams[0].Instance)
 	must.Eq(t, feedlink.RoleReader, assignByList(list[0], early, seeds).Role)
 }
 
 // A single instance without seeds reads the store itself.
 func TestSingleInstanceWithoutSeedsReadsTheStore(t *testing.T) {
 	at := assignByList(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
-	must.Eq(t, []mesh.Peer{{}}, at.Readers)
+	must.Eq(t, []mesh.Peer{{}}, at.Upstreams)
 }
