--- a/lib/relay/relay.go
+++ b/lib/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay carries TCP connections of loopback and misbehaves on order: it delays, silences (both ways or one) and
-// resets them. Tools that test processes under failure put one into each link.
+// Package relay provides TCP proxies on loopback that inject faults on demand: delays, stalls in one or both directions, and
+// connection resets. Tools that test processes under failure put one into each link.
 package relay
 
 import (
@@ -13,15 +13,15 @@
 	"anvilwick.example/anvilwick/lib/proc"
 )
 
-// Mode is what a relay does with what it carries.
+// Mode is how a relay treats its connections.
 type Mode uint8
 
 const (
 	Up              Mode = iota
-	Stalled              // connections stand and carry nothing, new ones too
-	Cut                  // connections are reset, and new ones too
-	BlockToTarget        // nothing gets to the target; its bytes still come back
-	BlockFromTarget      // nothing comes back from the target; it still gets the caller's bytes
+	Stalled              // connections stay open and carry nothing, new ones included
+	Cut                  // connections are reset, new ones included
+	BlockToTarget        // nothing reaches the target; its responses still come back
+	BlockFromTarget      // nothing comes back from the target; it still receives the caller's bytes
 )
 
 var modeNames = [...]string{"up", "stalled", "cut", "deaf_to", "deaf_from"}
@@ -29,7 +29,7 @@
 // String returns the name used in reports.
 func (m Mode) String() string { return modeNames[m] }
 
-// direction is the way of the bytes of one half of a connection.
+// direction is the direction of one half of a connection.
 type direction uint8
 
 const (
@@ -39,24 +39,24 @@
 
 const (
 	bufferSize = 32 << 10
-	// acceptPause is the pause after a connection could not be accepted.
+	// acceptPause is the delay before accepting again after an error.
 	acceptPause = 20 * time.Millisecond
 )
 
-// Relay carries connections to one address.
+// Relay proxies connections to one address.
 type Relay struct {
 	name string
 	ln   net.Listener
 
-	mu     sync.Mutex
-	target string
-	mode   Mode
-	delay  time.Duration
-	moved  chan struct{} // closed and replaced when mode changes
-	conns  map[net.Conn]struct{}
+	mu          sync.Mutex
+	target      string
+	mode        Mode
+	delay       time.Duration
+	modeChanged chan struct{} // closed and replaced when the mode changes
+	conns       map[net.Conn]struct{}
 }
 
-// New listens on a free loopback address and carries to target.
+// New listens on a free loopback address and proxies connections to target.
 func New(name, target string) (*Relay, error) {
 	addrs, err := proc.Addrs(1)
 	if err != nil {
@@ -66,47 +66,47 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay %s: %w", name, err)
 	}
-	r := &Relay{name: name, target: target, ln: ln, moved: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	r := &Relay{name: name, target: target, ln: ln, modeChanged: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	go r.accept()
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address on which the relay listens.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Close ends the relay and resets what it carries.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.ln.Close()
 	r.Set(Cut)
 }
 
-// Set changes the mode; Cut resets every connection.
+// Set changes the mode. Cut resets every connection.
 func (r *Relay) Set(m Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode = m
-	close(r.moved)
-	r.moved = make(chan struct{})
+	close(r.modeChanged)
+	r.modeChanged = make(chan struct{})
 	if m == Cut {
 		r.resetAll()
 	}
 }
 
-// Reset resets every connection; new ones are carried.
+// Reset resets every connection. New ones are accepted.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resetAll()
 }
 
-// Delay holds whatever is carried for d, each way.
+// Delay delays all data by d in each direction.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Retarget resets every connection and carries new ones to another address: another process has the old one now.
+// Retarget resets every connection and proxies new ones to another address, for a process that now listens elsewhere.
 func (r *Relay) Retarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +121,7 @@
 	clear(r.conns)
 }
 
-// reset closes with a TCP reset, as a broken link does, and not with an orderly end.
+// reset closes a connection with a TCP reset, as a broken link does, and not with a FIN.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -136,40 +136,39 @@
 			return
 		}
 		if err != nil {
-			// Too many open files, for one. A relay that stopped here would be silent for good, which looks like a fault
-			// of what is tested.
+			// For example too many open files. A relay that stopped accepting would look like a fault of the system under test.
 			time.Sleep(acceptPause)
 			continue
 		}
-		go r.carry(c)
+		go r.proxy(c)
 	}
 }
 
-func (r *Relay) carry(in net.Conn) {
-	if !r.pass(toTarget) {
-		reset(in)
+func (r *Relay) proxy(client net.Conn) {
+	if !r.waitOpen(toTarget) {
+		reset(client)
 		return
 	}
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	out, err := net.Dial("tcp", target)
+	server, err := net.Dial("tcp", target)
 	if err != nil {
-		reset(in)
+		reset(client)
 		return
 	}
-	if !r.keep(in, out) {
+	if !r.register(client, server) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.copy(out, in, toTarget) })
-	wg.Go(func() { r.copy(in, out, fromTarget) })
+	wg.Go(func() { r.copy(server, client, toTarget) })
+	wg.Go(func() { r.copy(client, server, fromTarget) })
 	wg.Wait()
-	r.drop(in, out)
+	r.unregister(client, server)
 }
 
-// keep registers a connection unless the link was cut meanwhile.
-func (r *Relay) keep(in, out net.Conn) bool {
+// register registers a connection unless the link was cut in the meantime.
+func (r *Relay) register(in, out net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mode == Cut {
@@ -181,7 +180,7 @@
 	return true
 }
 
-func (r *Relay) drop(in, out net.Conn) {
+func (r *Relay) unregister(in, out net.Conn) {
 	_ = in.Close()
 	_ = out.Close()
 	r.mu.Lock()
@@ -190,13 +189,13 @@
 	delete(r.conns, out)
 }
 
-// copy carries one direction. An end is passed on as an end and an error as a reset: a reader must not take a cut answer
-// for a whole one.
-func (r *Relay) copy(dst, src net.Conn, way direction) {
+// copy copies one direction. EOF is forwarded as EOF and an error as a reset: a reader must not take a truncated response for a
+// complete one.
+func (r *Relay) copy(dst, src net.Conn, dir direction) {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := src.Read(buf)
-		if !r.pass(way) {
+		if !r.waitOpen(dir) {
 			return
 		}
 		if n > 0 {
@@ -218,31 +217,31 @@
 	}
 }
 
-// pass waits while the direction is silent, then for the delay, and reports whether the link carries at all.
-func (r *Relay) pass(way direction) bool {
+// waitOpen waits while the direction is blocked, then for the delay, and returns false if the link is cut.
+func (r *Relay) waitOpen(dir direction) bool {
 	for {
 		r.mu.Lock()
-		mode, moved, delay := r.mode, r.moved, r.delay
+		mode, changed, delay := r.mode, r.modeChanged, r.delay
 		r.mu.Unlock()
 		if mode == Cut {
 			return false
 		}
-		if !silent(mode, way) {
+		if !blocked(mode, dir) {
 			time.Sleep(delay)
 			return true
 		}
-		<-moved
+		<-changed
 	}
 }
 
-func silent(m Mode, way direction) bool {
+func blocked(m Mode, dir direction) bool {
 	switch m {
 	case Stalled:
 		return true
 	case BlockToTarget:
-		return way == toTarget
+		return dir == toTarget
 	case BlockFromTarget:
-		return way == fromTarget
+		return dir == fromTarget
 	default:
 		return false
 	}
--- a/lib/relay/relay_test.go
+++ b/lib/relay/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// echo serves connections that send back what they get.
+// echo starts a server that echoes what it receives, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 	return r, c
 }
 
-// mustBeSilent fails when anything comes, an end or a reset too.
+// mustBeSilent fails if anything arrives, including EOF or a reset.
 func mustBeSilent(t *testing.T, c net.Conn) {
 	t.Helper()
 	must.NoError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
@@ -53,7 +53,7 @@
 	must.ErrorContains(t, err, "timeout")
 }
 
-func TestStalledLinkHoldsAndGoesOn(t *testing.T) {
+func TestStalledLinkResumes(t *testing.T) {
 	r, c := open(t)
 	r.Set(Stalled)
 	_, err := c.Write([]byte("b"))
@@ -65,7 +65,7 @@
 	must.NoError(t, err)
 }
 
-// A cut must reach the reader as an error: an orderly end could be taken for the end of a whole answer.
+// A cut must reach the reader as an error: EOF could be taken for the end of a complete response.
 func TestCutLinkResets(t *testing.T) {
 	r, c := open(t)
 	r.Set(Cut)
@@ -74,8 +74,8 @@
 	must.NotEq(t, io.EOF, err)
 }
 
-// A link that is deaf one way still carries the other: the target gets the request, and its answer waits.
-func TestDeafLinkCarriesOneWay(t *testing.T) {
+// A link blocked in one direction still carries the other: the target gets the request, and its response waits.
+func TestBlockedLinkCarriesOneWay(t *testing.T) {
 	r, c := open(t)
 	r.Set(BlockFromTarget)
 	_, err := c.Write([]byte("b"))
--- a/lib/relay/set.go
+++ b/lib/relay/set.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// Set holds the relays of a site by the name of their link.
+// Set holds the relays of a site by link name.
 type Set struct {
 	mu     sync.Mutex
 	byName map[string]*Relay
 }
 
-// Add puts a relay into the link to addr and returns the relay's address.
+// Add inserts a relay into the link to addr and returns the relay's address.
 func (s *Set) Add(link, addr string) (string, error) {
 	r, err := New(link, addr)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return r.Addr(), nil
 }
 
-// Get returns the relay in a link.
+// Get returns the relay of a link.
 func (s *Set) Get(link string) (*Relay, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,7 @@
 	return r, nil
 }
 
-// Set changes the mode of the relay in a link.
+// Set changes the mode of the relay of a link.
 func (s *Set) Set(link string, m Mode) error {
 	r, err := s.Get(link)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Close ends all relays.
+// Close closes all relays.
 func (s *Set) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
