--- a/lib/era/era.go
+++ b/lib/era/era.go
@@ -1,5 +1,5 @@
-// Package era keeps which history a store is in. A store that comes back from a copy loses what it had acknowledged since, begins a new
-// era, and gives its versions out again; its answers tell the era by a number that rises.
+// Package era tracks the era of a store's history. A store that is restored from a backup loses the writes acknowledged since the
+// backup, begins a new era, and assigns versions again; its responses carry the era as a number that increases with each restore.
 package era
 
 import (
@@ -7,13 +7,13 @@
 	"sync/atomic"
 )
 
-// Tracker is the highest era that answers of a store have told. The zero value has seen none.
+// Tracker records the highest era seen in a store's responses. The zero value has seen none.
 type Tracker struct{ highest atomic.Int64 }
 
-// Observe returns the era of an answer, by what the answer tells. One that tells none, or nothing that can be read, counts as of the highest
-// told before: it is ordered by its version then, and begins no era. A lower one is told as it is, and is out of date.
-func (s *Tracker) Observe(told string) int64 {
-	era, err := strconv.ParseInt(told, 10, 64)
+// Observe records the era of a response, as sent, and returns it. A response without a valid era counts as of the highest era seen: it
+// is then ordered by its version and begins no era. A lower era is returned as it is: the response is outdated.
+func (s *Tracker) Observe(sent string) int64 {
+	era, err := strconv.ParseInt(sent, 10, 64)
 	if err != nil || era <= 0 {
 		return s.Highest()
 	}
@@ -22,5 +22,5 @@
 	return era
 }
 
-// Highest returns the highest era told; 0 before the first.
+// Highest returns the highest era seen; 0 before the first.
 func (s *Tracker) Highest() int64 { return s.highest.Load() }
