--- a/lib/member/config.go
+++ b/lib/member/config.go
@@ -11,7 +11,7 @@
 	DefaultMaxMembers = 4096
 )
 
-// Bounds of one heartbeat.
+// Limits of one heartbeat.
 const (
 	maxChanged = 16 // members in one heartbeat
 	maxDigests = 64 // shard digests in one heartbeat
@@ -19,27 +19,27 @@
 
 // Multiples of the interval.
 const (
-	suspectIntervals = 4 // silence before a neighbour is suspect
-	deadIntervals    = 4 // suspicion before it counts as dead, time for a refutation to come round
-	pauseIntervals   = 3 // a longer gap between own ticks means that this process was paused
-	urgentDivisor    = 5 // news that can't wait goes out after a fifth of an interval
+	suspectIntervals = 4 // without contact, before a neighbour is suspect
+	deadIntervals    = 4 // of suspicion before a member counts as dead, to leave time for a refutation to arrive
+	pauseIntervals   = 3 // a longer gap between this process's ticks means that it was paused
+	urgentDivisor    = 5 // urgent changes are sent after a fifth of an interval
 )
 
-// Config of a Table. Zero fields but Self take the defaults.
+// Config configures a Table. Zero fields except Self take the defaults.
 type Config struct {
 	Self         Member        // Instance, Incarnation, FailureDomain, MeshAddr
 	Interval     time.Duration // between rounds of heartbeats
 	SuspectAfter time.Duration // default 4 intervals
 	DeadAfter    time.Duration // after suspicion; default 4 intervals
-	ForgetAfter  time.Duration // a dead member that the instance list no longer has is dropped after it
-	FullMesh     int           // up to so many members, each sends to all
-	Neighbours   int           // over it, to so many
+	ForgetAfter  time.Duration // after which a dead member missing from the instance list is removed
+	FullMesh     int           // number of members up to which each sends to all
+	Neighbours   int           // number of members that each sends to in larger sets
 	MaxMembers   int
-	Seed         uint64 // of the choice of dead members to try again
+	Seed         uint64 // for choosing dead members to retry
 }
 
-// at returns the config with another interval, and the times that follow from it.
-func (c Config) at(interval time.Duration) Config {
+// withInterval returns the config with another interval, and with the time-outs that follow from it.
+func (c Config) withInterval(interval time.Duration) Config {
 	c.Interval = interval
 	c.SuspectAfter, c.DeadAfter = 0, 0
 	return c.withDefaults()
--- a/lib/member/example_test.go
+++ b/lib/member/example_test.go
@@ -7,7 +7,7 @@
 	"anvilwick.example/anvilwick/lib/member"
 )
 
-// Two instances exchange heartbeats by hand: the transport and the clock are the caller's.
+// Two instances exchange heartbeats by hand: the caller provides the transport and the clock.
 func ExampleTable() {
 	tableOf := func(name string) *member.Table {
 		self := member.Member{Instance: name, Incarnation: 1, MeshAddr: name + ":7000"}
@@ -22,20 +22,20 @@
 		}
 	}
 
-	// The platform's list tells a of b; the first heartbeat tells b of a.
+	// a learns of b from the platform's list; b learns of a from the first heartbeat.
 	a.SetInstances(0, []member.Member{b.Self()})
 	exchange(1 * time.Second)
 	for _, m := range b.View().Members {
 		fmt.Println("b knows", m.Instance, m.State)
 	}
 
-	// b announces that it is leaving, by its answer to the next heartbeat.
+	// b announces that it is leaving, in its reply to the next heartbeat.
 	b.Leave()
 	exchange(2 * time.Second)
 	m, _ := a.Get("b")
 	fmt.Println("b takes work:", m.AcceptsWork())
 
-	// b is gone without another word: it is suspect, then dead.
+	// b stops without further messages: it becomes suspect, then dead.
 	for now := 3 * time.Second; now < 13*time.Second; now += time.Second {
 		a.Tick(now)
 	}
--- a/lib/member/log.go
+++ b/lib/member/log.go
@@ -10,12 +10,12 @@
 	refutations = metrics.NewCounter(`anvilwick_member_refutations_total`)
 )
 
-// changedMembers returns the members of v whose incarnation, state or leaving is not as it was in old.
+// changedMembers returns the members of v whose incarnation, state or leaving differs from old.
 func changedMembers(old, v *View) []Member {
 	var out []Member
 	for _, m := range v.Members {
-		was, known := old.Get(m.Instance)
-		same := was.Incarnation == m.Incarnation && was.State == m.State && was.Leaving == m.Leaving
+		before, known := old.Get(m.Instance)
+		same := before.Incarnation == m.Incarnation && before.State == m.State && before.Leaving == m.Leaving
 		if !known || !same {
 			out = append(out, m)
 		}
@@ -23,8 +23,8 @@
 	return out
 }
 
-// report logs and counts what changed between two views.
-func report(old, v *View) {
+// logChanges logs and counts the changes between two views.
+func logChanges(old, v *View) {
 	for _, m := range changedMembers(old, v) {
 		if m.State == Dead {
 			deaths.Inc()
--- a/lib/member/main_test.go
+++ b/lib/member/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the randomised tests unless one is given, so that a run can be repeated.
+// TestMain fixes the seed of the randomized tests unless one is given, so that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/lib/member/member.go
+++ b/lib/member/member.go
@@ -1,23 +1,23 @@
-// Package member keeps the set of instances that are live, by joining the platform's lagging instance list with
-// heartbeats between the instances.
+// Package member maintains the set of live instances by merging the platform's lagging instance list with heartbeats between the
+// instances.
 //
 // Table is a state machine without I/O or clock: callers pass the time. Runner drives one over lib/mesh.
 //
-// What is known of a member is a point in a lattice, so that news may arrive late, twice and in any order:
+// The known state of a member is an element of a join-semilattice, so that updates may arrive late, repeatedly and in any order:
 //
-//   - a higher incarnation replaces all that was known of a lower one;
-//   - within an incarnation, leaving is never taken back;
+//   - a higher incarnation replaces everything known of a lower one;
+//   - within an incarnation, leaving is never revoked;
 //   - within an incarnation, a higher refutation wins, and at equal refutation dead beats suspect beats live.
 //
-// Only the member itself raises its refutation, when it learns that it is thought suspect or dead. An instance that
-// was frozen or cut off thus comes back on its own word, and stale news can't bring back one that was replaced.
+// Only the member itself raises its refutation, when it learns that others hold it for suspect or dead. An instance that was frozen or
+// cut off thus recovers by refuting, and stale updates can't bring back one that was replaced.
 //
-// Traffic: up to Config.FullMesh members, each sends to all. Over it, each sends to Config.Neighbours fixed peers, and
-// changes travel piggybacked from peer to peer; bytes a second at a node then no longer grow with the members, but for
-// the changes themselves.
+// Traffic: up to Config.FullMesh members, each sends to all. In larger sets each sends to Config.Neighbours fixed peers, and changes
+// spread piggybacked on the heartbeats; the bytes per second at a node then grow only with the rate of changes, not with the number
+// of members.
 package member
 
-// State is what is thought of a member in its current incarnation. Higher values win at equal refutation.
+// State is the assumed state of a member in its current incarnation. Higher values win at equal refutation.
 type State uint8
 
 // Values of State.
@@ -37,7 +37,7 @@
 	return "invalid"
 }
 
-// Member is one instance as known here.
+// Member is the state of one instance as known to this process.
 type Member struct {
 	Instance      string
 	Incarnation   uint64
@@ -48,11 +48,11 @@
 	MeshAddr      string // IP:port
 }
 
-// AcceptsWork reports whether the member may own anything or be sent anything new. A suspect still counts: most
-// suspicions are refuted, and moving everything it owns twice costs more than a short silence.
+// AcceptsWork reports whether the member may own shards or be sent new work. Suspects are included: most suspicions are refuted, and
+// moving everything that a member owns twice costs more than a short loss of contact.
 func (m Member) AcceptsWork() bool { return m.State != Dead && !m.Leaving }
 
-// Merge joins two pieces of news on the same instance. It is commutative, associative and idempotent.
+// Merge merges two states of the same instance. It is commutative, associative and idempotent.
 func Merge(a, b Member) Member {
 	if a.Incarnation != b.Incarnation {
 		if a.Incarnation > b.Incarnation {
@@ -61,7 +61,7 @@
 		return b
 	}
 	out := a
-	if newer(b, a) {
+	if supersedes(b, a) {
 		out = b
 	}
 	out.Leaving = a.Leaving || b.Leaving
@@ -70,8 +70,8 @@
 	return out
 }
 
-// newer reports whether b says more than a of the same incarnation.
-func newer(b, a Member) bool {
+// supersedes reports whether b supersedes a of the same incarnation.
+func supersedes(b, a Member) bool {
 	if b.Refutation != a.Refutation {
 		return b.Refutation > a.Refutation
 	}
--- a/lib/member/member_test.go
+++ b/lib/member/member_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// News arrives late, twice and in any order, by different ways. Unless joining it is a lattice join, two instances
-// with the same news can differ for ever on who is live.
+// Updates arrive late, repeatedly and in any order, over different paths. Unless Merge is a lattice join, two instances with the same
+// updates can disagree forever on which members are live.
 func TestMergeIsALatticeJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := genMember(t), genMember(t), genMember(t)
@@ -50,11 +50,11 @@
 	dead.State = Dead
 	refuted := base
 	refuted.Refutation = 2
-	reborn := Member{Instance: "x", Incarnation: 6}
+	restarted := Member{Instance: "x", Incarnation: 6}
 	must.Eq(t, leaving, Merge(base, leaving))
 	must.Eq(t, dead, Merge(base, dead))
 	must.Eq(t, refuted, Merge(dead, refuted))
 	must.True(t, Merge(leaving, refuted).Leaving)
-	must.Eq(t, reborn, Merge(reborn, leaving))
-	must.Eq(t, reborn, Merge(dead, reborn))
+	must.Eq(t, restarted, Merge(restarted, leaving))
+	must.Eq(t, restarted, Merge(dead, restarted))
 }
--- a/lib/member/neighbours.go
+++ b/lib/member/neighbours.go
@@ -7,8 +7,8 @@
 	"anvilwick.example/anvilwick/lib/rendezvous"
 )
 
-// ringSuccessors of the neighbours are the next ones on the ring of hashed names: they keep the graph of heartbeats
-// connected whatever the others are, and give each member at least as many watchers.
+// ringSuccessors is the number of neighbours that are the next members on the ring of hashed names: they keep the heartbeat graph
+// connected, and make sure that each member is monitored by at least as many others.
 const ringSuccessors = 2
 
 type ranked struct {
@@ -16,9 +16,9 @@
 	rank uint64
 }
 
-// chooseNeighbours returns whom self sends heartbeats to, sorted. Up to full members it is everyone. Over it, it is the
-// ring successors and those with the highest rendezvous rank for self: one join or death changes about as many links
-// as a member has neighbours, at whatever size.
+// chooseNeighbours returns the members that self sends heartbeats to, sorted. Below full members these are all. In larger sets they are
+// the ring successors and the members with the highest rendezvous rank for self: one join or death changes about as many links as a
+// member has neighbours, whatever the size.
 func chooseNeighbours(self string, names []string, full, count int) []string {
 	if len(names) < full || len(names) <= count {
 		return slices.Clone(names)
--- a/lib/member/receive.go
+++ b/lib/member/receive.go
@@ -4,51 +4,51 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// HandleHeartbeat takes a heartbeat that came directly from its sender. The result, when not nil, is the answer to send back.
+// HandleHeartbeat processes a heartbeat received from its sender. The result, if not nil, is the reply to send.
 func (t *Table) HandleHeartbeat(now Time, hb *meshpb.Heartbeat) *meshpb.Heartbeat {
 	from := senderOf(hb)
 	if from.Instance == "" || from.Instance == t.self.Instance {
 		return nil
 	}
-	t.learn(now, from)
+	t.merge(now, from)
 	for _, m := range hb.GetChanged()[:min(len(hb.GetChanged()), maxChanged+1)] {
-		t.learn(now, fromProto(m))
+		t.merge(now, fromProto(m))
 	}
 	e, ok := t.members[from.Instance]
 	if !ok {
 		return nil
 	}
 	if e.Incarnation == from.Incarnation {
-		t.heardFrom(now, e, hb)
+		t.recordContact(now, e, hb)
 	}
 	if hb.GetAck() != 0 {
 		return nil
 	}
-	answer := t.beat(hb.GetSeq(), e)
+	answer := t.newHeartbeat(hb.GetSeq(), e)
 	if e.Incarnation > from.Incarnation {
-		answer.Changed = append(answer.Changed, toProto(e.Member)) // it must learn that it was replaced
+		answer.Changed = append(answer.Changed, toProto(e.Member)) // tell the sender that it was replaced
 	}
 	return answer
 }
 
-// heardFrom notes a direct sign of life of the current incarnation. An old one's is none: it would keep a replaced
+// recordContact records direct contact with the current incarnation. A heartbeat of an old one does not count: it would keep a replaced
 // instance alive.
-func (t *Table) heardFrom(now Time, e *entry, hb *meshpb.Heartbeat) {
-	e.heard = now
-	e.differs = hb.GetTableHash() != t.hash
-	e.settings = max(e.settings, hb.GetSettingsRevision())
+func (t *Table) recordContact(now Time, e *entry, hb *meshpb.Heartbeat) {
+	e.lastContact = now
+	e.tableDiffers = hb.GetTableHash() != t.hash
+	e.settingsRevision = max(e.settingsRevision, hb.GetSettingsRevision())
 	e.digests = hb.GetShards()[:min(len(hb.GetShards()), maxDigests)]
-	e.digestedAt = now
-	t.suspectOthersAt(now, e)
+	e.digestsAt = now
+	t.suspectOthersAtAddr(now, e)
 }
 
-// suspectOthersAt doubts any other instance said to be at the address of one that was just heard: an address is given
-// on to a new instance at once when the old one is replaced.
-func (t *Table) suspectOthersAt(now Time, e *entry) {
-	if e.MeshAddr == "" || t.heardAt[e.MeshAddr] == e.Instance {
+// suspectOthersAtAddr suspects any other instance recorded at the address of one that was just in contact: when an instance is replaced,
+// its address is reused for the new one immediately.
+func (t *Table) suspectOthersAtAddr(now Time, e *entry) {
+	if e.MeshAddr == "" || t.lastAtAddr[e.MeshAddr] == e.Instance {
 		return
 	}
-	t.heardAt[e.MeshAddr] = e.Instance
+	t.lastAtAddr[e.MeshAddr] = e.Instance
 	for _, o := range t.members {
 		if o != e && o.State == Live && o.MeshAddr == e.MeshAddr {
 			t.suspect(now, o)
@@ -56,28 +56,28 @@
 	}
 }
 
-// Unreachable tells that a member's address refused a connection, or that another instance answered there. The
-// suspicion starts now; a member that is well refutes it.
+// Unreachable reports that a member's address refused a connection, or that another instance answered there. The member becomes suspect
+// at once; a healthy one refutes it.
 func (t *Table) Unreachable(now Time, instance string, incarnation uint64) {
 	e, ok := t.members[instance]
 	if !ok || e.State != Live || e.Incarnation != incarnation {
 		return
 	}
-	if now-e.heard < t.cfg.Interval/urgentDivisor {
+	if now-e.lastContact < t.cfg.Interval/urgentDivisor {
 		return
 	}
 	t.suspect(now, e)
 }
 
-// beat builds a heartbeat for e; ack 0 makes it a probe.
-func (t *Table) beat(ack uint64, e *entry) *meshpb.Heartbeat {
+// newHeartbeat builds a heartbeat for e. With ack 0 it is a probe.
+func (t *Table) newHeartbeat(ack uint64, e *entry) *meshpb.Heartbeat {
 	return &meshpb.Heartbeat{
 		Instance:         t.self.Instance,
 		Incarnation:      t.self.Incarnation,
 		Seq:              t.seq,
 		State:            stateToProto(t.self),
-		SettingsRevision: t.settings,
-		Changed:          t.changedFor(e),
+		SettingsRevision: t.settingsRevision,
+		Changed:          t.piggybackFor(e),
 		Shards:           t.digests,
 		Refutation:       t.self.Refutation,
 		Ack:              ack,
@@ -87,9 +87,9 @@
 	}
 }
 
-// changedFor picks what to piggyback: what is thought of the receiver, when it must answer that; then fresh changes;
-// then, while the two tables differ, a slice of the whole table that moves on each time.
-func (t *Table) changedFor(e *entry) []*meshpb.Member {
+// piggybackFor selects the states to piggyback: the receiver's own if it has to refute it; then recent changes; then, while the two
+// tables differ, a rotating slice of the whole table.
+func (t *Table) piggybackFor(e *entry) []*meshpb.Member {
 	var out []*meshpb.Member
 	if e.State != Live {
 		out = append(out, toProto(e.Member))
@@ -99,12 +99,12 @@
 			return out
 		}
 		c := t.members[name]
-		if c.sends > 0 && c != e {
-			c.sends--
+		if c.sendsLeft > 0 && c != e {
+			c.sendsLeft--
 			out = append(out, toProto(c.Member))
 		}
 	}
-	if !e.differs {
+	if !e.tableDiffers {
 		return out
 	}
 	return t.appendRotation(out)
--- a/lib/member/runner.go
+++ b/lib/member/runner.go
@@ -17,21 +17,21 @@
 	node  *mesh.Node
 	start time.Time
 
-	mu    sync.Mutex
-	table *Table
-	shown uint64 // version of the current view
-	next  chan struct{}
+	mu          sync.Mutex
+	table       *Table
+	viewVersion uint64 // version of the current view
+	viewChanged chan struct{}
 
 	view atomic.Pointer[View]
 }
 
-// NewRunner makes a table for cfg and serves heartbeats on node, which must carry the same identity as cfg.Self.
+// NewRunner creates a table for cfg and serves heartbeats on node, which must have the same identity as cfg.Self.
 func NewRunner(node *mesh.Node, cfg Config) *Runner {
 	r := &Runner{
-		node:  node,
-		start: time.Now(),
-		table: NewTable(0, cfg),
-		next:  make(chan struct{}),
+		node:        node,
+		start:       time.Now(),
+		table:       NewTable(0, cfg),
+		viewChanged: make(chan struct{}),
 	}
 	r.view.Store(r.table.View())
 	node.Handle(meshpb.StreamKind_STREAM_HEARTBEAT, r.serve)
@@ -43,11 +43,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	out := mesh.NewOutbox(ctx, r.node, mesh.OutboxOptions{
 		Kind:     meshpb.StreamKind_STREAM_HEARTBEAT,
-		Queue:    1, // an old heartbeat is worth nothing
-		Idle:     idlePeer,
+		Queue:    1, // only the latest heartbeat matters
+		Idle:     idlePeerTimeout,
 		NewReply: func() proto.Message { return new(meshpb.Heartbeat) },
-		OnReply:  func(_ mesh.Identity, m proto.Message) { r.receive(m.(*meshpb.Heartbeat)) },
-		OnError:  r.failed,
+		OnReply:  func(_ mesh.Identity, m proto.Message) { r.handleHeartbeat(m.(*meshpb.Heartbeat)) },
+		OnError:  r.handleSendError,
 	})
 	defer out.Wait()
 	defer cancel()
@@ -58,109 +58,109 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			r.round(out)
+			r.sendRound(out)
 			timer.Reset(r.tickInterval())
 		}
 	}
 }
 
-// tickInterval is short enough for news that can't wait for the next round.
+// tickInterval is short enough for urgent changes, which don't wait for the next round.
 func (r *Runner) tickInterval() (d time.Duration) {
-	r.locked(func(Time) { d = r.table.cfg.Interval / urgentDivisor })
+	r.withTable(func(Time) { d = r.table.cfg.Interval / urgentDivisor })
 	return d
 }
 
-// SetInterval changes the time between heartbeats, as settings say.
+// SetInterval changes the interval of heartbeats.
 func (r *Runner) SetInterval(d time.Duration) {
-	r.locked(func(Time) { r.table.SetInterval(d) })
+	r.withTable(func(Time) { r.table.SetInterval(d) })
 }
 
 // View returns the newest view.
 func (r *Runner) View() *View { return r.view.Load() }
 
-// Changed returns a channel that closes when a view newer than the current one exists. Take the channel before View.
+// Changed returns a channel that is closed when a view newer than the current one exists. Get the channel before calling View.
 func (r *Runner) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.next
+	return r.viewChanged
 }
 
-// SetInstances joins the platform's list.
+// SetInstances merges the platform's instance list.
 func (r *Runner) SetInstances(list []Member) {
-	r.locked(func(now Time) { r.table.SetInstances(now, list) })
+	r.withTable(func(now Time) { r.table.SetInstances(now, list) })
 }
 
-// SetLocal sets what heartbeats tell of this instance beside its state.
+// SetLocal sets what heartbeats report of this instance in addition to its state.
 func (r *Runner) SetLocal(settingsRevision uint64, digests []*meshpb.ShardDigest) {
-	r.locked(func(Time) { r.table.SetLocal(settingsRevision, digests) })
+	r.withTable(func(Time) { r.table.SetLocal(settingsRevision, digests) })
 }
 
 // Leave announces that this instance is stopping.
 func (r *Runner) Leave() {
-	r.locked(func(Time) { r.table.Leave() })
+	r.withTable(func(Time) { r.table.Leave() })
 }
 
-// Digests returns what members that take work said of their shards.
+// Digests returns the shard digests of the members that accept work.
 func (r *Runner) Digests() (out []Digest) {
-	r.locked(func(now Time) { out = r.table.Digests(now) })
+	r.withTable(func(now Time) { out = r.table.Digests(now) })
 	return out
 }
 
-// SettingsRevisions returns the highest revision that each other member has.
+// SettingsRevisions returns the highest settings revision reported by each other member.
 func (r *Runner) SettingsRevisions() (out map[string]uint64) {
-	r.locked(func(Time) { out = r.table.SettingsRevisions() })
+	r.withTable(func(Time) { out = r.table.SettingsRevisions() })
 	return out
 }
 
-// locked runs f with the time and publishes a new view when f changed the table.
-func (r *Runner) locked(f func(now Time)) {
+// withTable calls f with the table locked and the current time, and publishes a new view if f changed the table.
+func (r *Runner) withTable(f func(now Time)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(time.Since(r.start))
-	if r.table.Version() == r.shown {
+	if r.table.Version() == r.viewVersion {
 		return
 	}
-	r.shown = r.table.Version()
+	r.viewVersion = r.table.Version()
 	v := r.table.View()
-	report(r.view.Swap(v), v)
-	close(r.next)
-	r.next = make(chan struct{})
+	logChanges(r.view.Swap(v), v)
+	close(r.viewChanged)
+	r.viewChanged = make(chan struct{})
 }
 
-func (r *Runner) round(out *mesh.Outbox) {
-	var beats []Outgoing
-	r.locked(func(now Time) { beats = r.table.Tick(now) })
-	for _, o := range beats {
+func (r *Runner) sendRound(out *mesh.Outbox) {
+	var heartbeats []Outgoing
+	r.withTable(func(now Time) { heartbeats = r.table.Tick(now) })
+	for _, o := range heartbeats {
 		out.Send(mesh.Peer{Instance: o.To.Instance, Addr: o.To.MeshAddr}, o.Heartbeat)
 	}
 }
 
-// receive passes a heartbeat to the table and returns the answer, if one is due.
-func (r *Runner) receive(hb *meshpb.Heartbeat) (answer *meshpb.Heartbeat) {
-	r.locked(func(now Time) { answer = r.table.HandleHeartbeat(now, hb) })
+// handleHeartbeat processes a heartbeat and returns the reply, if one is due.
+func (r *Runner) handleHeartbeat(hb *meshpb.Heartbeat) (answer *meshpb.Heartbeat) {
+	r.withTable(func(now Time) { answer = r.table.HandleHeartbeat(now, hb) })
 	return answer
 }
 
-// failed notes that nobody, or another instance, answers at a member's address.
-func (r *Runner) failed(to mesh.Peer, err error) {
+// handleSendError marks a member as unreachable if nothing, or another instance, listens on its address.
+func (r *Runner) handleSendError(to mesh.Peer, err error) {
 	if !mesh.Refused(err) {
 		return
 	}
-	r.locked(func(now Time) {
+	r.withTable(func(now Time) {
 		if m, ok := r.table.Get(to.Instance); ok && m.MeshAddr == to.Addr {
 			r.table.Unreachable(now, m.Instance, m.Incarnation)
 		}
 	})
 }
 
-// serve answers the probes of one peer.
+// serve replies to the heartbeats of one peer.
 func (r *Runner) serve(_ context.Context, s *mesh.Stream) {
 	for {
 		var hb meshpb.Heartbeat
 		if err := s.Read(&hb); err != nil {
 			return
 		}
-		answer := r.receive(&hb)
+		answer := r.handleHeartbeat(&hb)
 		if answer == nil {
 			continue
 		}
@@ -170,5 +170,5 @@
 	}
 }
 
-// idlePeer without a heartbeat to a peer closes its stream: it is no neighbour any more.
-const idlePeer = 10 * time.Second
+// idlePeerTimeout is the time without a heartbeat to a peer after which its stream is closed: it is no longer a neighbour.
+const idlePeerTimeout = 10 * time.Second
--- a/lib/member/runner_test.go
+++ b/lib/member/runner_test.go
@@ -15,7 +15,7 @@
 
 const runnerInterval = 50 * time.Millisecond
 
-// process is a node with its runner on a real socket.
+// process is a node and its runner on a real socket.
 type process struct {
 	*Runner
 	node *mesh.Node
@@ -58,7 +58,7 @@
 	for i := range n {
 		ps = append(ps, startProcess(t, fmt.Sprintf("i%02d", i), 1, "127.0.0.1:0", interval))
 	}
-	// Only the first is told of the others; they learn of each other by heartbeats.
+	// Only the first gets the list; the others learn of each other from heartbeats.
 	var list []Member
 	for _, p := range ps {
 		list = append(list, p.self)
@@ -91,7 +91,7 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			t.Fatalf("%s waited in vain for %s: %+v", p.self.Instance, what, p.View().Members)
+			t.Fatalf("%s: timed out waiting for %s: %+v", p.self.Instance, what, p.View().Members)
 		}
 	}
 }
@@ -103,10 +103,9 @@
 	}
 }
 
-// An instance is killed: its sockets close and its address refuses. It must be dead at all others soon; a new process
-// of a higher incarnation on the same address must then be live at all; and its word that it is leaving must reach
-// all.
-func TestRunnersSeeDeathRestartAndLeaving(t *testing.T) {
+// An instance is killed: its sockets close and its address refuses connections. All others must declare it dead soon. A new process with
+// a higher incarnation on the same address must then be live at all of them, and its announcement of leaving must reach all.
+func TestRunnersDetectDeathRestartAndLeaving(t *testing.T) {
 	ps := startProcesses(t, 5, runnerInterval)
 	ps[4].stop()
 	from := time.Now()
@@ -114,13 +113,13 @@
 		waitView(t, p, "death", stateIs("i04", 1, Dead))
 	}
 	t.Logf("dead at all after %v, interval %v", time.Since(from).Round(time.Millisecond), runnerInterval)
-	reborn := startProcess(t, "i04", 2, ps[4].self.MeshAddr, runnerInterval)
-	reborn.SetInstances([]Member{ps[1].self})
+	restarted := startProcess(t, "i04", 2, ps[4].self.MeshAddr, runnerInterval)
+	restarted.SetInstances([]Member{ps[1].self})
 	for _, p := range ps[:4] {
 		waitView(t, p, "the new incarnation", stateIs("i04", 2, Live))
 	}
 	from = time.Now()
-	reborn.Leave()
+	restarted.Leave()
 	for _, p := range ps[:4] {
 		waitView(t, p, "leaving", func(v *View) bool {
 			m, _ := v.Get("i04")
@@ -140,7 +139,7 @@
 	waitView(t, ps[0], "death at the new interval", stateIs("i01", 1, Dead))
 }
 
-func TestRunnersPassOnDigestsAndRevisions(t *testing.T) {
+func TestRunnersExchangeDigestsAndRevisions(t *testing.T) {
 	ps := startProcesses(t, 3, runnerInterval)
 	ps[1].SetLocal(12, []*meshpb.ShardDigest{{Service: "planner", Shard: 3, Queued: 9}})
 	for end := time.Now().Add(10 * time.Second); len(ps[0].Digests()) == 0; time.Sleep(5 * time.Millisecond) {
--- a/lib/member/sim_test.go
+++ b/lib/member/sim_test.go
@@ -14,28 +14,28 @@
 
 const testInterval = 100 * time.Millisecond
 
-// simNode is one process: a table, and whether it runs.
+// simNode is one process: its table, and whether it is running.
 type simNode struct {
-	table  *Table
-	paused bool
-	killed bool
-	side   int // nodes on different sides can't reach each other
-	// figures
+	table     *Table
+	paused    bool
+	killed    bool
+	partition int // nodes on different sides can't reach each other
+	// traffic
 	messages int
 	bytes    int
 }
 
-// sim passes heartbeats between tables in virtual time, with loss. Delivery takes no time, answers included.
+// sim delivers heartbeats between tables in virtual time, with loss. Delivery takes no time, replies included.
 type sim struct {
-	t     must.T
-	now   Time
-	rng   *rand.Rand
-	nodes []*simNode // by slot; a replaced process takes its slot's place
-	addrs map[string]int
-	inc   []uint64
-	names []string
-	loss  float64
-	full  int
+	t            must.T
+	now          Time
+	rng          *rand.Rand
+	nodes        []*simNode // by slot; a replacement process takes over the slot
+	addrs        map[string]int
+	incarnations []uint64
+	names        []string
+	loss         float64
+	fullMesh     int
 }
 
 func newSim(t must.T, n int, seed uint64) *sim {
@@ -43,7 +43,7 @@
 	for i := range n {
 		s.nodes = append(s.nodes, nil)
 		s.names = append(s.names, fmt.Sprintf("i%03d", i))
-		s.inc = append(s.inc, 0)
+		s.incarnations = append(s.incarnations, 0)
 		s.addrs[s.addr(i)] = i
 		s.start(i)
 	}
@@ -53,21 +53,21 @@
 func (s *sim) addr(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250) }
 
 func (s *sim) self(i int) Member {
-	return Member{Instance: s.names[i], Incarnation: s.inc[i], FailureDomain: fmt.Sprint("d", i%3), MeshAddr: s.addr(i)}
+	return Member{Instance: s.names[i], Incarnation: s.incarnations[i], FailureDomain: fmt.Sprint("d", i%3), MeshAddr: s.addr(i)}
 }
 
-// start begins a new life of slot i, which knows nobody yet.
+// start starts a new incarnation of slot i, which knows no other member yet.
 func (s *sim) start(i int) {
-	s.inc[i]++
-	cfg := Config{Self: s.self(i), Interval: testInterval, Seed: uint64(i), ForgetAfter: time.Hour, FullMesh: s.full}
+	s.incarnations[i]++
+	cfg := Config{Self: s.self(i), Interval: testInterval, Seed: uint64(i), ForgetAfter: time.Hour, FullMesh: s.fullMesh}
 	side := 0
 	if s.nodes[i] != nil {
-		side = s.nodes[i].side
+		side = s.nodes[i].partition
 	}
-	s.nodes[i] = &simNode{table: NewTable(s.now, cfg), side: side}
+	s.nodes[i] = &simNode{table: NewTable(s.now, cfg), partition: side}
 }
 
-// list is the platform's: the truth at the time it is read.
+// list returns the platform's list: the actual state at this time.
 func (s *sim) list() []Member {
 	var out []Member
 	for i, n := range s.nodes {
@@ -80,7 +80,7 @@
 	return out
 }
 
-func (s *sim) giveList(list []Member) {
+func (s *sim) deliverList(list []Member) {
 	for _, n := range s.nodes {
 		if n.running() {
 			n.table.SetInstances(s.now, list)
@@ -90,7 +90,7 @@
 
 func (n *simNode) running() bool { return !n.killed && !n.paused }
 
-// run moves time on by d, in steps of a fifth of an interval.
+// run advances time by d, in steps of a fifth of an interval.
 func (s *sim) run(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.now += testInterval / urgentDivisor
@@ -131,11 +131,11 @@
 }
 
 func (s *sim) lost(a, b *simNode) bool {
-	return !a.running() || !b.running() || a.side != b.side || s.rng.Float64() < s.loss
+	return !a.running() || !b.running() || a.partition != b.partition || s.rng.Float64() < s.loss
 }
 
-// converged reports the first disagreement with the truth, or "".
-func (s *sim) converged() string {
+// firstDifference returns the first difference from the actual state, or "".
+func (s *sim) firstDifference() string {
 	for i, n := range s.nodes {
 		if !n.running() {
 			continue
@@ -147,13 +147,13 @@
 			m, known := n.table.Get(s.names[j])
 			switch {
 			case o.killed && known && m.State != Dead:
-				return fmt.Sprintf("%s holds killed %s for %v", s.names[i], s.names[j], m.State)
+				return fmt.Sprintf("%s assumes killed %s is %v", s.names[i], s.names[j], m.State)
 			case !o.killed && !known:
 				return fmt.Sprintf("%s does not know %s", s.names[i], s.names[j])
 			case !o.killed && m.State != Live:
-				return fmt.Sprintf("%s holds running %s for %v", s.names[i], s.names[j], m.State)
-			case !o.killed && m.Incarnation != s.inc[j]:
-				return fmt.Sprintf("%s has %s at %d, not %d", s.names[i], s.names[j], m.Incarnation, s.inc[j])
+				return fmt.Sprintf("%s assumes running %s is %v", s.names[i], s.names[j], m.State)
+			case !o.killed && m.Incarnation != s.incarnations[j]:
+				return fmt.Sprintf("%s has incarnation of %s at %d, want %d", s.names[i], s.names[j], m.Incarnation, s.incarnations[j])
 			case !o.killed && m.Leaving != o.table.Self().Leaving:
 				return fmt.Sprintf("%s has leaving of %s wrong", s.names[i], s.names[j])
 			}
@@ -162,12 +162,12 @@
 	return ""
 }
 
-// runUntilConverged returns the time it took, or fails after bound.
+// runUntilConverged runs until convergence and returns the time it took; it fails after bound.
 func (s *sim) runUntilConverged(bound time.Duration) time.Duration {
 	from := s.now
-	for s.converged() != "" {
+	for s.firstDifference() != "" {
 		if s.now-from > bound {
-			must.Eq(s.t, "", s.converged(), must.Sprintf("after %v", bound))
+			must.Eq(s.t, "", s.firstDifference(), must.Sprintf("after %v", bound))
 		}
 		s.run(testInterval)
 	}
--- a/lib/member/table_test.go
+++ b/lib/member/table_test.go
@@ -12,10 +12,10 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// started is a set of n that know each other.
-func started(t must.T, n int) *sim {
+// newConvergedSim returns a simulation of n members that know each other.
+func newConvergedSim(t must.T, n int) *sim {
 	s := newSim(t, n, 1)
-	s.giveList(s.list())
+	s.deliverList(s.list())
 	s.run(3 * testInterval)
 	s.runUntilConverged(10 * time.Second)
 	return s
@@ -26,28 +26,28 @@
 	return m
 }
 
-// An instance is killed. Its address refuses, so suspicion starts at the next heartbeat, and without a refutation it
-// is dead at every other one within suspicion and death times, whatever the instance list still says.
-func TestKilledInstanceIsDeadEverywhereThoughListed(t *testing.T) {
-	s := started(t, 8)
+// An instance is killed. Its address refuses connections, so suspicion starts at the next heartbeat, and without a refutation all others
+// declare it dead after the suspicion and death time-outs, even while the instance list still contains it.
+func TestKilledInstanceIsDeadEverywhereDespiteList(t *testing.T) {
+	s := newConvergedSim(t, 8)
 	stale := s.list()
 	s.nodes[3].killed = true
 	took := s.runUntilConverged(time.Second)
-	s.giveList(stale)
+	s.deliverList(stale)
 	s.run(time.Second)
-	must.Eq(t, "", s.converged())
+	must.Eq(t, "", s.firstDifference())
 	t.Logf("dead everywhere after %v, interval %v", took, testInterval)
 }
 
-// An instance is frozen long enough to be buried, then goes on. It must neither bury the others, whose answers it
-// did not read, nor stay dead: it learns what is thought of it from the first answer, and refutes.
-func TestFrozenInstanceComesBackAndBuriesNobody(t *testing.T) {
-	s := started(t, 8)
+// An instance is frozen until it is declared dead, then resumes. It must not declare the others dead because it missed their replies, and
+// must not stay dead: the first reply tells it of the suspicion, and it refutes.
+func TestFrozenInstanceRecoversAndDeclaresNoneDead(t *testing.T) {
+	s := newConvergedSim(t, 8)
 	s.nodes[2].paused = true
 	s.run(3 * time.Second)
 	must.EqOp(t, Dead, s.state(0, 2).State)
 	s.nodes[2].paused = false
-	s.nodes[2].table.Tick(s.now) // not delivered: it decides with nothing but its clock
+	s.nodes[2].table.Tick(s.now) // heartbeats are not delivered: it decides by its clock alone
 	for i := range s.nodes {
 		if i != 2 {
 			must.EqOp(t, Live, s.state(2, i).State)
@@ -56,33 +56,33 @@
 	s.runUntilConverged(time.Second)
 }
 
-// An instance is frozen, the platform replaces it under the same name, and then the old process wakes. Its
-// heartbeats carry the old incarnation: nobody may take them for signs of life of the new one, nor go back to the old
-// one, and the old process must learn that it is replaced.
-func TestFrozenInstanceReturnsAfterItsReplacement(t *testing.T) {
-	s := started(t, 5)
+// An instance is frozen, the platform replaces it under the same name, and then the old process resumes. Its heartbeats carry the old
+// incarnation: they must not count as contact with the new one, nor restore the old one, and the old process must learn that it was
+// replaced.
+func TestFrozenInstanceResumesAfterReplacement(t *testing.T) {
+	s := newConvergedSim(t, 5)
 	old := s.nodes[4]
 	old.paused = true
 	s.run(2 * time.Second)
 	s.start(4)
-	s.giveList(s.list())
+	s.deliverList(s.list())
 	s.runUntilConverged(time.Second)
 	for range 20 {
 		s.run(testInterval)
-		s.beatOf(old)
+		s.sendRoundOf(old)
 	}
 	must.True(t, old.table.Replaced())
 	must.EqOp(t, 2, s.state(0, 4).Incarnation)
 	must.EqOp(t, Live, s.state(0, 4).State)
 	s.nodes[4].killed = true
-	s.runUntilConvergedBeside(old, time.Second)
+	s.runAlongside(old, time.Second)
 	for _, m := range old.table.View().Workers() {
 		must.NotEq(t, "i004", m.Instance)
 	}
 }
 
-// beatOf sends a round of heartbeats of a process that has no slot any more.
-func (s *sim) beatOf(old *simNode) {
+// sendRoundOf sends a round of heartbeats of a process that no longer has a slot.
+func (s *sim) sendRoundOf(old *simNode) {
 	for _, o := range old.table.Tick(s.now) {
 		to := s.nodes[s.addrs[o.To.MeshAddr]]
 		if answer := to.table.HandleHeartbeat(s.now, o.Heartbeat); answer != nil {
@@ -91,35 +91,35 @@
 	}
 }
 
-func (s *sim) runUntilConvergedBeside(old *simNode, bound time.Duration) {
+func (s *sim) runAlongside(old *simNode, bound time.Duration) {
 	for end := s.now + bound; s.now < end; s.run(testInterval) {
-		s.beatOf(old)
+		s.sendRoundOf(old)
 	}
-	must.Eq(s.t, "", s.converged())
+	must.Eq(s.t, "", s.firstDifference())
 }
 
-// An address is given on to a new instance. The old one must be doubted at the first word of the new one: waiting
-// for its silence would leave work with it for that time.
-func TestNewInstanceOnAnAddressPutsTheOldOneInDoubt(t *testing.T) {
-	s := started(t, 3)
+// An address is reused for a new instance. The old one must become suspect at the first heartbeat of the new one: otherwise it would keep
+// its work until the time-out.
+func TestNewInstanceAtAddressMakesOldOneSuspect(t *testing.T) {
+	s := newConvergedSim(t, 3)
 	s.nodes[0].table.HandleHeartbeat(s.now, &meshpb.Heartbeat{Instance: "new", Incarnation: 1, Seq: 1, MeshAddr: s.addr(2)})
 	must.EqOp(t, Suspect, s.state(0, 2).State)
 	must.EqOp(t, Live, s.state(0, 1).State)
 }
 
-// One table knows an instance of old, and has told that as often as it tells any change. Another that missed all of
-// it must still learn: its table's hash differs, and the whole table comes piece by piece.
-func TestTablesThatDifferAreLevelled(t *testing.T) {
+// One table knows 50 members and has already piggybacked them as often as it does. Another that missed all of that must still learn them:
+// its table hash differs, so the whole table is sent piece by piece.
+func TestDifferingTablesConverge(t *testing.T) {
 	a, b := newSim(t, 1, 1).nodes[0].table, NewTable(0, Config{Self: Member{Instance: "b", Incarnation: 1, MeshAddr: "b:1"}, Interval: testInterval})
 	for i := range 50 {
-		a.learn(0, Member{Instance: fmt.Sprint("x", i), Incarnation: 1, MeshAddr: fmt.Sprint("x:", i)})
+		a.merge(0, Member{Instance: fmt.Sprint("x", i), Incarnation: 1, MeshAddr: fmt.Sprint("x:", i)})
 	}
 	for _, e := range a.members {
-		e.sends = 0
+		e.sendsLeft = 0
 	}
 	rounds := 0
 	for ; len(b.members) < 51 && rounds < 20; rounds++ {
-		if answer := a.HandleHeartbeat(0, b.beat(0, &entry{})); answer != nil {
+		if answer := a.HandleHeartbeat(0, b.newHeartbeat(0, &entry{})); answer != nil {
 			b.HandleHeartbeat(0, answer)
 		}
 	}
@@ -128,16 +128,16 @@
 	must.LessEq(t, 6, rounds)
 }
 
-// An instance is replaced by another of a new name on the same address. The old one is in the instance list for some
-// seconds more; it must be suspect as soon as the new one is heard, and dead soon after.
-func TestReplacedOnTheSameAddress(t *testing.T) {
-	s := started(t, 5)
+// An instance is replaced by one with a new name on the same address. The old one stays in the instance list for some seconds; it must be
+// suspect at the first contact with the new one, and dead soon after.
+func TestReplacementAtSameAddress(t *testing.T) {
+	s := newConvergedSim(t, 5)
 	stale := s.list()
 	s.names[4] = "new4"
 	s.start(4)
 	s.nodes[4].table.SetInstances(s.now, stale)
 	s.run(2 * time.Second)
-	s.giveList(stale)
+	s.deliverList(stale)
 	s.run(testInterval)
 	for i := range 4 {
 		gone, _ := s.nodes[i].table.Get("i004")
@@ -146,29 +146,29 @@
 	}
 }
 
-// A stopping instance announces it. Every other one must know within three seconds at the letter's size, by its own
-// word and not by the list, and must never take it for one that works again while it lives.
+// A stopping instance announces that it leaves. All others must know within three seconds at the required size, from its heartbeats and
+// not from the list, and must not take it for accepting work again while it is alive.
 func TestLeavingIsKnownWithinThreeSeconds(t *testing.T) {
 	for _, n := range []int{8, 430} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			s := started(t, n)
+			s := newConvergedSim(t, n)
 			stale := s.list()
 			s.nodes[1].table.Leave()
 			took := s.runUntilConverged(3 * time.Second)
-			s.giveList(stale)
+			s.deliverList(stale)
 			s.run(time.Second)
-			must.Eq(t, "", s.converged())
+			must.Eq(t, "", s.firstDifference())
 			t.Logf("n=%d leaving known everywhere after %v, interval %v", n, took, testInterval)
 		})
 	}
 }
 
-// One link is cut and all others are sound. The two ends suspect each other again and again; others pass on the
-// suspicion, and the suspect refutes it, so that neither is ever dead.
-func TestOneCutLinkBuriesNobody(t *testing.T) {
-	s := started(t, 8)
+// One link is cut and all others work. Its two ends suspect each other repeatedly; other members forward the suspicion and the refutation,
+// so that neither is ever declared dead.
+func TestSingleCutLinkKillsNoMember(t *testing.T) {
+	s := newConvergedSim(t, 8)
 	for range 100 {
-		s.runWithout(testInterval, 0, 1)
+		s.runWithoutLink(testInterval, 0, 1)
 		for i := range s.nodes {
 			must.NotEq(t, Dead, s.state(i, 0).State)
 			must.NotEq(t, Dead, s.state(i, 1).State)
@@ -176,8 +176,8 @@
 	}
 }
 
-// runWithout runs for d without the link between a and b.
-func (s *sim) runWithout(d time.Duration, a, b int) {
+// runWithoutLink runs for d without the link between a and b.
+func (s *sim) runWithoutLink(d time.Duration, a, b int) {
 	for end := s.now + d; s.now < end; {
 		s.now += testInterval / urgentDivisor
 		for i, n := range s.nodes {
@@ -192,32 +192,32 @@
 	}
 }
 
-// Two sides lose each other for minutes and bury each other. Once the network is whole they must find each other
-// without help from the list: each side tries one dead member a round.
-func TestPartitionHealsWithoutTheList(t *testing.T) {
-	s := started(t, 9)
+// Two sides of a partition lose contact for minutes and declare each other dead. Once the network recovers they must find each other
+// without the instance list: each side retries one dead member per round.
+func TestPartitionHealsWithoutInstanceList(t *testing.T) {
+	s := newConvergedSim(t, 9)
 	for i := range 4 {
-		s.nodes[i].side = 1
+		s.nodes[i].partition = 1
 	}
 	s.run(2 * time.Minute)
 	must.EqOp(t, Dead, s.state(0, 8).State)
 	must.EqOp(t, Live, s.state(0, 1).State)
 	for _, n := range s.nodes {
-		n.side = 0
+		n.partition = 0
 	}
 	t.Logf("whole after %v, interval %v", s.runUntilConverged(10*time.Second), testInterval)
 }
 
-// Whatever is lost, cut, paused or replaced, two things hold at every step: nobody goes back to a lower incarnation,
-// and nobody takes back that an incarnation is leaving. Once the faults end, all agree with the truth.
+// Whatever messages are lost and whichever members are cut off, paused or replaced, two invariants hold at every step: no member goes back
+// to a lower incarnation, and none revokes that an incarnation is leaving. Once the faults end, all agree with the actual state.
 func TestConvergesAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.IntRange(2, 24).Draw(t, "nodes"), rapid.Uint64().Draw(t, "seed"))
-		s.full = rapid.SampledFrom([]int{16, 4}).Draw(t, "full")
+		s.fullMesh = rapid.SampledFrom([]int{16, 4}).Draw(t, "full")
 		s.loss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
 		stale := s.list()
-		s.giveList(stale)
-		seen := newWatch(s)
+		s.deliverList(stale)
+		seen := newInvariantChecker(s)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			s.fault(t, &stale)
 			for range rapid.IntRange(1, 30).Draw(t, "intervals") {
@@ -245,42 +245,44 @@
 	case "resume":
 		n.paused = false
 	case "cut":
-		n.side = 1
+		n.partition = 1
 	case "mend":
-		n.side = 0
+		n.partition = 0
 	case "leave":
 		if n.running() {
 			n.table.Leave()
 		}
 	case "list":
 		*stale = s.list()
-		s.giveList(*stale)
+		s.deliverList(*stale)
 	case "stale list":
-		s.giveList(*stale)
+		s.deliverList(*stale)
 	}
 }
 
-// heal ends all faults and gives a true list, as the platform does in the end.
+// heal ends all faults and delivers an accurate list, as the platform eventually does.
 func (s *sim) heal() {
 	s.loss = 0
 	for i, n := range s.nodes {
-		n.side, n.paused = 0, false
+		n.partition, n.paused = 0, false
 		if n.killed {
 			s.start(i)
 		}
 	}
-	s.giveList(s.list())
+	s.deliverList(s.list())
 }
 
-// watch remembers, for each life of each process, the highest that it held of every instance.
-type watch struct {
+// invariantChecker records, for each incarnation of each process, the highest state that it held of every instance.
+type invariantChecker struct {
 	s    *sim
 	seen map[*Table]map[string]Member
 }
 
-func newWatch(s *sim) *watch { return &watch{s: s, seen: make(map[*Table]map[string]Member)} }
+func newInvariantChecker(s *sim) *invariantChecker {
+	return &invariantChecker{s: s, seen: make(map[*Table]map[string]Member)}
+}
 
-func (w *watch) check(t must.T) {
+func (w *invariantChecker) check(t must.T) {
 	for _, n := range w.s.nodes {
 		checkCounts(t, n.table)
 		held := w.seen[n.table]
@@ -292,28 +294,28 @@
 			old := held[m.Instance]
 			must.GreaterEq(t, old.Incarnation, m.Incarnation)
 			if m.Incarnation == old.Incarnation && old.Leaving {
-				must.True(t, m.Leaving, must.Sprintf("%s took back leaving of %s", n.table.Self().Instance, m.Instance))
+				must.True(t, m.Leaving, must.Sprintf("%s revoked leaving of %s", n.table.Self().Instance, m.Instance))
 			}
 			held[m.Instance] = m
 		}
 	}
 }
 
-// checkCounts compares what a table keeps up to date with what it is worked out from.
+// checkCounts compares the incrementally updated fields of a table with their recomputed values.
 func checkCounts(t must.T, table *Table) {
 	notLive, hash := 0, memberHash(table.self)
 	for _, e := range table.members {
-		notLive += doubt(e.Member)
+		notLive += notLiveCount(e.Member)
 		hash ^= memberHash(e.Member)
 	}
 	must.EqOp(t, notLive, table.notLive)
 	must.EqOp(t, hash, table.hash)
 	must.EqOp(t, len(table.members), len(table.order))
-	must.LessEq(t, len(table.members), len(table.heardAt))
+	must.LessEq(t, len(table.members), len(table.lastAtAddr))
 }
 
-func TestHeartbeatIsBoundedWhateverChanged(t *testing.T) {
-	s := started(t, 64)
+func TestHeartbeatSizeIsBounded(t *testing.T) {
+	s := newConvergedSim(t, 64)
 	for i := range 40 {
 		s.nodes[i].killed = true
 	}
@@ -330,18 +332,18 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("i%03d", i)
 	}
-	moved := 0
+	changed := 0
 	for i, self := range names[:100] {
 		before := chooseNeighbours(self, append(append([]string{}, names[:i]...), names[i+1:]...), 16, 8)
 		must.Len(t, 8, before)
 		after := chooseNeighbours(self, append(append([]string{"new"}, names[:i]...), names[i+1:]...), 16, 8)
 		for _, n := range before {
 			if !contains(after, n) {
-				moved++
+				changed++
 			}
 		}
 	}
-	must.LessEq(t, 10, moved, must.Sprint("links of 100 members moved by one join"))
+	must.LessEq(t, 10, changed, must.Sprint("links of 100 members changed by one join"))
 }
 
 func contains(names []string, name string) bool {
--- a/lib/member/tick.go
+++ b/lib/member/tick.go
@@ -10,17 +10,17 @@
 	Heartbeat *meshpb.Heartbeat
 }
 
-// Tick moves the table to now and returns what to send. Calling it too often sends nothing.
+// Tick advances the table to now and returns the heartbeats to send. Calling it too often sends nothing.
 func (t *Table) Tick(now Time) []Outgoing {
-	t.absorbPause(now)
+	t.compensatePause(now)
 	t.lastTick = now
 	t.refreshNeighbours(now)
 	t.suspectSilent(now)
 	if t.notLive > 0 {
-		t.buryUnrefuted(now)
-		t.forget(now)
+		t.expireSuspicions(now)
+		t.forgetDead(now)
 	}
-	if !t.due(now) {
+	if !t.roundDue(now) {
 		return nil
 	}
 	t.lastRound = now
@@ -29,25 +29,25 @@
 	return t.round()
 }
 
-// absorbPause forgives silence after this process itself was paused. It would else wake, find that nobody answered,
-// and bury every live member.
-func (t *Table) absorbPause(now Time) {
+// compensatePause extends the time-outs after this process itself was paused. Otherwise it would resume, find that no member had replied,
+// and declare all of them dead.
+func (t *Table) compensatePause(now Time) {
 	gap := now - t.lastTick
 	if gap <= pauseIntervals*t.cfg.Interval {
 		return
 	}
 	for _, e := range t.members {
-		e.heard += gap
-		e.suspected += gap
+		e.lastContact += gap
+		e.suspectedAt += gap
 	}
 }
 
-// refreshNeighbours chooses again after a change and starts the clocks of new ones.
+// refreshNeighbours chooses the neighbours anew after a change and restarts the time-outs of new ones.
 func (t *Table) refreshNeighbours(now Time) {
-	if !t.stale {
+	if !t.neighboursStale {
 		return
 	}
-	t.stale = false
+	t.neighboursStale = false
 	names := make([]string, 0, len(t.order))
 	for _, name := range t.order {
 		if t.members[name].State != Dead {
@@ -61,19 +61,19 @@
 	}
 	for name, e := range t.members {
 		if !chosen[name] {
-			e.watched = notWatched
+			e.neighbourSince = notNeighbour
 		}
 	}
 }
 
-// suspectSilent marks neighbours that gave no sign of life, counted from when we began to ask them.
+// suspectSilent suspects the neighbours without contact for SuspectAfter, counted at the earliest from when they became neighbours.
 func (t *Table) suspectSilent(now Time) {
 	for _, name := range t.neighbours {
 		e := t.members[name]
-		if e.watched == notWatched {
-			e.watched = now
+		if e.neighbourSince == notNeighbour {
+			e.neighbourSince = now
 		}
-		if e.State == Live && now-max(e.heard, e.watched) > t.cfg.SuspectAfter {
+		if e.State == Live && now-max(e.lastContact, e.neighbourSince) > t.cfg.SuspectAfter {
 			t.suspect(now, e)
 		}
 	}
@@ -82,32 +82,32 @@
 func (t *Table) suspect(now Time, e *entry) {
 	m := e.Member
 	m.State = Suspect
-	t.set(now, e, m)
+	t.update(now, e, m)
 }
 
-// buryUnrefuted turns suspicion into death when neither a refutation nor the member itself was heard.
-func (t *Table) buryUnrefuted(now Time) {
+// expireSuspicions declares suspects dead if neither a refutation nor direct contact arrived within DeadAfter.
+func (t *Table) expireSuspicions(now Time) {
 	for _, e := range t.members {
-		if e.State != Suspect || now-max(e.suspected, e.heard) <= t.cfg.DeadAfter {
+		if e.State != Suspect || now-max(e.suspectedAt, e.lastContact) <= t.cfg.DeadAfter {
 			continue
 		}
 		m := e.Member
 		m.State = Dead
-		t.set(now, e, m)
+		t.update(now, e, m)
 	}
 }
 
-// forget drops the dead that the instance list no longer has. Their names must be kept for a while: news still on its
-// way would else add them again as live.
-func (t *Table) forget(now Time) {
+// forgetDead removes dead members that the instance list no longer has. Their names must be kept for a while: delayed updates would
+// otherwise add them again as live.
+func (t *Table) forgetDead(now Time) {
 	for name, e := range t.members {
-		if e.State == Dead && !e.listed && now-e.died > t.cfg.ForgetAfter {
-			t.drop(name)
+		if e.State == Dead && !e.listed && now-e.diedAt > t.cfg.ForgetAfter {
+			t.remove(name)
 		}
 	}
 }
 
-func (t *Table) due(now Time) bool {
+func (t *Table) roundDue(now Time) bool {
 	since := now - t.lastRound
 	return since >= t.cfg.Interval || (t.urgent && since >= t.cfg.Interval/urgentDivisor)
 }
@@ -117,36 +117,36 @@
 	out := make([]Outgoing, 0, len(t.neighbours)+1)
 	for _, name := range t.neighbours {
 		e := t.members[name]
-		out = append(out, Outgoing{To: e.Member, Heartbeat: t.beat(0, e)})
+		out = append(out, Outgoing{To: e.Member, Heartbeat: t.newHeartbeat(0, e)})
 	}
-	if e := t.someDead(); e != nil {
-		out = append(out, Outgoing{To: e.Member, Heartbeat: t.beat(0, e)})
+	if e := t.pickDead(); e != nil {
+		out = append(out, Outgoing{To: e.Member, Heartbeat: t.newHeartbeat(0, e)})
 	}
 	return out
 }
 
-// someDead picks one dead member to try again. Two sides of a healed partition each think the other dead, and nobody
-// else would ever dial across.
-func (t *Table) someDead() *entry {
+// pickDead picks one dead member at random to retry. After a partition heals, each side still assumes that the other is dead, and
+// would never dial it otherwise.
+func (t *Table) pickDead() *entry {
 	if t.notLive == 0 {
 		return nil
 	}
 	var pick *entry
-	seen := 0
+	count := 0
 	for _, name := range t.order {
 		e := t.members[name]
 		if e.State != Dead || t.addrTaken(e) {
 			continue
 		}
-		seen++
-		if t.rng.IntN(seen) == 0 {
+		count++
+		if t.rng.IntN(count) == 0 {
 			pick = e
 		}
 	}
 	return pick
 }
 
-// addrTaken reports whether a member that is not dead now has the address.
+// addrTaken reports whether a member that is not dead has the dead member's address now.
 func (t *Table) addrTaken(dead *entry) bool {
 	if dead.MeshAddr == t.self.MeshAddr {
 		return true
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -6,16 +6,16 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// View is an immutable copy of the table for those that act on it.
+// View is an immutable snapshot of the table.
 type View struct {
 	Version  uint64
 	Self     Member
-	Members  []Member // all known, self included, sorted by instance
+	Members  []Member // all known members including self, sorted by instance
 	Replaced bool     // a higher incarnation of this instance exists
-	Isolated bool     // others are known and none of them counts as live
+	Isolated bool     // other members are known and all of them are dead
 }
 
-// View copies the table.
+// View returns a snapshot of the table.
 func (t *Table) View() *View {
 	v := &View{Version: t.version, Self: t.self, Replaced: t.replaced, Isolated: len(t.members) > 0}
 	v.Members = make([]Member, 0, len(t.members)+1)
@@ -28,7 +28,7 @@
 	return v
 }
 
-// Get finds a member.
+// Get returns a member by instance name.
 func (v *View) Get(instance string) (Member, bool) {
 	at, ok := slices.BinarySearchFunc(v.Members, instance, func(m Member, name string) int {
 		return compareNames(m, Member{Instance: name})
@@ -39,7 +39,7 @@
 	return v.Members[at], true
 }
 
-// Workers returns the members that may own anything. An instance that was replaced doesn't count itself.
+// Workers returns the members that accept work. An instance that was replaced leaves itself out.
 func (v *View) Workers() []Member {
 	out := make([]Member, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -53,14 +53,14 @@
 	return out
 }
 
-// Digest is a shard digest as last heard from the instance that owns the shard.
+// Digest is the latest shard digest received from the instance that owns the shard.
 type Digest struct {
 	Instance string
-	Age      Time // since it was heard
+	Age      Time // since it was received
 	*meshpb.ShardDigest
 }
 
-// Digests returns what members that take work said of their shards, in order of instance.
+// Digests returns the shard digests of the members that accept work, in order of instance.
 func (t *Table) Digests(now Time) []Digest {
 	var out []Digest
 	for _, name := range t.order {
@@ -69,17 +69,17 @@
 			continue
 		}
 		for _, d := range e.digests {
-			out = append(out, Digest{Instance: name, Age: now - e.digestedAt, ShardDigest: d})
+			out = append(out, Digest{Instance: name, Age: now - e.digestsAt, ShardDigest: d})
 		}
 	}
 	return out
 }
 
-// SettingsRevisions returns the highest revision that each other member said it has, in force or not.
+// SettingsRevisions returns the highest settings revision that each other member reported, whether it is in force or not.
 func (t *Table) SettingsRevisions() map[string]uint64 {
 	out := make(map[string]uint64, len(t.members))
 	for name, e := range t.members {
-		out[name] = e.settings
+		out[name] = e.settingsRevision
 	}
 	return out
 }
--- a/lib/member/wire.go
+++ b/lib/member/wire.go
@@ -5,7 +5,7 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// FromInstance turns an item of the platform's list, or of the control process's view of it, into news.
+// FromInstance converts an entry of the platform's instance list, or of the control process's view of it.
 func FromInstance(in platformapi.Instance) Member {
 	return Member{
 		Instance:      in.ID,
@@ -16,10 +16,10 @@
 	}
 }
 
-// FromProto reads a member of a message.
+// FromProto converts a member from a message.
 func FromProto(m *meshpb.Member) Member { return fromProto(m) }
 
-// ToProto writes a member for a message.
+// ToProto converts a member for a message.
 func ToProto(m Member) *meshpb.Member { return toProto(m) }
 
 func fromProto(m *meshpb.Member) Member {
@@ -46,7 +46,7 @@
 	}
 }
 
-// senderOf is what a heartbeat says of the one that sent it: it is live.
+// senderOf returns the sender's state according to its heartbeat: it is live.
 func senderOf(hb *meshpb.Heartbeat) Member {
 	return Member{
 		Instance:      hb.GetInstance(),
