--- a/lib/mesh/coalesce.go
+++ b/lib/mesh/coalesce.go
@@ -5,15 +5,15 @@
 	"net"
 )
 
-// joinedConn writes a frame's header and its body as one. yamux writes them one after the other, and each write costs a
-// system call and, under TLS, 22 bytes of a record of its own: more than a heartbeat's own bytes.
+// coalescingConn writes a frame's header and its body with one call. yamux writes them separately, and each write costs a system call and,
+// under TLS, 22 bytes for a record of its own: more than the bytes of a heartbeat.
 //
-// Holding a header back is safe: yamux writes from one goroutine, and the body of a data frame with a length follows
-// its header at once. All other frames, and headers without a body, pass through.
-type joinedConn struct {
+// Holding a header back is safe: yamux writes from one goroutine, and the body of a data frame with a length follows its header
+// immediately. All other frames, and headers without a body, pass through.
+type coalescingConn struct {
 	net.Conn
-	held []byte // a header whose body comes next
-	buf  []byte
+	pendingHeader []byte // header whose body is written next
+	buf           []byte
 }
 
 // Layout of yamux's header: version, type, flags (2 bytes), stream (4 bytes), length (4 bytes).
@@ -24,29 +24,29 @@
 	typeData     = 0
 )
 
-// keptBuffer bounds what a link keeps for its next frame; larger ones, such as whole settings, are let go.
-const keptBuffer = 16 << 10
+// maxRetainedBuffer bounds the buffer that a link keeps for its next frame; larger ones, such as for whole settings, are released.
+const maxRetainedBuffer = 16 << 10
 
-// Write implements net.Conn for one writer.
-func (c *joinedConn) Write(b []byte) (int, error) {
-	if len(c.held) > 0 {
+// Write implements net.Conn. Only one goroutine may call it.
+func (c *coalescingConn) Write(b []byte) (int, error) {
+	if len(c.pendingHeader) > 0 {
 		return c.writeBody(b)
 	}
-	if !announcesBody(b) {
+	if !hasBody(b) {
 		return c.Conn.Write(b)
 	}
-	c.held = append(c.buf[:0], b...)
+	c.pendingHeader = append(c.buf[:0], b...)
 	return len(b), nil
 }
 
-func announcesBody(b []byte) bool {
+func hasBody(b []byte) bool {
 	return len(b) == headerSize && b[headerType] == typeData && binary.BigEndian.Uint32(b[headerLength:]) > 0
 }
 
-func (c *joinedConn) writeBody(body []byte) (int, error) {
-	frame := append(c.held, body...)
-	c.held = nil
-	if c.buf = frame[:0]; cap(frame) > keptBuffer {
+func (c *coalescingConn) writeBody(body []byte) (int, error) {
+	frame := append(c.pendingHeader, body...)
+	c.pendingHeader = nil
+	if c.buf = frame[:0]; cap(frame) > maxRetainedBuffer {
 		c.buf = nil
 	}
 	n, err := c.Conn.Write(frame)
--- a/lib/mesh/coalesce_test.go
+++ b/lib/mesh/coalesce_test.go
@@ -11,53 +11,53 @@
 	"github.com/shoenig/test/must"
 )
 
-// writesConn counts the writes that reach the socket.
-type writesConn struct {
+// countingConn counts the writes to the connection.
+type countingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
-func (c *writesConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
-// What operators see: links take several times the bytes of their messages. Each message's length, its body, and the
-// multiplexer's header of each, went out as writes of their own, and TLS adds 22 bytes to every write.
+// Links carried several times the bytes of their messages: each message's length, its body, and the multiplexer's header of each were
+// written separately, and TLS adds 22 bytes to every write.
 func TestMessageIsOneWrite(t *testing.T) {
-	o := quick("a")
+	o := fastOptions("a")
 	o.KeepAlive = time.Hour // pings are writes too
-	var conn *writesConn
+	var conn *countingConn
 	o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
 		c, err := d.DialContext(ctx, "tcp", addr)
-		conn = &writesConn{Conn: c}
+		conn = &countingConn{Conn: c}
 		return conn, err
 	}
 	a, _ := startNode(t, o)
-	_, addr := startNode(t, quick("b"))
+	_, addr := startNode(t, fastOptions("b"))
 	s := openTo(t, a, "b", addr)
-	call(t, s, 1)
+	echoCall(t, s, 1)
 	const messages = 50
 	before := conn.writes.Load()
 	for i := range uint64(messages) {
-		call(t, s, i)
+		echoCall(t, s, i)
 	}
-	// The other end's pings are answered, and a window may be told of.
+	// Answers to the other end's pings and window updates may add writes.
 	must.LessEq(t, messages+messages/5, conn.writes.Load()-before)
 }
 
-// recordConn keeps what is written, and fails after a number of writes.
-type recordConn struct {
+// recordingConn records what is written, and fails after a number of writes.
+type recordingConn struct {
 	net.Conn
-	wrote [][]byte
-	fail  int
+	wrote     [][]byte
+	failAfter int
 }
 
 var errFull = errors.New("full")
 
-func (c *recordConn) Write(b []byte) (int, error) {
-	if len(c.wrote) == c.fail {
+func (c *recordingConn) Write(b []byte) (int, error) {
+	if len(c.wrote) == c.failAfter {
 		return 0, errFull
 	}
 	c.wrote = append(c.wrote, append([]byte(nil), b...))
@@ -68,9 +68,9 @@
 	return []byte{0, kind, 0, 0, 0, 0, 0, 1, 0, 0, 0, length}
 }
 
-func TestJoinedHoldsOnlyHeadersWithABody(t *testing.T) {
-	under := &recordConn{fail: -1}
-	c := &joinedConn{Conn: under}
+func TestCoalescingHoldsOnlyHeadersWithBody(t *testing.T) {
+	under := &recordingConn{failAfter: -1}
+	c := &coalescingConn{Conn: under}
 	write := func(b []byte) {
 		n, err := c.Write(b)
 		must.NoError(t, err)
@@ -86,10 +86,10 @@
 	must.Eq(t, [][]byte{window, empty, append(data, "hello"...)}, under.wrote)
 }
 
-// A body of twelve bytes may look like a header. It must go out with its own header and not wait for another.
-func TestJoinedTakesABodyForABody(t *testing.T) {
-	under := &recordConn{fail: -1}
-	c := &joinedConn{Conn: under}
+// A body of twelve bytes may look like a header. It must be written with its own header and not be held back.
+func TestCoalescingBodyThatLooksLikeHeader(t *testing.T) {
+	under := &recordingConn{failAfter: -1}
+	c := &coalescingConn{Conn: under}
 	data, body := frameHeader(0, 12), frameHeader(0, 12)
 	for range 2 {
 		_, err := c.Write(data)
@@ -100,8 +100,8 @@
 	must.Len(t, 2, under.wrote)
 }
 
-func TestJoinedTellsOfAFailedWrite(t *testing.T) {
-	c := &joinedConn{Conn: &recordConn{fail: 0}}
+func TestCoalescingReportsFailedWrite(t *testing.T) {
+	c := &coalescingConn{Conn: &recordingConn{failAfter: 0}}
 	_, err := c.Write(frameHeader(0, 5))
 	must.NoError(t, err)
 	n, err := c.Write([]byte("hello"))
--- a/lib/mesh/link.go
+++ b/lib/mesh/link.go
@@ -8,43 +8,43 @@
 	"github.com/hashicorp/yamux"
 )
 
-// link is the way to one address: at most one session that takes new streams, and any number that are retired.
+// link manages the sessions to one address: at most one session that accepts new streams, and any number of retired ones.
 type link struct {
-	addr string
-	mu   sync.Mutex // held while dialing: callers of the same address share one dial
-	cur  *session
-	back backoff
-	last error // of the dial that put the peer into backoff
+	addr    string
+	mu      sync.Mutex // held while dialing, so that callers of the same address share one dial
+	current *session
+	backoff backoff
+	lastErr error // of the dial that put the peer into backoff
 }
 
-// session returns the current one or dials. A peer in backoff fails at once: callers decide without it.
+// session returns the current session or dials one. It fails at once while the peer is in backoff, so that callers don't wait for it.
 func (l *link) session(ctx context.Context, n *Node) (*session, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cur != nil && !l.cur.mux.IsClosed() {
-		return l.cur, nil
+	if l.current != nil && !l.current.mux.IsClosed() {
+		return l.current, nil
 	}
-	l.cur = nil
-	if !l.back.ready(time.Now()) {
-		// The cause stays with it: a peer whose address refuses is known dead in backoff as well, and Refused must see it.
-		return nil, ErrBackoff.Wrap(l.last, "%s failed %d times", l.addr, l.back.failures)
+	l.current = nil
+	if !l.backoff.ready(time.Now()) {
+		// Wrap the cause: Refused must recognize a peer whose address refuses connections during backoff as well.
+		return nil, ErrBackoff.Wrap(l.lastErr, "%s failed %d times", l.addr, l.backoff.failures)
 	}
 	mux, err := n.dial(ctx, l.addr)
 	if err != nil {
-		l.back.failed(time.Now())
-		l.last = err
+		l.backoff.failed(time.Now())
+		l.lastErr = err
 		return nil, ErrDial.Wrap(err, "%s", l.addr)
 	}
-	l.back.ok()
-	l.cur = newSession(mux)
-	return l.cur, nil
+	l.backoff.succeeded()
+	l.current = newSession(mux)
+	return l.current, nil
 }
 
-// retire drops s from the link when it is still the current one.
+// retire retires s if it is still the current session; nil retires whichever session is current.
 func (l *link) retire(s *session) {
 	l.mu.Lock()
-	if l.cur == s || s == nil {
-		s, l.cur = l.cur, nil
+	if l.current == s || s == nil {
+		s, l.current = l.current, nil
 	}
 	l.mu.Unlock()
 	if s != nil {
@@ -52,23 +52,23 @@
 	}
 }
 
-// sweep closes an idle session and reports whether the link can be forgotten.
+// sweep closes an idle session and reports whether the link can be removed.
 func (l *link) sweep(now time.Time, idle time.Duration) bool {
 	if !l.mu.TryLock() {
 		return false
 	}
 	defer l.mu.Unlock()
-	if l.cur != nil && l.cur.mux.IsClosed() {
-		l.cur = nil
+	if l.current != nil && l.current.mux.IsClosed() {
+		l.current = nil
 	}
-	if l.cur != nil && l.cur.idle(now, idle) {
-		l.cur.retire()
-		l.cur = nil
+	if l.current != nil && l.current.idle(now, idle) {
+		l.current.retire()
+		l.current = nil
 	}
-	return l.cur == nil && l.back.ready(now.Add(-l.back.max))
+	return l.current == nil && l.backoff.ready(now.Add(-l.backoff.max))
 }
 
-// dial makes a session within DialTimeout.
+// dial opens a session within DialTimeout.
 func (n *Node) dial(ctx context.Context, addr string) (*yamux.Session, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.opts.DialTimeout)
 	defer cancel()
@@ -80,10 +80,10 @@
 		dialFailures.Inc()
 		return nil, err
 	}
-	conn, err = n.secureDialed(ctx, n.counted(conn))
+	conn, err = n.secureDialed(ctx, n.countBytes(conn))
 	if err != nil {
 		dialFailures.Inc()
 		return nil, err
 	}
-	return yamux.Client(&joinedConn{Conn: conn}, yamuxConfig(&n.opts))
+	return yamux.Client(&coalescingConn{Conn: conn}, yamuxConfig(&n.opts))
 }
--- a/lib/mesh/mesh_test.go
+++ b/lib/mesh/mesh_test.go
@@ -15,8 +15,8 @@
 
 const kindEcho = meshpb.StreamKind_STREAM_RECORD
 
-// quick are options with short times, for tests on loopback.
-func quick(instance string) Options {
+// fastOptions returns options with short time-outs, for tests on loopback.
+func fastOptions(instance string) Options {
 	return Options{
 		Self:         Identity{Instance: instance, Incarnation: 1},
 		Plaintext:    true,
@@ -64,7 +64,7 @@
 	return s
 }
 
-func call(t *testing.T, s *Stream, revision uint64) {
+func echoCall(t *testing.T, s *Stream, revision uint64) {
 	t.Helper()
 	must.NoError(t, s.Write(&meshpb.SettingsOffer{Revision: revision}))
 	must.NoError(t, s.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -77,49 +77,49 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func TestOpenNamesBothEnds(t *testing.T) {
-	a, _ := startNode(t, quick("a"))
-	_, addr := startNode(t, quick("b"))
+func TestOpenExchangesIdentities(t *testing.T) {
+	a, _ := startNode(t, fastOptions("a"))
+	_, addr := startNode(t, fastOptions("b"))
 	s := openTo(t, a, "b", addr)
 	must.Eq(t, Identity{"b", 1}, s.Peer())
-	call(t, s, 7)
+	echoCall(t, s, 7)
 }
 
-// An instance was replaced by another on the same address. Whoever still dials the old one must learn so before it
-// sends anything, or the new instance would act on messages that were not meant for it.
-func TestOpenRefusesAnotherInstanceOnTheAddress(t *testing.T) {
-	a, _ := startNode(t, quick("a"))
-	_, addr := startNode(t, quick("c"))
+// An instance was replaced by another on the same address. A peer that still dials the old one must learn that before it sends anything;
+// otherwise the new instance would process messages that were not meant for it.
+func TestOpenRejectsOtherInstanceAtAddress(t *testing.T) {
+	a, _ := startNode(t, fastOptions("a"))
+	_, addr := startNode(t, fastOptions("c"))
 	_, err := a.Open(t.Context(), Peer{"b", addr}, kindEcho)
 	must.True(t, errorx.IsOfType(err, ErrWrongPeer))
 	must.True(t, Refused(err))
 }
 
-func TestPlainMustBeAskedFor(t *testing.T) {
-	o := quick("a")
+func TestPlaintextMustBeExplicit(t *testing.T) {
+	o := fastOptions("a")
 	o.Plaintext = false
 	_, err := New(o)
 	must.True(t, errorx.IsOfType(err, ErrConfig))
 }
 
-func TestUnknownKindIsRefusedAndTheSessionStays(t *testing.T) {
-	a, _ := startNode(t, quick("a"))
-	_, addr := startNode(t, quick("b"))
+func TestUnknownKindIsRefusedWithoutClosingSession(t *testing.T) {
+	a, _ := startNode(t, fastOptions("a"))
+	_, addr := startNode(t, fastOptions("b"))
 	s := openTo(t, a, "b", addr)
 	_, err := a.Open(t.Context(), Peer{"b", addr}, meshpb.StreamKind_STREAM_LOCAL)
 	must.True(t, errorx.IsOfType(err, ErrHello))
 	must.EqOp(t, s.conn.LocalAddr().String(), openTo(t, a, "b", addr).conn.LocalAddr().String())
-	call(t, s, 1)
+	echoCall(t, s, 1)
 }
 
-func TestStreamsOfASessionAreBounded(t *testing.T) {
-	a, _ := startNode(t, quick("a"))
-	o := quick("b")
+func TestStreamsPerSessionAreLimited(t *testing.T) {
+	a, _ := startNode(t, fastOptions("a"))
+	o := fastOptions("b")
 	o.MaxStreams = 2
 	_, addr := startNode(t, o)
 	first := openTo(t, a, "b", addr)
@@ -127,7 +127,7 @@
 	_, err := a.Open(t.Context(), Peer{"b", addr}, kindEcho)
 	must.Error(t, err)
 	first.Close()
-	waitFor(t, "the place of a closed stream", func() bool {
+	waitFor(t, "a free stream slot", func() bool {
 		s, err := a.Open(t.Context(), Peer{"b", addr}, kindEcho)
 		if err == nil {
 			s.Close()
@@ -136,11 +136,11 @@
 	})
 }
 
-func TestMessageOverTheBoundIsRefused(t *testing.T) {
-	o := quick("b")
+func TestOversizedMessageIsRejected(t *testing.T) {
+	o := fastOptions("b")
 	o.MaxMessage = 64
 	_, addr := startNode(t, o)
-	a, _ := startNode(t, quick("a"))
+	a, _ := startNode(t, fastOptions("a"))
 	s := openTo(t, a, "b", addr)
 	must.NoError(t, s.Write(&meshpb.SettingsBody{Yaml: make([]byte, 1000)}))
 	must.NoError(t, s.SetReadDeadline(time.Now().Add(5*time.Second)))
@@ -148,7 +148,7 @@
 }
 
 func TestDeadPeerIsInBackoff(t *testing.T) {
-	o := quick("a")
+	o := fastOptions("a")
 	o.BackoffMin, o.BackoffMax = time.Minute, time.Minute
 	var dialed atomic.Int32
 	o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -163,7 +163,7 @@
 	must.EqOp(t, 1, dialed.Load())
 }
 
-func TestBackoffDoublesToItsBoundWithJitter(t *testing.T) {
+func TestBackoffDoublesToMaximumWithJitter(t *testing.T) {
 	b := backoff{min: 100 * time.Millisecond, max: time.Second}
 	now := time.Now()
 	for _, want := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
@@ -171,36 +171,35 @@
 		wait := b.until.Sub(now)
 		must.Between(t, want*time.Millisecond/2, wait, want*time.Millisecond)
 	}
-	b.ok()
+	b.succeeded()
 	must.True(t, b.ready(now))
 }
 
-// The caller of a long generation must see nothing when its link is retired, and a status check sent meanwhile must
-// be answered: users have lived through a retirement that left status checks hanging behind the long stream.
-// Order: a long stream is open; the link is retired, by either end; short calls go on a new session; the long stream
-// then goes on and ends; only then does the old session close.
-func TestRetiredLinkFinishesItsStreamsWhileShortCallsAreAnswered(t *testing.T) {
+// Retiring a link must not affect a long generation on it, and a status check sent meanwhile must be answered: a retirement once left
+// status checks hanging behind the long stream. Sequence: a long stream is open; the link is retired, by either end; short calls go to a
+// new session; the long stream continues and ends; only then does the old session close.
+func TestRetiredLinkFinishesOpenStreams(t *testing.T) {
 	ends := map[string]func(dialer, server *Node, addr string){
 		"dialer": func(dialer, _ *Node, addr string) { dialer.Retire(addr) },
 		"server": func(_, server *Node, _ string) { server.RetireAccepted() },
 	}
 	for name, retire := range ends {
 		t.Run(name, func(t *testing.T) {
-			a, _ := startNode(t, quick("a"))
-			b, addr := startNode(t, quick("b"))
+			a, _ := startNode(t, fastOptions("a"))
+			b, addr := startNode(t, fastOptions("b"))
 			long := openTo(t, a, "b", addr)
-			call(t, long, 1)
+			echoCall(t, long, 1)
 			retire(a, b, addr)
 			waitFor(t, "new streams on a new session", func() bool {
 				s, err := a.Open(t.Context(), Peer{"b", addr}, kindEcho)
 				must.NoError(t, err)
 				defer s.Close()
-				call(t, s, 2)
+				echoCall(t, s, 2)
 				return s.conn.LocalAddr().String() != long.conn.LocalAddr().String()
 			})
 			for i := range uint64(20) {
-				call(t, long, i)
-				call(t, openTo(t, a, "b", addr), i)
+				echoCall(t, long, i)
+				echoCall(t, openTo(t, a, "b", addr), i)
 			}
 			must.EqOp(t, 2, sessionsOf(b))
 			long.Close()
--- a/lib/mesh/node.go
+++ b/lib/mesh/node.go
@@ -24,13 +24,13 @@
 	recvBytes    = metrics.NewCounter(`anvilwick_mesh_received_bytes_total`)
 )
 
-// Peer names a process to reach. An empty Instance takes whoever answers.
+// Peer identifies a process to reach. An empty Instance accepts any instance at the address.
 type Peer struct {
 	Instance string
 	Addr     string // IP:port
 }
 
-// Handler serves one accepted stream, which is closed when it returns. ctx ends when the node closes.
+// Handler serves one accepted stream, which is closed when the handler returns. ctx ends when the node closes.
 type Handler func(ctx context.Context, s *Stream)
 
 // Node dials peers and serves their streams.
@@ -49,7 +49,7 @@
 	stopping bool
 }
 
-// New checks the options. Nothing is dialed or listened on yet.
+// New validates the options. Nothing is dialed or listened on yet.
 func New(o Options) (*Node, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -68,35 +68,35 @@
 	return n, nil
 }
 
-// Self is the identity that the node shows.
+// Self returns the identity that the node presents.
 func (n *Node) Self() Identity { return n.opts.Self }
 
-// Handle sets the handler of a kind of stream; call it before Serve.
+// Handle sets the handler for a kind of stream. Call it before Serve.
 func (n *Node) Handle(kind meshpb.StreamKind, h Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[kind] = h
 }
 
-// Bytes returns what was sent and received on all sessions, TLS included, TCP headers not.
+// Bytes returns the bytes sent and received on all sessions, including TLS but not TCP headers.
 func (n *Node) Bytes() (sent, received int64) { return n.sent.Load(), n.received.Load() }
 
-// Open starts a stream. A link that is being retired, by either end, is replaced and the open tried once more:
-// nothing was acted on before the answer to Hello.
+// Open opens a stream. If the session is being retired, by either end, Open tries once more on a new one: nothing was processed before the
+// answer to Hello.
 func (n *Node) Open(ctx context.Context, p Peer, kind meshpb.StreamKind) (*Stream, error) {
 	l, err := n.link(p.Addr)
 	if err != nil {
 		return nil, err
 	}
 	s, err := n.openOnce(ctx, l, p, kind)
-	if err != nil && ctx.Err() == nil && errorx.IsOfType(err, errGone) {
+	if err != nil && ctx.Err() == nil && errorx.IsOfType(err, errSessionGone) {
 		s, err = n.openOnce(ctx, l, p, kind)
 	}
 	return s, err
 }
 
-// errGone: the session took no more streams; a new one may.
-var errGone = ErrHello.NewSubtype("gone")
+// errSessionGone means that the session accepts no more streams; a new session may.
+var errSessionGone = ErrHello.NewSubtype("gone")
 
 func (n *Node) openOnce(ctx context.Context, l *link, p Peer, kind meshpb.StreamKind) (*Stream, error) {
 	sess, err := l.session(ctx, n)
@@ -106,16 +106,16 @@
 	conn, err := sess.open()
 	if err != nil {
 		l.retire(sess)
-		return nil, errGone.Wrap(err, "%s", p.Addr)
+		return nil, errSessionGone.Wrap(err, "%s", p.Addr)
 	}
-	s := newStream(conn, &n.opts, sess.done)
+	s := newStream(conn, &n.opts, sess.streamDone)
 	if err := s.conn.SetReadDeadline(n.helloDeadline(ctx)); err != nil {
 		s.Close()
 		return nil, ErrHello.Wrap(err, "%s", p.Addr)
 	}
-	if err := s.hello(n.opts.Self, kind); err != nil {
+	if err := s.exchangeHello(n.opts.Self, kind); err != nil {
 		s.Close()
-		return nil, n.helloFailed(l, sess, err)
+		return nil, n.classifyHelloError(l, sess, err)
 	}
 	if p.Instance != "" && s.peer.Instance != p.Instance {
 		s.Close()
@@ -124,25 +124,25 @@
 	return s, s.conn.SetReadDeadline(time.Time{})
 }
 
-// helloFailed tells a peer that refused the stream, on a session that is sound, from a session that is gone, stalled
-// or retired by the peer.
-func (n *Node) helloFailed(l *link, sess *session, err error) error {
+// classifyHelloError distinguishes a peer that refused the stream on a working session from a session that is gone, stalled or
+// retired by the peer.
+func (n *Node) classifyHelloError(l *link, sess *session, err error) error {
 	if errors.Is(err, io.EOF) && !sess.mux.IsClosed() {
 		return ErrHello.Wrap(err, "%s refused the stream", l.addr)
 	}
 	l.retire(sess)
-	return errGone.Wrap(err, "%s", l.addr)
+	return errSessionGone.Wrap(err, "%s", l.addr)
 }
 
 func (n *Node) helloDeadline(ctx context.Context) time.Time {
-	at := time.Now().Add(n.opts.DialTimeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(at) {
+	deadline := time.Now().Add(n.opts.DialTimeout)
+	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		return d
 	}
-	return at
+	return deadline
 }
 
-// Retire replaces the session to addr: streams that are open finish on the old one, new ones use a new one.
+// Retire replaces the session to addr: open streams finish on the old one, new ones use a new one.
 func (n *Node) Retire(addr string) {
 	n.mu.Lock()
 	l := n.links[addr]
@@ -160,13 +160,13 @@
 	}
 	l, ok := n.links[addr]
 	if !ok {
-		l = &link{addr: addr, back: backoff{min: n.opts.BackoffMin, max: n.opts.BackoffMax}}
+		l = &link{addr: addr, backoff: backoff{min: n.opts.BackoffMin, max: n.opts.BackoffMax}}
 		n.links[addr] = l
 	}
 	return l, nil
 }
 
-// sweepLoop closes idle sessions and forgets links, so that memory follows the peers in use and not all ever met.
+// sweepLoop closes idle sessions and removes links, so that memory use follows the peers in use and not all peers ever contacted.
 func (n *Node) sweepLoop() {
 	t := time.NewTicker(n.opts.IdleTimeout / 4)
 	defer t.Stop()
@@ -190,7 +190,7 @@
 	}
 }
 
-// secureDialed runs the client's handshake unless links are plain.
+// secureDialed runs the client's TLS handshake unless links are plaintext.
 func (n *Node) secureDialed(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if n.opts.Plaintext {
 		return conn, nil
@@ -203,8 +203,8 @@
 	return tc, nil
 }
 
-// counted adds the connection's bytes to the node's figures.
-func (n *Node) counted(conn net.Conn) net.Conn { return &countedConn{Conn: conn, n: n} }
+// countBytes wraps a connection so that its bytes are counted.
+func (n *Node) countBytes(conn net.Conn) net.Conn { return &countedConn{Conn: conn, n: n} }
 
 type countedConn struct {
 	net.Conn
--- a/lib/mesh/options.go
+++ b/lib/mesh/options.go
@@ -11,19 +11,19 @@
 	"github.com/joomcode/errorx"
 )
 
-// Errors of this package. Test for them with errorx.IsOfType.
+// Errors of this package. Check for them with errorx.IsOfType.
 var (
 	Errors = errorx.NewNamespace("mesh")
 
-	// ErrConfig: the options can't be used.
+	// ErrConfig: the options are invalid.
 	ErrConfig = Errors.NewType("config")
-	// ErrBackoff: the peer failed lately and is not dialed again yet.
+	// ErrBackoff: the peer failed recently and is not dialed again yet.
 	ErrBackoff = Errors.NewType("backoff")
-	// ErrDial: no session could be made.
+	// ErrDial: no session could be established.
 	ErrDial = Errors.NewType("dial")
 	// ErrHello: the stream was opened but the peer did not accept it.
 	ErrHello = Errors.NewType("hello")
-	// ErrWrongPeer: another instance answers on the address.
+	// ErrWrongPeer: another instance answers at the address.
 	ErrWrongPeer = Errors.NewType("wrong_peer")
 	// ErrClosed: the node is closing.
 	ErrClosed = Errors.NewType("closed")
@@ -42,41 +42,41 @@
 	DefaultMaxMessage   = 4 << 20
 )
 
-// Identity names one life of an instance.
+// Identity identifies one incarnation of an instance.
 type Identity struct {
 	Instance    string
 	Incarnation uint64 // grows when the instance is replaced
 }
 
-// Options of a Node. Zero durations and bounds take the defaults.
+// Options configure a Node. Zero durations and limits take the defaults.
 type Options struct {
 	Self      Identity
 	TLS       *tls.Config // from LoadTLS
-	Plaintext bool        // no TLS; must be asked for by name, because links then prove nothing about the peer
+	Plaintext bool        // no TLS; must be set explicitly, because links then prove nothing about the peer
 
-	KeepAlive    time.Duration // between pings on a session
-	WriteTimeout time.Duration // bound on a ping's answer and on each write; a link silent for KeepAlive+WriteTimeout is cut
-	DialTimeout  time.Duration // TCP and TLS handshake, and the Hello exchange
+	KeepAlive    time.Duration // interval of pings on a session
+	WriteTimeout time.Duration // limit for a ping's answer and for each write; a link without answer for KeepAlive+WriteTimeout is cut
+	DialTimeout  time.Duration // for the TCP and TLS handshakes, and for the Hello exchange
 	BackoffMin   time.Duration
 	BackoffMax   time.Duration
-	IdleTimeout  time.Duration // a session without streams is closed after it
-	MaxStreams   int           // accepted streams of one session
+	IdleTimeout  time.Duration // after which a session without streams is closed
+	MaxStreams   int           // accepted streams per session
 	MaxSessions  int           // accepted sessions
-	MaxMessage   int           // bytes of one message
+	MaxMessage   int           // bytes per message
 
-	// Dial opens the TCP connection; nil: net.Dialer.
+	// Dial opens the TCP connection; nil: use a net.Dialer.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
 func (o Options) withDefaults() (Options, error) {
 	if o.Self.Instance == "" {
-		return o, ErrConfig.New("no instance name")
+		return o, ErrConfig.New("instance name is empty")
 	}
 	if o.TLS == nil && !o.Plaintext {
-		return o, ErrConfig.New("links need TLS files, or the plain mode asked for by name")
+		return o, ErrConfig.New("neither TLS files nor plaintext mode set")
 	}
 	if o.TLS != nil && o.Plaintext {
-		return o, ErrConfig.New("both TLS files and the plain mode are set")
+		return o, ErrConfig.New("both TLS files and plaintext mode set")
 	}
 	setDuration(&o.KeepAlive, DefaultKeepAlive)
 	setDuration(&o.WriteTimeout, DefaultWriteTimeout)
@@ -108,8 +108,8 @@
 	}
 }
 
-// Refused reports whether err shows that the expected process is not on the address: nothing listens there, or
-// another instance answered.
+// Refused reports whether err shows that the expected process is not at the address: nothing listens there, or another instance
+// answered.
 func Refused(err error) bool {
 	for err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) || errorx.IsOfType(err, ErrWrongPeer) {
--- a/lib/mesh/outbox.go
+++ b/lib/mesh/outbox.go
@@ -10,30 +10,30 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// OutboxOptions of an Outbox.
+// OutboxOptions configure an Outbox.
 type OutboxOptions struct {
 	Kind     meshpb.StreamKind
-	Queue    int                                  // messages kept for a peer; over it the oldest is dropped
-	Idle     time.Duration                        // a peer that is sent nothing for so long has its stream closed
+	Queue    int                                  // messages queued per peer; beyond it the oldest is dropped
+	Idle     time.Duration                        // a peer's stream is closed after this time without a message
 	NewReply func() proto.Message                 // nil: replies are not read
-	OnReply  func(from Identity, m proto.Message) // one call at a time for each peer
-	OnError  func(to Peer, err error)             // no stream could be opened; nil: ignored
+	OnReply  func(from Identity, m proto.Message) // called sequentially for each peer
+	OnError  func(to Peer, err error)             // called if no stream could be opened; nil: errors are ignored
 }
 
-// Outbox sends messages that may be lost, one stream and one goroutine a peer: a stalled peer delays nobody else's.
+// Outbox sends messages that may be lost, with one stream and one goroutine per peer: a stalled peer does not delay the others.
 type Outbox struct {
 	node *Node
 	ctx  context.Context
 	opts OutboxOptions
 	wg   sync.WaitGroup
 
-	mu    sync.Mutex
-	boxes map[Peer]*box
+	mu      sync.Mutex
+	senders map[Peer]*sender
 }
 
 // NewOutbox returns an Outbox that sends until ctx is done.
 func NewOutbox(ctx context.Context, n *Node, o OutboxOptions) *Outbox {
-	return &Outbox{node: n, ctx: ctx, opts: o, boxes: make(map[Peer]*box)}
+	return &Outbox{node: n, ctx: ctx, opts: o, senders: make(map[Peer]*sender)}
 }
 
 // Send queues a message for a peer and returns at once.
@@ -43,10 +43,10 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	b, ok := o.boxes[to]
+	b, ok := o.senders[to]
 	if !ok {
-		b = &box{o: o, to: to, queue: make(chan proto.Message, max(1, o.opts.Queue))}
-		o.boxes[to] = b
+		b = &sender{outbox: o, to: to, queue: make(chan proto.Message, max(1, o.opts.Queue))}
+		o.senders[to] = b
 		o.wg.Go(b.run)
 	}
 	for {
@@ -62,49 +62,49 @@
 	}
 }
 
-// Wait returns when all senders have ended, after ctx is done.
+// Wait waits until all senders have ended, after ctx is done.
 func (o *Outbox) Wait() { o.wg.Wait() }
 
-// leave ends a sender unless a message came meanwhile.
-func (o *Outbox) leave(b *box) bool {
+// removeIdle removes an idle sender unless a message was queued in the meantime.
+func (o *Outbox) removeIdle(b *sender) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(b.queue) > 0 {
 		return false
 	}
-	delete(o.boxes, b.to)
+	delete(o.senders, b.to)
 	return true
 }
 
-// box is the sender to one peer.
-type box struct {
-	o      *Outbox
+// sender sends messages to one peer.
+type sender struct {
+	outbox *Outbox
 	to     Peer
 	queue  chan proto.Message
 	stream *Stream
 }
 
-func (b *box) run() {
+func (b *sender) run() {
 	defer b.closeStream()
-	idle := time.NewTimer(b.o.opts.Idle)
+	idle := time.NewTimer(b.outbox.opts.Idle)
 	defer idle.Stop()
 	for {
 		select {
-		case <-b.o.ctx.Done():
+		case <-b.outbox.ctx.Done():
 			return
 		case m := <-b.queue:
 			b.send(m)
-			idle.Reset(b.o.opts.Idle)
+			idle.Reset(b.outbox.opts.Idle)
 		case <-idle.C:
-			if b.o.leave(b) {
+			if b.outbox.removeIdle(b) {
 				return
 			}
 		}
 	}
 }
 
-// send tries a broken stream's successor at once: most often the peer was restarted, and a restart costs no message.
-func (b *box) send(m proto.Message) {
+// send retries once on a new stream if the stream is broken: usually the peer was restarted, and a restart then loses no message.
+func (b *sender) send(m proto.Message) {
 	if b.stream != nil && b.stream.Write(m) == nil {
 		return
 	}
@@ -114,34 +114,34 @@
 	}
 }
 
-func (b *box) open() bool {
-	s, err := b.o.node.Open(b.o.ctx, b.to, b.o.opts.Kind)
+func (b *sender) open() bool {
+	s, err := b.outbox.node.Open(b.outbox.ctx, b.to, b.outbox.opts.Kind)
 	if err != nil {
-		if b.o.opts.OnError != nil {
-			b.o.opts.OnError(b.to, err)
+		if b.outbox.opts.OnError != nil {
+			b.outbox.opts.OnError(b.to, err)
 		}
 		return false
 	}
 	b.stream = s
-	if b.o.opts.NewReply != nil {
-		b.o.wg.Go(func() { b.readReplies(s) })
+	if b.outbox.opts.NewReply != nil {
+		b.outbox.wg.Go(func() { b.readReplies(s) })
 	}
 	return true
 }
 
-// readReplies ends when the stream does. Closing it makes the next Write fail, which opens a new one.
-func (b *box) readReplies(s *Stream) {
+// readReplies reads replies until the stream ends. It closes the stream, so that the next Write fails and a new one is opened.
+func (b *sender) readReplies(s *Stream) {
 	defer s.Close()
 	for {
-		m := b.o.opts.NewReply()
+		m := b.outbox.opts.NewReply()
 		if err := s.Read(m); err != nil {
 			return
 		}
-		b.o.opts.OnReply(s.Peer(), m)
+		b.outbox.opts.OnReply(s.Peer(), m)
 	}
 }
 
-func (b *box) closeStream() {
+func (b *sender) closeStream() {
 	if b.stream != nil {
 		b.stream.Close()
 		b.stream = nil
--- a/lib/mesh/outbox_test.go
+++ b/lib/mesh/outbox_test.go
@@ -14,19 +14,19 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// One peer's link stalls. Messages to it are dropped, the oldest first, and those to others still arrive at once.
-func TestOutboxStalledPeerDelaysNobodyElse(t *testing.T) {
+// One peer's link stalls. Messages to it are dropped, oldest first, and those to others still arrive at once.
+func TestOutboxStalledPeerDelaysNoOther(t *testing.T) {
 	var stalled atomic.Bool
-	o := quick("a")
-	_, slow := startNode(t, quick("slow"))
+	o := fastOptions("a")
+	_, slow := startNode(t, fastOptions("slow"))
 	o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		if addr == slow {
-			return stallingDial(&stalled)(ctx, addr)
+			return dialStalling(&stalled)(ctx, addr)
 		}
 		return new(net.Dialer).DialContext(ctx, "tcp", addr)
 	}
 	a, _ := startNode(t, o)
-	_, well := startNode(t, quick("well"))
+	_, healthy := startNode(t, fastOptions("well"))
 	ctx, cancel := context.WithCancel(t.Context())
 	var last, replies atomic.Uint64
 	out := NewOutbox(ctx, a, OutboxOptions{
@@ -44,24 +44,24 @@
 	stalled.Store(true)
 	for i := range uint64(50) {
 		out.Send(Peer{"slow", slow}, &meshpb.SettingsOffer{Revision: i})
-		out.Send(Peer{"well", well}, &meshpb.SettingsOffer{Revision: i})
+		out.Send(Peer{"well", healthy}, &meshpb.SettingsOffer{Revision: i})
 		waitFor(t, "the well peer's answer", func() bool { return last.Load() == i && replies.Load() == i+1 })
 	}
 	cancel()
 	out.Wait()
 }
 
-// A peer that is sent nothing any more must cost nothing: a node meets hundreds over its life.
+// A peer that is sent nothing any more must use no resources: a node meets hundreds over its lifetime.
 func TestOutboxForgetsIdlePeers(t *testing.T) {
-	a, _ := startNode(t, quick("a"))
-	_, addr := startNode(t, quick("b"))
+	a, _ := startNode(t, fastOptions("a"))
+	_, addr := startNode(t, fastOptions("b"))
 	out := NewOutbox(t.Context(), a, OutboxOptions{Kind: kindEcho, Queue: 1, Idle: 20 * time.Millisecond})
 	out.Send(Peer{"b", addr}, &meshpb.SettingsOffer{})
-	waitFor(t, "no boxes", func() bool {
+	waitFor(t, "removal of the sender", func() bool {
 		out.mu.Lock()
 		defer out.mu.Unlock()
-		return len(out.boxes) == 0
+		return len(out.senders) == 0
 	})
 	out.Send(Peer{"b", addr}, &meshpb.SettingsOffer{})
-	must.MapLen(t, 1, out.boxes)
+	must.MapLen(t, 1, out.senders)
 }
--- a/lib/mesh/serve.go
+++ b/lib/mesh/serve.go
@@ -10,10 +10,10 @@
 	"github.com/hashicorp/yamux"
 )
 
-// acceptPause spaces tries to accept after an error.
+// acceptPause is the delay before accepting again after an error.
 const acceptPause = 50 * time.Millisecond
 
-// Serve accepts peers until the listener closes or the node does.
+// Serve accepts peers until the listener or the node is closed.
 func (n *Node) Serve(ln net.Listener) error {
 	stop := context.AfterFunc(n.ctx, func() { ln.Close() })
 	defer stop()
@@ -22,17 +22,17 @@
 		switch {
 		case n.ctx.Err() != nil:
 			if err == nil {
-				conn.Close() // its dialer would else wait for a Hello until its time-out
+				conn.Close() // otherwise the dialer would wait for a Hello until its time-out
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			// Out of file descriptors, most often. Given up for good, the node would be cut off for its whole life.
+			// Usually out of file descriptors. If Serve returned, the node would be unreachable from then on.
 			time.Sleep(acceptPause)
 			continue
 		}
-		go n.serveConn(n.counted(conn))
+		go n.serveConn(n.countBytes(conn))
 	}
 }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		return
 	}
-	mux, err := yamux.Server(&joinedConn{Conn: conn}, yamuxConfig(&n.opts))
+	mux, err := yamux.Server(&coalescingConn{Conn: conn}, yamuxConfig(&n.opts))
 	if err != nil {
 		conn.Close()
 		return
@@ -55,7 +55,7 @@
 	n.serveSession(sess)
 }
 
-// secureAccepted bounds the handshake: a peer that connects and says nothing would else hold the connection for ever.
+// secureAccepted bounds the handshake: a peer that connects and sends nothing would otherwise hold the connection forever.
 func (n *Node) secureAccepted(conn net.Conn) (net.Conn, error) {
 	if n.opts.Plaintext {
 		return conn, nil
@@ -76,12 +76,12 @@
 		if err != nil {
 			return
 		}
-		if !sess.take(n.opts.MaxStreams) {
+		if !sess.acquireStream(n.opts.MaxStreams) {
 			refused.Inc()
 			conn.Close()
 			continue
 		}
-		s := newStream(conn, &n.opts, sess.done)
+		s := newStream(conn, &n.opts, sess.streamDone)
 		if !n.beginHandling() {
 			s.Close()
 			return
@@ -90,7 +90,7 @@
 	}
 }
 
-// beginHandling counts a handler, unless Close waits for them already.
+// beginHandling registers a handler, unless Close is already waiting for the handlers.
 func (n *Node) beginHandling() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,7 +101,7 @@
 	return true
 }
 
-// serveStream answers Hello only for a kind that has a handler and while the node takes work.
+// serveStream answers Hello only if its kind has a handler and the node is not closing.
 func (n *Node) serveStream(s *Stream) {
 	defer n.handling.Done()
 	defer s.Close()
@@ -118,7 +118,7 @@
 		refused.Inc()
 		return
 	}
-	if err := s.Write(helloOf(n.opts.Self, s.kind)); err != nil {
+	if err := s.Write(newHello(n.opts.Self, s.kind)); err != nil {
 		return
 	}
 	if err := s.conn.SetReadDeadline(time.Time{}); err != nil {
@@ -143,8 +143,8 @@
 	delete(n.accepted, s)
 }
 
-// RetireAccepted tells every peer to open no more streams on the sessions it holds; open streams go on, and the
-// peers' next streams come on new sessions.
+// RetireAccepted tells every peer to open no more streams on its current session; open streams continue, and the peers' next streams
+// arrive on new sessions.
 func (n *Node) RetireAccepted() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// Close cuts every session. Handlers are told by their context and waited for.
+// Close closes every session, cancels the context of the handlers and waits for them.
 func (n *Node) Close() {
 	n.cancel()
 	n.mu.Lock()
@@ -167,8 +167,8 @@
 	n.mu.Unlock()
 	for _, l := range links {
 		l.mu.Lock()
-		if l.cur != nil {
-			muxes = append(muxes, l.cur.mux)
+		if l.current != nil {
+			muxes = append(muxes, l.current.mux)
 		}
 		l.mu.Unlock()
 	}
--- a/lib/mesh/session.go
+++ b/lib/mesh/session.go
@@ -9,21 +9,21 @@
 	"github.com/hashicorp/yamux"
 )
 
-// session counts its streams, so that a retired one can be closed when the last has ended.
+// session counts its streams, so that a retired one can be closed when its last stream has ended.
 type session struct {
-	mux      *yamux.Session
-	mu       sync.Mutex
-	streams  int
-	retired  bool
-	idleFrom time.Time
+	mux       *yamux.Session
+	mu        sync.Mutex
+	streams   int
+	retired   bool
+	idleSince time.Time
 }
 
 func newSession(mux *yamux.Session) *session {
-	return &session{mux: mux, idleFrom: time.Now()}
+	return &session{mux: mux, idleSince: time.Now()}
 }
 
-// yamuxConfig turns the options into bounds of one session. The library's own log is dropped: each event that
-// matters is seen as an error of a stream and logged by its user.
+// yamuxConfig converts the options to the limits of one session. The library's own log is discarded: each relevant event shows as an
+// error of a stream and is logged by its user.
 func yamuxConfig(o *Options) *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.AcceptBacklog = o.MaxStreams
@@ -37,7 +37,7 @@
 
 const streamCloseTimeout = 10 * time.Second
 
-// open makes a raw stream, or reports that the session takes no more.
+// open opens a raw stream, or fails if the session accepts no more.
 func (s *session) open() (net.Conn, error) {
 	s.mu.Lock()
 	if s.retired {
@@ -48,28 +48,28 @@
 	s.mu.Unlock()
 	conn, err := s.mux.OpenStream()
 	if err != nil {
-		s.done()
+		s.streamDone()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// take counts an accepted stream; false: the session holds its bound.
-func (s *session) take(bound int) bool {
+// acquireStream counts an accepted stream; it returns false if the session is at its limit.
+func (s *session) acquireStream(limit int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.streams >= bound {
+	if s.streams >= limit {
 		return false
 	}
 	s.streams++
 	return true
 }
 
-// done ends one stream and closes a retired session with the last.
-func (s *session) done() {
+// streamDone records the end of a stream, and closes a retired session after its last one.
+func (s *session) streamDone() {
 	s.mu.Lock()
 	s.streams--
-	s.idleFrom = time.Now()
+	s.idleSince = time.Now()
 	last := s.retired && s.streams == 0
 	s.mu.Unlock()
 	if last {
@@ -77,7 +77,7 @@
 	}
 }
 
-// retire lets the streams that are open finish and takes no more.
+// retire lets the open streams finish and accepts no more.
 func (s *session) retire() {
 	s.mu.Lock()
 	s.retired = true
@@ -88,15 +88,15 @@
 	}
 }
 
-// idle reports whether no stream was open for d.
+// idle reports whether no stream has been open for d.
 func (s *session) idle(now time.Time, d time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.streams == 0 && now.Sub(s.idleFrom) >= d
+	return s.streams == 0 && now.Sub(s.idleSince) >= d
 }
 
-// closeLater closes the session after a short wait. Closing at once could cut the last frames of a stream that ended
-// a moment ago: its end mark would be lost, and the peer would see a broken stream in place of a finished one.
+// closeLater closes the session after a short delay. Closing it at once could cut off the last frames of a stream that has just ended:
+// the peer would miss its end and see a broken stream instead of a finished one.
 func (s *session) closeLater() {
 	time.AfterFunc(lingerTime, func() { s.mux.Close() })
 }
--- a/lib/mesh/stall_test.go
+++ b/lib/mesh/stall_test.go
@@ -12,59 +12,58 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// stallConn stops delivering either way, without an error, once stalled is set: a link that hangs.
-type stallConn struct {
+// stallingConn stops delivering in both directions, without an error, once stalled is set.
+type stallingConn struct {
 	net.Conn
 	stalled *atomic.Bool
-	gone    chan struct{}
+	closing chan struct{}
 	closed  atomic.Bool
 }
 
-func (c *stallConn) Read(b []byte) (int, error) {
+func (c *stallingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.stalled.Load() {
-		<-c.gone
+		<-c.closing
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-func (c *stallConn) Write(b []byte) (int, error) {
+func (c *stallingConn) Write(b []byte) (int, error) {
 	if c.stalled.Load() {
-		<-c.gone
+		<-c.closing
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *stallConn) Close() error {
+func (c *stallingConn) Close() error {
 	if !c.closed.Swap(true) {
-		close(c.gone)
+		close(c.closing)
 	}
 	return c.Conn.Close()
 }
 
-func stallingDial(stalled *atomic.Bool) func(context.Context, string) (net.Conn, error) {
+func dialStalling(stalled *atomic.Bool) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return nil, err
 		}
-		return &stallConn{Conn: conn, stalled: stalled, gone: make(chan struct{})}, nil
+		return &stallingConn{Conn: conn, stalled: stalled, closing: make(chan struct{})}, nil
 	}
 }
 
-// A link stalls without warning: the connection stays open and delivers nothing. The reader of a stream would hang
-// for ever. Keepalive must cut it within KeepAlive+WriteTimeout, and the next open must go through once the path is
-// sound again.
+// A link stalls: the connection stays open and delivers nothing. The reader of a stream would hang forever. Keepalive must cut it within
+// KeepAlive+WriteTimeout, and the next open must succeed once the path works again.
 func TestStalledLinkIsCutByKeepalive(t *testing.T) {
 	var stalled atomic.Bool
-	o := quick("a")
-	o.Dial = stallingDial(&stalled)
+	o := fastOptions("a")
+	o.Dial = dialStalling(&stalled)
 	a, _ := startNode(t, o)
-	_, addr := startNode(t, quick("b"))
+	_, addr := startNode(t, fastOptions("b"))
 	s := openTo(t, a, "b", addr)
-	call(t, s, 1)
+	echoCall(t, s, 1)
 	stalled.Store(true)
 	from := time.Now()
 	must.Error(t, s.Read(&meshpb.SettingsOffer{}))
@@ -78,12 +77,12 @@
 			return false
 		}
 		defer s.Close()
-		call(t, s, 2)
+		echoCall(t, s, 2)
 		return true
 	})
 }
 
-// slowConn delivers what is written at a rate, as a narrow link does.
+// slowConn limits the rate of writes, as a slow link does.
 type slowConn struct {
 	net.Conn
 	perByte time.Duration
@@ -94,24 +93,24 @@
 	return c.Conn.Write(b)
 }
 
-// A large message crosses a narrow link and takes several times as long as a reader waits for a sign of life. Its pieces show
-// that the link is sound: the message arrives. With one time-out for the whole it never would, however often it is sent
-// again. A peer that falls silent in the middle is noticed all the same.
+// A large message crosses a slow link and takes several times the idle time-out. Its pieces show that the link works, so the message
+// arrives; with one time-out for the whole it never would, however often it is sent again. A peer that stops in the middle is noticed
+// all the same.
 func TestLargeMessageOverNarrowLink(t *testing.T) {
 	const idle = 200 * time.Millisecond
 	serve := func(t *testing.T, send func(*Stream)) *Stream {
-		node, addr := startNode(t, quick("server"))
+		node, addr := startNode(t, fastOptions("server"))
 		node.Handle(meshpb.StreamKind_STREAM_FEED, func(ctx context.Context, s *Stream) {
 			send(s)
 			<-ctx.Done()
 		})
-		client, _ := startNode(t, quick("client"))
+		client, _ := startNode(t, fastOptions("client"))
 		s, err := client.Open(t.Context(), Peer{Instance: "server", Addr: addr}, meshpb.StreamKind_STREAM_FEED)
 		must.NoError(t, err)
 		t.Cleanup(func() { s.Close() })
 		return s
 	}
-	page := &meshpb.FeedTable{Packed: make([]byte, 40*piece)}
+	page := &meshpb.FeedTable{Packed: make([]byte, 40*fragmentSize)}
 
 	s := serve(t, func(s *Stream) {
 		s.conn = &slowConn{Conn: s.conn, perByte: 1200 * time.Nanosecond} // 16 KiB in 20 ms, all in 0.8 s
@@ -124,7 +123,7 @@
 	must.Greater(t, 2*idle, time.Since(start))
 
 	s = serve(t, func(s *Stream) {
-		_, _ = s.conn.Write([]byte{0xff, 0xff, 0x03, 0x0a}) // the head of a message of 64 KiB
+		_, _ = s.conn.Write([]byte{0xff, 0xff, 0x03, 0x0a}) // the start of a message of 64 KiB
 	})
 	start = time.Now()
 	must.Error(t, s.ReadWithIdleTimeout(idle, &got))
--- a/lib/mesh/stream.go
+++ b/lib/mesh/stream.go
@@ -14,47 +14,47 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// Stream is one conversation with a peer. Read is for one goroutine; Write may be called by many.
+// Stream is a bidirectional message stream with a peer. Read is for one goroutine; Write is safe for concurrent use.
 type Stream struct {
-	conn    net.Conn
-	in      *pieceReader
-	r       *bufio.Reader
-	max     int
-	timeout time.Duration
-	peer    Identity
-	kind    meshpb.StreamKind
-	wmu     sync.Mutex
-	closed  atomic.Bool
-	onClose func()
+	conn         net.Conn
+	in           *idleReader
+	r            *bufio.Reader
+	maxMessage   int
+	writeTimeout time.Duration
+	peer         Identity
+	kind         meshpb.StreamKind
+	writeMu      sync.Mutex
+	closed       atomic.Bool
+	onClose      func()
 }
 
 func newStream(conn net.Conn, o *Options, onClose func()) *Stream {
-	in := &pieceReader{conn: conn}
+	in := &idleReader{conn: conn}
 	return &Stream{
-		conn:    conn,
-		in:      in,
-		r:       bufio.NewReaderSize(in, readBuffer),
-		max:     o.MaxMessage,
-		timeout: o.WriteTimeout,
-		onClose: onClose,
+		conn:         conn,
+		in:           in,
+		r:            bufio.NewReaderSize(in, readBuffer),
+		maxMessage:   o.MaxMessage,
+		writeTimeout: o.WriteTimeout,
+		onClose:      onClose,
 	}
 }
 
 const (
 	readBuffer = 1 << 10
-	// piece is the most of a message that is written at once, in bytes. A link shows nothing of a frame before all of it has
-	// arrived, so that the reader of a large one could not tell a slow link from a dead one; other streams of the link
-	// would wait for it, too.
-	piece = 16 << 10
+	// fragmentSize is the most bytes of a message that are written at once. A link delivers nothing of a frame before all of it has
+	// arrived, so that the reader of a large frame could not tell a slow link from a dead one; other streams of the link would be
+	// blocked by it, too.
+	fragmentSize = 16 << 10
 )
 
-// pieceReader bounds the silence before each piece of a message.
-type pieceReader struct {
+// idleReader bounds the time without data before each piece of a message.
+type idleReader struct {
 	conn net.Conn
 	idle time.Duration // 0: no bound
 }
 
-func (r *pieceReader) Read(p []byte) (int, error) {
+func (r *idleReader) Read(p []byte) (int, error) {
 	if r.idle > 0 {
 		if err := r.conn.SetReadDeadline(time.Now().Add(r.idle)); err != nil {
 			return 0, err
@@ -63,49 +63,49 @@
 	return r.conn.Read(p)
 }
 
-// Peer is who answered, or who opened the stream.
+// Peer returns the identity of the other end.
 func (s *Stream) Peer() Identity { return s.peer }
 
-// Kind is fixed by the Hello.
+// Kind returns the kind of the stream's messages, as set by the Hello.
 func (s *Stream) Kind() meshpb.StreamKind { return s.kind }
 
-// Write sends one message. A peer that reads nothing for Options.WriteTimeout breaks the stream: memory held for a
-// slow reader stays bounded by the stream's window.
+// Write sends one message. If the peer reads nothing for Options.WriteTimeout, the stream breaks: the memory used for a slow reader stays
+// bounded by the stream's window.
 func (s *Stream) Write(m proto.Message) error {
-	var frame bytes.Buffer // length and body in one frame of the link
+	var frame bytes.Buffer // length and body in one frame of the session
 	if _, err := protodelim.MarshalTo(&frame, m); err != nil {
 		return err
 	}
-	s.wmu.Lock()
-	defer s.wmu.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	for frame.Len() > 0 {
-		if err := s.conn.SetWriteDeadline(time.Now().Add(s.timeout)); err != nil {
+		if err := s.conn.SetWriteDeadline(time.Now().Add(s.writeTimeout)); err != nil {
 			return err
 		}
-		if _, err := s.conn.Write(frame.Next(piece)); err != nil {
+		if _, err := s.conn.Write(frame.Next(fragmentSize)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ReadWithIdleTimeout is Read that fails when nothing comes for idle. A message may take any time as long as it comes.
+// ReadWithIdleTimeout is like Read, but fails when nothing arrives for idle. A message may take any time as long as data keeps arriving.
 //
-// Failure: hundreds of instances that started at once had a large table from a few over links of some Mbit/s. Each took longer
-// than its time-out for the whole of it, began anew at another, and none had it half a minute later.
+// A time-out for the whole message does not work: when hundreds of instances started at once and got a large table from a few over links
+// of some Mbit/s, each exceeded its time-out, started anew at another, and none had the table half a minute later.
 func (s *Stream) ReadWithIdleTimeout(idle time.Duration, m proto.Message) error {
 	s.in.idle = idle
 	defer func() { s.in.idle = 0 }()
 	return s.Read(m)
 }
 
-// Read waits for one message. The bound on its size is checked before any of it is stored.
+// Read waits for one message. Its size is checked against the limit before it is read.
 func (s *Stream) Read(m proto.Message) error {
-	opts := protodelim.UnmarshalOptions{MaxSize: int64(s.max)}
+	opts := protodelim.UnmarshalOptions{MaxSize: int64(s.maxMessage)}
 	return opts.UnmarshalFrom(s.r, m)
 }
 
-// SetReadDeadline bounds the next Reads; the zero time means no bound.
+// SetReadDeadline sets the deadline of future Reads; the zero time means none.
 func (s *Stream) SetReadDeadline(t time.Time) error { return s.conn.SetReadDeadline(t) }
 
 // Close ends the stream. It may be called more than once.
@@ -120,10 +120,10 @@
 	return err
 }
 
-// hello exchanges names. The dialer speaks first; the one that answers speaks only when it takes the stream, so a
-// stream without an answered Hello was never acted on and may be opened again elsewhere.
-func (s *Stream) hello(self Identity, kind meshpb.StreamKind) error {
-	if err := s.Write(helloOf(self, kind)); err != nil {
+// exchangeHello exchanges identities. The dialer sends first; the other end answers only if it accepts the stream, so a stream
+// without an answered Hello was never processed and may be opened again elsewhere.
+func (s *Stream) exchangeHello(self Identity, kind meshpb.StreamKind) error {
+	if err := s.Write(newHello(self, kind)); err != nil {
 		return err
 	}
 	return s.readHello()
@@ -139,6 +139,6 @@
 	return nil
 }
 
-func helloOf(self Identity, kind meshpb.StreamKind) *meshpb.Hello {
+func newHello(self Identity, kind meshpb.StreamKind) *meshpb.Hello {
 	return &meshpb.Hello{Kind: kind, Instance: self.Instance, Incarnation: self.Incarnation}
 }
--- a/lib/mesh/tls_test.go
+++ b/lib/mesh/tls_test.go
@@ -57,7 +57,7 @@
 	return file
 }
 
-// issue signs a certificate that carries dns and returns its files.
+// issue signs a certificate for a DNS name and returns its files.
 func (a *authority) issue(t *testing.T, dns string) TLSFiles {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -75,9 +75,9 @@
 	}
 }
 
-func secure(t *testing.T, instance string, f TLSFiles) Options {
+func tlsOptions(t *testing.T, instance string, f TLSFiles) Options {
 	t.Helper()
-	o := quick(instance)
+	o := fastOptions(instance)
 	o.Plaintext = false
 	c, err := LoadTLS(f)
 	must.NoError(t, err)
@@ -89,25 +89,25 @@
 func TestTLSLinkBetweenMembers(t *testing.T) {
 	ca := newAuthority(t)
 	files := ca.issue(t, CertName)
-	a, _ := startNode(t, secure(t, "a", files))
-	_, addr := startNode(t, secure(t, "b", files))
-	call(t, openTo(t, a, "b", addr), 3)
+	a, _ := startNode(t, tlsOptions(t, "a", files))
+	_, addr := startNode(t, tlsOptions(t, "b", files))
+	echoCall(t, openTo(t, a, "b", addr), 3)
 }
 
-// Someone on the network opens a link with a certificate of another authority, with one of ours that was issued for
-// another use, or with none at all. It must get no stream, whichever end it plays.
-func TestTLSRefusesStrangers(t *testing.T) {
+// A peer opens a link with a certificate of another authority, with one of the same authority for another purpose, or with none. It must
+// get no stream, whichever end it is.
+func TestTLSRejectsUnauthorizedPeers(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
-	member := secure(t, "b", ours.issue(t, CertName))
+	member := tlsOptions(t, "b", ours.issue(t, CertName))
 	_, addr := startNode(t, member)
 	foreign := theirs.issue(t, CertName)
 	foreign.CA = ours.file
-	strangers := map[string]Options{
-		"another authority": secure(t, "x", foreign),
-		"another use":       secure(t, "x", ours.issue(t, "operator")),
-		"plain":             quick("x"),
+	unauthorized := map[string]Options{
+		"another authority": tlsOptions(t, "x", foreign),
+		"another use":       tlsOptions(t, "x", ours.issue(t, "operator")),
+		"plain":             fastOptions("x"),
 	}
-	for name, o := range strangers {
+	for name, o := range unauthorized {
 		t.Run(name, func(t *testing.T) {
 			x, xAddr := startNode(t, o)
 			_, err := x.Open(t.Context(), Peer{"b", addr}, kindEcho)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestLoadTLSNamesTheFault(t *testing.T) {
+func TestLoadTLSReportsConfigErrors(t *testing.T) {
 	ca := newAuthority(t)
 	files := ca.issue(t, CertName)
 	files.CA = files.Key
