--- a/lib/feed/feed_test.go
+++ b/lib/feed/feed_test.go
@@ -87,10 +87,10 @@
 			defer s.mu.Unlock()
 			s.snapshots = []answer{page(3)}
 		})
-		var at time.Duration
+		var elapsed time.Duration
 		start := time.Now()
-		NewFollower(s, DefaultOptions, NewReplica(func(u Update) { got = append(got, u); at = time.Since(start) }), func(error) {}).Run(ctx)
-		must.Less(t, 6300*time.Millisecond, at)
+		NewFollower(s, DefaultOptions, NewReplica(func(u Update) { got = append(got, u); elapsed = time.Since(start) }), func(error) {}).Run(ctx)
+		must.Less(t, 6300*time.Millisecond, elapsed)
 	})
 	must.Len(t, 1, got)
 }
@@ -135,7 +135,7 @@
 func (s *largeRowTable) version() int64 { return 1 + int64(time.Since(s.start)/largeRowInterval) }
 
 func (s *largeRowTable) send(ctx context.Context, versions int64) (Page, error) {
-	if at := time.Since(s.start); at >= s.cutFrom && at < s.cutTo {
+	if elapsed := time.Since(s.start); elapsed >= s.cutFrom && elapsed < s.cutTo {
 		return Page{}, errors.New("away")
 	}
 	v := s.version()
@@ -163,8 +163,8 @@
 		s := &largeRowTable{start: time.Now(), cutFrom: 2 * time.Second, cutTo: 10 * time.Second}
 		var caughtUp time.Duration
 		r := NewReplica(func(u Update) {
-			if at := time.Since(s.start); at > s.cutTo && caughtUp == 0 {
-				caughtUp = at
+			if elapsed := time.Since(s.start); elapsed > s.cutTo && caughtUp == 0 {
+				caughtUp = elapsed
 			}
 		})
 		NewFollower(s, DefaultOptions, r, func(error) {}).Run(ctx)
--- a/lib/feed/replica.go
+++ b/lib/feed/replica.go
@@ -65,15 +65,15 @@
 func (r *Replica) Merge(page Page, whole bool, contact time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := page.Position()
+	position := page.Position()
 	// Changes are meaningful only relative to a state of the same era.
-	if at.Before(r.position) && !r.acceptsOlder(page) || !whole && (!r.initialized || at.Era != r.position.Era) {
+	if position.Before(r.position) && !r.acceptsOlder(page) || !whole && (!r.initialized || position.Era != r.position.Era) {
 		return
 	}
 	outage := r.recordContact(contact)
 	now := time.Now()
 	if outage == 0 && !whole && len(page.Rows)+len(page.Retained)+len(r.retained) == 0 {
-		r.position = at // the common case
+		r.position = position // the common case
 		r.expireTombstones(now)
 		return
 	}
@@ -99,10 +99,10 @@
 
 // applyPage applies a page and returns the resulting update.
 func (r *Replica) applyPage(page Page, whole bool, now time.Time) Update {
-	at := page.Position()
-	u := Update{Initial: !r.initialized, Snapshot: whole, Previous: r.position, Restored: r.initialized && at.Era != r.position.Era}
-	u.Version, u.Era = at.Version, at.Era
-	r.position = at
+	position := page.Position()
+	u := Update{Initial: !r.initialized, Snapshot: whole, Previous: r.position, Restored: r.initialized && position.Era != r.position.Era}
+	u.Version, u.Era = position.Version, position.Era
+	r.position = position
 	if u.Restored {
 		u.Rows = r.applyRestore(page, now)
 		u.RetainedCounts = r.countRetained()
@@ -117,13 +117,13 @@
 		r.partial = page.Partial
 	}
 	if u.Initial {
-		r.changes.reset(at.Version)
+		r.changes.reset(position.Version)
 	}
 	if retained := r.reviewRetained(page.Retained, now); len(retained) > 0 {
 		u.Rows = newest(append(u.Rows, retained...))
 	}
 	if u.Initial {
-		r.completeSince = at.Version
+		r.completeSince = position.Version
 	}
 	return u
 }
--- a/lib/feed/replica_test.go
+++ b/lib/feed/replica_test.go
@@ -81,12 +81,12 @@
 func TestOutageDurationIsReported(t *testing.T) {
 	var outages []time.Duration
 	r := NewReplica(func(u Update) { outages = append(outages, u.Outage) })
-	at := time.Now()
-	r.Merge(Page{Version: 1}, true, at)
-	at = at.Add(DefaultOptions.Wait)
-	r.Merge(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2}}}, false, at)
-	at = at.Add(4 * time.Second)
-	r.Merge(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3, Removed: true}}}, false, at)
+	contact := time.Now()
+	r.Merge(Page{Version: 1}, true, contact)
+	contact = contact.Add(DefaultOptions.Wait)
+	r.Merge(Page{Version: 2, Rows: []Row{{Key: "a", Version: 2}}}, false, contact)
+	contact = contact.Add(4 * time.Second)
+	r.Merge(Page{Version: 3, Rows: []Row{{Key: "a", Version: 3, Removed: true}}}, false, contact)
 	must.Eq(t, []time.Duration{0, 0, 4 * time.Second}, outages)
 }
 
--- a/lib/feed/restore_test.go
+++ b/lib/feed/restore_test.go
@@ -84,8 +84,8 @@
 
 func (m *fakeStore) Changes(ctx context.Context, after int64, wait time.Duration) (Page, error) {
 	end := time.After(wait)
-	for asked := true; ; asked = false {
-		page, changed, err := m.since(after, asked)
+	for firstCall := true; ; firstCall = false {
+		page, changed, err := m.since(after, firstCall)
 		if err != nil || len(page.Rows) > 0 {
 			return page, err
 		}
@@ -99,10 +99,10 @@
 	}
 }
 
-func (m *fakeStore) since(after int64, asked bool) (Page, <-chan struct{}, error) {
+func (m *fakeStore) since(after int64, countCall bool) (Page, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if asked {
+	if countCall {
 		m.calls++
 	}
 	if m.unavailable {
@@ -148,11 +148,11 @@
 	m.advance(70)
 	restore := m.backUp()
 	m.advance(36)
-	seen := make(chan time.Time, 1)
+	arrivals := make(chan time.Time, 1)
 	r := NewReplica(func(u Update) {
 		for _, row := range u.Rows {
 			if string(row.Value) == "without the key" {
-				seen <- time.Now()
+				arrivals <- time.Now()
 			}
 		}
 	})
@@ -172,8 +172,8 @@
 		}
 	})
 	select {
-	case at := <-seen:
-		must.Less(t, readLimit, at.Sub(written))
+	case arrived := <-arrivals:
+		must.Less(t, readLimit, arrived.Sub(written))
 	case <-ctx.Done():
 		t.Error("the change was never seen")
 	}
--- a/lib/feed/retention.go
+++ b/lib/feed/retention.go
@@ -237,11 +237,11 @@
 	defer r.mu.Unlock()
 	var out []RetainedRow
 	for _, k := range r.retained {
-		left := time.Duration(0)
+		remaining := time.Duration(0)
 		if !k.until.IsZero() {
-			left = max(time.Millisecond, k.until.Sub(now))
+			remaining = max(time.Millisecond, k.until.Sub(now))
 		}
-		out = append(out, RetainedRow{Row: k.Row, Remaining: left})
+		out = append(out, RetainedRow{Row: k.Row, Remaining: remaining})
 	}
 	return out
 }
--- a/lib/feed/retention_test.go
+++ b/lib/feed/retention_test.go
@@ -104,10 +104,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newRestoredReplica()
 		c.snapshot(Position{1, 10}, "a", "x")
-		back := time.Now()
+		restoredAt := time.Now()
 		c.snapshot(Position{2, 5})
 		time.Sleep(retentionPeriod + time.Second)
-		c.r.Merge(Page{Era: 2, Version: 5}, false, back) // from a peer that has not reached the store since
+		c.r.Merge(Page{Era: 2, Version: 5}, false, restoredAt) // from a peer that has not reached the store since
 		must.MapLen(t, 1, c.visible)
 	})
 }
@@ -155,33 +155,33 @@
 // peer retains them.
 func TestNewInstanceTakesRetainedRowsFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer, own := newRestoredReplica(), newRestoredReplica()
+		peer, local := newRestoredReplica(), newRestoredReplica()
 		peer.snapshot(Position{1, 10}, "s", "7: held", "gone", "x", "lacking", "x")
 		peer.changes(Position{1, 11}, "gone", "")
 		peer.snapshot(Position{2, 5}, "s", "3: copy", "gone", "x")
 		time.Sleep(retentionPeriod / 2)
-		page, whole, contact, _ := peer.r.Since(own.r.Position())
+		page, whole, contact, _ := peer.r.Since(local.r.Position())
 		page.Retained = peer.r.Retained(time.Now())
-		own.r.Merge(page, whole, contact)
+		local.r.Merge(page, whole, contact)
 		want := map[string]string{"s": "7: held", "lacking": "x"}
-		must.Eq(t, want, own.visible)
+		must.Eq(t, want, local.visible)
 		must.Eq(t, want, peer.visible)
 		time.Sleep(retentionPeriod/2 + time.Millisecond)
-		own.changes(Position{2, 5})
-		must.Eq(t, map[string]string{"s": "7: held", "gone": "x"}, own.visible)
+		local.changes(Position{2, 5})
+		must.Eq(t, map[string]string{"s": "7: held", "gone": "x"}, local.visible)
 	})
 }
 
 // An instance that was cut off before the restore gets from a peer of the same era the newer rows that the peer retains.
 func TestNewerRetainedRowFromPeerOfSameEra(t *testing.T) {
-	peer, own := newRestoredReplica(), newRestoredReplica()
+	peer, local := newRestoredReplica(), newRestoredReplica()
 	peer.snapshot(Position{1, 10}, "s", "7: held")
 	peer.snapshot(Position{2, 5}, "s", "3: copy")
-	own.snapshot(Position{1, 4}, "s", "5: older")
-	own.snapshot(Position{2, 5}, "s", "3: copy")
-	must.Eq(t, "5: older", own.visible["s"])
-	own.r.Merge(Page{Era: 2, Version: 5, Retained: peer.r.Retained(time.Now())}, false, time.Now())
-	must.Eq(t, "7: held", own.visible["s"])
+	local.snapshot(Position{1, 4}, "s", "5: older")
+	local.snapshot(Position{2, 5}, "s", "3: copy")
+	must.Eq(t, "5: older", local.visible["s"])
+	local.r.Merge(Page{Era: 2, Version: 5, Retained: peer.r.Retained(time.Now())}, false, time.Now())
+	must.Eq(t, "7: held", local.visible["s"])
 }
 
 // A new era in which nothing was lost is reported, without rows: nobody is notified of rows that are unchanged.
--- a/lib/feedlink/batch_test.go
+++ b/lib/feedlink/batch_test.go
@@ -61,5 +61,5 @@
 			return
 		}
 	}
-	t.Fatalf("version %d did not come", version)
+	t.Fatalf("version %d did not arrive", version)
 }
--- a/lib/feedlink/broadcast_test.go
+++ b/lib/feedlink/broadcast_test.go
@@ -37,12 +37,12 @@
 	src := &table{}
 	src.set("one")
 	members, received := make(map[string]*member), make(map[string]*receivedBroadcasts)
-	add := func(name, above string) {
-		place := ranksFirst
-		if above != "" {
-			place = ranksAfter(members[above], above)
+	add := func(name, upstream string) {
+		assignment := ranksFirst
+		if upstream != "" {
+			assignment = ranksAfter(members[upstream], upstream)
 		}
-		m, h := newIdleMember(t, name, src, place), new(receivedBroadcasts)
+		m, h := newIdleMember(t, name, src, assignment), new(receivedBroadcasts)
 		m.syncer.OnBroadcast = h.record
 		m.run(t, func(string) {})
 		members[name], received[name] = m, h
--- a/lib/feedlink/era_test.go
+++ b/lib/feedlink/era_test.go
@@ -14,8 +14,8 @@
 )
 
 // setTable gives a member a table at a position, as if the store had just confirmed it.
-func (m *member) setTable(at feed.Position, row feed.Row) {
-	m.replica.Merge(feed.Page{Era: at.Era, Version: at.Version, Rows: []feed.Row{row}}, true, time.Now())
+func (m *member) setTable(position feed.Position, row feed.Row) {
+	m.replica.Merge(feed.Page{Era: position.Era, Version: position.Version, Rows: []feed.Row{row}}, true, time.Now())
 }
 
 func newRow(version int64, value string) feed.Row {
@@ -26,9 +26,9 @@
 // old era.
 func TestFollowerInOlderEraSwitchesToNewEra(t *testing.T) {
 	t.Parallel()
-	away := &table{unavailable: true}
-	reader := newIdleMember(t, "a", away, ranksFirst)
-	follower := newIdleMember(t, "b", away, ranksAfter(reader, "a"))
+	unavailable := &table{unavailable: true}
+	reader := newIdleMember(t, "a", unavailable, ranksFirst)
+	follower := newIdleMember(t, "b", unavailable, ranksAfter(reader, "a"))
 	reader.setTable(feed.Position{Era: 1, Version: 40}, newRow(30, "old"))
 	reader.setTable(feed.Position{Era: 2, Version: 66}, newRow(62, "new"))
 	follower.setTable(feed.Position{Era: 1, Version: 64}, newRow(50, "old"))
@@ -39,9 +39,9 @@
 // A reader still in the old era changes nothing at a follower in the new one, however large its versions are.
 func TestReaderInOlderEraChangesNothing(t *testing.T) {
 	t.Parallel()
-	away := &table{unavailable: true}
-	reader := newIdleMember(t, "a", away, ranksFirst)
-	follower := newIdleMember(t, "b", away, ranksAfter(reader, "a"))
+	unavailable := &table{unavailable: true}
+	reader := newIdleMember(t, "a", unavailable, ranksFirst)
+	follower := newIdleMember(t, "b", unavailable, ranksAfter(reader, "a"))
 	reader.setTable(feed.Position{Era: 1, Version: 90}, newRow(80, "old"))
 	follower.setTable(feed.Position{Era: 2, Version: 66}, newRow(62, "new"))
 	follower.run(t, func(string) {})
@@ -103,10 +103,10 @@
 }
 
 // serveWithoutEra serves a table as instances do that were built before the store had eras: one change after the other.
-func (m *member) serveWithoutEra(t *testing.T, from int64) {
+func (m *member) serveWithoutEra(t *testing.T, firstVersion int64) {
 	t.Helper()
 	m.node.Handle(meshpb.StreamKind_STREAM_FEED, func(ctx context.Context, stream *mesh.Stream) {
-		for v := from; ctx.Err() == nil; v++ {
+		for v := firstVersion; ctx.Err() == nil; v++ {
 			rows := []*meshpb.FeedRow{{Key: "k", Value: []byte("news"), Version: v}}
 			page := &meshpb.FeedPage{Path: []string{"a"}, Tables: []*meshpb.FeedTable{{Table: "t", Version: v, Rows: rows}}}
 			if stream.Write(page) != nil {
--- a/lib/feedlink/feedlink_test.go
+++ b/lib/feedlink/feedlink_test.go
@@ -73,7 +73,7 @@
 	value   atomic.Value
 }
 
-func newMember(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
+func newMember(t *testing.T, name string, src feed.Source, assignment func() Assignment) *member {
 	t.Helper()
 	m := &member{}
 	m.value.Store("")
@@ -84,22 +84,22 @@
 	m.syncer = New(Config{
 		Self:   name,
 		Tables: []Table{{Name: "t", Source: src, Replica: m.replica, Options: feed.DefaultOptions, Critical: true}},
-		MaxAge: time.Second, Node: node, Assignment: place, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
+		MaxAge: time.Second, Node: node, Assignment: assignment, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 	})
 	return m
 }
 
-func startMember(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
+func startMember(t *testing.T, name string, src feed.Source, assignment func() Assignment) *member {
 	t.Helper()
-	m := newIdleMember(t, name, src, place)
+	m := newIdleMember(t, name, src, assignment)
 	m.run(t, func(string) {})
 	return m
 }
 
-// run runs a member that was created by newIdleMember; from is called for each change of its upstream.
-func (m *member) run(t *testing.T, from func(instance string)) {
+// run runs a member that was created by newIdleMember; onSourceChange is called for each change of its upstream.
+func (m *member) run(t *testing.T, onSourceChange func(instance string)) {
 	t.Helper()
-	m.syncer.OnSourceChange = from
+	m.syncer.OnSourceChange = onSourceChange
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -122,7 +122,7 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	t.Fatalf("value %q did not come, have %q", value, m.value.Load())
+	t.Fatalf("value %q did not arrive, have %q", value, m.value.Load())
 	return 0
 }
 
@@ -202,9 +202,9 @@
 }
 
 // newIdleMember creates a member whose Syncer does not run.
-func newIdleMember(t *testing.T, name string, src feed.Source, place func() Assignment) *member {
+func newIdleMember(t *testing.T, name string, src feed.Source, assignment func() Assignment) *member {
 	t.Helper()
-	m := newMember(t, name, src, place)
+	m := newMember(t, name, src, assignment)
 	m.serve(t)
 	return m
 }
@@ -234,8 +234,9 @@
 	})
 }
 
-// startGroupWith is like group with the assignments that place returns; all are the instances in rank, this one with an empty address.
-func startGroupWith(t *testing.T, n int, delay time.Duration, place func(self int, all []mesh.Peer) Assignment) ([]*member, []*table) {
+// startGroupWith is like startGroup with the assignments that assign returns; all are the instances in rank, this one with an empty
+// address.
+func startGroupWith(t *testing.T, n int, delay time.Duration, assign func(self int, all []mesh.Peer) Assignment) ([]*member, []*table) {
 	t.Helper()
 	members := make([]*member, n)
 	tables := make([]*table, n)
@@ -254,7 +255,7 @@
 					out[i] = mesh.Peer{Instance: fmt.Sprint("m", i), Addr: m.addr}
 				}
 			}
-			return place(self, out)
+			return assign(self, out)
 		}
 	}
 	for i := n - 1; i >= 0; i-- {
--- a/lib/feedlink/hops_test.go
+++ b/lib/feedlink/hops_test.go
@@ -19,8 +19,8 @@
 	src.set("one")
 	last := startMember(t, "r", src, ranksFirst)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		above := last
-		last = startMember(t, name, src, ranksAfter(above, above.node.Self().Instance))
+		upstream := last
+		last = startMember(t, name, src, ranksAfter(upstream, upstream.node.Self().Instance))
 		last.waitFor(t, "one")
 	}
 	time.Sleep(time.Second)
--- a/lib/feedlink/pack_test.go
+++ b/lib/feedlink/pack_test.go
@@ -11,10 +11,10 @@
 	"anvilwick.example/anvilwick/lib/feed"
 )
 
-func manyRows(n int, from int64) []feed.Row {
+func manyRows(n int, firstVersion int64) []feed.Row {
 	out := make([]feed.Row, n)
 	for i := range out {
-		out[i] = feed.Row{Key: fmt.Sprint("k", i), Value: bytes.Repeat([]byte{byte(i)}, 100), Version: from + int64(i)}
+		out[i] = feed.Row{Key: fmt.Sprint("k", i), Value: bytes.Repeat([]byte{byte(i)}, 100), Version: firstVersion + int64(i)}
 	}
 	return out
 }
--- a/lib/feedlink/probe_test.go
+++ b/lib/feedlink/probe_test.go
@@ -61,14 +61,14 @@
 			RemoteRelays: []mesh.Peer{{Instance: "behind", Addr: behind.addr}},
 		}
 	})
-	var misled atomic.Bool
+	var followedBehind atomic.Bool
 	next.run(t, func(instance string) {
 		if instance == "behind" {
-			misled.Store(true)
+			followedBehind.Store(true)
 		}
 	})
 	must.Less(t, 2*time.Second, next.waitFor(t, "two"))
-	must.False(t, misled.Load())
+	must.False(t, followedBehind.Load())
 }
 
 // While the loss of the store spreads, each upstream that the next in rank switches to looks healthy at first and reports the loss a
@@ -90,8 +90,10 @@
 	src := &table{}
 	src.set("one")
 	src.set("two")
-	place := Assignment{Role: RoleReader, Rank: 1, Upstreams: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, RemoteRelays: others}
-	next := newIdleMember(t, "next", src, func() Assignment { return place })
+	assignment := Assignment{
+		Role: RoleReader, Rank: 1, Upstreams: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, RemoteRelays: others,
+	}
+	next := newIdleMember(t, "next", src, func() Assignment { return assignment })
 	var changes atomic.Int32
 	next.run(t, func(instance string) {
 		changes.Add(1)
--- a/lib/feedlink/start_test.go
+++ b/lib/feedlink/start_test.go
@@ -28,32 +28,32 @@
 	src := &table{}
 	src.set("one")
 	seed := newMember(t, "seed", src, ranksFirst)
-	list := seed.withList(t, src)
+	seedList := seed.withList(t, src)
 	seed.serve(t)
-	guess := func() Assignment {
+	assignment := func() Assignment {
 		return Assignment{Bootstrap: true, Role: RoleFollower, Upstreams: []mesh.Peer{{Addr: seed.addr}, {}}}
 	}
-	m := newIdleMember(t, "m", &table{unavailable: true}, guess)
-	own := m.withList(t, &table{unavailable: true})
-	at := mesh.Peer{Addr: seed.addr}
-	m.syncer.bootstrap(t.Context(), at)
-	_, known := own.Version()
+	m := newIdleMember(t, "m", &table{unavailable: true}, assignment)
+	memberList := m.withList(t, &table{unavailable: true})
+	seedPeer := mesh.Peer{Addr: seed.addr}
+	m.syncer.bootstrap(t.Context(), seedPeer)
+	_, known := memberList.Version()
 	must.False(t, known)
 	must.True(t, m.syncer.deferToReaders(m.syncer.started.Add(startDelay))) // the seed is alive, and reads the store
 	must.False(t, m.syncer.deferToReaders(m.syncer.started.Add(maxStartDelay)))
 
 	page, err := src.Snapshot(t.Context())
 	must.NoError(t, err)
-	list.Merge(page, true, time.Now())
+	seedList.Merge(page, true, time.Now())
 	seed.replica.Merge(page, true, time.Now())
-	m.syncer.bootstrap(t.Context(), at)
-	_, known = own.Version()
+	m.syncer.bootstrap(t.Context(), seedPeer)
+	_, known = memberList.Version()
 	must.True(t, known)
 	must.Eq(t, "", m.value.Load())
 	must.Nil(t, m.syncer.next)
 
 	seed.syncer.storeLost.Store(true)
-	m.syncer.bootstrap(t.Context(), at)
+	m.syncer.bootstrap(t.Context(), seedPeer)
 	must.Eq(t, "one", m.value.Load())
 	must.NotNil(t, m.syncer.next)
 	m.syncer.next.close()
--- a/lib/feedlink/subscription.go
+++ b/lib/feedlink/subscription.go
@@ -59,7 +59,7 @@
 	s.stop = context.AfterFunc(ctx, func() { _ = stream.Close() })
 	request := &meshpb.FeedAsk{Domain: t.Domain}
 	for _, table := range tables {
-		tableRequest := table.request()
+		tableRequest := table.req()
 		s.partial = s.partial || tableRequest.Part
 		request.Tables = append(request.Tables, tableRequest)
 	}
@@ -78,14 +78,14 @@
 	return s, nil
 }
 
-// request returns the request for the table, starting at the replica's position.
-func (t *Table) request() *meshpb.FeedFrom {
+// req returns the request for the table, starting at the replica's position.
+func (t *Table) req() *meshpb.FeedFrom {
 	position := t.Replica.Position()
-	request := &meshpb.FeedFrom{Table: t.Name, After: position.Version, Era: position.Era, Part: t.wantsSubset()}
-	if request.Part || t.Replica.Partial() {
-		request.After = 0 // the rows needed differ between upstreams
+	req := &meshpb.FeedFrom{Table: t.Name, After: position.Version, Era: position.Era, Part: t.wantsSubset()}
+	if req.Part || t.Replica.Partial() {
+		req.After = 0 // the rows needed differ between upstreams
 	}
-	return request
+	return req
 }
 
 // receiveFirst waits for the first page with content. If the upstream has read nothing yet, the stream is kept open for a while: the page
--- a/lib/feedlink/subset_test.go
+++ b/lib/feedlink/subset_test.go
@@ -116,15 +116,15 @@
 	removed     []string // keys reported as removed
 }
 
-func newHolder(t *testing.T, name string, src feed.Source, place func() Assignment) *holder {
+func newHolder(t *testing.T, name string, src feed.Source, assignment func() Assignment) *holder {
 	t.Helper()
 	h := &holder{partitioner: &letterPartitioner{letters: make(map[string]string)}, keys: make(map[string]bool)}
-	h.member = newMember(t, name, src, place)
+	h.member = newMember(t, name, src, assignment)
 	h.replica = feed.NewReplica(h.apply)
 	h.syncer = New(Config{
 		Self:   name,
 		Tables: []Table{{Name: "t", Source: src, Replica: h.replica, Options: feed.DefaultOptions, Critical: true, Partitioner: h.partitioner}},
-		MaxAge: time.Second, Node: h.node, Assignment: place, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
+		MaxAge: time.Second, Node: h.node, Assignment: assignment, OnSourceError: func(string, error) {}, OnSourceChange: func(string) {},
 	})
 	h.serve(t)
 	return h
@@ -260,8 +260,8 @@
 		referred.Store(string(b) == "follow r")
 		return referred.Load()
 	}
-	from := make(chan string, 10)
-	f.run(t, func(reader string) { from <- reader })
+	upstreams := make(chan string, 10)
+	f.run(t, func(reader string) { upstreams <- reader })
 	f.waitForKeys(t, "a1")
-	must.Eq(t, "r", <-from)
+	must.Eq(t, "r", <-upstreams)
 }
--- a/lib/feedlink/syncer.go
+++ b/lib/feedlink/syncer.go
@@ -69,14 +69,14 @@
 
 // Assignment is an instance's place in the distribution of the tables.
 type Assignment struct {
-	// Bootstrap says that the list of instances is not known yet: Readers are the seeds that this instance was started with, and are
+	// Bootstrap says that the list of instances is not known yet: Upstreams are the seeds that this instance was started with, and are
 	// asked only for the list.
 	Bootstrap bool
 	Role      Role
 	LargeSite bool        // several instances relay in each failure domain
 	Rank      int         // among the instances of the same role
 	Upstreams []mesh.Peer // upstreams in order of preference; an empty address stands for this instance, which then reads the store
-	// RemoteRelays relay in other failure domains. They are queried only while none of Readers is in contact with the store.
+	// RemoteRelays relay in other failure domains. They are queried only while none of Upstreams is in contact with the store.
 	RemoteRelays []mesh.Peer
 }
 
@@ -219,9 +219,9 @@
 // pickUpstream returns the most preferred upstream that has not failed recently, or readSelf if this instance should read the store,
 // or a pause before it should try again.
 func (t *Syncer) pickUpstream(now time.Time) (upstream mesh.Peer, readSelf bool, pause time.Duration) {
-	place := t.Assignment()
+	assignment := t.Assignment()
 	deferring := t.deferToReaders(now)
-	for _, p := range place.Upstreams {
+	for _, p := range assignment.Upstreams {
 		if p.Addr != "" {
 			if now.After(t.avoidances[p.Addr].until) {
 				return p, false, 0
@@ -229,7 +229,7 @@
 			continue
 		}
 		switch {
-		case deferring && place.Role != RoleReader:
+		case deferring && assignment.Role != RoleReader:
 			return mesh.Peer{}, false, startPollInterval
 		case now.After(t.cutOff.until):
 			return mesh.Peer{}, true, 0
--- a/lib/member/example_test.go
+++ b/lib/member/example_test.go
@@ -16,8 +16,8 @@
 	a, b := tableOf("a"), tableOf("b")
 	exchange := func(now time.Duration) {
 		for _, o := range a.Tick(now) {
-			if answer := b.HandleHeartbeat(now, o.Heartbeat); answer != nil {
-				a.HandleHeartbeat(now, answer)
+			if reply := b.HandleHeartbeat(now, o.Heartbeat); reply != nil {
+				a.HandleHeartbeat(now, reply)
 			}
 		}
 	}
--- a/lib/member/neighbours.go
+++ b/lib/member/neighbours.go
@@ -38,10 +38,10 @@
 
 // successors returns the n names that follow self on the ring.
 func successors(self string, names []string, n int) []string {
-	at := rendezvous.Hash(self)
+	origin := rendezvous.Hash(self)
 	ring := make([]ranked, len(names))
 	for i, name := range names {
-		ring[i] = ranked{name, rendezvous.Hash(name) - at} // wraps: the distance clockwise
+		ring[i] = ranked{name, rendezvous.Hash(name) - origin} // wraps: the distance clockwise
 	}
 	slices.SortFunc(ring, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 	out := make([]string, 0, n)
--- a/lib/member/receive.go
+++ b/lib/member/receive.go
@@ -24,11 +24,11 @@
 	if hb.GetAck() != 0 {
 		return nil
 	}
-	answer := t.newHeartbeat(hb.GetSeq(), e)
+	reply := t.newHeartbeat(hb.GetSeq(), e)
 	if e.Incarnation > from.Incarnation {
-		answer.Changed = append(answer.Changed, toProto(e.Member)) // tell the sender that it was replaced
+		reply.Changed = append(reply.Changed, toProto(e.Member)) // tell the sender that it was replaced
 	}
-	return answer
+	return reply
 }
 
 // recordContact records direct contact with the current incarnation. A heartbeat of an old one does not count: it would keep a replaced
--- a/lib/member/runner.go
+++ b/lib/member/runner.go
@@ -136,9 +136,9 @@
 }
 
 // handleHeartbeat processes a heartbeat and returns the reply, if one is due.
-func (r *Runner) handleHeartbeat(hb *meshpb.Heartbeat) (answer *meshpb.Heartbeat) {
-	r.withTable(func(now Time) { answer = r.table.HandleHeartbeat(now, hb) })
-	return answer
+func (r *Runner) handleHeartbeat(hb *meshpb.Heartbeat) (reply *meshpb.Heartbeat) {
+	r.withTable(func(now Time) { reply = r.table.HandleHeartbeat(now, hb) })
+	return reply
 }
 
 // handleSendError marks a member as unreachable if nothing, or another instance, listens on its address.
@@ -160,11 +160,11 @@
 		if err := s.Read(&hb); err != nil {
 			return
 		}
-		answer := r.handleHeartbeat(&hb)
-		if answer == nil {
+		reply := r.handleHeartbeat(&hb)
+		if reply == nil {
 			continue
 		}
-		if err := s.Write(answer); err != nil {
+		if err := s.Write(reply); err != nil {
 			return
 		}
 	}
--- a/lib/member/runner_test.go
+++ b/lib/member/runner_test.go
@@ -108,17 +108,17 @@
 func TestRunnersDetectDeathRestartAndLeaving(t *testing.T) {
 	ps := startProcesses(t, 5, runnerInterval)
 	ps[4].stop()
-	from := time.Now()
+	start := time.Now()
 	for _, p := range ps[:4] {
 		waitView(t, p, "death", stateIs("i04", 1, Dead))
 	}
-	t.Logf("dead at all after %v, interval %v", time.Since(from).Round(time.Millisecond), runnerInterval)
+	t.Logf("dead at all after %v, interval %v", time.Since(start).Round(time.Millisecond), runnerInterval)
 	restarted := startProcess(t, "i04", 2, ps[4].self.MeshAddr, runnerInterval)
 	restarted.SetInstances([]Member{ps[1].self})
 	for _, p := range ps[:4] {
 		waitView(t, p, "the new incarnation", stateIs("i04", 2, Live))
 	}
-	from = time.Now()
+	start = time.Now()
 	restarted.Leave()
 	for _, p := range ps[:4] {
 		waitView(t, p, "leaving", func(v *View) bool {
@@ -126,7 +126,7 @@
 			return m.Leaving
 		})
 	}
-	t.Logf("leaving known to all after %v", time.Since(from).Round(time.Millisecond))
+	t.Logf("leaving known to all after %v", time.Since(start).Round(time.Millisecond))
 	must.Len(t, 4, ps[0].View().Workers())
 }
 
--- a/lib/member/sim_test.go
+++ b/lib/member/sim_test.go
@@ -119,14 +119,14 @@
 	if s.lost(from, to) {
 		return
 	}
-	answer := to.table.HandleHeartbeat(s.now, hb)
-	if answer == nil {
+	reply := to.table.HandleHeartbeat(s.now, hb)
+	if reply == nil {
 		return
 	}
 	to.messages++
-	to.bytes += proto.Size(answer)
+	to.bytes += proto.Size(reply)
 	if !s.lost(to, from) {
-		from.table.HandleHeartbeat(s.now, answer)
+		from.table.HandleHeartbeat(s.now, reply)
 	}
 }
 
@@ -164,12 +164,12 @@
 
 // runUntilConverged runs until convergence and returns the time it took; it fails after bound.
 func (s *sim) runUntilConverged(bound time.Duration) time.Duration {
-	from := s.now
+	start := s.now
 	for s.firstDifference() != "" {
-		if s.now-from > bound {
+		if s.now-start > bound {
 			must.Eq(s.t, "", s.firstDifference(), must.Sprintf("after %v", bound))
 		}
 		s.run(testInterval)
 	}
-	return s.now - from
+	return s.now - start
 }
--- a/lib/member/table.go
+++ b/lib/member/table.go
@@ -173,8 +173,8 @@
 		t.notLive++
 	}
 	t.members[m.Instance] = e
-	at, _ := slices.BinarySearch(t.order, m.Instance)
-	t.order = slices.Insert(t.order, at, m.Instance)
+	i, _ := slices.BinarySearch(t.order, m.Instance)
+	t.order = slices.Insert(t.order, i, m.Instance)
 	t.hash ^= memberHash(m)
 	t.version++
 	t.neighboursStale = true
@@ -220,8 +220,8 @@
 	t.notLive -= notLiveCount(e.Member)
 	t.clearAddr(e.Member)
 	delete(t.members, name)
-	if at, ok := slices.BinarySearch(t.order, name); ok {
-		t.order = slices.Delete(t.order, at, at+1)
+	if i, ok := slices.BinarySearch(t.order, name); ok {
+		t.order = slices.Delete(t.order, i, i+1)
 	}
 	t.version++
 	t.neighboursStale = true
--- a/lib/member/table_test.go
+++ b/lib/member/table_test.go
@@ -21,8 +21,8 @@
 	return s
 }
 
-func (s *sim) state(at, of int) Member {
-	m, _ := s.nodes[at].table.Get(s.names[of])
+func (s *sim) state(observer, subject int) Member {
+	m, _ := s.nodes[observer].table.Get(s.names[subject])
 	return m
 }
 
@@ -85,8 +85,8 @@
 func (s *sim) sendRoundOf(old *simNode) {
 	for _, o := range old.table.Tick(s.now) {
 		to := s.nodes[s.addrs[o.To.MeshAddr]]
-		if answer := to.table.HandleHeartbeat(s.now, o.Heartbeat); answer != nil {
-			old.table.HandleHeartbeat(s.now, answer)
+		if reply := to.table.HandleHeartbeat(s.now, o.Heartbeat); reply != nil {
+			old.table.HandleHeartbeat(s.now, reply)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 	}
 	rounds := 0
 	for ; len(b.members) < 51 && rounds < 20; rounds++ {
-		if answer := a.HandleHeartbeat(0, b.newHeartbeat(0, &entry{})); answer != nil {
-			b.HandleHeartbeat(0, answer)
+		if reply := a.HandleHeartbeat(0, b.newHeartbeat(0, &entry{})); reply != nil {
+			b.HandleHeartbeat(0, reply)
 		}
 	}
 	must.Len(t, 51, b.order)
@@ -140,8 +140,8 @@
 	s.deliverList(stale)
 	s.run(testInterval)
 	for i := range 4 {
-		gone, _ := s.nodes[i].table.Get("i004")
-		must.EqOp(t, Dead, gone.State)
+		replaced, _ := s.nodes[i].table.Get("i004")
+		must.EqOp(t, Dead, replaced.State)
 		must.EqOp(t, Live, s.state(i, 4).State)
 	}
 }
@@ -217,17 +217,17 @@
 		s.loss = rapid.Float64Range(0, 0.5).Draw(t, "loss")
 		stale := s.list()
 		s.deliverList(stale)
-		seen := newInvariantChecker(s)
+		checker := newInvariantChecker(s)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			s.fault(t, &stale)
 			for range rapid.IntRange(1, 30).Draw(t, "intervals") {
 				s.run(testInterval)
-				seen.check(t)
+				checker.check(t)
 			}
 		}
 		s.heal()
 		s.runUntilConverged(time.Minute)
-		seen.check(t)
+		checker.check(t)
 	})
 }
 
@@ -285,18 +285,18 @@
 func (w *invariantChecker) check(t must.T) {
 	for _, n := range w.s.nodes {
 		checkCounts(t, n.table)
-		held := w.seen[n.table]
-		if held == nil {
-			held = make(map[string]Member)
-			w.seen[n.table] = held
+		highest := w.seen[n.table]
+		if highest == nil {
+			highest = make(map[string]Member)
+			w.seen[n.table] = highest
 		}
 		for _, m := range n.table.View().Members {
-			old := held[m.Instance]
+			old := highest[m.Instance]
 			must.GreaterEq(t, old.Incarnation, m.Incarnation)
 			if m.Incarnation == old.Incarnation && old.Leaving {
 				must.True(t, m.Leaving, must.Sprintf("%s revoked leaving of %s", n.table.Self().Instance, m.Instance))
 			}
-			held[m.Instance] = m
+			highest[m.Instance] = m
 		}
 	}
 }
--- a/lib/member/view.go
+++ b/lib/member/view.go
@@ -30,13 +30,13 @@
 
 // Get returns a member by instance name.
 func (v *View) Get(instance string) (Member, bool) {
-	at, ok := slices.BinarySearchFunc(v.Members, instance, func(m Member, name string) int {
+	i, ok := slices.BinarySearchFunc(v.Members, instance, func(m Member, name string) int {
 		return compareNames(m, Member{Instance: name})
 	})
 	if !ok {
 		return Member{}, false
 	}
-	return v.Members[at], true
+	return v.Members[i], true
 }
 
 // Workers returns the members that accept work. An instance that was replaced leaves itself out.
--- a/lib/mesh/stall_test.go
+++ b/lib/mesh/stall_test.go
@@ -65,11 +65,11 @@
 	s := openTo(t, a, "b", addr)
 	echoCall(t, s, 1)
 	stalled.Store(true)
-	from := time.Now()
+	start := time.Now()
 	must.Error(t, s.Read(&meshpb.SettingsOffer{}))
 	bound := o.KeepAlive + 2*o.WriteTimeout
-	must.Less(t, bound+time.Second, time.Since(from))
-	t.Logf("cut after %v, bound %v", time.Since(from).Round(time.Millisecond), bound)
+	must.Less(t, bound+time.Second, time.Since(start))
+	t.Logf("cut after %v, bound %v", time.Since(start).Round(time.Millisecond), bound)
 	stalled.Store(false)
 	waitFor(t, "a new session", func() bool {
 		s, err := a.Open(t.Context(), Peer{"b", addr}, kindEcho)
--- a/lib/relay/relay.go
+++ b/lib/relay/relay.go
@@ -168,25 +168,25 @@
 }
 
 // register registers a connection unless the link was cut in the meantime.
-func (r *Relay) register(in, out net.Conn) bool {
+func (r *Relay) register(client, server net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.mode == Cut {
-		reset(in)
-		reset(out)
+		reset(client)
+		reset(server)
 		return false
 	}
-	r.conns[in], r.conns[out] = struct{}{}, struct{}{}
+	r.conns[client], r.conns[server] = struct{}{}, struct{}{}
 	return true
 }
 
-func (r *Relay) unregister(in, out net.Conn) {
-	_ = in.Close()
-	_ = out.Close()
+func (r *Relay) unregister(client, server net.Conn) {
+	_ = client.Close()
+	_ = server.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, in)
-	delete(r.conns, out)
+	delete(r.conns, client)
+	delete(r.conns, server)
 }
 
 // copy copies one direction. EOF is forwarded as EOF and an error as a reset: a reader must not take a truncated response for a
