--- a/lib/claim/bench_test.go
+++ b/lib/claim/bench_test.go
@@ -15,15 +15,15 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// single sends each transaction by itself.
+// single sends each transaction separately.
 type single struct{ *platform.Client }
 
 func (s single) GroupTxn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
 	return s.Txn(ctx, txn)
 }
 
-// BenchmarkClaims measures whole claims (insert, sent, finished: three writes) through a table of 300 writes a
-// second, over loopback, for one entry with the whole site's budget.
+// BenchmarkClaims measures whole claims (insert, sent, finished: three writes) against a table of 300 writes per second, over loopback,
+// for one entry with the whole site's budget.
 func BenchmarkClaims(b *testing.B) {
 	for _, grouped := range []bool{false, true} {
 		b.Run(fmt.Sprintf("grouped=%v", grouped), func(b *testing.B) { benchmarkClaims(b, grouped) })
--- a/lib/claim/claim_test.go
+++ b/lib/claim/claim_test.go
@@ -22,7 +22,7 @@
 	return platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport()})
 }
 
-// entry returns the claims of one entry; gone names entries that membership holds for dead.
+// entry returns the claims of one entry; gone lists the entries that membership considers dead.
 func entry(s *standin.Server, name string, gone ...string) *Table {
 	return New(client(s), Config{
 		Holder:     Holder{Instance: name, Incarnation: 1},
@@ -56,7 +56,7 @@
 	return err.Code
 }
 
-// mustSend begins a claim whose request is sent.
+// mustSend begins a claim and marks its request as sent.
 func mustSend(t *testing.T, tab *Table, req Request) *Claim {
 	t.Helper()
 	c := mustBegin(t, tab, req)
@@ -64,14 +64,14 @@
 	return c
 }
 
-// finishes ends a claim's run with an answer, which the table has then.
-func finishes(t *testing.T, tab *Table, c *Claim) {
+// mustFinish ends a claim's run with an answer, and waits until the table has it.
+func mustFinish(t *testing.T, tab *Table, c *Claim) {
 	t.Helper()
 	c.Finish(Summary{Code: result.OK, Status: 200, Body: []byte("done"), Kept: true})
-	settled(t, tab)
+	mustFlush(t, tab)
 }
 
-// mustReplay begins a claim whose run has ended as in finishes.
+// mustReplay begins a claim and expects the answer given by mustFinish.
 func mustReplay(t *testing.T, tab *Table, req Request) {
 	t.Helper()
 	_, sum, err := tab.Begin(t.Context(), req)
@@ -79,12 +79,12 @@
 	must.Eq(t, "done", string(sum.Body))
 }
 
-func settled(t *testing.T, tab *Table) {
+func mustFlush(t *testing.T, tab *Table) {
 	t.Helper()
 	must.NoError(t, tab.Flush(t.Context()))
 }
 
-// A resend is told the first outcome, at the same entry before the table has it, and at another entry from the table.
+// A resend gets the first outcome: at the same entry before the table has it, and at another entry from the table.
 func TestFinishedClaimIsReplayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{AnswerDelay: 10 * time.Millisecond})
@@ -94,7 +94,7 @@
 		_, sum, err := a.Begin(t.Context(), request("x"))
 		must.Nil(t, err)
 		must.Eq(t, "done", string(sum.Body))
-		settled(t, a)
+		mustFlush(t, a)
 		must.Zero(t, a.Unsettled())
 		_, sum, err = b.Begin(t.Context(), request("x"))
 		must.Nil(t, err)
@@ -109,7 +109,7 @@
 		a := entry(standin.New(standin.Config{}), "a")
 		c := mustSend(t, a, request("x"))
 		c.Finish(Summary{Code: result.OK, Status: 200, Body: make([]byte, DefaultMaxBody+1), Kept: true})
-		settled(t, a)
+		mustFlush(t, a)
 		_, sum, err := a.Begin(t.Context(), request("x"))
 		must.Nil(t, err)
 		must.False(t, sum.Kept)
@@ -117,9 +117,9 @@
 	})
 }
 
-// The caller sends its request again while it runs, through the same entry and through another. Neither starts it a
-// second time; both say that this one was not run.
-func TestResendWhileRunning(t *testing.T) {
+// The caller resends its request while it runs, through the same entry and through another. Neither runs it a second time; both report
+// that the resend was not run.
+func TestResendWhileRunningIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b")
@@ -132,9 +132,9 @@
 	})
 }
 
-// The entry dies between claim and send; the caller sends again through another. Nothing was sent, so the other runs
-// it. Should the first only have been paused, its send is refused by the record that it no longer owns.
-func TestDeathBetweenClaimAndSend(t *testing.T) {
+// The entry dies between claim and send, and the caller resends through another. Nothing was sent, so the other entry runs it. If the
+// first entry was only paused, its send is refused because of the record that it no longer holds.
+func TestEntryDiesBetweenClaimAndSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
@@ -147,9 +147,9 @@
 	})
 }
 
-// The entry dies between send and finish; nobody can tell whether the target ran it. The resend hears that, and
-// starts nothing: a second crew sent to the same close is worse than a question to an operator.
-func TestDeathBetweenSendAndFinish(t *testing.T) {
+// The entry dies between send and finish, so it is unknown whether the target ran the request. The resend reports that, and runs
+// nothing: a second crew sent to the same place is worse than a question to an operator.
+func TestEntryDiesBetweenSendAndFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
@@ -160,28 +160,28 @@
 }
 
 // As before, but the target proves that the attempt never ran and never will: the resend runs, as a later attempt.
-func TestDeathBeforeTheTargetGotIt(t *testing.T) {
+func TestResendRunsAfterTargetProvesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
-		var asked PriorSend
+		var queried PriorSend
 		b.cfg.ProveNotRun = func(_ context.Context, s PriorSend) bool {
-			asked = s
+			queried = s
 			return true
 		}
 		req := request("x")
 		first := mustBegin(t, a, req)
 		must.Nil(t, first.MarkSent(t.Context(), "engine-1", 4))
 		c := mustBegin(t, b, request("x"))
-		must.Eq(t, PriorSend{Generation: req.Generation, Target: "engine-1", Attempt: 4}, asked)
+		must.Eq(t, PriorSend{Generation: req.Generation, Target: "engine-1", Attempt: 4}, queried)
 		must.Eq(t, 5, c.FirstAttempt())
 	})
 }
 
-// The answer to the insert is lost, and so is each that would settle it, until the claim is given up. The caller
-// hears "not run", which stays true; the record that stands in the table is released as soon as answers come again,
-// so that the caller's next try is not taken for a double.
-func TestLostInsertIsReleased(t *testing.T) {
+// The answer to the insert is lost, and so is each answer that would resolve it, until the claim is abandoned. The caller gets "not run",
+// which stays true. The record in the table is released once answers arrive again, so that the caller's next try is not treated as a
+// duplicate.
+func TestInsertWithLostAnswerIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b")
@@ -192,15 +192,14 @@
 		must.StrContains(t, string(it.Value), string(Started))
 		must.NotEq(t, 0, a.Unsettled())
 		time.Sleep(time.Minute)
-		settled(t, a)
+		mustFlush(t, a)
 		must.NotNil(t, mustBegin(t, b, request("x")))
 	})
 }
 
-// The store goes down while a request runs, and stays down for three hours. The caller has its answer; a resend at
-// the same entry is told it from memory. New claims are refused at once, not run. After the outage the outcome is
-// written, and a resend elsewhere is told it too.
-func TestOutcomeOutlivesOutageOfHours(t *testing.T) {
+// The store goes down while a request runs, and stays down for three hours. The caller gets its answer; a resend at the same entry gets
+// it from memory. New claims are refused at once, not run. After the outage the outcome is written, and a resend elsewhere gets it too.
+func TestOutcomeSurvivesLongStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
@@ -219,16 +218,16 @@
 			must.Eq(t, "done", string(sum.Body))
 		}
 		time.Sleep(2 * time.Hour)
-		settled(t, a)
+		mustFlush(t, a)
 		_, sum, err := b.Begin(t.Context(), request("x"))
 		must.Nil(t, err)
 		must.Eq(t, "done", string(sum.Body))
 	})
 }
 
-// The write of Sent takes effect, but its answer is lost while the store goes down. Nothing may leave for the target
-// without that answer; the claim is released later, since nothing did.
-func TestLostSentIsNotSent(t *testing.T) {
+// The write of MarkSent takes effect, but its answer is lost as the store goes down. Without that answer nothing may be sent to the
+// target; the claim is released later, since nothing was.
+func TestMarkSentWithLostAnswerRefusesSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
@@ -239,20 +238,20 @@
 		must.Eq(t, result.StoreDown, err.Code)
 		must.Eq(t, result.NotRun, result.Lookup(err.Code).Outcome)
 		time.Sleep(time.Minute)
-		settled(t, a)
+		mustFlush(t, a)
 		must.NotNil(t, mustBegin(t, b, request("x")))
 	})
 }
 
-// The store loses every answer for minutes while hundreds of callers come at a time. Each leaves a claim behind that may stand
-// in the table; kept without bound, they would fill a small instance.
+// The store loses all answers for minutes while hundreds of callers arrive at a time. Each leaves a claim that may exist in the table;
+// without a bound they would exhaust the memory of a small instance.
 func TestAbandonedClaimsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a := entry(s, "a")
 		cfg := platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport(), BreakerAfter: 1 << 30}
 		a.cfg.MaxUnsettled = 100
-		a.store = platform.New(cfg) // the breaker would hide most of the losses
+		a.store = platform.New(cfg) // the breaker would prevent most of the lost answers
 		s.SetFault(standin.Fault{Kind: standin.FaultLoseAnswer, DurationMS: (5 * time.Minute).Milliseconds()})
 		for range 4 {
 			var wg sync.WaitGroup
@@ -269,7 +268,7 @@
 	})
 }
 
-func TestCollectKeepsWhatIsYoungOrUnfinished(t *testing.T) {
+func TestCollectKeepsRecentAndUnfinishedClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a := entry(s, "a")
@@ -282,7 +281,7 @@
 				c.Finish(Summary{Code: result.OK, Status: 200})
 			}
 		}
-		settled(t, a)
+		mustFlush(t, a)
 		time.Sleep(Retention)
 		mustBegin(t, a, request("young"))
 		n, err := Collect(t.Context(), client(s), nil, time.Now())
@@ -291,15 +290,15 @@
 		time.Sleep(OrphanRetention)
 		n, err = Collect(t.Context(), client(s), []platformapi.Cond{{Key: "lease/gc/fence", Rev: 9}}, time.Now())
 		must.NoError(t, err)
-		must.Zero(t, n) // the guard does not hold
+		must.Zero(t, n) // the guard's condition does not hold
 		n, err = Collect(t.Context(), client(s), nil, time.Now())
 		must.NoError(t, err)
 		must.Eq(t, 2, n)
 	})
 }
 
-// An entry that sends under a number it has used, or after it ended its claim, is at fault; it is stopped before
-// anything leaves, since another entry may run the request by then.
+// An entry that sends under an attempt number it has used, or after it ended its claim, is faulty. It is stopped before anything is
+// sent, since another entry may run the request by then.
 func TestSendOutOfOrderIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := entry(standin.New(standin.Config{}), "a")
@@ -312,12 +311,12 @@
 		err = c.MarkSent(t.Context(), "engine-2", 2)
 		must.NotNil(t, err)
 		must.Eq(t, result.InvariantBroken, err.Code)
-		settled(t, a)
+		mustFlush(t, a)
 	})
 }
 
-// A record that says finished without an outcome, as a later version or a damaged table may leave it, must not read as
-// "free to run": the request ran.
+// A record that is finished without an outcome, as written by a later version or left by a damaged table, must not count as free to run:
+// the request ran.
 func TestFinishedWithoutOutcomeIsNotRunAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
@@ -331,9 +330,9 @@
 	})
 }
 
-// An entry is stopped for a send out of order. Only that request may suffer: kept as in progress for ever, the key would
-// answer each resend at this entry with "in progress" until the process ends.
-func TestStoppedSendDoesNotHoldItsKey(t *testing.T) {
+// An entry is stopped for a send out of order. Only that request may be affected: if the claim stayed in progress, each resend of the key
+// at this entry would get "in progress" until the process ends.
+func TestStoppedSendDoesNotBlockItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := entry(standin.New(standin.Config{}), "a")
 		must.NotNil(t, mustBegin(t, a, request("x")).MarkSent(t.Context(), "engine-1", 0))
@@ -342,9 +341,9 @@
 	})
 }
 
-// An attempt may have run, and the store is down when the next is to be marked. The claim must not be released: the key
-// would be free though its request may have run. It is finished, and resends hear of that once the store is back.
-func TestResentWithoutTheStoreIsNotReleased(t *testing.T) {
+// An attempt may have run, and the store is down when the next is to be marked. The claim must not be released: the key would be free
+// although its request may have run. It is finished, and resends get that outcome once the store is back.
+func TestMarkResentDuringOutageDoesNotRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b := entry(s, "a"), entry(s, "b", "a")
@@ -359,7 +358,7 @@
 		must.Eq(t, result.StoreDown, err.Code)
 		c.Finish(Summary{Code: result.TargetFailed, Status: 502})
 		time.Sleep(time.Minute)
-		settled(t, a)
+		mustFlush(t, a)
 		_, sum, _ := b.Begin(t.Context(), request("x"))
 		must.NotNil(t, sum)
 		must.Eq(t, result.TargetFailed, sum.Code)
--- a/lib/claim/collect.go
+++ b/lib/claim/collect.go
@@ -8,10 +8,9 @@
 )
 
 const (
-	// Retention is how long a finished or released claim is kept after its last write. Callers must not send a key
-	// again after it.
+	// Retention is how long a finished or released claim is kept after its last write. Callers must not resend a key after that.
 	Retention = 24 * time.Hour
-	// OrphanRetention is how long a claim is kept that nobody finished.
+	// OrphanRetention is how long an unfinished claim is kept.
 	OrphanRetention = 7 * 24 * time.Hour
 
 	collectPage  = 200
@@ -24,11 +23,11 @@
 	Range(ctx context.Context, prefix string, after uint64, limit int) (platformapi.RangeResult, error)
 }
 
-// Collect deletes claims past their retention and returns how many. guard is put before each transaction, so that
-// the holder of a lease works alone; it may be empty.
+// Collect deletes claims past their retention and returns how many. guard is added to each transaction, so that only the holder of a
+// lease can delete; it may be empty.
 //
-// Pages come in order of last write, so Collect stops at the first claim that is young: its cost follows what has
-// expired, not what is kept. Unfinished claims between Retention and OrphanRetention are read again each time.
+// Pages come in order of last write, so Collect stops at the first claim within Retention: its cost depends on what has expired, not on
+// what is kept. Unfinished claims between Retention and OrphanRetention are read again each time.
 func Collect(ctx context.Context, s Collector, guard []platformapi.Cond, now time.Time) (int, error) {
 	deleted := 0
 	for after := uint64(0); ; {
@@ -36,22 +35,22 @@
 		if err != nil {
 			return deleted, err
 		}
-		old, young := expired(page.Items, now)
+		old, foundRecent := selectExpired(page.Items, now)
 		n, err := deleteAll(ctx, s, guard, old)
 		deleted += n
-		if err != nil || young || !page.More {
+		if err != nil || foundRecent || !page.More {
 			return deleted, err
 		}
 		after = page.Items[len(page.Items)-1].Rev
 	}
 }
 
-// expired picks the claims to delete; it reports true when a young one shows that the rest is young.
-func expired(items []platformapi.Item, now time.Time) (old []platformapi.Item, young bool) {
+// selectExpired selects the claims to delete. It returns true when it found one within Retention, as all later ones are then too.
+func selectExpired(items []platformapi.Item, now time.Time) (old []platformapi.Item, foundRecent bool) {
 	for _, it := range items {
 		r, err := decode(it)
 		if err != nil {
-			continue // not ours to delete
+			continue // unknown format: do not delete it
 		}
 		age := now.Sub(time.Unix(r.UnixSec, 0))
 		if age < Retention {
@@ -64,8 +63,8 @@
 	return old, false
 }
 
-// deleteAll deletes in batches. A batch that meets a claim changed meanwhile deletes nothing, and is left for the
-// next time.
+// deleteAll deletes in batches. If a claim in a batch has changed meanwhile, the batch deletes nothing, and is left for the next
+// Collect.
 func deleteAll(ctx context.Context, s Collector, guard []platformapi.Cond, items []platformapi.Item) (int, error) {
 	deleted := 0
 	for len(items) > 0 {
--- a/lib/claim/example_test.go
+++ b/lib/claim/example_test.go
@@ -10,7 +10,7 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// A keyed request runs once; sent again, also to another process, it is told the outcome of the first run.
+// A keyed request runs once. A resend, also to another process, gets the outcome of the first run.
 func Example() {
 	ctx := context.Background()
 	store := standin.New(standin.Config{})
@@ -18,7 +18,7 @@
 		client := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: store.Transport()})
 		return claim.New(client, claim.Config{
 			Holder:     claim.Holder{Instance: instance},
-			HolderGone: func(claim.Holder) bool { return false }, // membership's word; a wrong one is safe
+			HolderGone: func(claim.Holder) bool { return false }, // from membership; a wrong answer is safe
 		})
 	}
 	a, b := tableOf("a"), tableOf("b")
@@ -27,7 +27,7 @@
 	c, _, refused := a.Begin(ctx, request)
 	fmt.Println("a may run it:", refused == nil)
 	if refused := c.MarkSent(ctx, "ledger-1", c.FirstAttempt()); refused != nil {
-		return // nothing may leave for the target
+		return // nothing may be sent to the target
 	}
 
 	_, _, refused = b.Begin(ctx, request)
--- a/lib/claim/settle.go
+++ b/lib/claim/settle.go
@@ -11,17 +11,17 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// Waits between tries to write an outcome; each doubles the one before, with jitter.
+// Delays between tries to write an outcome; each doubles the previous one, with jitter.
 const (
-	outcomeWaitMin = 100 * time.Millisecond
-	outcomeWaitMax = 30 * time.Second
-	flushPoll      = 20 * time.Millisecond
+	minOutcomeDelay   = 100 * time.Millisecond
+	maxOutcomeDelay   = 30 * time.Second
+	flushPollInterval = 20 * time.Millisecond
 )
 
-// end makes an outcome known at this entry and sends it to the table in the background.
+// end makes an outcome known at this entry and writes it to the table in the background.
 //
-// The store can be down for hours. Given up, a finished request would turn into an orphan whose caller hears
-// "outcome unknown", so the write is repeated until it stands, or until another's record shows that it can't.
+// The store can be down for hours. If the write were given up, a finished request would become an orphan whose caller gets "outcome
+// unknown", so it is repeated until it succeeds, or until another holder's record shows that it cannot.
 func (c *Claim) end(state State, sum *Summary) {
 	t := c.table
 	t.mu.Lock()
@@ -31,29 +31,29 @@
 	}
 	c.rec.State, c.rec.Summary = state, sum
 	c.done = true
-	t.ending++
+	t.unwritten++
 	t.mu.Unlock()
 	go func() {
 		c.settle()
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.ending--
+		t.unwritten--
 		delete(t.claims, c.key)
 	}()
 }
 
-// settle writes the outcome for as long as it takes.
+// settle writes the outcome, however long it takes.
 func (c *Claim) settle() {
-	for wait := outcomeWaitMin; ; wait = min(2*wait, outcomeWaitMax) {
+	for wait := minOutcomeDelay; ; wait = min(2*wait, maxOutcomeDelay) {
 		found, err := c.writeOutcome()
 		if err == nil {
 			return
 		}
-		if errors.Is(err, errTaken) && !c.adopt(found) {
+		if errors.Is(err, errTakenOver) && !c.adoptRecord(found) {
 			return
 		}
-		if !errors.Is(err, errTaken) {
-			pause(context.Background(), max(wait, platform.RetryAfter(err)))
+		if !errors.Is(err, errTakenOver) {
+			sleepJittered(context.Background(), max(wait, platform.RetryAfter(err)))
 		}
 	}
 }
@@ -64,9 +64,9 @@
 	return c.write(ctx)
 }
 
-// adopt goes on from a record that this claim wrote itself without hearing of it. A claim that was never inserted
-// finds nothing there, and has nothing to settle.
-func (c *Claim) adopt(found platformapi.Item) bool {
+// adoptRecord continues from a record that this claim wrote itself without getting the answer. A claim that was never inserted finds no
+// such record, and has nothing to settle.
+func (c *Claim) adoptRecord(found platformapi.Item) bool {
 	r, err := decode(found)
 	if err != nil || r.ID != c.rec.ID || r.State == c.rec.State {
 		return false
@@ -75,8 +75,8 @@
 	return true
 }
 
-// pause waits for between half of d and d; it reports false when ctx ended first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleepJittered waits for between d/2 and d. It returns false when ctx ended first.
+func sleepJittered(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d/2 + rand.N(d/2+1))
 	defer t.Stop()
 	select {
@@ -87,12 +87,12 @@
 	}
 }
 
-// Flush waits until every outcome stands in the table, or until ctx ends. A planned stop calls it after its last
-// request, so that none of its finished requests becomes an orphan.
+// Flush waits until every outcome is in the table, or until ctx ends. A planned shutdown calls it after its last request, so that none
+// of its finished requests becomes an orphan.
 func (t *Table) Flush(ctx context.Context) error {
-	tick := time.NewTicker(flushPoll)
+	tick := time.NewTicker(flushPollInterval)
 	defer tick.Stop()
-	for t.outcomes() > 0 {
+	for t.unwrittenOutcomes() > 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -102,14 +102,14 @@
 	return nil
 }
 
-// outcomes is how many wait to be written.
-func (t *Table) outcomes() int {
+// unwrittenOutcomes returns the number of outcomes that are not yet written.
+func (t *Table) unwrittenOutcomes() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ending
+	return t.unwritten
 }
 
-// Unsettled is how many claims are in progress here, or not yet settled in the table.
+// Unsettled returns the number of claims that are in progress in this process, or not yet settled in the table.
 func (t *Table) Unsettled() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lib/claim/takeover_test.go
+++ b/lib/claim/takeover_test.go
@@ -24,9 +24,9 @@
 	return req
 }
 
-// An entry is frozen past the move of its claim, wakes, and ends its run. Its outcome must not be told in place of that of
-// the entry which went on: that one may still be at it, and a third would take the key for settled.
-func TestFormerHolderCantSettleAMovedClaim(t *testing.T) {
+// An entry is frozen while its claim is taken over, resumes, and ends its run. Its outcome must not replace that of the entry that took
+// over: that one may still be running, and a third entry would consider the key settled.
+func TestFormerHolderCannotSettleTakenOverClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		a, b, c := entry(s, "a"), entry(s, "b"), entry(s, "c")
@@ -34,23 +34,23 @@
 		req.Owner = a.cfg.Holder
 		frozen := mustBegin(t, a, req)
 		must.Nil(t, frozen.MarkSent(t.Context(), "engine-1", 1))
-		moved, sum, err := b.TakeOver(t.Context(), req, 17)
+		continued, sum, err := b.TakeOver(t.Context(), req, 17)
 		must.Nil(t, err)
 		must.Nil(t, sum)
 		frozen.Finish(Summary{Code: result.OK, Status: 200, Body: []byte("of a"), Kept: true})
-		settled(t, a)
+		mustFlush(t, a)
 		must.Eq(t, result.AlreadyRunning, refusal(t, c, request("x")))
-		moved.Finish(Summary{Code: result.OK, Status: 200, Body: []byte("of b"), Kept: true})
-		settled(t, b)
+		continued.Finish(Summary{Code: result.OK, Status: 200, Body: []byte("of b"), Kept: true})
+		mustFlush(t, b)
 		_, sum, err = c.Begin(t.Context(), request("x"))
 		must.Nil(t, err)
 		must.Eq(t, "of b", string(sum.Body))
 	})
 }
 
-// The entry that took a generation over dies before its engine got the attempt. The engine proves just that; but parts of
-// the generation ran before, on whatever engine. Taken for "never ran", the key would be run again from its start.
-func TestProofOfALaterAttemptFreesNothing(t *testing.T) {
+// The entry that took a generation over dies before its engine got the attempt. The engine proves that, but parts of the generation ran
+// before, on any engine. If the proof counted as "never ran", the key would run again from its start.
+func TestProofOfLaterAttemptDoesNotFreeKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		req := sentBy(t, entry(s, "a"), 1)
@@ -62,7 +62,7 @@
 	})
 }
 
-// What may not be taken over, and what is told instead.
+// Cases in which a claim may not be taken over, and the result code of each.
 func TestTakeOverIsRefused(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change  func(*Request)
@@ -70,11 +70,11 @@
 		fault   string
 		want    result.Code
 	}{
-		"moved since the record":  {attempt: 3, want: result.AlreadyRunning},
-		"held by one that lives":  {change: func(r *Request) { r.Owner = Holder{Instance: "z"} }, attempt: 17, want: result.AlreadyRunning},
-		"another generation":      {change: func(r *Request) { r.Generation = request("x").Generation }, attempt: 17, want: result.AlreadyRunning},
-		"other content":           {change: func(r *Request) { r.Fingerprint = "y" }, attempt: 17, want: result.KeyReused},
-		"the store does not work": {attempt: 17, fault: standin.FaultOutage, want: result.StoreDown},
+		"taken over meanwhile":  {attempt: 3, want: result.AlreadyRunning},
+		"held by a live holder": {change: func(r *Request) { r.Owner = Holder{Instance: "z"} }, attempt: 17, want: result.AlreadyRunning},
+		"another generation":    {change: func(r *Request) { r.Generation = request("x").Generation }, attempt: 17, want: result.AlreadyRunning},
+		"other content":         {change: func(r *Request) { r.Fingerprint = "y" }, attempt: 17, want: result.KeyReused},
+		"store unavailable":     {attempt: 17, fault: standin.FaultOutage, want: result.StoreDown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -99,45 +99,45 @@
 	}
 }
 
-// relay is a generation that entries go on with one after the other, from a record that some of them leave behind.
-type relay struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	record uint32   // attempt in the record at the peers
-	owner  Holder   // of that record
-	wins   []uint32 // first attempts of those who took over, in order
-	done   bool     // told to have finished
-	faults []string
+// takeoverChain is a generation that entries continue one after the other, from a record that some of them leave behind.
+type takeoverChain struct {
+	mu        sync.Mutex
+	rng       *rand.Rand
+	record    uint32   // attempt in the record at the peers
+	owner     Holder   // of that record
+	takeovers []uint32 // first attempts of the takeovers, in order
+	done      bool     // reported as finished
+	faults    []string
 }
 
 const recordGap = 16
 
-func (r *relay) draw(n int) int {
+func (r *takeoverChain) draw(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.IntN(n)
 }
 
-// won notes a take-over, and what is wrong with it.
-func (r *relay) won(attempt uint32) {
+// recordTakeover records a takeover, and what is wrong with it.
+func (r *takeoverChain) recordTakeover(attempt uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := len(r.wins); n > 0 && attempt <= r.wins[n-1] {
-		r.faults = append(r.faults, fmt.Sprintf("attempt %d after %d", attempt, r.wins[n-1]))
+	if n := len(r.takeovers); n > 0 && attempt <= r.takeovers[n-1] {
+		r.faults = append(r.faults, fmt.Sprintf("attempt %d after %d", attempt, r.takeovers[n-1]))
 	}
 	if r.done {
 		r.faults = append(r.faults, fmt.Sprintf("attempt %d after the end", attempt))
 	}
-	r.wins = append(r.wins, attempt)
+	r.takeovers = append(r.takeovers, attempt)
 }
 
-func (r *relay) found() (uint32, Holder) {
+func (r *takeoverChain) currentRecord() (uint32, Holder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.record, r.owner
 }
 
-func (r *relay) leave(tab *Table, attempt uint32, done bool) {
+func (r *takeoverChain) leaveRecord(tab *Table, attempt uint32, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if attempt > r.record {
@@ -146,15 +146,15 @@
 	r.done = r.done || done
 }
 
-// runner asks for the rest again and again through its entry, with records that are often old when the claim is asked
-// for, and then dies, is left by its caller, or finishes.
-func (r *relay) runner(s *standin.Server, name string, req Request) {
+// runner repeatedly takes the generation over through its entry, often with a record that is outdated by then, and then dies, loses its
+// caller, or finishes.
+func (r *takeoverChain) runner(s *standin.Server, name string, req Request) {
 	tab := entry(s, name)
 	for range 25 {
-		from, owner := r.found()
+		attempt, owner := r.currentRecord()
 		time.Sleep(time.Duration(r.draw(2000)) * time.Millisecond)
 		req.Owner = owner
-		c, sum, err := tab.TakeOver(context.Background(), req, from+recordGap)
+		c, sum, err := tab.TakeOver(context.Background(), req, attempt+recordGap)
 		if sum != nil {
 			return
 		}
@@ -162,35 +162,35 @@
 			continue
 		}
 		first := c.FirstAttempt()
-		r.won(first)
+		r.recordTakeover(first)
 		time.Sleep(time.Duration(r.draw(1500)) * time.Millisecond)
 		last := first + uint32(r.draw(4))
 		switch r.draw(12) {
 		case 0:
 			c.Finish(Summary{Code: result.OK, Status: 200})
-			_ = tab.Flush(context.Background()) // until then its record names a living owner, and is not given out
-			r.leave(tab, last, true)
+			_ = tab.Flush(context.Background()) // until then its record names a live owner, and is not available to others
+			r.leaveRecord(tab, last, true)
 			return
 		case 1, 2, 3:
-			r.leave(tab, last, false)
+			r.leaveRecord(tab, last, false)
 			name += "'"
-			tab = entry(s, name) // dead, with all that it held in memory
+			tab = entry(s, name) // died, and lost its state in memory
 		default:
-			r.leave(tab, last, false)
+			r.leaveRecord(tab, last, false)
 			c.Finish(Summary{Code: result.CallerGone, Status: 499})
 		}
 	}
 }
 
-// Eight entries go on with one generation, again and again, from records that are often older than the claim, while the
-// store is down, slow, or loses its answers. Whoever gets the claim must have a higher attempt number than all before, or
-// two would run the same rest; and none may get it once the end was told.
-func TestEachRestHasOneRunner(t *testing.T) {
+// Eight entries repeatedly continue one generation, from records that are often older than the claim, while the store is down, slow, or
+// loses its answers. Whoever gets the claim must have a higher attempt number than all before, or two would run the same remainder; and
+// none may get it once the generation was reported as finished.
+func TestEachContinuationHasOneRunner(t *testing.T) {
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			s := standin.New(standin.Config{Seed: seed})
 			req := sentBy(t, entry(s, "a"), 1)
-			r := &relay{rng: rand.New(rand.NewPCG(seed, 7)), record: 1, owner: req.Owner}
+			chain := &takeoverChain{rng: rand.New(rand.NewPCG(seed, 7)), record: 1, owner: req.Owner}
 			var wg sync.WaitGroup
 			d := standin.Disturbance{
 				Kinds:  []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
@@ -198,12 +198,12 @@
 			}
 			wg.Go(func() { s.Disturb(rand.New(rand.NewPCG(seed, 2)), d, func() {}) })
 			for i := range 8 {
-				wg.Go(func() { r.runner(s, fmt.Sprint("e", i), req) })
+				wg.Go(func() { chain.runner(s, fmt.Sprint("e", i), req) })
 			}
 			wg.Wait()
 			time.Sleep(10 * time.Minute)
-			must.SliceEmpty(t, r.faults, must.Sprintf("seed %d: %v of %v", seed, r.faults, r.wins))
-			must.Positive(t, len(r.wins), must.Sprintf("seed %d", seed))
+			must.SliceEmpty(t, chain.faults, must.Sprintf("seed %d: %v of %v", seed, chain.faults, chain.takeovers))
+			must.Positive(t, len(chain.takeovers), must.Sprintf("seed %d", seed))
 		})
 	}
 }
--- a/lib/lease/example_test.go
+++ b/lib/lease/example_test.go
@@ -10,7 +10,7 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// A process campaigns for a role, writes under its term, and gives the role back.
+// A process campaigns for a role, writes under its term, and releases the role.
 func ExampleRun() {
 	store := standin.New(standin.Config{})
 	client := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: store.Transport()})
--- a/lib/lease/lease_test.go
+++ b/lib/lease/lease_test.go
@@ -24,11 +24,11 @@
 
 var errCut = errors.New("cut off")
 
-// link is a holder's way to the store, which a test can cut.
+// link is a holder's connection to the store, which a test can cut.
 type link struct {
 	*platform.Client
-	cut  atomic.Bool
-	late time.Duration // how long the answer to the next transaction takes after its effect
+	cut         atomic.Bool
+	answerDelay time.Duration // delay of the next transaction's answer after its effect
 }
 
 func (l *link) Txn(ctx context.Context, txn platformapi.Txn) (platformapi.TxnResult, error) {
@@ -36,8 +36,8 @@
 		return platformapi.TxnResult{}, errCut
 	}
 	res, err := l.Client.Txn(ctx, txn)
-	time.Sleep(l.late)
-	l.late = 0
+	time.Sleep(l.answerDelay)
+	l.answerDelay = 0
 	return res, err
 }
 
@@ -52,8 +52,8 @@
 	return &link{Client: platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: s.Transport(), Live: 8})}
 }
 
-// campaign is what the tests in virtual time share: a store, its candidates and their terms.
-type campaign struct {
+// election holds what the tests in virtual time share: a store, candidates and their terms.
+type election struct {
 	s      *standin.Server
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -62,35 +62,35 @@
 	terms  []term
 }
 
-func newCampaign(t *testing.T, seed uint64) *campaign {
-	c := &campaign{s: standin.New(standin.Config{Seed: seed})}
+func newElection(t *testing.T, seed uint64) *election {
+	c := &election{s: standin.New(standin.Config{Seed: seed})}
 	c.ctx, c.cancel = context.WithCancel(t.Context())
 	return c
 }
 
-// enter starts a candidate that works until its term ends.
-func (c *campaign) enter(ctx context.Context, l *link, who string) {
-	c.wg.Go(func() { record(ctx, l, who, &c.mu, &c.terms) })
+// addCandidate starts a candidate that works until its term ends.
+func (c *election) addCandidate(ctx context.Context, l *link, holder string) {
+	c.wg.Go(func() { recordTerms(ctx, l, holder, &c.mu, &c.terms) })
 }
 
-// end stops all candidates and returns their terms.
-func (c *campaign) end() []term {
+// stop stops all candidates and returns their terms.
+func (c *election) stop() []term {
 	c.cancel()
 	c.wg.Wait()
 	return c.terms
 }
 
-// term is one stretch of work under a lease.
+// term is one period of work under a lease.
 type term struct {
-	who        string
+	holder     string
 	fence      uint64
 	start, end time.Time
 }
 
-// record runs a candidate and notes its terms.
-func record(ctx context.Context, s lease.Store, who string, mu *sync.Mutex, terms *[]term) {
-	lease.Run(ctx, s, lease.Config{Name: "r", Holder: who, TTL: ttl}, func(ctx context.Context, h *lease.Term) {
-		t := term{who: who, fence: h.Fence(), start: time.Now()}
+// recordTerms runs a candidate and records its terms.
+func recordTerms(ctx context.Context, s lease.Store, holder string, mu *sync.Mutex, terms *[]term) {
+	lease.Run(ctx, s, lease.Config{Name: "r", Holder: holder, TTL: ttl}, func(ctx context.Context, h *lease.Term) {
+		t := term{holder: holder, fence: h.Fence(), start: time.Now()}
 		<-ctx.Done()
 		t.end = time.Now()
 		mu.Lock()
@@ -99,98 +99,98 @@
 	})
 }
 
-// A holder loses its link to the store while it works. It must have stopped by its own clock before another starts,
-// and the other must start soon after the TTL; otherwise two act at once, or nobody does.
-func TestCutOffHolderStopsBeforeTheNextStarts(t *testing.T) {
+// A holder loses its connection to the store while it works. It must stop by its own clock before another starts, and the other must
+// start soon after the TTL; otherwise two act at once, or nobody does.
+func TestDisconnectedHolderStopsBeforeSuccessorStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCampaign(t, 0)
+		c := newElection(t, 0)
 		a := newLink(c.s)
-		c.enter(c.ctx, a, "a")
+		c.addCandidate(c.ctx, a, "a")
 		time.Sleep(time.Second)
-		c.enter(c.ctx, newLink(c.s), "b")
+		c.addCandidate(c.ctx, newLink(c.s), "b")
 		time.Sleep(30 * time.Second)
 		a.cut.Store(true)
 		time.Sleep(30 * time.Second)
-		terms := c.end()
+		terms := c.stop()
 		must.Len(t, 2, terms)
-		must.Eq(t, "a", terms[0].who)
-		must.Eq(t, "b", terms[1].who)
+		must.Eq(t, "a", terms[0].holder)
+		must.Eq(t, "b", terms[1].holder)
 		must.Greater(t, terms[0].fence, terms[1].fence)
 		must.Between(t, ttl/5, terms[1].start.Sub(terms[0].end), ttl)
 	})
 }
 
-// The answer to the takeover comes nine seconds after its effect, and then the holder is cut off. Counted from the
-// answer, its term would outlast the TTL that others have been counting since the effect, and two would act at once.
-func TestTermCountsFromTheRequest(t *testing.T) {
+// The answer to the takeover arrives nine seconds after its effect, and then the holder is cut off. Counted from the answer, its term
+// would exceed the TTL that others count from the effect, and two holders would act at once.
+func TestTermIsCountedFromRequestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCampaign(t, 0)
+		c := newElection(t, 0)
 		a := newLink(c.s)
-		a.late = 9 * time.Second
-		c.enter(c.ctx, a, "a")
+		a.answerDelay = 9 * time.Second
+		c.addCandidate(c.ctx, a, "a")
 		time.Sleep(time.Second)
 		a.cut.Store(true)
-		c.enter(c.ctx, newLink(c.s), "b")
+		c.addCandidate(c.ctx, newLink(c.s), "b")
 		time.Sleep(time.Minute)
-		terms := c.end()
+		terms := c.stop()
 		must.Len(t, 2, terms)
 		must.True(t, terms[0].end.Before(terms[1].start))
 	})
 }
 
-// A holder that stops on purpose hands over at once instead of leaving the role idle for the TTL.
-func TestReleaseHandsOverWithinARenewal(t *testing.T) {
+// A holder that stops on purpose hands over at once, so the role is not idle for the TTL.
+func TestReleaseHandsOverWithinRenewalInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCampaign(t, 0)
+		c := newElection(t, 0)
 		first, stop := context.WithCancel(c.ctx)
-		c.enter(first, newLink(c.s), "a")
+		c.addCandidate(first, newLink(c.s), "a")
 		time.Sleep(time.Second)
-		c.enter(c.ctx, newLink(c.s), "b")
+		c.addCandidate(c.ctx, newLink(c.s), "b")
 		time.Sleep(20 * time.Second)
 		stop()
 		time.Sleep(20 * time.Second)
-		terms := c.end()
+		terms := c.stop()
 		must.Len(t, 2, terms)
 		must.Between(t, 0, terms[1].start.Sub(terms[0].end), ttl/5)
 	})
 }
 
-// Three in ten answers are lost after their writes took effect, renewals among them. The holder goes on from its own
-// record instead of taking it for another's, so the role does not change hands.
-func TestLostAnswersKeepTheTerm(t *testing.T) {
+// Three in ten answers are lost after their writes took effect, including renewals. The holder recognizes its own record instead of
+// treating it as another's, so the role does not change hands.
+func TestLostAnswersDoNotEndTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCampaign(t, 7)
-		c.enter(c.ctx, newLink(c.s), "a")
+		c := newElection(t, 7)
+		c.addCandidate(c.ctx, newLink(c.s), "a")
 		time.Sleep(time.Second)
 		c.s.SetFault(standin.Fault{Kind: standin.FaultLoseAnswer, Probability: 0.3})
 		time.Sleep(10 * time.Minute)
-		must.Len(t, 1, c.end())
+		must.Len(t, 1, c.stop())
 	})
 }
 
-// The store is down for three hours: the term lapses and nobody acts; after it, one holder works again soon.
-func TestOutageOfHoursLapsesAndRecovers(t *testing.T) {
+// The store is down for three hours: the term lapses and nobody acts. After the outage, one holder works again soon.
+func TestLeaseLapsesInLongOutageAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCampaign(t, 0)
+		c := newElection(t, 0)
 		for i := range 3 {
-			c.enter(c.ctx, newLink(c.s), fmt.Sprint(i))
+			c.addCandidate(c.ctx, newLink(c.s), fmt.Sprint(i))
 		}
 		time.Sleep(time.Minute)
 		down := time.Now()
 		c.s.SetFault(standin.Fault{Kind: standin.FaultOutage, DurationMS: (3 * time.Hour).Milliseconds()})
 		time.Sleep(4 * time.Hour)
-		terms := c.end()
+		terms := c.stop()
 		must.Len(t, 2, terms)
 		must.Between(t, 0, terms[0].end.Sub(down), ttl)
 		must.Between(t, 3*time.Hour, terms[1].start.Sub(down), 3*time.Hour+ttl+ttl/5+time.Second)
 	})
 }
 
-// A holder wakes after a long pause and still believes in its term. Valid tells it otherwise, and the table refuses
-// what it writes under its old term, whether or not it asked Valid.
-func TestTableRefusesAnOldTerm(t *testing.T) {
+// A holder resumes after a long pause and assumes that its term is still valid. Valid returns false, and the table rejects what it
+// writes under its old term, whether or not it called Valid.
+func TestTableRejectsWritesOfExpiredTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCampaign(t, 0)
+		c := newElection(t, 0)
 		a := newLink(c.s)
 		c.wg.Go(func() {
 			lease.Run(c.ctx, a, lease.Config{Name: "r", Holder: "a", TTL: ttl}, func(_ context.Context, h *lease.Term) {
@@ -207,13 +207,13 @@
 			})
 		})
 		time.Sleep(time.Second)
-		c.enter(c.ctx, newLink(c.s), "b")
+		c.addCandidate(c.ctx, newLink(c.s), "b")
 		time.Sleep(2 * time.Minute)
-		must.Len(t, 1, c.end())
+		must.Len(t, 1, c.stop())
 	})
 }
 
-// target obeys orders; with enforce it refuses numbers lower than the highest seen.
+// target executes commands. With enforce it rejects fencing numbers lower than the highest seen.
 type target struct {
 	mu      sync.Mutex
 	enforce bool
@@ -221,18 +221,18 @@
 	log     history.Log
 }
 
-// use gives one order and records it as its sender saw it.
-func (tg *target) use(client int, fence uint64) {
+// send sends one command and records its outcome as the sender saw it.
+func (tg *target) send(client int, fence uint64) {
 	op := history.Op{Model: history.ModelLease, Object: "r", Action: history.Use, Client: client, Number: fence}
 	op.Call = history.Now()
 	time.Sleep(time.Millisecond)
-	op.Outcome = tg.order(fence)
+	op.Outcome = tg.execute(fence)
 	time.Sleep(time.Millisecond)
 	op.Return = history.Now()
 	tg.log.Add(op)
 }
 
-func (tg *target) order(fence uint64) string {
+func (tg *target) execute(fence uint64) string {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
 	if tg.enforce && fence < tg.highest {
@@ -242,17 +242,17 @@
 	return history.Yes
 }
 
-// chaos orders faults of the store and cuts links for a while, then lets the store heal.
-func chaos(rng *rand.Rand, s *standin.Server, links []*link) {
+// injectFaults injects store faults and cuts links for a while, then lets the store recover.
+func injectFaults(rng *rand.Rand, s *standin.Server, links []*link) {
 	s.Disturb(rng, standin.Disturbance{
 		Kinds:  []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultSlow, standin.FaultStaleReads},
 		Faults: 60, Unit: time.Second, Delay: 20, Duration: 40, Gap: 30,
 	}, func() { links[rng.IntN(len(links))].cut.Store(rng.IntN(3) == 0) })
 }
 
-// play runs four candidates through chaos and returns the history of their orders. pause is drawn before each
-// order, on the side of the check of Valid that gap says.
-func play(t *testing.T, seed uint64, enforce, gap bool) []history.Op {
+// runCandidates runs four candidates through faults and returns the history of their commands. A pause is drawn before each command;
+// pauseAfterCheck places it after the check of Valid instead of before.
+func runCandidates(t *testing.T, seed uint64, enforce, pauseAfterCheck bool) []history.Op {
 	tg := &target{enforce: enforce}
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{Seed: seed})
@@ -265,10 +265,10 @@
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			cfg := lease.Config{Name: "r", Holder: fmt.Sprint(i), TTL: ttl}
 			wg.Go(func() {
-				lease.Run(ctx, l, cfg, func(ctx context.Context, h *lease.Term) { work(ctx, tg, h, i, rng, gap) })
+				lease.Run(ctx, l, cfg, func(ctx context.Context, h *lease.Term) { work(ctx, tg, h, i, rng, pauseAfterCheck) })
 			})
 		}
-		chaos(rand.New(rand.NewPCG(seed, 99)), s, links)
+		injectFaults(rand.New(rand.NewPCG(seed, 99)), s, links)
 		time.Sleep(time.Minute)
 		cancel()
 		wg.Wait()
@@ -276,56 +276,56 @@
 	return tg.log.Ops()
 }
 
-// work gives orders until the term ends. Like a paused process, it does not hear its context while it sleeps.
-func work(ctx context.Context, tg *target, h *lease.Term, client int, rng *rand.Rand, gap bool) {
+// work sends commands until the term ends. Like a paused process, it does not notice that its context ended while it sleeps.
+func work(ctx context.Context, tg *target, h *lease.Term, client int, rng *rand.Rand, pauseAfterCheck bool) {
 	for ctx.Err() == nil {
-		nap := time.Duration(rng.Int64N(int64(time.Second)))
+		delay := time.Duration(rng.Int64N(int64(time.Second)))
 		if rng.IntN(20) == 0 {
-			nap = time.Duration(rng.Int64N(int64(3 * ttl)))
+			delay = time.Duration(rng.Int64N(int64(3 * ttl)))
 		}
-		if !gap {
-			time.Sleep(nap)
+		if !pauseAfterCheck {
+			time.Sleep(delay)
 		}
 		if !h.Valid() {
 			return
 		}
-		if gap {
-			time.Sleep(nap)
+		if pauseAfterCheck {
+			time.Sleep(delay)
 		}
-		tg.use(client, h.Fence())
+		tg.send(client, h.Fence())
 	}
 }
 
 const seeds = 12
 
-// Holders are cut off, paused, and lose answers, while the store fails in every way that it can. The target obeys
-// any order. Callers would see two holders undo each other's work; each stops by its own clock, so they don't.
-func TestHistoryOfHoldersWithoutFencing(t *testing.T) {
+// Holders are cut off and paused, and lose answers, while the store fails in every supported way. The target executes any command.
+// Each holder stops by its own clock, so callers do not see two holders undo each other's work.
+func TestHoldersDoNotOverlapWithoutFencing(t *testing.T) {
 	for seed := range uint64(seeds) {
-		ops := play(t, seed, false, false)
+		ops := runCandidates(t, seed, false, false)
 		must.Greater(t, 100, len(ops))
 		must.NoError(t, history.Check(ops, 10*time.Second), must.Sprintf("seed %d", seed))
 	}
 }
 
-// As before, but holders are also paused between their check of Valid and the order, for up to three TTLs. No clock
-// helps there; a target that refuses old numbers does.
-func TestHistoryOfPausedHoldersWithFencing(t *testing.T) {
+// As before, but holders are also paused between their check of Valid and the command, for up to three TTLs. No clock prevents late
+// commands then; a target that rejects old fencing numbers does.
+func TestPausedHoldersAreFenced(t *testing.T) {
 	for seed := range uint64(seeds) {
-		ops := play(t, seed, true, true)
+		ops := runCandidates(t, seed, true, true)
 		must.Greater(t, 100, len(ops))
 		must.NoError(t, history.Check(ops, 10*time.Second), must.Sprintf("seed %d", seed))
 	}
 }
 
-// The same pauses before a target that ignores numbers do break the history: this is the limit that the package
-// states, and a checker that missed it would prove nothing above.
-func TestPausedHolderReachesATargetThatIgnoresNumbers(t *testing.T) {
-	broken := 0
+// The same pauses with a target that ignores fencing numbers do violate the history: this is the limitation that the package
+// documents, and a checker that missed it would prove nothing in the tests above.
+func TestPausedHoldersOverlapWithoutFencing(t *testing.T) {
+	violations := 0
 	for seed := range uint64(seeds) {
-		if history.Check(play(t, seed, false, true), 10*time.Second) != nil {
-			broken++
+		if history.Check(runCandidates(t, seed, false, true), 10*time.Second) != nil {
+			violations++
 		}
 	}
-	must.Positive(t, broken)
+	must.Positive(t, violations)
 }
--- a/lib/lease/record.go
+++ b/lib/lease/record.go
@@ -9,53 +9,53 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// record is the value at lease/{name}. Each renewal writes it, so that its revision moves while its holder lives.
-type record struct {
+// leaseRecord is the value at lease/{name}. Each renewal writes it, so its revision changes as long as the holder is alive.
+type leaseRecord struct {
 	Holder   string `json:"holder"`
-	Nonce    string `json:"nonce"` // drawn at each campaign: tells a holder from its own earlier life
+	Nonce    string `json:"nonce"` // unique per campaign: distinguishes a holder from its own earlier terms
 	TTLMS    int64  `json:"ttl_ms"`
-	Fence    uint64 `json:"fence,omitempty"` // 0 in the first write, whose own revision is the number
+	Fence    uint64 `json:"fence,omitempty"` // 0 in the first write, whose own revision is the fencing number
 	Released bool   `json:"released,omitempty"`
-	Era      uint64 `json:"era,omitempty"` // of the table, as its holder knew it; 0: the first
+	Era      uint64 `json:"era,omitempty"` // era of the table known to the holder; 0: the first
 }
 
-// outlived reports whether an item was written before the table came back from a copy: what came after it may be lost.
-func (r record) outlived(it platformapi.Item) bool {
+// predatesEra reports whether an item was written before the table was restored from a backup: later writes may be lost.
+func (r leaseRecord) predatesEra(it platformapi.Item) bool {
 	return max(platformapi.FirstEra, r.Era) < platformapi.EraOf(it.Rev)
 }
 
-func (r record) ttl() time.Duration { return time.Duration(r.TTLMS) * time.Millisecond }
+func (r leaseRecord) ttl() time.Duration { return time.Duration(r.TTLMS) * time.Millisecond }
 
 func key(name string) string { return platformapi.KeyLease + name }
 
-// fenceKey changes only when the lease changes hands: its revision is the fencing number.
+// fenceKey is the key of an item that changes only when the lease changes hands: its revision is the fencing number.
 func fenceKey(name string) string { return key(name) + "/fence" }
 
-func encode(r record) []byte {
+func encode(r leaseRecord) []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(errorx.Decorate(err, "a lease record is always encodable"))
+		panic(errorx.Decorate(err, "lease: cannot encode record"))
 	}
 	return b
 }
 
-// decode reads an item; one that can't be read counts as held by an unknown holder, and is waited out.
-func decode(it platformapi.Item) record {
-	var r record
+// decode parses an item. One that cannot be parsed counts as held by an unknown holder, for the whole TTL.
+func decode(it platformapi.Item) leaseRecord {
+	var r leaseRecord
 	if err := json.Unmarshal(it.Value, &r); err != nil {
-		return record{Holder: "unreadable"}
+		return leaseRecord{Holder: "unreadable"}
 	}
 	return r
 }
 
-// Status is what a lease looks like from outside.
+// Status is the state of a lease as seen by other processes.
 type Status struct {
 	Holder string
 	Fence  uint64
 	Free   bool // never held, or released
 }
 
-// statusOf reads an item of the table.
+// statusOf returns the state that an item of the table describes.
 func statusOf(it platformapi.Item, found bool) Status {
 	if !found {
 		return Status{Free: true}
--- a/lib/lease/watch_test.go
+++ b/lib/lease/watch_test.go
@@ -14,9 +14,9 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// Forty processes wait for a lease, each looking every 10 s at most, and its holder is cut off. A role must not stay empty
-// for longer because those who wait spare the table: they look at different times.
-func TestThoseWhoWatchSeldomStillTakeOverSoon(t *testing.T) {
+// Forty processes wait for a lease, each polling at most every 10 s, and its holder is cut off. Infrequent polling, which saves reads
+// of the table, must not leave the role vacant for longer: the processes poll at different times.
+func TestInfrequentPollingStillTakesOverSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -39,10 +39,10 @@
 		links[first].cut.Store(true)
 		cut := time.Now()
 		second := <-won
-		took := time.Since(cut)
-		t.Logf("%d took over after %v", second, took)
+		elapsed := time.Since(cut)
+		t.Logf("%d took over after %v", second, elapsed)
 		must.NotEq(t, first, second)
-		must.Less(t, 2*ttl, took)
+		must.Less(t, 2*ttl, elapsed)
 		cancel()
 		wg.Wait()
 	})
