--- a/lib/claim/restore.go
+++ b/lib/claim/restore.go
@@ -209,7 +209,7 @@
 // since.
 func (c *Claim) overtakenByRestore(res platformapi.TxnResult, err error) bool {
 	if err != nil {
-		return platform.IsOtherEra(err)
+		return platform.IsStaleEra(err)
 	}
 	return c.rev != 0 && !res.Committed && c.table.store.Era() > platformapi.EraOf(c.rev)
 }
--- a/lib/control/drains.go
+++ b/lib/control/drains.go
@@ -156,7 +156,7 @@
 	over := platformapi.Cond{Key: drainKey(target, byOperator), Rev: p.tables.drainRev(target, byOperator)}
 	for range drainTries {
 		res, err := p.writeDrain(ctx, target, byOperator, rec, over)
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			it, _, failed := p.store.Get(ctx, over.Key)
 			res.Failed, err = []platformapi.Item{it}, failed
 		}
--- a/lib/feedlink/crossing_test.go
+++ b/lib/feedlink/crossing_test.go
@@ -57,7 +57,7 @@
 	next := idle(t, "next", src, func() Assignment {
 		return Assignment{
 			Role: RoleReader, Rank: 1,
-			Readers:      []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}},
+			Upstreams:    []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}},
 			RemoteRelays: []mesh.Peer{{Instance: "behind", Addr: behind.addr}},
 		}
 	})
@@ -90,7 +90,7 @@
 	src := &table{}
 	src.set("one")
 	src.set("two")
-	place := Assignment{Role: RoleReader, Rank: 1, Readers: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, RemoteRelays: others}
+	place := Assignment{Role: RoleReader, Rank: 1, Upstreams: []mesh.Peer{{Instance: "reader", Addr: reader.addr}, {}}, RemoteRelays: others}
 	next := idle(t, "next", src, func() Assignment { return place })
 	var changes atomic.Int32
 	next.run(t, func(instance string) {
--- a/lib/feedlink/feedlink_test.go
+++ b/lib/feedlink/feedlink_test.go
@@ -126,12 +126,12 @@
 	return 0
 }
 
-func self() Assignment { return Assignment{Readers: []mesh.Peer{{}}} }
+func self() Assignment { return Assignment{Upstreams: []mesh.Peer{{}}} }
 
 // second ranks to read after another.
 func second(first *member, name string) func() Assignment {
 	return func() Assignment {
-		return Assignment{Rank: 1, Readers: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}}
+		return Assignment{Rank: 1, Upstreams: []mesh.Peer{{Instance: name, Addr: first.addr}, {}}}
 	}
 }
 
@@ -177,7 +177,7 @@
 	cut.set("one")
 	b := start(t, "b", src, self)
 	b.waitFor(t, "one")
-	a := start(t, "a", cut, func() Assignment { return Assignment{Readers: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
+	a := start(t, "a", cut, func() Assignment { return Assignment{Upstreams: []mesh.Peer{{}, {Instance: "b", Addr: b.addr}}} })
 	a.waitFor(t, "one")
 	cut.mu.Lock()
 	cut.away = true
@@ -229,9 +229,9 @@
 	t.Helper()
 	return groupOf(t, n, delay, func(self int, all []mesh.Peer) Assignment {
 		if self < mayRead {
-			return Assignment{Rank: self, Readers: all}
+			return Assignment{Rank: self, Upstreams: all}
 		}
-		return Assignment{Role: RoleFollower, Readers: all}
+		return Assignment{Role: RoleFollower, Upstreams: all}
 	})
 }
 
--- a/lib/feedlink/hops_test.go
+++ b/lib/feedlink/hops_test.go
@@ -44,7 +44,7 @@
 		if ranked.Load() {
 			return self()
 		}
-		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
+		return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{{Instance: "relay", Addr: relay.addr}, {}}}
 	})
 	relay.track.Assignment = second(reader, "reader")
 	relay.run(t, func(string) {})
@@ -66,7 +66,7 @@
 	addr := ln.Addr().String()
 	must.NoError(t, ln.Close())
 	f := idle(t, "f", unused, func() Assignment {
-		return Assignment{Role: RoleFollower, LargeSite: true, Readers: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
+		return Assignment{Role: RoleFollower, LargeSite: true, Upstreams: []mesh.Peer{{Instance: "r", Addr: addr}, {}}}
 	})
 	f.run(t, func(string) {})
 	time.Sleep(2 * patience)
--- a/lib/feedlink/news_test.go
+++ b/lib/feedlink/news_test.go
@@ -94,7 +94,7 @@
 	a := start(t, "a", src, second(r, "r"))
 	a.waitFor(t, "one")
 	f, h := idle(t, "f", src, func() Assignment {
-		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "a", Addr: a.addr}, {Instance: "r", Addr: r.addr}, {}}}
+		return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{{Instance: "a", Addr: a.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	}), new(heard)
 	f.track.OnBroadcast = h.take
 	f.run(t, func(string) {})
--- a/lib/feedlink/parts_test.go
+++ b/lib/feedlink/parts_test.go
@@ -229,7 +229,7 @@
 	f.run(t, func(string) {})
 	f.holds(t, "a1")
 	g := newHolder(t, "g", src, func() Assignment {
-		return Assignment{Role: RoleFollower, Readers: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
+		return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{{Instance: "f", Addr: f.addr}, {Instance: "r", Addr: r.addr}, {}}}
 	})
 	g.run(t, func(string) {})
 	g.holds(t, "a1", "b1")
@@ -252,7 +252,7 @@
 		if told.Load() {
 			return second(r.member, "r")()
 		}
-		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
+		return Assignment{Bootstrap: true, Role: RoleFollower, Upstreams: []mesh.Peer{{Addr: seed.addr}, {}}}
 	})
 	f.track.ApplyRanks = func(b []byte) bool {
 		told.Store(string(b) == "follow r")
--- a/lib/feedlink/search.go
+++ b/lib/feedlink/search.go
@@ -31,7 +31,7 @@
 	now := time.Now()
 	found := make(chan opened)
 	asked := 0
-	for _, p := range slices.Concat(place.Readers, place.RemoteRelays) {
+	for _, p := range slices.Concat(place.Upstreams, place.RemoteRelays) {
 		if p.Addr == "" || p.Addr == lost.Addr || now.Before(t.avoid[p.Addr].until) {
 			continue
 		}
--- a/lib/feedlink/search_test.go
+++ b/lib/feedlink/search_test.go
@@ -21,13 +21,13 @@
 	members, tables := groupOf(t, all, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
 		case self < mayRead:
-			return Assignment{Rank: self, Readers: list[:relays]}
+			return Assignment{Rank: self, Upstreams: list[:relays]}
 		case self == mayRead:
-			return Assignment{Role: RoleRelay, Readers: append(slices.Clone(list[:mayRead]), list[mayRead:relays]...)}
+			return Assignment{Role: RoleRelay, Upstreams: append(slices.Clone(list[:mayRead]), list[mayRead:relays]...)}
 		case self < relays:
-			return Assignment{Role: RoleRelay, Rank: 1, Readers: append([]mesh.Peer{list[mayRead]}, append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
+			return Assignment{Role: RoleRelay, Rank: 1, Upstreams: append([]mesh.Peer{list[mayRead]}, append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
 		}
-		return Assignment{Role: RoleFollower, Readers: append(slices.Clone(list[mayRead:relays]), append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
+		return Assignment{Role: RoleFollower, Upstreams: append(slices.Clone(list[mayRead:relays]), append(slices.Clone(list[:mayRead]), mesh.Peer{})...)}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
@@ -62,15 +62,15 @@
 		readers := slices.Clone(list[:mayRead])
 		switch self {
 		case relayHere:
-			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayThere : relayThere+1]}
+			return Assignment{Role: RoleRelay, Upstreams: append(readers, mesh.Peer{}), RemoteRelays: list[relayThere : relayThere+1]}
 		case relayThere:
-			return Assignment{Role: RoleRelay, Readers: append(readers, mesh.Peer{}), RemoteRelays: list[relayHere : relayHere+1]}
+			return Assignment{Role: RoleRelay, Upstreams: append(readers, mesh.Peer{}), RemoteRelays: list[relayHere : relayHere+1]}
 		case here:
-			return Assignment{Role: RoleFollower, Readers: append([]mesh.Peer{list[relayHere]}, append(readers, mesh.Peer{})...)}
+			return Assignment{Role: RoleFollower, Upstreams: append([]mesh.Peer{list[relayHere]}, append(readers, mesh.Peer{})...)}
 		case there:
-			return Assignment{Role: RoleFollower, Readers: append([]mesh.Peer{list[relayThere]}, append(readers, mesh.Peer{})...)}
+			return Assignment{Role: RoleFollower, Upstreams: append([]mesh.Peer{list[relayThere]}, append(readers, mesh.Peer{})...)}
 		}
-		return Assignment{Rank: self, Readers: readers}
+		return Assignment{Rank: self, Upstreams: readers}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
@@ -99,11 +99,11 @@
 	members, tables := groupOf(t, 2, 0, func(self int, list []mesh.Peer) Assignment {
 		switch {
 		case self == 0 && !reads.Load():
-			return Assignment{Role: RoleFollower, Readers: []mesh.Peer{list[1], {}}}
+			return Assignment{Role: RoleFollower, Upstreams: []mesh.Peer{list[1], {}}}
 		case self == 1 && !listed.Load():
-			return Assignment{Readers: []mesh.Peer{{}}}
+			return Assignment{Upstreams: []mesh.Peer{{}}}
 		}
-		return Assignment{Rank: self, Readers: list}
+		return Assignment{Rank: self, Upstreams: list}
 	})
 	for _, m := range members {
 		m.waitFor(t, "one")
--- a/lib/feedlink/start_test.go
+++ b/lib/feedlink/start_test.go
@@ -32,7 +32,7 @@
 	list := seed.withList(t, src)
 	seed.serve(t)
 	guess := func() Assignment {
-		return Assignment{Bootstrap: true, Role: RoleFollower, Readers: []mesh.Peer{{Addr: seed.addr}, {}}}
+		return Assignment{Bootstrap: true, Role: RoleFollower, Upstreams: []mesh.Peer{{Addr: seed.addr}, {}}}
 	}
 	m := idle(t, "m", &table{away: true}, guess)
 	own := m.withList(t, &table{away: true})
--- a/lib/feedlink/subscription.go
+++ b/lib/feedlink/subscription.go
@@ -105,7 +105,7 @@
 
 // ranksFirst reports whether this instance is the one that should read the store: others wait for it in turn.
 func (t *Syncer) ranksFirst() bool {
-	readers := t.Assignment().Readers
+	readers := t.Assignment().Upstreams
 	return len(readers) > 0 && readers[0].Addr == ""
 }
 
--- a/lib/feedlink/track.go
+++ b/lib/feedlink/track.go
@@ -74,7 +74,7 @@
 	Role      Role
 	LargeSite bool        // several instances relay in each failure domain
 	Rank      int         // among those of the same role
-	Readers   []mesh.Peer // whom it has the tables from, the best first; it contains the instance itself, as an empty address
+	Upstreams []mesh.Peer // whom it has the tables from, the best first; it contains the instance itself, as an empty address
 	// RemoteRelays relay in other failure domains. They are asked only while nobody among Readers has the store's word.
 	RemoteRelays []mesh.Peer
 }
@@ -220,7 +220,7 @@
 func (t *Syncer) pick(now time.Time) (reader mesh.Peer, self bool, pause time.Duration) {
 	place := t.Assignment()
 	early := t.early(now)
-	for _, p := range place.Readers {
+	for _, p := range place.Upstreams {
 		if p.Addr != "" {
 			if now.After(t.avoid[p.Addr].until) {
 				return p, false, 0
--- a/lib/fleetsim/scenario.go
+++ b/lib/fleetsim/scenario.go
@@ -133,7 +133,7 @@
 		return "reads"
 	case k.Role == feedlink.RoleRelay:
 		return "relays"
-	case k.Owns > 0:
+	case k.OwnedEngines > 0:
 		return "owns"
 	}
 	return "follows"
@@ -218,7 +218,7 @@
 		}},
 		{Name: "plain target leaves", Span: 2 * time.Second, act: func(s *site) func(*member) bool {
 			s.store.put(targets, s.targetRow(0, "leaving"))
-			return func(m *member) bool { return !m.Takes(s.targetID(0)) }
+			return func(m *member) bool { return !m.Accepts(s.targetID(0)) }
 		}},
 		{Name: "release", Span: 4 * time.Second, act: release},
 		{Name: "a third turned away", Span: 9 * time.Second, act: func(s *site) func(*member) bool {
--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -153,7 +153,7 @@
 	s.net.add(m.host, m.domain, mbps, m.cost)
 	cfg := gatewayproc.Config{
 		Instance: "i-" + m.host, Domain: m.domain, Regions: map[string]string{}, Peer: m.host + ":7200", Link: m.host + ":8748", Seeds: seeds,
-		LinkMbps: mbps, CPUShare: share, RepeatWindow: 10 * time.Second, RepeatFloor: 100, First: s.first,
+		LinkMbps: mbps, CPUShare: share, RetryWindow: 10 * time.Second, RetryFloor: 100, FirstStart: s.first,
 		Network: gatewayproc.Network{Listen: s.net.listen, Dial: s.net.dialer(m.host), Packet: s.net.packet},
 	}
 	ctx, m.cancel = context.WithCancel(ctx)
@@ -165,11 +165,11 @@
 func (s *site) site(m *member) gatewayproc.Site {
 	table := func(name string) feed.Source { return source{s: s.store, table: name, instance: m.host, cost: m.cost} }
 	return gatewayproc.Site{
-		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, HearEngines: func(gateway.ResponseHook) {},
+		Pool: wirehttp.NewPool(nil), Engines: engineCalls{}, SetResponseHook: func(gateway.ResponseHook) {},
 		Settings: table(settings), DecodeSettings: decodeSettings, Evacuated: func(feed.Row) (string, bool) { return "", false },
-		CountSettings: func(feed.Row) (feed.WriteSeq, bool) { return feed.WriteSeq{}, false },
-		CountTarget:   func(feed.Row) (feed.WriteSeq, bool) { return feed.WriteSeq{}, false },
-		Targets:       table(targets), DecodeTarget: decodeTarget,
+		SettingsWriteSeq: func(feed.Row) (feed.WriteSeq, bool) { return feed.WriteSeq{}, false },
+		TargetWriteSeq:   func(feed.Row) (feed.WriteSeq, bool) { return feed.WriteSeq{}, false },
+		Targets:          table(targets), DecodeTarget: decodeTarget,
 		Instances: table(instances), DecodeInstance: decodeInstance,
 		EncodeInstance: encodeInstance,
 		Register: func(_ context.Context, rows []feed.Row) error {
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -47,8 +47,8 @@
 )
 
 func (p *Process) newReplicas() {
-	p.feeds.settings = p.replica(settingsTable, p.applySettings).WithRetention(feed.Retention{Period: keepSettings, WriteSeq: p.site.CountSettings})
-	p.feeds.targets = p.replica(targetsTable, p.applyTargets).WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.CountTarget})
+	p.feeds.settings = p.replica(settingsTable, p.applySettings).WithRetention(feed.Retention{Period: keepSettings, WriteSeq: p.site.SettingsWriteSeq})
+	p.feeds.targets = p.replica(targetsTable, p.applyTargets).WithRetention(feed.Retention{Period: fleet.OutageGrace, WriteSeq: p.site.TargetWriteSeq})
 	p.feeds.instances = p.replica(instancesTable, p.applyInstances).WithRetention(feed.Retention{Period: keepInstances})
 }
 
@@ -103,7 +103,7 @@
 
 // follow starts the feeds and the housekeeping.
 func (p *Process) follow(ctx context.Context) {
-	if !p.cfg.First {
+	if !p.cfg.FirstStart {
 		p.start(func() { p.join(ctx) })
 	}
 	p.start(func() { p.track.Run(ctx) })
--- a/lib/gatewayproc/member.go
+++ b/lib/gatewayproc/member.go
@@ -28,24 +28,24 @@
 
 // Known is what a Member knows.
 type Known struct {
-	Settings  int64 // version in force; 0: none
-	Targets   int   // rows held
-	Instances int
-	Part      bool // it holds a part of the targets
-	Role      feedlink.Role
-	Owns      int // engines that it decides for
+	Settings     int64 // version in force; 0: none
+	Targets      int   // rows held
+	Instances    int
+	Partial      bool // it holds a part of the targets
+	Role         feedlink.Role
+	OwnedEngines int // engines that it decides for
 }
 
 // Known tells what the Member knows now.
 func (m *Member) Known() Known {
 	return Known{
-		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Part: m.p.feeds.targets.Partial(),
-		Role: m.p.place().Role, Owns: len(m.p.link.OwnedEngines()),
+		Settings: m.p.version(), Targets: m.p.feeds.targets.Len(), Instances: m.p.feeds.instances.Len(), Partial: m.p.feeds.targets.Partial(),
+		Role: m.p.place().Role, OwnedEngines: len(m.p.link.OwnedEngines()),
 	}
 }
 
-// Takes reports whether a target takes requests, as far as the Member knows; one that it does not hold takes none of its own choice.
-func (m *Member) Takes(target string) bool { return !m.p.fleet.IsLeaving(target) }
+// Accepts reports whether a target takes requests, as far as the Member knows; one that it does not hold takes none of its own choice.
+func (m *Member) Accepts(target string) bool { return !m.p.fleet.IsLeaving(target) }
 
 // Place asks for an engine, as for a stream.
 func (m *Member) Place(ctx context.Context, a owner.PlaceRequest) (owner.Answer, error) {
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -34,29 +34,29 @@
 
 // Config is what the instance is told at its start.
 type Config struct {
-	Instance string
-	Domain   string            // failure domain
-	Regions  map[string]string // region of each failure domain
-	Front    string            // address for callers
-	Ready    string            // address for the balancer's readiness checks
-	Peer     string            // address for other instances' datagrams
-	Link     string            // address for other instances' streams
-	LinkBind string            // where to listen for them; empty: at Link
-	Metrics  string            // address for metrics, at /metrics; empty: none
-	Seeds    []string          // links of some instances, which may be stale
-	First    bool              // the site starts for the first time
-	MemoryMB int               // over which the process is killed
-	LinkMbps float64
-	CPUShare float64 // of a core
+	Instance   string
+	Domain     string            // failure domain
+	Regions    map[string]string // region of each failure domain
+	Front      string            // address for callers
+	Ready      string            // address for the balancer's readiness checks
+	Peer       string            // address for other instances' datagrams
+	Link       string            // address for other instances' streams
+	LinkBind   string            // where to listen for them; empty: at Link
+	Metrics    string            // address for metrics, at /metrics; empty: none
+	Seeds      []string          // links of some instances, which may be stale
+	FirstStart bool              // the site starts for the first time
+	MemoryMB   int               // over which the process is killed
+	LinkMbps   float64
+	CPUShare   float64 // of a core
 
 	Grace time.Duration // from SIGTERM to the kill
 
 	Network Network // by which other instances are reached
 
 	// All instances together may repeat RepeatRatio of a service's requests and RepeatFloor more in each RepeatWindow.
-	RepeatRatio  float64
-	RepeatFloor  float64
-	RepeatWindow time.Duration
+	RetryRatio  float64
+	RetryFloor  float64
+	RetryWindow time.Duration
 }
 
 // Network is what an instance reaches others by. What is nil is the machine's own.
@@ -71,13 +71,13 @@
 	Names   gateway.Names
 	Pool    *wirehttp.Pool
 	Engines gateway.Engines
-	// HearEngines sets who is told of each answer to the calls of Engines.
-	HearEngines func(gateway.ResponseHook)
+	// SetResponseHook sets who is told of each answer to the calls of Engines.
+	SetResponseHook func(gateway.ResponseHook)
 
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
-	// CountSettings and CountTarget return the writer's own count of a row, which goes on when the store comes back from a copy.
-	CountSettings, CountTarget func(feed.Row) (feed.WriteSeq, bool)
+	// SettingsWriteSeq and CountTarget return the writer's own count of a row, which goes on when the store comes back from a copy.
+	SettingsWriteSeq, TargetWriteSeq func(feed.Row) (feed.WriteSeq, bool)
 	// Evacuated returns the failure domain that a row of the table of settings evacuates while it is there.
 	Evacuated    func(feed.Row) (domain string, ok bool)
 	Targets      feed.Source
@@ -161,12 +161,12 @@
 	p.fleet.SetRegions(cfg.Regions)
 	p.fleet.SetSenders(p.maySendAlone)
 	p.newReplicas()
-	p.share = retry.NewInstanceBudget(cfg.RepeatRatio, cfg.RepeatFloor, cfg.RepeatWindow)
+	p.share = retry.NewInstanceBudget(cfg.RetryRatio, cfg.RetryFloor, cfg.RetryWindow)
 	p.gate = gateway.New(gateway.Config{
 		Names: site.Names, Engines: site.Engines, Fleet: p.fleet, Pool: site.Pool, Budget: p.share,
 		Log: gateway.Log{Version: p.version, Era: p.era.Load}, OnLeaving: p.leftByAnswer,
 	})
-	site.HearEngines(p.gate.ReadNotices)
+	site.SetResponseHook(p.gate.ReadNotices)
 	if err := p.openOwners(); err != nil {
 		return nil, fmt.Errorf("gatewayproc: peers: %w", err)
 	}
@@ -338,7 +338,7 @@
 			logline.Cause(log.Error().Str("event", "reload_refused"), err)
 			continue
 		}
-		p.share.SetBound(cfg.RepeatRatio, cfg.RepeatFloor)
+		p.share.SetBound(cfg.RetryRatio, cfg.RetryFloor)
 		p.fleet.SetRegions(cfg.Regions)
 		log.Info().Str("event", "reload").Str("instance", cfg.Instance).Msg("")
 	}
--- a/lib/gatewayproc/ranks.go
+++ b/lib/gatewayproc/ranks.go
@@ -67,7 +67,7 @@
 	}
 	r.Serving = min(max(1, r.Serving), len(r.Relays))
 	at := r.place(p.cfg.Instance)
-	at.Readers = withSeeds(at.Readers, p.cfg.Link, p.cfg.Seeds)
+	at.Upstreams = withSeeds(at.Upstreams, p.cfg.Link, p.cfg.Seeds)
 	return p.placed.CompareAndSwap(nil, &at)
 }
 
--- a/lib/gatewayproc/readers.go
+++ b/lib/gatewayproc/readers.go
@@ -35,16 +35,16 @@
 // second.
 func placeBySeeds(own string, seeds []string) feedlink.Assignment {
 	if i := slices.Index(seeds, own); i >= 0 {
-		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Readers: []mesh.Peer{{}}}
+		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Upstreams: []mesh.Peer{{}}}
 	}
 	h := rendezvous.Hash(own)
 	rank := func(addr string) uint64 { return rendezvous.Rank(h, rendezvous.Hash(addr)) }
 	seeds = slices.SortedFunc(slices.Values(seeds), func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
 	at := feedlink.Assignment{Bootstrap: true, Role: feedlink.RoleFollower}
 	for _, addr := range seeds {
-		at.Readers = append(at.Readers, mesh.Peer{Addr: addr})
+		at.Upstreams = append(at.Upstreams, mesh.Peer{Addr: addr})
 	}
-	at.Readers = append(at.Readers, mesh.Peer{})
+	at.Upstreams = append(at.Upstreams, mesh.Peer{})
 	return at
 }
 
@@ -60,7 +60,7 @@
 		return at
 	}
 	at := placeAmong(self.Name, self.Domain, list)
-	at.Readers = withSeeds(at.Readers, self.Link, seeds)
+	at.Upstreams = withSeeds(at.Upstreams, self.Link, seeds)
 	return at
 }
 
@@ -101,14 +101,14 @@
 // place is an instance's place by the ranks in its failure domain.
 func (r ranks) place(self string) feedlink.Assignment {
 	if i := indexOf(r.Readers, self); i >= 0 {
-		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Readers: peers(self, r.Readers, r.Relays[:min(readersMax, len(r.Relays))])}
+		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Upstreams: peers(self, r.Readers, r.Relays[:min(readersMax, len(r.Relays))])}
 	}
 	if i := indexOf(r.Relays, self); i >= 0 {
 		readers := peers(self, r.Relays[:min(i, before)], r.Readers, r.Relays[i:i+1])
-		return feedlink.Assignment{Role: feedlink.RoleRelay, Rank: i, Readers: readers}
+		return feedlink.Assignment{Role: feedlink.RoleRelay, Rank: i, Upstreams: readers}
 	}
 	readers := append(peers(self, preferred(self, r.Relays, r.Serving), r.Readers), mesh.Peer{})
-	return feedlink.Assignment{Role: feedlink.RoleFollower, Readers: readers, LargeSite: r.Serving > 1}
+	return feedlink.Assignment{Role: feedlink.RoleFollower, Upstreams: readers, LargeSite: r.Serving > 1}
 }
 
 // before is how many of those that relay and rank before another are asked by it.
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -38,10 +38,10 @@
 			firsts[at.Role] = make(map[string]bool)
 		}
 		if at.Role != feedlink.RoleReader || at.Rank > 0 {
-			firsts[at.Role][at.Readers[0].Instance] = true
+			firsts[at.Role][at.Upstreams[0].Instance] = true
 		}
-		must.SliceContains(t, at.Readers, mesh.Peer{})
-		must.LessEq(t, 2*readersMax+1, len(at.Readers))
+		must.SliceContains(t, at.Upstreams, mesh.Peer{})
+		must.LessEq(t, 2*readersMax+1, len(at.Upstreams))
 	}
 	must.Eq(t, readersMax, roles[feedlink.RoleReader])
 	must.LessEq(t, 5*readersMax, roles[feedlink.RoleRelay])
@@ -74,24 +74,24 @@
 	for _, in := range list {
 		at := placeAmong(in.Name, in.Domain, list)
 		must.Eq(t, feedlink.RoleReader, at.Role)
-		if at.Readers[0].Addr == "" {
+		if at.Upstreams[0].Addr == "" {
 			reads++
 		}
 	}
 	must.Eq(t, 1, reads)
 	alone := placeAmong("me", "z", nil)
-	must.Eq(t, []mesh.Peer{{}}, alone.Readers)
+	must.Eq(t, []mesh.Peer{{}}, alone.Upstreams)
 }
 
 // An instance knows of no other than its seeds yet. One that is a seed reads; the others ask the seeds, and read the store
 // themselves in the end.
 func TestSeedsReadBeforeTheListIsKnown(t *testing.T) {
 	seeds := []string{"a:1", "b:1"}
-	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Readers: []mesh.Peer{{}}}, placeBySeeds("b:1", seeds))
+	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Upstreams: []mesh.Peer{{}}}, placeBySeeds("b:1", seeds))
 	other := placeBySeeds("c:1", seeds)
 	must.True(t, other.Bootstrap)
-	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Readers)
-	must.Eq(t, []mesh.Peer{{}}, placeBySeeds("c:1", nil).Readers)
+	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Upstreams)
+	must.Eq(t, []mesh.Peer{{}}, placeBySeeds("c:1", nil).Upstreams)
 }
 
 // The list names nobody else, or names a seed already: seeds that are missing come last, each once, this instance left out.
@@ -115,9 +115,9 @@
 			continue
 		}
 		must.False(t, at.Bootstrap)
-		must.Len(t, len(seeds)+1, at.Readers)
-		must.Eq(t, mesh.Peer{}, at.Readers[len(seeds)])
-		firsts[at.Readers[0].Addr]++
+		must.Len(t, len(seeds)+1, at.Upstreams)
+		must.Eq(t, mesh.Peer{}, at.Upstreams[len(seeds)])
+		firsts[at.Upstreams[0].Addr]++
 	}
 	must.Eq(t, len(seeds), reading)
 	for _, seed := range seeds {
@@ -127,12 +127,12 @@
 	early := list[:2]
 	at := placeOf(list[100], early, seeds)
 	must.Eq(t, feedlink.RoleFollower, at.Role)
-	must.SliceContains(t, []string{"i0", "i1"}, at.Readers[0].Instance)
+	must.SliceContains(t, []string{"i0", "i1"}, at.Upstreams[0].Instance)
 	must.Eq(t, feedlink.RoleReader, placeOf(list[0], early, seeds).Role)
 }
 
 // A single instance without seeds reads by itself.
 func TestAloneAtTheFirstStart(t *testing.T) {
 	at := placeOf(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
-	must.Eq(t, []mesh.Peer{{}}, at.Readers)
+	must.Eq(t, []mesh.Peer{{}}, at.Upstreams)
 }
--- a/lib/gatewayproc/reload_test.go
+++ b/lib/gatewayproc/reload_test.go
@@ -62,7 +62,7 @@
 	}
 	hangup(Config{}, errors.New("no such file"))
 	must.Eq(t, 7, p.share.Remaining(time.Now(), "s"))
-	hangup(Config{RepeatFloor: 100}, nil)
+	hangup(Config{RetryFloor: 100}, nil)
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && p.share.Remaining(time.Now(), "s") != 70; {
 		time.Sleep(time.Millisecond)
 	}
--- a/lib/lease/campaign.go
+++ b/lib/lease/campaign.go
@@ -54,7 +54,7 @@
 	}
 	rev := it.Rev
 	if !found {
-		rev = platformapi.Start(s.Era())
+		rev = platformapi.EraStart(s.Era())
 	}
 	if last.valid && rev < last.rev {
 		return nil // a stale read, with no new information
@@ -72,7 +72,7 @@
 // because a later term was lost.
 func isFree(it platformapi.Item, found bool, rev uint64) bool {
 	if !found {
-		return rev == platformapi.Start(platformapi.FirstEra)
+		return rev == platformapi.EraStart(platformapi.FirstEra)
 	}
 	r := decode(it)
 	return r.Released && !r.predatesEra(it)
@@ -139,7 +139,7 @@
 	for range 2 {
 		sent := time.Now()
 		res, err := s.Txn(ctx, h.renewalTxn(cfg, s.Era(), false))
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			res.Failed, err = readRecord(ctx, s, h)
 		}
 		if err != nil {
--- a/lib/lease/restore_test.go
+++ b/lib/lease/restore_test.go
@@ -93,7 +93,7 @@
 		must.NoError(t, err)
 		under := platformapi.Txn{Conds: []platformapi.Cond{h.Cond()}, Puts: []platformapi.Put{{Key: "work"}}}
 		_, err = a.Txn(t.Context(), under)
-		must.True(t, platform.IsOtherEra(err))
+		must.True(t, platform.IsStaleEra(err))
 		time.Sleep(ttl / 2)
 		under.Conds = []platformapi.Cond{h.Cond()}
 		res, err := a.Txn(t.Context(), under)
--- a/lib/platform/era.go
+++ b/lib/platform/era.go
@@ -8,14 +8,14 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// OtherEra says that a write was not made because its conditions are of an era before: the table came back from a copy, and their
+// StaleEra says that a write was not made because its conditions are of an era before: the table came back from a copy, and their
 // revisions may name other writes now. Read again, and decide again.
-var OtherEra = NotCommitted.NewSubtype("other_era")
+var StaleEra = NotCommitted.NewSubtype("other_era")
 
 var errOtherEra = errors.New("the conditions are of an era of the table before")
 
-// IsOtherEra reports whether a write was not made because its conditions are of an era before.
-func IsOtherEra(err error) bool { return errorx.IsOfType(err, OtherEra) }
+// IsStaleEra reports whether a write was not made because its conditions are of an era before.
+func IsStaleEra(err error) bool { return errorx.IsOfType(err, StaleEra) }
 
 // Era returns the highest era of the table that an answer has told.
 func (c *Client) Era() uint64 { return max(platformapi.FirstEra, uint64(c.eras.Highest())) }
@@ -47,9 +47,9 @@
 // orderTxn gives an answer's revisions their era. It fails where the table came back from a copy while a transaction with conditions was on
 // its way: what these were compared with is not what they were made for.
 func orderTxn(txn platformapi.Txn, res *platformapi.TxnResult, era uint64) *exchangeError {
-	res.Rev = platformapi.Order(era, res.Rev)
+	res.Rev = platformapi.OrderedRev(era, res.Rev)
 	for i := range res.Failed {
-		res.Failed[i].Rev = platformapi.Order(era, res.Failed[i].Rev)
+		res.Failed[i].Rev = platformapi.OrderedRev(era, res.Failed[i].Rev)
 	}
 	for _, cond := range txn.Conds {
 		if cond.Rev != 0 && platformapi.EraOf(cond.Rev) != era && res.Committed {
@@ -60,8 +60,8 @@
 }
 
 func orderRange(res *platformapi.RangeResult, era uint64) {
-	res.Rev = platformapi.Order(era, res.Rev)
+	res.Rev = platformapi.OrderedRev(era, res.Rev)
 	for i := range res.Items {
-		res.Items[i].Rev = platformapi.Order(era, res.Items[i].Rev)
+		res.Items[i].Rev = platformapi.OrderedRev(era, res.Items[i].Rev)
 	}
 }
--- a/lib/platform/era_test.go
+++ b/lib/platform/era_test.go
@@ -38,10 +38,10 @@
 		must.True(t, platform.IsUnknown(err))
 		// It has: the write is not sent, alone or in a group.
 		_, err = c.Txn(t.Context(), put("k", "later", mine.Rev))
-		must.True(t, platform.IsOtherEra(err))
+		must.True(t, platform.IsStaleEra(err))
 		must.True(t, platform.IsNotCommitted(err))
 		_, err = c.GroupTxn(t.Context(), put("k", "later", mine.Rev))
-		must.True(t, platform.IsOtherEra(err))
+		must.True(t, platform.IsStaleEra(err))
 		it, _, err := c.Get(t.Context(), "k")
 		must.NoError(t, err)
 		res, err := c.Txn(t.Context(), put("k", "again", it.Rev))
--- a/lib/platform/errors.go
+++ b/lib/platform/errors.go
@@ -77,7 +77,7 @@
 	t := Unknown
 	switch err.fate {
 	case fateOtherEra:
-		t = OtherEra
+		t = StaleEra
 	case fateNotSent:
 		t = NotCommitted
 	case fateRefused:
--- a/lib/platform/read.go
+++ b/lib/platform/read.go
@@ -21,7 +21,7 @@
 	if !found {
 		out = platformapi.Item{Key: key}
 	}
-	out.Rev = platformapi.Order(era, out.Rev)
+	out.Rev = platformapi.OrderedRev(era, out.Rev)
 	return out, found, err
 }
 
--- a/lib/platformapi/platformapi.go
+++ b/lib/platformapi/platformapi.go
@@ -23,17 +23,17 @@
 // eraShift leaves room for a million million revisions in an era.
 const eraShift = 40
 
-// Order joins an era and a revision given out in it to one number that orders them, the era first; in the first era it is the
+// OrderedRev joins an era and a revision given out in it to one number that orders them, the era first; in the first era it is the
 // revision. Revision 0, of what is absent, is 0 in every era.
-func Order(era, rev uint64) uint64 {
+func OrderedRev(era, rev uint64) uint64 {
 	if rev == 0 {
 		return 0
 	}
 	return (era-FirstEra)<<eraShift | rev
 }
 
-// Start returns what is before every ordered revision of an era, and after those of the eras before.
-func Start(era uint64) uint64 { return (era - FirstEra) << eraShift }
+// EraStart returns what is before every ordered revision of an era, and after those of the eras before.
+func EraStart(era uint64) uint64 { return (era - FirstEra) << eraShift }
 
 // EraOf returns the era of an ordered revision.
 func EraOf(ordered uint64) uint64 { return ordered>>eraShift + FirstEra }
--- a/lib/settingsync/commit.go
+++ b/lib/settingsync/commit.go
@@ -55,7 +55,7 @@
 			return nil, Unchanged.New("revision %d holds the same text", head.Revision)
 		}
 		rec, res, err := tryCommit(ctx, t, c, head, item)
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			err = nil // what was read is of before the table's return: it is read again
 		}
 		if err != nil || res.Committed {
@@ -110,7 +110,7 @@
 		if err == nil || !unsure {
 			return res, err
 		}
-		if platform.IsOtherEra(err) {
+		if platform.IsStaleEra(err) {
 			return res, Unknown.Wrap(err, "operation %s", txn.OpID)
 		}
 		if !pause(ctx, settlePause) {
