--- a/lib/siterun/policies.go
+++ b/lib/siterun/policies.go
@@ -166,9 +166,9 @@
 	}
 	r := loadgen.Runner{
 		Mix:         loadgen.Mix{Workload: *run.Mix, Span: run.Window, Entries: 1, Seed: c.Load.Seed},
-		Entries:     site.Callers(),
+		Entries:     site.CallerAddrs(),
 		Model:       run.Mix.Service,
-		Token:       localsite.Key,
+		Token:       localsite.WorkspaceKey,
 		MaxInFlight: len(run.Arrivals),
 		Patience:    run.Window + c.Policies.Drain,
 		Figures:     loadgen.NewFigures(c.Load.StallFloor),
