--- a/lib/entryproc/assemble.go
+++ b/lib/entryproc/assemble.go
@@ -31,7 +31,7 @@
 		MaxStreams:    p.cfg.MaxStreams,
 		Metrics:       p.metrics,
 		Clients:       p.clients,
-		OnView:        p.onView(ctx, d),
+		OnView:        p.viewHook(ctx, d),
 	}
 	p.addStores(ctx, &opts)
 	p.server = entry.New(opts)
@@ -78,8 +78,8 @@
 	}
 }
 
-// onView returns the hook that applies a settings revision before requests are accepted under it.
-func (p *Process) onView(ctx context.Context, d decider) func(*settings.Snapshot, func(*settings.Service) []*target.Client) {
+// viewHook returns the hook that applies a settings revision before requests are accepted under it.
+func (p *Process) viewHook(ctx context.Context, d decider) func(*settings.Snapshot, func(*settings.Service) []*target.Client) {
 	services := loadpoll.NewServices(ctx, func(service, name string, rep pick.Report) {
 		p.server.UpdateServiceLoad(service, name, rep)
 	})
--- a/lib/fleetsim/cost.go
+++ b/lib/fleetsim/cost.go
@@ -10,11 +10,11 @@
 
 // trafficMeter accounts the traffic of one instance.
 type trafficMeter struct {
-	mu  sync.Mutex
-	now traffic
+	mu    sync.Mutex
+	total traffic
 }
 
-// traffic are totals since the start.
+// traffic holds totals since the start.
 type traffic struct {
 	StreamOut, StreamIn int // bytes
 	PacketOut, PacketIn int // bytes
@@ -28,16 +28,16 @@
 func (c *trafficMeter) addRemote(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now.RemoteOut += n + headerBytes
+	c.total.RemoteOut += n + headerBytes
 }
 
 func (c *trafficMeter) addStream(n int, out bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if out {
-		c.now.StreamOut += n + headerBytes
+		c.total.StreamOut += n + headerBytes
 	} else {
-		c.now.StreamIn += n + headerBytes
+		c.total.StreamIn += n + headerBytes
 	}
 }
 
@@ -45,23 +45,23 @@
 	kind := kindOf(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now.Packets++
+	c.total.Packets++
 	if out {
-		c.now.PacketOut += len(b) + headerBytes
+		c.total.PacketOut += len(b) + headerBytes
 	} else {
-		c.now.PacketIn += len(b) + headerBytes
+		c.total.PacketIn += len(b) + headerBytes
 	}
-	if c.now.Kinds == nil {
-		c.now.Kinds = make(map[string]int)
+	if c.total.Kinds == nil {
+		c.total.Kinds = make(map[string]int)
 	}
-	c.now.Kinds[kind] += len(b) + headerBytes
+	c.total.Kinds[kind] += len(b) + headerBytes
 }
 
 func (c *trafficMeter) addCall(rows int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.now.Calls++
-	c.now.Rows += rows
+	c.total.Calls++
+	c.total.Rows += rows
 }
 
 // bytes returns all bytes sent and received.
@@ -71,9 +71,9 @@
 func (c *trafficMeter) read() traffic {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := c.now
-	out.Kinds = make(map[string]int, len(c.now.Kinds))
-	for k, v := range c.now.Kinds {
+	out := c.total
+	out.Kinds = make(map[string]int, len(c.total.Kinds))
+	for k, v := range c.total.Kinds {
 		out.Kinds[k] = v
 	}
 	return out
@@ -83,7 +83,8 @@
 func (f traffic) since(before traffic) traffic {
 	out := traffic{
 		StreamOut: f.StreamOut - before.StreamOut, StreamIn: f.StreamIn - before.StreamIn, PacketOut: f.PacketOut - before.PacketOut,
-		PacketIn: f.PacketIn - before.PacketIn, Packets: f.Packets - before.Packets, RemoteOut: f.RemoteOut - before.RemoteOut, Calls: f.Calls - before.Calls,
+		PacketIn: f.PacketIn - before.PacketIn, Packets: f.Packets - before.Packets,
+		RemoteOut: f.RemoteOut - before.RemoteOut, Calls: f.Calls - before.Calls,
 		Rows: f.Rows - before.Rows, Kinds: make(map[string]int),
 	}
 	for k, v := range f.Kinds {
--- a/lib/fleetsim/network.go
+++ b/lib/fleetsim/network.go
@@ -26,9 +26,9 @@
 // network connects the instances. Each has its own link, which its streams and datagrams share.
 type network struct {
 	mu        sync.Mutex
-	ends      map[string]*endpoint // by host
-	listeners map[string]*listener // by address
-	packets   map[string]*packets  // by address
+	ends      map[string]*endpoint     // by host
+	listeners map[string]*listener     // by address
+	packets   map[string]*datagramConn // by address
 	pipes     []net.Conn
 }
 
@@ -59,7 +59,7 @@
 }
 
 func newNetwork() *network {
-	return &network{ends: make(map[string]*endpoint), listeners: make(map[string]*listener), packets: make(map[string]*packets)}
+	return &network{ends: make(map[string]*endpoint), listeners: make(map[string]*listener), packets: make(map[string]*datagramConn)}
 }
 
 func (n *network) add(host, domain string, mbps float64, c *trafficMeter) {
@@ -186,29 +186,29 @@
 	}
 }
 
-// packets is an instance's datagram socket.
-type packets struct {
+// datagramConn is an instance's datagram socket.
+type datagramConn struct {
 	n    *network
-	own  *endpoint
+	end  *endpoint
 	addr netip.AddrPort
 	in   chan []byte
 	done chan struct{}
 	once sync.Once
 }
 
-func (n *network) packet(addr string) (ownerlink.PacketConn, error) {
+func (n *network) listenPacket(addr string) (ownerlink.PacketConn, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	p := &packets{n: n, own: n.end(addr), addr: at, in: make(chan []byte, receiveQueue), done: make(chan struct{})}
+	p := &datagramConn{n: n, end: n.end(addr), addr: at, in: make(chan []byte, receiveQueue), done: make(chan struct{})}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.packets[addr] = p
 	return p, nil
 }
 
-func (p *packets) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
+func (p *datagramConn) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
 	case d := <-p.in:
 		return copy(b, d), netip.AddrPort{}, nil
@@ -217,30 +217,30 @@
 	}
 }
 
-func (p *packets) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
+func (p *datagramConn) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	p.n.mu.Lock()
-	at := p.n.packets[to.String()]
+	peer := p.n.packets[to.String()]
 	p.n.mu.Unlock()
-	p.own.cost.addDatagram(b, true)
-	if at == nil || at.own.dead || p.own.dead {
+	p.end.cost.addDatagram(b, true)
+	if peer == nil || peer.end.dead || p.end.dead {
 		return len(b), nil
 	}
 	d := append([]byte(nil), b...)
-	time.AfterFunc(time.Until(arrival(p.own, at.own, len(b))), func() { at.deliver(d) })
+	time.AfterFunc(time.Until(arrival(p.end, peer.end, len(b))), func() { peer.deliver(d) })
 	return len(b), nil
 }
 
-func (p *packets) deliver(d []byte) {
+func (p *datagramConn) deliver(d []byte) {
 	select {
 	case p.in <- d:
-		p.own.cost.addDatagram(d, false)
+		p.end.cost.addDatagram(d, false)
 	default:
 	}
 }
 
-func (p *packets) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.addr) }
+func (p *datagramConn) LocalAddr() net.Addr { return net.UDPAddrFromAddrPort(p.addr) }
 
-func (p *packets) Close() error {
+func (p *datagramConn) Close() error {
 	p.once.Do(func() { close(p.done) })
 	return nil
 }
--- a/lib/fleetsim/scenario.go
+++ b/lib/fleetsim/scenario.go
@@ -77,7 +77,7 @@
 	worst := s.observe(start, p.Span, known, &res)
 	after := s.read()
 	work.Wait()
-	s.loads(&res, before, after, worst)
+	s.setLoads(&res, before, after, worst)
 	return res
 }
 
@@ -139,7 +139,7 @@
 	return "follows"
 }
 
-func (s *site) loads(res *Result, before, after []traffic, worst []int) {
+func (s *site) setLoads(res *Result, before, after []traffic, worst []int) {
 	for i, m := range s.members {
 		d := after[i].since(before[i])
 		res.Calls += d.Calls
@@ -223,13 +223,13 @@
 		}},
 		{Name: "release", Span: 4 * time.Second, act: release},
 		{Name: "a third turned away", Span: 9 * time.Second, act: func(s *site) func(*member) bool {
-			var away []string
+			var rejected []string
 			for _, m := range s.members {
 				if s.rng.IntN(3) == 0 {
-					away = append(away, m.host)
+					rejected = append(rejected, m.host)
 				}
 			}
-			s.store.reject(away)
+			s.store.reject(rejected)
 			time.Sleep(2 * time.Second)
 			s.store.put(settings, s.settingsRow(3))
 			return knowsSettings(3)
--- a/lib/fleetsim/site.go
+++ b/lib/fleetsim/site.go
@@ -126,7 +126,8 @@
 	s.store.put(targets, rows...)
 	s.store.put(settings, size.settingsRow(1))
 	for i := range size.Instances {
-		s.members = append(s.members, &member{host: size.host(i), domain: size.domain(i), strong: i < size.Domains*size.Strong, cost: new(trafficMeter)})
+		s.members = append(s.members, &member{host: size.host(i), domain: size.domain(i), strong: i < size.Domains*size.Strong,
+			cost: new(trafficMeter)})
 	}
 	return s
 }
@@ -155,7 +156,7 @@
 	cfg := gatewayproc.Config{
 		Instance: "i-" + m.host, Domain: m.domain, Regions: map[string]string{}, Peer: m.host + ":7200", Link: m.host + ":8748", Seeds: seeds,
 		LinkMbps: mbps, CPUShare: share, RetryWindow: 10 * time.Second, RetryFloor: 100, FirstStart: s.first,
-		Network: gatewayproc.Network{Listen: s.net.listen, Dial: s.net.dialer(m.host), Packet: s.net.packet},
+		Network: gatewayproc.Network{Listen: s.net.listen, Dial: s.net.dialer(m.host), Packet: s.net.listenPacket},
 	}
 	ctx, m.cancel = context.WithCancel(ctx)
 	var err error
@@ -174,18 +175,18 @@
 		Instances: table(instances), DecodeInstance: decodeInstance,
 		EncodeInstance: encodeInstance,
 		Register: func(_ context.Context, rows []feed.Row) error {
-			time.Sleep(answerTime)
+			time.Sleep(callTime)
 			m.cost.addCall(0)
 			s.store.put(instances, rows...)
 			return nil
 		},
 		ReadRanks: func(_ context.Context, domain string) ([]byte, error) {
-			time.Sleep(answerTime)
+			time.Sleep(callTime)
 			m.cost.addCall(1)
 			return s.store.value(ranks, domain)
 		},
 		WriteRanks: func(_ context.Context, rows map[string][]byte) error {
-			time.Sleep(answerTime)
+			time.Sleep(callTime)
 			m.cost.addCall(0)
 			for domain, b := range rows {
 				s.store.put(ranks, feed.Row{Key: domain, Value: b})
--- a/lib/fleetsim/store.go
+++ b/lib/fleetsim/store.go
@@ -10,8 +10,8 @@
 	"anvilwick.example/anvilwick/lib/feed"
 )
 
-// answerTime is the duration of a call to the store.
-const answerTime = 4 * time.Millisecond
+// callTime is the duration of a call to the store.
+const callTime = 4 * time.Millisecond
 
 // store is a model of the platform's store, which can reject the calls of some instances.
 type store struct {
@@ -80,7 +80,7 @@
 }
 
 func (t source) Snapshot(ctx context.Context) (feed.Page, error) {
-	time.Sleep(answerTime)
+	time.Sleep(callTime)
 	t.s.mu.Lock()
 	defer t.s.mu.Unlock()
 	if t.s.rejected[t.instance] {
@@ -96,7 +96,7 @@
 }
 
 func (t source) Changes(ctx context.Context, after int64, wait time.Duration) (feed.Page, error) {
-	time.Sleep(answerTime)
+	time.Sleep(callTime)
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for late := false; ; {
--- a/lib/gatewayproc/era_test.go
+++ b/lib/gatewayproc/era_test.go
@@ -19,7 +19,7 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// fakeStore is a store of tables whose calls take answerTime. It can become unavailable and be restored from a backup.
+// fakeStore is a store of tables whose calls take callTime. It can become unavailable and be restored from a backup.
 type fakeStore struct {
 	mu          sync.Mutex
 	at          feed.Position
@@ -31,8 +31,8 @@
 	rows        int // returned
 }
 
-// answerTime is the duration of one call to the store.
-const answerTime = 4 * time.Millisecond
+// callTime is the duration of one call to the store.
+const callTime = 4 * time.Millisecond
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{
@@ -83,7 +83,7 @@
 var errUnavailable = errors.New("away")
 
 func (t table) Snapshot(ctx context.Context) (feed.Page, error) {
-	time.Sleep(answerTime)
+	time.Sleep(callTime)
 	h := t.h
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,7 +103,7 @@
 	t.h.mu.Lock()
 	t.h.calls++
 	t.h.mu.Unlock()
-	time.Sleep(answerTime)
+	time.Sleep(callTime)
 	for end := time.After(wait); ; {
 		page, changed, err := t.since(after)
 		if err != nil || len(page.Rows) > 0 {
@@ -252,9 +252,9 @@
 	// All sizes share one bubble: timers that the links' library keeps for later belong to the bubble that created them.
 	synctest.Test(t, func(t *testing.T) {
 		for _, size := range []struct{ instances, domains, targets int }{{7, 3, 12}, {70, 3, 63}, {295, 5, 3000}} {
-			for _, away := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-				t.Logf("%d instances, %d targets, away %v", size.instances, size.targets, away)
-				checkEraReachesAll(t, siteOf(size.instances, size.domains), size.targets, away)
+			for _, outage := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
+				t.Logf("%d instances, %d targets, away %v", size.instances, size.targets, outage)
+				checkEraReachesAll(t, siteOf(size.instances, size.domains), size.targets, outage)
 			}
 		}
 	})
--- a/lib/gatewayproc/feedlog.go
+++ b/lib/gatewayproc/feedlog.go
@@ -86,8 +86,8 @@
 	if instance == "" {
 		instance = "store"
 	}
-	at := p.assignment()
-	log.Info().Str("event", "feed_source").Str("source", instance).Int("role", int(at.Role)).Int("rank", at.Rank).Msg("")
+	assigned := p.assignment()
+	log.Info().Str("event", "feed_source").Str("source", instance).Int("role", int(assigned.Role)).Int("rank", assigned.Rank).Msg("")
 }
 
 // feedLossLogger returns a function that logs the loss of a feed once per outage: the feed is retried several times a second.
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -106,14 +106,14 @@
 // startFeeds starts the feeds and the background work.
 func (p *Process) startFeeds(ctx context.Context) {
 	if !p.cfg.FirstStart {
-		p.start(func() { p.join(ctx) })
+		p.goWork(func() { p.join(ctx) })
 	}
-	p.start(func() { p.syncer.Run(ctx) })
-	p.start(func() { p.keepRegistered(ctx) })
-	p.start(func() { p.link.Run(ctx) })
-	p.start(func() { p.broadcastBlames(ctx) })
-	p.start(func() { p.tick(ctx) })
-	p.start(func() { p.watchEngines(ctx) })
+	p.goWork(func() { p.syncer.Run(ctx) })
+	p.goWork(func() { p.keepRegistered(ctx) })
+	p.goWork(func() { p.link.Run(ctx) })
+	p.goWork(func() { p.broadcastBlames(ctx) })
+	p.goWork(func() { p.runHousekeeping(ctx) })
+	p.goWork(func() { p.watchEngines(ctx) })
 }
 
 func (p *Process) applySettings(u feed.Update) {
@@ -162,32 +162,32 @@
 		}
 		if row.Removed {
 			removed = append(removed, row.Key)
-			p.refused.clear(row.Key)
+			p.refused.markReadable(row.Key)
 			continue
 		}
 		info, err := p.site.DecodeTarget(row)
 		if err != nil {
 			unreadable = append(unreadable, row.Key)
-			if p.refused.first(row.Key) {
+			if p.refused.markUnreadable(row.Key) {
 				logline.Cause(log.Error().Str("event", "target_refused").Str("target", row.Key), err)
 			}
 			continue
 		}
-		p.refused.clear(row.Key)
+		p.refused.markReadable(row.Key)
 		entries = append(entries, info)
 	}
 	p.fleet.MarkUnreadable(unreadable)
 	now := time.Now()
-	p.changed(p.fleet.PresumeGone(now, lapsed))
-	p.changed(p.fleet.Apply(now, entries, removed, u.Outage))
-	p.changed(p.fleet.Drop(now, u.Dropped))
+	p.onFleetChange(p.fleet.PresumeGone(now, lapsed))
+	p.onFleetChange(p.fleet.Apply(now, entries, removed, u.Outage))
+	p.onFleetChange(p.fleet.Drop(now, u.Dropped))
 	p.mu.Lock()
 	p.targetsRead = true
 	p.mu.Unlock()
 }
 
-// changed reacts to a change of the list of targets.
-func (p *Process) changed(ch fleet.Change) {
+// onFleetChange reacts to a change of the list of targets.
+func (p *Process) onFleetChange(ch fleet.Change) {
 	logTargets(log.InfoLevel, "target_added", ch.Added)
 	logTargets(log.WarnLevel, "target_restarted", ch.Restarted)
 	logTargets(log.InfoLevel, "target_leaving", ch.Leaving)
@@ -202,8 +202,8 @@
 	}
 }
 
-// tick runs the periodic housekeeping.
-func (p *Process) tick(ctx context.Context) {
+// runHousekeeping runs the periodic housekeeping.
+func (p *Process) runHousekeeping(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
@@ -211,7 +211,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			p.changed(p.fleet.Tick(now))
+			p.onFleetChange(p.fleet.Tick(now))
 			p.site.Pool.CloseExpired(now)
 			if p.fleet.HasMissing() {
 				t.Reset(tickInterval)
@@ -222,8 +222,8 @@
 	}
 }
 
-// start runs f in a goroutine that is counted in p.work.
-func (p *Process) start(f func()) {
+// goWork runs f in a goroutine that is counted in p.work.
+func (p *Process) goWork(f func()) {
 	p.work.Add(1)
 	go func() {
 		defer p.work.Done()
--- a/lib/gatewayproc/parts.go
+++ b/lib/gatewayproc/parts.go
@@ -47,8 +47,8 @@
 	if _, known := p.feeds.targets.Version(); !known || p.feeds.targets.Partial() {
 		return true
 	}
-	at := p.lastForwarding.Load()
-	return at == nil || now.Sub(*at) > fullListLinger
+	last := p.lastForwarding.Load()
+	return last == nil || now.Sub(*last) > fullListLinger
 }
 
 // SubsetFor implements feedlink.Partitioner.
@@ -70,7 +70,7 @@
 		n.shards[layout.HomeShard(service, domain, instance)] = true
 	}
 	for service := range layout.Plain() {
-		if ready := f.Ready(service); sum(ready) > plainFullMax {
+		if ready := f.Ready(service); totalCount(ready) > plainFullMax {
 			n.plain[service] = partOf(instance, domain, ready)
 		}
 	}
@@ -124,7 +124,7 @@
 	return out
 }
 
-func sum(counts map[string]int) int {
+func totalCount(counts map[string]int) int {
 	n := 0
 	for _, c := range counts {
 		n += c
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -91,8 +91,8 @@
 		MoveLink: p.gate.MoveLink,
 		OnLeft:   p.markLeaving,
 
-		OnRestarted:    func(id string, born int64) { p.changed(p.fleet.MarkRestarted(time.Now(), id, born)) },
-		OnGranted:      func(t fleet.Info) { p.changed(p.fleet.Grant(time.Now(), t)) },
+		OnRestarted:    func(id string, born int64) { p.onFleetChange(p.fleet.MarkRestarted(time.Now(), id, born)) },
+		OnGranted:      func(t fleet.Info) { p.onFleetChange(p.fleet.Grant(time.Now(), t)) },
 		HasPartialList: p.feeds.targets.Partial,
 		Broadcast:      func(b []byte) { p.syncer.Broadcast(b) },
 		OnBlames:       p.gate.MergeBlames,
@@ -115,7 +115,7 @@
 // markLeaving records that an incarnation of a target is leaving, and reports whether that was not known before.
 func (p *Process) markLeaving(id string, born int64) bool {
 	ch := p.fleet.MarkLeaving(time.Now(), id, born)
-	p.changed(ch)
+	p.onFleetChange(ch)
 	return len(ch.Leaving) > 0
 }
 
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -202,7 +202,7 @@
 		return err
 	}
 	p.startFeeds(work)
-	p.start(func() { p.reloadOnHangup(work) })
+	p.goWork(func() { p.reloadOnHangup(work) })
 	failed := make(chan error, 1)
 	go func() { failed <- p.serveFront(ln) }()
 	select {
@@ -304,7 +304,7 @@
 	p.gate.Stop(start.Add(p.cfg.Grace - abortMargin))
 	// Other instances switch to another owner and another reader now, while this one still answers.
 	p.link.Coordinator.Leave()
-	p.start(func() { p.unregister(context.Background()) })
+	p.goWork(func() { p.unregister(context.Background()) })
 	time.Sleep(min(outOfRotation, p.cfg.Grace/2))
 	abort := time.AfterFunc(p.cfg.Grace-time.Since(start)-abortMargin, p.gate.AbortOpen)
 	defer abort.Stop()
--- a/lib/gatewayproc/ranks.go
+++ b/lib/gatewayproc/ranks.go
@@ -67,9 +67,9 @@
 		return false
 	}
 	r.Serving = min(max(1, r.Serving), len(r.Relays))
-	at := r.assign(p.cfg.Instance)
-	at.Upstreams = withSeeds(at.Upstreams, p.cfg.Link, p.cfg.Seeds)
-	return p.assigned.CompareAndSwap(nil, &at)
+	assigned := r.assign(p.cfg.Instance)
+	assigned.Upstreams = withSeeds(assigned.Upstreams, p.cfg.Link, p.cfg.Seeds)
+	return p.assigned.CompareAndSwap(nil, &assigned)
 }
 
 // ranksOf returns the encoded ranks of a failure domain by the list of instances; nil while there is no list.
--- a/lib/gatewayproc/readers.go
+++ b/lib/gatewayproc/readers.go
@@ -40,12 +40,12 @@
 	h := rendezvous.Hash(ownLink)
 	rank := func(addr string) uint64 { return rendezvous.Rank(h, rendezvous.Hash(addr)) }
 	seeds = slices.SortedFunc(slices.Values(seeds), func(a, b string) int { return cmp.Compare(rank(b), rank(a)) })
-	at := feedlink.Assignment{Bootstrap: true, Role: feedlink.RoleFollower}
+	assigned := feedlink.Assignment{Bootstrap: true, Role: feedlink.RoleFollower}
 	for _, addr := range seeds {
-		at.Upstreams = append(at.Upstreams, mesh.Peer{Addr: addr})
+		assigned.Upstreams = append(assigned.Upstreams, mesh.Peer{Addr: addr})
 	}
-	at.Upstreams = append(at.Upstreams, mesh.Peer{})
-	return at
+	assigned.Upstreams = append(assigned.Upstreams, mesh.Peer{})
+	return assigned
 }
 
 // assignByList returns the assignment of an instance by the list of instances.
@@ -55,13 +55,13 @@
 // unknown to the others and reads for nobody, so it follows the listed instances and, while there are none, the seeds.
 func assignByList(self owner.Instance, list []owner.Instance, seeds []string) feedlink.Assignment {
 	if len(list) == 0 {
-		at := assignBySeeds(self.Link, seeds)
-		at.Bootstrap = false // the list is known, and empty
-		return at
+		assigned := assignBySeeds(self.Link, seeds)
+		assigned.Bootstrap = false // the list is known, and empty
+		return assigned
 	}
-	at := assignAmong(self.Name, self.Domain, list)
-	at.Upstreams = withSeeds(at.Upstreams, self.Link, seeds)
-	return at
+	assigned := assignAmong(self.Name, self.Domain, list)
+	assigned.Upstreams = withSeeds(assigned.Upstreams, self.Link, seeds)
+	return assigned
 }
 
 // withSeeds appends the seeds to an instance's readers. A list read just before the store became unavailable may name only
@@ -80,11 +80,11 @@
 // gets the tables from it and relays them, so that there is little traffic between failure domains.
 func assignAmong(self string, domain string, list []owner.Instance) feedlink.Assignment {
 	c := owner.NewCandidates(list)
-	at := ranksIn(c, domain).assign(self)
-	if at.Role != feedlink.RoleFollower {
-		at.RemoteRelays = relaysElsewhere(c, domain)
+	assigned := ranksIn(c, domain).assign(self)
+	if assigned.Role != feedlink.RoleFollower {
+		assigned.RemoteRelays = relaysElsewhere(c, domain)
 	}
-	return at
+	return assigned
 }
 
 // ranks names the readers of the store and the relays of a failure domain, in rank order.
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -32,16 +32,16 @@
 	firsts := make(map[feedlink.Role]map[string]bool)
 	roles := make(map[feedlink.Role]int)
 	for _, in := range list {
-		at := assignAmong(in.Name, in.Domain, list)
-		roles[at.Role]++
-		if firsts[at.Role] == nil {
-			firsts[at.Role] = make(map[string]bool)
+		assigned := assignAmong(in.Name, in.Domain, list)
+		roles[assigned.Role]++
+		if firsts[assigned.Role] == nil {
+			firsts[assigned.Role] = make(map[string]bool)
 		}
-		if at.Role != feedlink.RoleReader || at.Rank > 0 {
-			firsts[at.Role][at.Upstreams[0].Instance] = true
+		if assigned.Role != feedlink.RoleReader || assigned.Rank > 0 {
+			firsts[assigned.Role][assigned.Upstreams[0].Instance] = true
 		}
-		must.SliceContains(t, at.Upstreams, mesh.Peer{})
-		must.LessEq(t, 2*readersMax+1, len(at.Upstreams))
+		must.SliceContains(t, assigned.Upstreams, mesh.Peer{})
+		must.LessEq(t, 2*readersMax+1, len(assigned.Upstreams))
 	}
 	must.Eq(t, readersMax, roles[feedlink.RoleReader])
 	must.LessEq(t, 5*readersMax, roles[feedlink.RoleRelay])
@@ -54,13 +54,13 @@
 func TestOnlyReadersAndRelaysHaveRemoteRelays(t *testing.T) {
 	list := siteOf(295, 5)
 	for _, in := range list {
-		at := assignAmong(in.Name, in.Domain, list)
-		if at.Role == feedlink.RoleFollower {
-			must.SliceEmpty(t, at.RemoteRelays)
+		assigned := assignAmong(in.Name, in.Domain, list)
+		if assigned.Role == feedlink.RoleFollower {
+			must.SliceEmpty(t, assigned.RemoteRelays)
 			continue
 		}
-		must.Len(t, 4*readersMax, at.RemoteRelays)
-		for _, p := range at.RemoteRelays {
+		must.Len(t, 4*readersMax, assigned.RemoteRelays)
+		for _, p := range assigned.RemoteRelays {
 			i := slices.IndexFunc(list, func(o owner.Instance) bool { return o.Name == p.Instance })
 			must.NotEq(t, in.Domain, list[i].Domain)
 		}
@@ -72,9 +72,9 @@
 	list := siteOf(2, 2)
 	reads := 0
 	for _, in := range list {
-		at := assignAmong(in.Name, in.Domain, list)
-		must.Eq(t, feedlink.RoleReader, at.Role)
-		if at.Upstreams[0].Addr == "" {
+		assigned := assignAmong(in.Name, in.Domain, list)
+		must.Eq(t, feedlink.RoleReader, assigned.Role)
+		if assigned.Upstreams[0].Addr == "" {
 			reads++
 		}
 	}
@@ -109,15 +109,15 @@
 	reading := 0
 	firsts := make(map[string]int)
 	for _, in := range list {
-		at := assignByList(in, nil, seeds)
-		if at.Role == feedlink.RoleReader {
+		assigned := assignByList(in, nil, seeds)
+		if assigned.Role == feedlink.RoleReader {
 			reading++
 			continue
 		}
-		must.False(t, at.Bootstrap)
-		must.Len(t, len(seeds)+1, at.Upstreams)
-		must.Eq(t, mesh.Peer{}, at.Upstreams[len(seeds)])
-		firsts[at.Upstreams[0].Addr]++
+		must.False(t, assigned.Bootstrap)
+		must.Len(t, len(seeds)+1, assigned.Upstreams)
+		must.Eq(t, mesh.Peer{}, assigned.Upstreams[len(seeds)])
+		firsts[assigned.Upstreams[0].Addr]++
 	}
 	must.Eq(t, len(seeds), reading)
 	for _, seed := range seeds {
@@ -125,14 +125,14 @@
 	}
 
 	early := list[:2]
-	at := assignByList(list[100], early, seeds)
-	must.Eq(t, feedlink.RoleFollower, at.Role)
-	must.SliceContains(t, []string{"i0", "i1"}, at.Upstreams[0].Instance)
+	assigned := assignByList(list[100], early, seeds)
+	must.Eq(t, feedlink.RoleFollower, assigned.Role)
+	must.SliceContains(t, []string{"i0", "i1"}, assigned.Upstreams[0].Instance)
 	must.Eq(t, feedlink.RoleReader, assignByList(list[0], early, seeds).Role)
 }
 
 // A single instance without seeds reads the store itself.
 func TestSingleInstanceWithoutSeedsReadsTheStore(t *testing.T) {
-	at := assignByList(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
-	must.Eq(t, []mesh.Peer{{}}, at.Upstreams)
+	assigned := assignByList(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
+	must.Eq(t, []mesh.Peer{{}}, assigned.Upstreams)
 }
--- a/lib/gatewayproc/refused.go
+++ b/lib/gatewayproc/refused.go
@@ -12,8 +12,8 @@
 	ids map[string]bool
 }
 
-// first records an unreadable entry and reports whether it was readable before.
-func (r *refusedEntries) first(id string) bool {
+// markUnreadable records an unreadable entry and reports whether it was readable before.
+func (r *refusedEntries) markUnreadable(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ids[id] {
@@ -28,7 +28,7 @@
 	return true
 }
 
-func (r *refusedEntries) clear(id string) {
+func (r *refusedEntries) markReadable(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.ids, id)
--- a/lib/gatewayproc/watch.go
+++ b/lib/gatewayproc/watch.go
@@ -111,8 +111,8 @@
 		return
 	}
 	now := time.Now()
-	p.changed(p.fleet.MarkRestarted(now, e.ID, r.Born))
+	p.onFleetChange(p.fleet.MarkRestarted(now, e.ID, r.Born))
 	if r.Leaving {
-		p.changed(p.fleet.MarkLeaving(now, e.ID, r.Born))
+		p.onFleetChange(p.fleet.MarkLeaving(now, e.ID, r.Born))
 	}
 }
