--- a/lib/feed/feed.go
+++ b/lib/feed/feed.go
@@ -48,7 +48,7 @@
 	Changes(ctx context.Context, after int64, wait time.Duration) (Page, error)
 }
 
-// Update is a change of a Replica.
+// Update describes one change of a Replica.
 type Update struct {
 	Page
 	Initial  bool     // the first state: Rows are the whole table
@@ -81,7 +81,7 @@
 	RetryMax: 400 * time.Millisecond,
 }
 
-// Follower fills a Replica from the store.
+// Follower keeps a Replica up to date by polling the store.
 type Follower struct {
 	src     Source
 	opt     Options
@@ -129,7 +129,7 @@
 	return !known
 }
 
-// NewFollower returns a Follower that reports failed calls to fail.
+// NewFollower returns a Follower that reports failed calls to onError.
 func NewFollower(src Source, opt Options, replica *Replica, onError func(error)) *Follower {
 	return &Follower{src: src, opt: opt, replica: replica, onError: onError, retryDelay: opt.Retry}
 }
--- a/lib/feed/replica.go
+++ b/lib/feed/replica.go
@@ -21,7 +21,7 @@
 	partial       bool      // rows are only those that this instance needs
 	lastContact   time.Time // when the store last confirmed the position, to any instance
 	tombstones    map[string]tombstone
-	removals      []removal // of removed rows, oldest first
+	removals      []removal // oldest first
 	changes       changeLog
 	retained      map[string]retainedEntry // shown in place of rows
 	changed       chan struct{}            // closed and replaced at each change
@@ -40,8 +40,8 @@
 	// tombstoneTTL is how long a removal can still be sent as a change. A peer that asks for changes from before it is sent the
 	// whole table.
 	tombstoneTTL = time.Minute
-	// outageThreshold is the age of the last contact from which the store counts as unreachable: longer than a poll takes, shorter than
-	// entries take to expire.
+	// outageThreshold is the age of the last contact from which the store counts as unreachable: longer than a poll takes, shorter
+	// than entries take to expire.
 	outageThreshold = 1500 * time.Millisecond
 	// minConfirmAdvance is the least advance of the last contact that is signalled as a confirmation.
 	minConfirmAdvance = 200 * time.Millisecond
--- a/lib/feed/retention.go
+++ b/lib/feed/retention.go
@@ -211,7 +211,7 @@
 	return row, ok
 }
 
-// differs reports whether two states of a row differ visibly.
+// differs reports whether the visible state of a row differs.
 func differs(a, b Row) bool {
 	return a.Removed != b.Removed || !a.Removed && !bytes.Equal(a.Value, b.Value)
 }
--- a/lib/member/member.go
+++ b/lib/member/member.go
@@ -9,7 +9,7 @@
 //   - within an incarnation, leaving is never revoked;
 //   - within an incarnation, a higher refutation wins, and at equal refutation dead beats suspect beats live.
 //
-// Only the member itself raises its refutation, when it learns that others hold it for suspect or dead. An instance that was frozen or
+// Only the member itself raises its refutation, when it learns that others consider it suspect or dead. An instance that was frozen or
 // cut off thus recovers by refuting, and stale updates can't bring back one that was replaced.
 //
 // Traffic: up to Config.FullMesh members, each sends to all. In larger sets each sends to Config.Neighbours fixed peers, and changes
--- a/lib/member/tick.go
+++ b/lib/member/tick.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// suspectSilent suspects the neighbours without contact for SuspectAfter, counted at the earliest from when they became neighbours.
+// suspectSilent suspects the neighbours without contact for SuspectAfter, counted no earlier than from when they became neighbours.
 func (t *Table) suspectSilent(now Time) {
 	for _, name := range t.neighbours {
 		e := t.members[name]
