--- a/lib/control/control.go
+++ b/lib/control/control.go
@@ -1,9 +1,9 @@
-// Package control is the process beside each entry that deals with the platform: it watches settings, the instance list
-// and operators' drains, holds leases for power, model placement and weight transfers, and keeps its entry told over
-// the local link.
+// Package control is the process beside each entry that talks to the platform. It watches settings, the instance list and
+// operators' drains, holds leases for power, model placement and weight transfers, and sends its entry updates over the
+// local link.
 //
-// No caller's request depends on it. When it dies, its entry goes on with what it was told last; leases lapse and are
-// taken by other control processes; its successor reads everything from the platform and sends it again.
+// Requests of callers do not depend on it. If it dies, its entry continues with the last state it received, its leases
+// expire and are taken by other control processes, and its successor reads everything from the platform and sends it again.
 package control
 
 import (
@@ -25,19 +25,19 @@
 	DefaultInstancePoll = 2 * time.Second
 	DefaultDrainPoll    = time.Second
 	DefaultLeaseTTL     = 15 * time.Second
-	DefaultStoreShare   = 0.4 // the entry beside it has the rest, for claims
+	DefaultStoreShare   = 0.4 // the entry beside it uses the rest, for claims
 )
 
-// Options of a Process. Zero values take the defaults.
+// Options configures a Process. Zero values take the defaults.
 type Options struct {
 	Instance      string
 	Incarnation   uint64
 	FailureDomain string
 	Version       string
-	EntryAddr     string // IP:port of its entry's mesh listener
+	EntryAddr     string // IP:port of the mesh listener of its entry
 	Links         mesh.Options
 	Platform      platform.Config
-	Targets       http.RoundTripper // for orders and reports; nil: one of its own
+	Targets       http.RoundTripper // for orders to targets and their reports; nil: a transport of its own
 	InstancePoll  time.Duration
 	DrainPoll     time.Duration
 	LeaseTTL      time.Duration
@@ -54,10 +54,10 @@
 		o.Platform.ReadsPerSec = platform.DefaultReadsPerSec
 	}
 	if o.Platform.Transport == nil {
-		o.Platform.Transport = counted("platform")
+		o.Platform.Transport = countedTransport("platform")
 	}
 	if o.Targets == nil {
-		o.Targets = counted("targets")
+		o.Targets = countedTransport("targets")
 	}
 	o.Links.Self = mesh.Identity{Instance: o.Instance, Incarnation: o.Incarnation}
 }
@@ -70,15 +70,15 @@
 
 // Process is one control process.
 type Process struct {
-	opts   Options
-	node   *mesh.Node
-	link   *locallink.Client
-	store  *platform.Client
-	sync   *settingsync.Sync
-	tables tables
+	opts  Options
+	node  *mesh.Node
+	link  *locallink.Client
+	store *platform.Client
+	sync  *settingsync.Sync
+	state sharedState
 }
 
-// New checks the options. Nothing is contacted yet.
+// New checks the options and returns a Process. It makes no connections.
 func New(o Options) (*Process, error) {
 	o.setDefaults()
 	node, err := mesh.New(o.Links)
@@ -87,19 +87,19 @@
 	}
 	store := platform.New(o.Platform)
 	p := &Process{
-		opts:   o,
-		node:   node,
-		link:   locallink.NewClient(node, o.EntryAddr),
-		store:  store,
-		sync:   settingsync.New(settingsync.Config{Table: store, Peers: entryPeer{node, o.EntryAddr}}),
-		tables: newTables(),
+		opts:  o,
+		node:  node,
+		link:  locallink.NewClient(node, o.EntryAddr),
+		store: store,
+		sync:  settingsync.New(settingsync.Config{Table: store, Peers: entryPeer{node, o.EntryAddr}}),
+		state: newSharedState(),
 	}
-	p.link.Up = p.hear
+	p.link.Up = p.handleEntryMessage
 	p.link.Lost = func(err error) { log.Warn().Str("event", "entry_link_lost").Err(err).Msg("") }
 	return p, nil
 }
 
-// Run works until ctx is done, then gives its leases back and returns.
+// Run works until ctx is done, then releases its leases and returns.
 func (p *Process) Run(ctx context.Context) {
 	defer p.node.Close()
 	var wg sync.WaitGroup
@@ -110,9 +110,9 @@
 		p.applySite,
 		p.watchInstances,
 		p.watchDrains,
-		p.follow,
-		p.allot,
-		p.place,
+		p.followPower,
+		p.allocatePower,
+		p.runPlacement,
 		p.collectClaims,
 	} {
 		wg.Go(func() { work(ctx) })
@@ -120,8 +120,8 @@
 	wg.Wait()
 }
 
-// every calls work at once and then once an interval until ctx is done.
-func every(ctx context.Context, interval time.Duration, work func(context.Context)) {
+// runEvery calls work immediately and then once per interval until ctx is done.
+func runEvery(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
--- a/lib/control/engines.go
+++ b/lib/control/engines.go
@@ -13,8 +13,8 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// engines reads reports of managed engines and gives them orders, for the holder of the placement lease. The entries'
-// own reports won't do: each entry follows only the shards that it owns.
+// engines polls the reports of managed engines and sends them orders, for the holder of the placement lease. The reports of
+// entries are not sufficient, because an entry only follows the shards that it owns.
 type engines struct {
 	http *http.Client
 
@@ -24,26 +24,26 @@
 
 type engineReport struct {
 	engineapi.LoadReport
-	at time.Time // the moment that it describes, on this process's clock
+	asOf time.Time // when the reported state was measured, on this process's clock
 }
 
 const (
-	engineTimeout = 2 * time.Second
-	enginesAtOnce = 16 // reports read at once
+	engineTimeout      = 2 * time.Second
+	maxConcurrentReads = 16 // reports read concurrently
 )
 
 func newEngines(rt http.RoundTripper) *engines {
 	return &engines{http: &http.Client{Transport: rt}, last: map[string]engineReport{}}
 }
 
-// poll reads every target's report once; one that does not answer keeps its old one, which grows stale.
+// poll reads every target's report once. A target that does not answer keeps its previous report, which becomes stale.
 func (e *engines) poll(ctx context.Context, targets []settings.Target) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, enginesAtOnce)
+	slots := make(chan struct{}, maxConcurrentReads)
 	for _, t := range targets {
-		places <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			e.read(ctx, t)
 		})
 	}
@@ -52,12 +52,12 @@
 
 func (e *engines) read(ctx context.Context, t settings.Target) {
 	var rep engineapi.LoadReport
-	asked := time.Now()
-	if err := e.do(ctx, sling.New().Base("http://"+t.Addr).Get(engineapi.PathLoad), &rep); err != nil {
+	requestedAt := time.Now()
+	if err := e.send(ctx, sling.New().Base("http://"+t.Addr).Get(engineapi.PathLoad), &rep); err != nil {
 		return
 	}
-	// Dated from before the question: a report must never look younger than what it describes.
-	at := asked.Add(-time.Duration(rep.AgeMS) * time.Millisecond)
+	// Dated from before the request was sent: a report must never look newer than the state it describes.
+	at := requestedAt.Add(-time.Duration(rep.AgeMS) * time.Millisecond)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.last[t.Name] = engineReport{rep, at}
@@ -70,19 +70,19 @@
 	return r, ok
 }
 
-// order gives one order. An error doesn't tell whether it was obeyed; the engine's report will.
+// order sends one order. An error does not tell whether it was executed; the engine's report shows that.
 func (e *engines) order(ctx context.Context, addr string, o engineapi.Order) error {
-	return e.do(ctx, sling.New().Base("http://"+addr).Post(engineapi.PathOrders).BodyJSON(o), nil)
+	return e.send(ctx, sling.New().Base("http://"+addr).Post(engineapi.PathOrders).BodyJSON(o), nil)
 }
 
-func (e *engines) do(ctx context.Context, s *sling.Sling, into any) error {
+func (e *engines) send(ctx context.Context, s *sling.Sling, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	req, err := s.Request()
 	if err != nil {
 		return err
 	}
-	resp, err := s.Client(e.http).Do(req.WithContext(ctx), into, nil)
+	resp, err := s.Client(e.http).Do(req.WithContext(ctx), result, nil)
 	if err != nil {
 		return err
 	}
--- a/lib/control/fleet_test.go
+++ b/lib/control/fleet_test.go
@@ -18,20 +18,20 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// leaseTTL is short against the life of a power share, so that a new holder comes while old shares hold.
+// leaseTTL is shorter than the validity of a power share, so that a new holder starts while old shares are still valid.
 const leaseTTL = 2 * time.Second
 
-// fleet is a few processes in virtual time, without their entries' links.
+// fleet is a set of processes in virtual time, without the links to their entries.
 type fleet struct {
-	t       *testing.T
-	store   *standin.Server
-	procs   []*Process
-	stop    []context.CancelFunc
-	loads   map[int][2]int // running and queued
-	since   time.Time      // when the targets' reports froze; zero: they are fresh
-	missing bool           // targets report nothing
-	engines *fakeEngines
-	wg      sync.WaitGroup
+	t               *testing.T
+	store           *standin.Server
+	procs           []*Process
+	stop            []context.CancelFunc
+	loads           map[int][2]int // running and queued, by instance
+	reportsFrozenAt time.Time      // when the targets' reports froze; zero: they are current
+	noReports       bool           // targets send no reports
+	engines         *fakeEngines
+	wg              sync.WaitGroup
 }
 
 func startFleet(t *testing.T, n int, settings string) *fleet {
@@ -54,14 +54,14 @@
 	})
 	must.NoError(f.t, err)
 	ctx, cancel := context.WithCancel(f.t.Context())
-	for _, work := range []func(context.Context){p.sync.Run, p.watchDrains, p.follow, p.allot, p.place} {
+	for _, work := range []func(context.Context){p.sync.Run, p.watchDrains, p.followPower, p.allocatePower, p.runPlacement} {
 		f.wg.Go(func() { work(ctx) })
 	}
 	f.procs = append(f.procs, p)
 	f.stop = append(f.stop, func() { cancel(); p.node.Close() })
 }
 
-// close must be deferred: the bubble waits for every goroutine.
+// close must be deferred: the synctest bubble waits for every goroutine.
 func (f *fleet) close() {
 	for _, stop := range f.stop {
 		stop()
@@ -69,7 +69,7 @@
 	f.wg.Wait()
 }
 
-// holder returns the one process that holds a lease.
+// holder returns the only process that holds a lease.
 func (f *fleet) holder(name string) int {
 	f.t.Helper()
 	holder := -1
@@ -85,16 +85,16 @@
 	return holder
 }
 
-// fakeEngines answers for engines by address, in virtual time. Each enforces fencing numbers.
+// fakeEngines answers for engines by address, in virtual time. Each engine enforces fencing numbers.
 type fakeEngines struct {
-	mu      sync.Mutex
-	byAddr  map[string]*engineapi.LoadReport
-	refused int // orders with an old number
+	mu       sync.Mutex
+	byAddr   map[string]*engineapi.LoadReport
+	rejected int // orders with an outdated fencing number
 }
 
 func newFakeEngines() *fakeEngines { return &fakeEngines{byAddr: map[string]*engineapi.LoadReport{}} }
 
-// add puts an engine with a version at an address.
+// add adds an engine with a model and version at an address.
 func (f *fakeEngines) add(addr, model, version string, running int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	if o.Fence < e.Fence {
-		f.refused++
+		f.rejected++
 		w.WriteHeader(http.StatusConflict)
 		return w.Result(), nil
 	}
--- a/lib/control/instances.go
+++ b/lib/control/instances.go
@@ -11,16 +11,16 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// watchInstances polls the platform's instance list and sends each change to the entry, which joins it with
-// heartbeats. A list that can't be read changes nothing.
+// watchInstances polls the platform's instance list and sends each change to the entry, which combines it with
+// heartbeats. If the list can't be read, the last one stays in effect.
 func (p *Process) watchInstances(ctx context.Context) {
 	var last []platformapi.Instance
 	seq := uint64(0)
-	interval := func() time.Duration { return p.pollEvery(p.opts.InstancePoll, instanceShare) }
+	interval := func() time.Duration { return p.sitePollInterval(p.opts.InstancePoll, instanceShare) }
 	poll(ctx, interval, func(ctx context.Context) error {
 		list, err := p.store.Instances(ctx)
 		if err != nil {
-			pollFailed(ctx, "instances", err)
+			reportPollError(ctx, "instances", err)
 			return err
 		}
 		if seq > 0 && slices.Equal(list.Instances, last) {
@@ -30,20 +30,20 @@
 		seq++
 		p.setInstances(last)
 		p.link.Set(&meshpb.LocalDown{Msg: &meshpb.LocalDown_View{View: viewOf(seq, last)}})
-		log.Info().Str("event", "instances_changed").Int("instances", len(last)).Int("live", live(last)).Msg("")
+		log.Info().Str("event", "instances_changed").Int("instances", len(last)).Int("live", liveCount(last)).Msg("")
 		return nil
 	})
 }
 
-// setInstances divides what the site may use of the store over the instances of a list.
+// setInstances divides the site's store budgets among the instances of a list.
 func (p *Process) setInstances(list []platformapi.Instance) {
-	p.store.SetLive(live(list))
-	p.sync.SetInstances(live(list))
-	p.tables.setInstances(list)
+	p.store.SetLive(liveCount(list))
+	p.sync.SetInstances(liveCount(list))
+	p.state.setInstances(list)
 }
 
-// live counts the instances that share the store's budgets; leaving ones still use it until they are gone.
-func live(list []platformapi.Instance) int { return max(1, len(list)) }
+// liveCount counts the instances that share the store's budgets. Leaving instances use it until they are gone.
+func liveCount(list []platformapi.Instance) int { return max(1, len(list)) }
 
 func viewOf(seq uint64, list []platformapi.Instance) *meshpb.View {
 	v := &meshpb.View{Seq: seq}
@@ -63,8 +63,8 @@
 	return v
 }
 
-// pollFailed logs and counts a read that failed, unless this process is stopping.
-func pollFailed(ctx context.Context, what string, err error) {
+// reportPollError logs and counts a failed read, unless this process is stopping.
+func reportPollError(ctx context.Context, what string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/lib/control/placement.go
+++ b/lib/control/placement.go
@@ -18,31 +18,31 @@
 
 const leasePlacement = "placement"
 
-// place brings engines to the models that the settings want, while this process holds the lease. The weight store's
-// budget is kept by the same lease: its holder alone asks for transfers.
-func (p *Process) place(ctx context.Context) {
+// runPlacement makes engines run the models that the settings require, while this process holds the lease. The same lease
+// enforces the weight store's budget, because only its holder requests transfers.
+func (p *Process) runPlacement(ctx context.Context) {
 	cfg := p.leaseConfig(leasePlacement)
 	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Term) {
-		defer p.tables.hold(h)()
+		defer p.state.trackLease(h)()
 		log.Info().Str("event", "lease_held").Str("lease", h.Name()).Uint64("fence", h.Fence()).Msg("")
-		pl := &placing{p: p, held: h, engines: newEngines(p.opts.Targets)}
+		pl := &placer{p: p, held: h, engines: newEngines(p.opts.Targets)}
 		var polling sync.WaitGroup
-		polling.Go(func() { every(ctx, placement.Tick, pl.poll) })
+		polling.Go(func() { runEvery(ctx, placement.Tick, pl.poll) })
 		defer polling.Wait()
 		placement.Run(ctx, h, placement.Environment{Store: p.store, Services: pl.services, Order: pl.order, Drain: pl.drain})
 	})
 }
 
-type placing struct {
+type placer struct {
 	p       *Process
 	held    *lease.Term
 	engines *engines
 }
 
-func (pl *placing) poll(ctx context.Context) { pl.engines.poll(ctx, pl.managed()) }
+func (pl *placer) poll(ctx context.Context) { pl.engines.poll(ctx, pl.managed()) }
 
-// managed lists the targets of services whose model is set.
-func (pl *placing) managed() []settings.Target {
+// managed returns the targets of services that set a model.
+func (pl *placer) managed() []settings.Target {
 	var out []settings.Target
 	for _, svc := range pl.managedServices() {
 		out = append(out, svc.Targets...)
@@ -50,7 +50,7 @@
 	return out
 }
 
-func (pl *placing) managedServices() []*settings.Service {
+func (pl *placer) managedServices() []*settings.Service {
 	snap := pl.p.Snapshot()
 	if snap == nil {
 		return nil
@@ -64,7 +64,7 @@
 	return out
 }
 
-func (pl *placing) services() []placement.Service {
+func (pl *placer) services() []placement.Service {
 	var out []placement.Service
 	for _, svc := range pl.managedServices() {
 		out = append(out, pl.service(svc))
@@ -72,7 +72,7 @@
 	return out
 }
 
-func (pl *placing) service(svc *settings.Service) placement.Service {
+func (pl *placer) service(svc *settings.Service) placement.Service {
 	s := placement.Service{
 		Name:          svc.Name,
 		IgnoresFences: svc.Fencing != settings.FencingEnforced,
@@ -85,12 +85,12 @@
 	return s
 }
 
-func (pl *placing) target(name string) placement.Target {
-	t := placement.Target{Name: name, DrainedAt: pl.p.tables.drainedSince(name, byPlacement)}
+func (pl *placer) target(name string) placement.Target {
+	t := placement.Target{Name: name, DrainedAt: pl.p.state.drainedSince(name, byPlacement)}
 	if r, ok := pl.engines.report(name); ok {
 		t.LastReport = &placement.Report{
 			State:   placement.State{Model: r.Model, Version: r.ModelVersion, Adapters: r.Adapters},
-			At:      r.at,
+			At:      r.asOf,
 			Running: r.Running + r.Waiting,
 			Leaving: r.Leaving,
 		}
@@ -98,7 +98,7 @@
 	return t
 }
 
-func (pl *placing) order(ctx context.Context, target string, o engineapi.Order) error {
+func (pl *placer) order(ctx context.Context, target string, o engineapi.Order) error {
 	snap := pl.p.Snapshot()
 	if snap == nil {
 		return errNoSettings
@@ -117,9 +117,9 @@
 	return err
 }
 
-// drain keeps new work from a target during its change, beside operators' drains and apart from them: the end of a
-// change must not end an operator's drain. It is written on the lease's condition.
-func (pl *placing) drain(ctx context.Context, target string, on bool) error {
+// drain keeps new work from a target while its model changes. It is separate from operators' drains, so that the end of a
+// change does not end an operator's drain. The write is conditional on the lease.
+func (pl *placer) drain(ctx context.Context, target string, on bool) error {
 	rec := drainRecord{On: on, Operator: pl.p.opts.Instance, Time: time.Now().UTC()}
 	return pl.p.recordDrain(ctx, target, byPlacement, rec, pl.held.Cond())
 }
--- a/lib/control/poll_test.go
+++ b/lib/control/poll_test.go
@@ -19,7 +19,7 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// readCounter counts the reads that go to the platform, by what they are for.
+// readCounter counts the reads from the platform by purpose.
 type readCounter struct {
 	next http.RoundTripper
 
@@ -46,7 +46,7 @@
 	return name
 }
 
-func (c *readCounter) take() map[string]int {
+func (c *readCounter) takeCounts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.reads
@@ -54,11 +54,11 @@
 	return out
 }
 
-// siteReads runs n control processes in virtual time and returns their reads a second, by purpose, once all have the list.
+// siteReads runs n control processes in virtual time and returns their reads per second by purpose, once all have the list.
 func siteReads(t *testing.T, n, readsPerSec int) map[string]float64 {
-	const span = 60
+	const seconds = 60
 	s := standin.New(standin.Config{ReadsPerSec: float64(readsPerSec)})
-	commit(t, s, strings.Replace(someSettings, "name: test\n", fmt.Sprintf("name: test\n  store_reads: %d\n", readsPerSec), 1), 0)
+	commit(t, s, strings.Replace(baseSettings, "name: test\n", fmt.Sprintf("name: test\n  store_reads: %d\n", readsPerSec), 1), 0)
 	for i := range n {
 		s.PutInstance(platformapi.Instance{ID: fmt.Sprint("i", i), Incarnation: 1, State: platformapi.InstanceLive})
 	}
@@ -78,16 +78,16 @@
 		must.NoError(t, err)
 		defer p.node.Close()
 		procs = append(procs, p)
-		for _, work := range []func(context.Context){p.sync.Run, p.applySite, p.watchInstances, p.watchDrains, p.follow, p.allot, p.place, p.collectClaims} {
+		for _, work := range []func(context.Context){p.sync.Run, p.applySite, p.watchInstances, p.watchDrains, p.followPower, p.allocatePower, p.runPlacement, p.collectClaims} {
 			wg.Go(func() { work(ctx) })
 		}
 	}
 	time.Sleep(30 * time.Second)
-	count.take()
-	time.Sleep(span * time.Second)
+	count.takeCounts()
+	time.Sleep(seconds * time.Second)
 	out := map[string]float64{}
-	for name, reads := range count.take() {
-		out[name] = math.Round(float64(reads)/span*10) / 10
+	for name, reads := range count.takeCounts() {
+		out[name] = math.Round(float64(reads)/seconds*10) / 10
 	}
 	for _, p := range procs {
 		must.NotNil(t, p.Snapshot(), must.Sprint(p.opts.Instance, " never got settings"))
@@ -97,11 +97,11 @@
 	return out
 }
 
-// Many instances that each poll every second would take most of the site's reads, and in the end be refused by the table
-// when leases need it. Together they must stay within a quarter, and a drain still be read by each within three seconds;
-// at today's eight nothing may be slower than before. 43 at 200 reads a second stand for
-// 430 at the default 2,000; each must also come to its settings, which takes three reads in a row.
-func TestPollsOfTheWholeSiteStayWithinTheirShare(t *testing.T) {
+// With many instances, polling once per second each would use most of the site's reads and get lease reads rejected by the
+// table. Together polls must stay within a quarter of the reads, and each instance must still read drains within three
+// seconds; with eight instances no poll may be slower than its base interval. 43 instances at 200 reads per second stand for
+// 430 at the default 2,000; each must also obtain its settings, which takes three consecutive reads.
+func TestSitePollsStayWithinShare(t *testing.T) {
 	for _, site := range []struct{ instances, reads int }{{1, 2000}, {8, 2000}, {43, 200}} {
 		synctest.Test(t, func(t *testing.T) {
 			got := siteReads(t, site.instances, site.reads)
@@ -119,15 +119,15 @@
 	}
 }
 
-// jitterMean is how many polls there are for one at the whole interval, which jitter shortens by an eighth in the mean.
+// jitterMean is the number of polls per full interval, which jitter shortens by an eighth on average.
 const (
 	jitterMean      = 8.0 / 7 * 1.02
 	leaseJitterMean = 4.0 / 3 * 1.05
 )
 
-// The platform is away in the moment in which an instance starts. Were the first read of the list tried again only a whole
-// interval later, its entry would know no other for that time and count itself the owner of every target.
-func TestFirstReadIsTriedAgainSoon(t *testing.T) {
+// The platform is unavailable when an instance starts. If the first read of the list were retried only after a whole
+// interval, its entry would know no other instance until then and consider itself the owner of every target.
+func TestFailedFirstReadIsRetriedSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := standin.New(standin.Config{})
 		s.PutInstance(platformapi.Instance{ID: "i0", Incarnation: 1, State: platformapi.InstanceLive})
@@ -145,14 +145,14 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { p.watchInstances(ctx) })
 		time.Sleep(time.Second)
-		must.Len(t, 1, p.tables.view().instances)
+		must.Len(t, 1, p.state.snapshot().instances)
 		cancel()
 		wg.Wait()
 	})
 }
 
-func TestSpread(t *testing.T) {
-	must.Eq(t, time.Second, spread(time.Second, 8, 2000, drainShare))
-	must.Eq(t, 2150*time.Millisecond, spread(time.Second, 430, 2000, drainShare))
-	must.Eq(t, time.Second, spread(time.Second, 430, 0, drainShare))
+func TestSharedInterval(t *testing.T) {
+	must.Eq(t, time.Second, sharedInterval(time.Second, 8, 2000, drainShare))
+	must.Eq(t, 2150*time.Millisecond, sharedInterval(time.Second, 430, 2000, drainShare))
+	must.Eq(t, time.Second, sharedInterval(time.Second, 430, 0, drainShare))
 }
--- a/lib/control/power.go
+++ b/lib/control/power.go
@@ -16,16 +16,16 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// The site's power is divided by the holder of a lease. Followers, beside the entries that own shards, leave reports in
-// the table and read their shares there: a write for each shard in every reportEvery, and one for all shares together.
-// That is far under the table's limit at today's few shards; with hundreds of shards it needs direct streams.
+// The holder of a lease divides the site's power. Followers, beside the entries that own shards, write reports to the table
+// and read their shares from it: one write per shard in every reportInterval, and one for all shares together. That is far
+// below the table's limit with few shards; with hundreds of shards it would need direct streams.
 const (
-	leasePower   = "power"
-	reportEvery  = 2500 * time.Millisecond
-	powerTick    = 500 * time.Millisecond
-	powerPage    = 500
-	reportPrefix = platformapi.KeyPower + "report/"
-	sharePrefix  = platformapi.KeyPower + "share/"
+	leasePower     = "power"
+	reportInterval = 2500 * time.Millisecond
+	powerInterval  = 500 * time.Millisecond
+	powerPage      = 500
+	reportPrefix   = platformapi.KeyPower + "report/"
+	sharePrefix    = platformapi.KeyPower + "share/"
 )
 
 // powerReport is the value at power/report/{part}.
@@ -35,18 +35,18 @@
 	MeasuredAgeMS int64        `json:"measured_age_ms"`
 }
 
-// follow keeps a Follower for each shard that the entry owns, and tells the entry what it may draw.
-func (p *Process) follow(ctx context.Context) {
+// followPower keeps a Follower for each shard that the entry owns, and sends the entry its power limits.
+func (p *Process) followPower(ctx context.Context) {
 	f := &followers{p: p, parts: map[string]*follower{}}
-	every(ctx, powerTick, f.tick)
+	runEvery(ctx, powerInterval, f.tick)
 }
 
 type followers struct {
-	p        *Process
-	revision uint64
-	plan     *powerplan.Plan
-	parts    map[string]*follower
-	after    uint64 // revision of the last share read
+	p            *Process
+	revision     uint64
+	plan         *powerplan.Plan
+	parts        map[string]*follower
+	lastShareRev uint64 // table revision of the last share read
 }
 
 type follower struct {
@@ -57,15 +57,15 @@
 func (f *followers) tick(ctx context.Context) {
 	f.replan()
 	if f.plan == nil {
-		f.measure(tablesView{}, nil, time.Now())
+		f.updateMetrics(stateView{}, nil, time.Now())
 		return
 	}
-	v := f.p.tables.view()
-	owned := f.owned(v)
+	v := f.p.state.snapshot()
+	owned := f.ownedShards(v)
 	f.report(ctx, v, owned)
 	f.readShares(ctx)
-	f.tell(time.Now())
-	f.measure(v, owned, time.Now())
+	f.sendShares(time.Now())
+	f.updateMetrics(v, owned, time.Now())
 }
 
 func (f *followers) replan() {
@@ -84,8 +84,8 @@
 	}
 }
 
-// owned returns what waits and runs in each shard that the entry owns, and keeps followers for those only.
-func (f *followers) owned(v tablesView) map[string]ownedShard {
+// ownedShards returns the load of each shard that the entry owns, and keeps followers for only those.
+func (f *followers) ownedShards(v stateView) map[string]ownedShard {
 	out := map[string]ownedShard{}
 	for _, d := range v.entry.GetShards() {
 		name := partName(d)
@@ -95,7 +95,7 @@
 		out[name] = ownedShard{queued: int(d.GetQueued()), running: int(d.GetRunning())}
 		if f.parts[name] == nil {
 			now := time.Now()
-			epoch := uint64(now.UnixNano()) // grows with each life of a follower, of this process or another
+			epoch := uint64(now.UnixNano()) // increases with each new follower, in this process or another
 			f.parts[name] = &follower{Follower: power.NewFollower(now, f.plan.Config, name, epoch, f.plan.Fallbacks[name])}
 		}
 	}
@@ -107,12 +107,12 @@
 	return out
 }
 
-// report leaves the reports that are due in one transaction.
-func (f *followers) report(ctx context.Context, v tablesView, owned map[string]ownedShard) {
+// report writes the reports that are due in one transaction.
+func (f *followers) report(ctx context.Context, v stateView, owned map[string]ownedShard) {
 	now := time.Now()
 	var txn platformapi.Txn
 	for name, part := range f.parts {
-		if now.Sub(part.reported) < reportEvery {
+		if now.Sub(part.reported) < reportInterval {
 			continue
 		}
 		part.reported = now
@@ -129,7 +129,7 @@
 		return
 	}
 	if _, err := f.p.store.Txn(ctx, txn); err != nil {
-		pollFailed(ctx, "power report", err)
+		reportPollError(ctx, "power report", err)
 	}
 }
 
@@ -137,13 +137,13 @@
 	if len(f.parts) == 0 {
 		return
 	}
-	page, err := f.p.store.Range(ctx, sharePrefix, f.after, powerPage)
+	page, err := f.p.store.Range(ctx, sharePrefix, f.lastShareRev, powerPage)
 	if err != nil {
-		pollFailed(ctx, "power shares", err)
+		reportPollError(ctx, "power shares", err)
 		return
 	}
 	for _, it := range page.Items {
-		f.after = max(f.after, it.Rev)
+		f.lastShareRev = max(f.lastShareRev, it.Rev)
 		var s power.Share
 		if err := json.Unmarshal(it.Value, &s); err != nil {
 			continue
@@ -154,9 +154,9 @@
 	}
 }
 
-// tell sends the entry one share a shard. For a shard that it doesn't own it is told the fallback, so that it starts at
-// it should it become an owner before its control process has heard of that.
-func (f *followers) tell(now time.Time) {
+// sendShares sends the entry one share per shard. For a shard that it doesn't own this is the fallback, so that the entry
+// starts at the fallback if it becomes the owner before its control process is notified.
+func (f *followers) sendShares(now time.Time) {
 	shares := fallbackShares(f.plan)
 	for name, part := range f.parts {
 		s := shares[name]
@@ -165,10 +165,10 @@
 	for _, s := range shares {
 		f.p.link.Set(&meshpb.LocalDown{Msg: &meshpb.LocalDown_Power{Power: s}})
 	}
-	f.p.tables.setShares(shares, now)
+	f.p.state.setShares(shares, now)
 }
 
-// fallbackShares gives each part of a plan, which may be nil, its fallback, valid for no time.
+// fallbackShares returns, for each part of a plan, a share of its fallback power with zero validity. plan may be nil.
 func fallbackShares(plan *powerplan.Plan) map[string]*meshpb.PowerShare {
 	shares := map[string]*meshpb.PowerShare{}
 	if plan == nil {
@@ -185,55 +185,55 @@
 	return shard.ID{Service: d.GetService(), Index: d.GetShard()}.String()
 }
 
-// allot divides the cap while this process holds the lease.
-func (p *Process) allot(ctx context.Context) {
+// allocatePower divides the power cap while this process holds the lease.
+func (p *Process) allocatePower(ctx context.Context) {
 	cfg := p.leaseConfig(leasePower)
 	lease.Run(ctx, p.store, cfg, func(ctx context.Context, h *lease.Term) {
-		defer p.tables.hold(h)()
-		defer unmeasure()
+		defer p.state.trackLease(h)()
+		defer resetSiteMetrics()
 		log.Info().Str("event", "lease_held").Str("lease", h.Name()).Uint64("fence", h.Fence()).Msg("")
-		a := &allotting{p: p, held: h, since: time.Now(), reports: map[string]heardReport{}}
-		every(ctx, powerTick, a.tick)
+		a := &powerAllocation{p: p, held: h, startedAt: time.Now(), reports: map[string]receivedReport{}}
+		runEvery(ctx, powerInterval, a.tick)
 	})
 }
 
-type allotting struct {
-	p        *Process
-	held     *lease.Term
-	since    time.Time
-	revision uint64
-	plan     *powerplan.Plan
-	allotter *power.Allocator
-	after    uint64
-	reports  map[string]heardReport // the newest of each part
+type powerAllocation struct {
+	p             *Process
+	held          *lease.Term
+	startedAt     time.Time
+	revision      uint64
+	plan          *powerplan.Plan
+	allocator     *power.Allocator
+	lastReportRev uint64
+	reports       map[string]receivedReport // newest report of each part
 }
 
-type heardReport struct {
+type receivedReport struct {
 	powerReport
-	at time.Time
+	receivedAt time.Time
 }
 
-func (a *allotting) tick(ctx context.Context) {
+func (a *powerAllocation) tick(ctx context.Context) {
 	a.replan()
 	if a.plan == nil {
 		return
 	}
-	a.measure(time.Now())
-	page, err := a.p.store.Range(ctx, reportPrefix, a.after, powerPage)
+	a.updateMetrics(time.Now())
+	page, err := a.p.store.Range(ctx, reportPrefix, a.lastReportRev, powerPage)
 	if err != nil {
-		pollFailed(ctx, "power reports", err)
+		reportPollError(ctx, "power reports", err)
 		return
 	}
-	a.allotter.SetLease(power.Lease{Fence: a.held.Fence(), Since: a.since, Until: time.Now().Add(a.held.Remaining())})
-	fresh := a.take(page.Items)
+	a.allocator.SetLease(power.Lease{Fence: a.held.Fence(), Since: a.startedAt, Until: time.Now().Add(a.held.Remaining())})
+	fresh := a.acceptReports(page.Items)
 	if len(fresh) == 0 {
 		return
 	}
-	a.answer(ctx, fresh)
-	a.read()
+	a.writeShares(ctx, fresh)
+	a.addReading()
 }
 
-func (a *allotting) replan() {
+func (a *powerAllocation) replan() {
 	snap := a.p.Snapshot()
 	if snap == nil || snap.Revision == a.revision {
 		return
@@ -245,32 +245,33 @@
 		return
 	}
 	if a.plan == nil || a.plan.Config != plan.Config {
-		// Another cap: shares given under the old one must be waited out, as those of another holder are.
-		a.allotter = power.NewAllocator(plan.Config)
-		a.since = time.Now()
+		// The cap changed: shares granted under the old one must expire first, as after a change of lease holder.
+		a.allocator = power.NewAllocator(plan.Config)
+		a.startedAt = time.Now()
 	}
 	a.plan = plan
-	a.allotter.SetFallbacks(plan.Fallbacks)
+	a.allocator.SetFallbacks(plan.Fallbacks)
 }
 
-func (a *allotting) take(items []platformapi.Item) []power.Report {
+func (a *powerAllocation) acceptReports(items []platformapi.Item) []power.Report {
 	var fresh []power.Report
 	for _, it := range items {
-		a.after = max(a.after, it.Rev)
+		a.lastReportRev = max(a.lastReportRev, it.Rev)
 		var r powerReport
 		if err := json.Unmarshal(it.Value, &r); err != nil || strings.TrimPrefix(it.Key, reportPrefix) != r.Report.Part {
 			continue
 		}
-		a.reports[r.Report.Part] = heardReport{r, time.Now()}
+		a.reports[r.Report.Part] = receivedReport{r, time.Now()}
 		fresh = append(fresh, r.Report)
 	}
 	return fresh
 }
 
-// read gives the allotter the site's draw as the targets report it, as old as the oldest part of it. It comes after
-// answer, by which the allotter has modelled what the reports draw. A reading from before this allotter began is left
-// out: nothing was modelled then, so all of it would count as excess and hold every part near its fallback.
-func (a *allotting) read() {
+// addReading passes the site's power draw, as reported by the targets, to the allocator; its age is that of the oldest
+// report. It is called after writeShares, by which the allocator has modelled the draw of the reports. Readings from before
+// the allocator started are skipped: nothing was modelled then, so all of it would count as excess and hold every part near
+// its fallback.
+func (a *powerAllocation) addReading() {
 	var sum power.Reading
 	now := time.Now()
 	for name, r := range a.reports {
@@ -279,20 +280,20 @@
 			continue
 		}
 		sum.Watts += r.MeasuredWatts
-		sum.Age = max(sum.Age, time.Duration(r.MeasuredAgeMS)*time.Millisecond+now.Sub(r.at))
+		sum.Age = max(sum.Age, time.Duration(r.MeasuredAgeMS)*time.Millisecond+now.Sub(r.receivedAt))
 	}
-	if now.Add(-sum.Age).Before(a.since) {
+	if now.Add(-sum.Age).Before(a.startedAt) {
 		return
 	}
-	a.allotter.AddReading(now, sum)
+	a.allocator.AddReading(now, sum)
 }
 
-// answer writes all new shares in one transaction under the lease's condition: the table refuses them once another
-// process holds the lease, however long this one was paused.
-func (a *allotting) answer(ctx context.Context, fresh []power.Report) {
+// writeShares writes all new shares in one transaction, conditional on the lease: the table rejects them once another
+// process holds the lease, however long this process was paused.
+func (a *powerAllocation) writeShares(ctx context.Context, fresh []power.Report) {
 	txn := platformapi.Txn{Conds: []platformapi.Cond{a.held.Cond()}}
 	for _, r := range fresh {
-		share, ok := a.allotter.HandleReport(time.Now(), r)
+		share, ok := a.allocator.HandleReport(time.Now(), r)
 		if !ok {
 			continue
 		}
@@ -306,6 +307,6 @@
 		return
 	}
 	if _, err := a.p.store.Txn(ctx, txn); err != nil {
-		pollFailed(ctx, "power shares", err)
+		reportPollError(ctx, "power shares", err)
 	}
 }
--- a/lib/control/powerdemand.go
+++ b/lib/control/powerdemand.go
@@ -6,7 +6,7 @@
 	"anvilwick.example/anvilwick/lib/powerplan"
 )
 
-// demand is what a part draws and wants, in watts.
+// demand is the power that a part draws and could use, in watts.
 type demand struct {
 	wanted   float64
 	modelled float64
@@ -14,19 +14,19 @@
 	ageMS    int64 // of the oldest report in measured
 }
 
-// ownedShard is what the owner of a part says of it.
+// ownedShard is the load of a part as reported by its owner.
 type ownedShard struct{ queued, running int }
 
-// missingAge stands for the age of a report that is not there: no reading of the draw is told with it.
-const missingAge = time.Hour
+// missingReportAge stands in for the age of a missing report: the draw has no reading then.
+const missingReportAge = time.Hour
 
-// demandOf models the draw from the reports' counts of sequences and from what the owner runs, and the want from those
-// that wait besides.
+// demandOf models the draw from the numbers of sequences in the reports and at the owner, and the demand by adding the
+// queued sequences.
 //
-// Failure: a target's reports freeze or stop while its shard is idle; the part would tell for ever of an idle draw, and
-// its watts go to others while it uses them. The owner's own count needs no report, and a report that is missing makes
-// the reading as old as can be, so that the allotter keeps its widest guard.
-func demandOf(p *powerplan.Part, v tablesView, owned ownedShard, now time.Time) demand {
+// It guards against reports that freeze or stop while their shard is idle: the part would report an idle draw forever, and
+// its power would be allocated to others while it uses it. The owner's count needs no report, and a missing report gives the
+// reading a maximal age, so that the allocator keeps its widest guard.
+func demandOf(p *powerplan.Part, v stateView, owned ownedShard, now time.Time) demand {
 	var d demand
 	perSeq, idle := 0.0, 0.0
 	for _, t := range p.Targets {
@@ -36,12 +36,12 @@
 		r, ok := v.reports[t.Name]
 		if !ok {
 			d.measured += t.IdleWatts
-			d.ageMS = missingAge.Milliseconds()
+			d.ageMS = missingReportAge.Milliseconds()
 			continue
 		}
 		d.modelled += t.SeqWatts * float64(r.GetRunning())
 		d.measured += r.GetWatts()
-		d.ageMS = max(d.ageMS, now.Sub(r.taken).Milliseconds())
+		d.ageMS = max(d.ageMS, now.Sub(r.takenAt).Milliseconds())
 	}
 	d.modelled = max(d.modelled, idle+perSeq*float64(owned.running))
 	d.wanted = min(p.MaxWatts, d.modelled+perSeq*float64(owned.queued))
--- a/lib/control/settings.go
+++ b/lib/control/settings.go
@@ -10,9 +10,9 @@
 	"anvilwick.example/anvilwick/lib/settingsync"
 )
 
-// entryPeer fetches the settings of the entry beside this process. A control process that was replaced while the table's
-// replicas lag would begin with an older revision than its entry has in force, and one replaced in an outage with none.
-// The entry is enough as the only peer: it hears of all other instances.
+// entryPeer fetches the settings of the entry beside this process. Otherwise a control process replaced while the table's
+// replicas lag would start with an older revision than its entry has in force, and one replaced during an outage with none.
+// The entry suffices as the only peer, because it exchanges revisions with all other instances.
 type entryPeer struct {
 	node *mesh.Node
 	addr string // IP:port of the entry's mesh listener
@@ -23,9 +23,9 @@
 	return settingsync.Fetch(ctx, e.node, mesh.Peer{Instance: instance, Addr: e.addr}, offer)
 }
 
-// hear takes a message from the entry.
-func (p *Process) hear(m *meshpb.LocalUp) {
-	p.tables.hear(m)
+// handleEntryMessage processes a message from the entry.
+func (p *Process) handleEntryMessage(m *meshpb.LocalUp) {
+	p.state.handleEntryMessage(m)
 	if st := m.GetStatus(); st != nil {
 		p.sync.SetPeerRevisions(map[string]uint64{p.opts.Instance: st.GetSettingsRevision()})
 	}
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// forwardSettings sends the entry each revision as soon as it is known, as the text it was committed with. The entry
-// parses it itself: a fault in one process's resolved form can't reach the other. It must not wait until the revision is
-// in force here: this process waits to hear its entry first, and the entry waits only a moment for this one.
+// forwardSettings sends each revision to the entry as soon as it is known, as the committed text. The entry parses it
+// itself, so that a fault in one process's resolved form can't reach the other. The revision must be sent before it is in
+// force here: this process first waits to hear from its entry, and the entry waits only briefly for this process.
 func (p *Process) forwardSettings(ctx context.Context) {
 	for {
 		newest, changed := p.sync.Newest()
 		if newest.GetRevision() > 0 {
-			p.tellFallbacks(newest)
+			p.sendFallbacks(newest)
 			p.link.Set(&meshpb.LocalDown{Msg: &meshpb.LocalDown_Settings{Settings: newest}})
 		}
 		select {
@@ -57,15 +57,15 @@
 	}
 }
 
-// tellFallbacks tells the entry what it may draw while nothing is in force here yet, and so nothing told it a share. It
-// may be ready to run by the revision at once, and without a share it would draw what it likes.
-func (p *Process) tellFallbacks(body *meshpb.SettingsBody) {
+// sendFallbacks sends the entry its fallback shares while no settings are in force here and so no shares were sent yet. The
+// entry may activate the revision immediately, and without a share its draw would be unlimited.
+func (p *Process) sendFallbacks(body *meshpb.SettingsBody) {
 	if p.Snapshot() != nil {
 		return
 	}
 	tree, err := settings.Parse(body.GetYaml(), "revision")
 	if err != nil {
-		return // the entry can't read it either
+		return // the entry can't parse it either
 	}
 	snap, err := tree.Resolve(body.GetRevision())
 	if err != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// applySite puts the site's values that this process acts on in force, with each revision.
+// applySite applies the site's values that this process uses, with each revision.
 func (p *Process) applySite(ctx context.Context) {
 	for {
 		updated := p.sync.Updated()
--- a/lib/control/status.go
+++ b/lib/control/status.go
@@ -14,7 +14,7 @@
 
 var errNoSettings = errors.New("no settings yet")
 
-// Source answers operators.
+// Source returns the functions that answer operators' requests.
 func (p *Process) Source() opsapi.Source {
 	return opsapi.Source{
 		Status:  p.Status,
@@ -32,9 +32,9 @@
 	return nil
 }
 
-// Status is this process's view.
+// Status returns this process's view for operators.
 func (p *Process) Status() opsapi.Status {
-	v := p.tables.view()
+	v := p.state.snapshot()
 	st := opsapi.Status{
 		Instance:         p.opts.Instance,
 		Role:             opsapi.RoleControl,
@@ -47,20 +47,20 @@
 		Stopping:         v.entry.GetStopping(),
 		Store:            upOrDown(p.store.Up()),
 		Link:             upOrDown(p.link.Linked()),
-		Members:          members(v),
+		Members:          memberList(v),
 	}
 	for _, h := range v.leases {
 		if !h.Valid() {
-			continue // a holder that was paused past its time: it acts no more, and must not show a lease that another has
+			continue // the holder was paused past the lease's end: it no longer acts, and another may show the same lease
 		}
 		st.Leases = append(st.Leases, opsapi.Lease{Name: h.Name(), Fence: h.Fence(), LeftMS: h.Remaining().Milliseconds()})
 	}
-	st.Power = shares(v, time.Now())
+	st.Power = powerShares(v, time.Now())
 	slices.SortFunc(st.Leases, func(a, b opsapi.Lease) int { return cmp.Compare(a.Name, b.Name) })
 	return st
 }
 
-func shares(v tablesView, now time.Time) []opsapi.Power {
+func powerShares(v stateView, now time.Time) []opsapi.Power {
 	var out []opsapi.Power
 	for _, s := range v.shares {
 		out = append(out, opsapi.Power{
@@ -84,8 +84,8 @@
 	return "down"
 }
 
-// members gives the entry's view, which knows heartbeats, and the platform's list while the entry has said nothing.
-func members(v tablesView) []opsapi.Member {
+// memberList returns the entry's view, which includes heartbeats, or the platform's list if the entry has not reported yet.
+func memberList(v stateView) []opsapi.Member {
 	var out []opsapi.Member
 	for _, m := range v.entry.GetMembers() {
 		out = append(out, opsapi.Member{
@@ -121,16 +121,18 @@
 
 // Targets lists every target of the settings in force with its last report.
 func (p *Process) Targets() []opsapi.Target {
-	v := p.tables.view()
+	v := p.state.snapshot()
 	now := time.Now()
 	return opsapi.TargetsOf(p.Snapshot(), opsapi.TargetView{
 		Report: func(name string) (*meshpb.TargetReport, time.Duration) {
 			r := v.reports[name]
-			return r.TargetReport, now.Sub(r.taken)
+			return r.TargetReport, now.Sub(r.takenAt)
 		},
-		Draining: p.tables.draining,
+		Draining: p.state.draining,
 	})
 }
 
 // Queues lists the shards that the entry owns.
-func (p *Process) Queues() []opsapi.Queue { return opsapi.QueuesOf(p.tables.view().entry.GetShards()) }
+func (p *Process) Queues() []opsapi.Queue {
+	return opsapi.QueuesOf(p.state.snapshot().entry.GetShards())
+}
--- a/lib/control/usage.go
+++ b/lib/control/usage.go
@@ -10,8 +10,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// pollErrors counts reads of the platform that failed. Processor time and memory of the process are exported by the
-// metrics library itself (process_cpu_seconds_total, process_resident_memory_bytes); bytes to the entry by lib/mesh.
+// pollErrors counts failed reads of the platform. CPU time and memory of the process are exported by the metrics library
+// (process_cpu_seconds_total, process_resident_memory_bytes), bytes to the entry by lib/mesh.
 var pollErrors = metrics.NewCounter("anvilwick_control_poll_errors_total")
 
 const (
@@ -22,8 +22,8 @@
 	replyTimeout = 3 * time.Second
 )
 
-// counted returns a transport whose bytes are counted under a link's name.
-func counted(link string) http.RoundTripper {
+// countedTransport returns a transport that counts its bytes under a link name.
+func countedTransport(link string) http.RoundTripper {
 	d := net.Dialer{Timeout: dialTimeout}
 	sent := metrics.GetOrCreateCounter(fmt.Sprintf(`anvilwick_control_sent_bytes_total{link=%q}`, link))
 	received := metrics.GetOrCreateCounter(fmt.Sprintf(`anvilwick_control_received_bytes_total{link=%q}`, link))
--- a/lib/controlproc/config.go
+++ b/lib/controlproc/config.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/procflags"
 )
 
-// Config is what the command line gives.
+// Config holds the command-line options.
 type Config struct {
 	Instance    string
 	Domain      string
@@ -49,9 +49,9 @@
 	}
 	switch {
 	case c.Instance == "":
-		return errors.New("-instance: a name is needed")
+		return errors.New("-instance: name is required")
 	case c.LeaseTTL < time.Second:
-		return fmt.Errorf("-lease-ttl: %v is under a second", c.LeaseTTL)
+		return fmt.Errorf("-lease-ttl: %v is shorter than 1s", c.LeaseTTL)
 	}
 	return nil
 }
--- a/lib/controlproc/process.go
+++ b/lib/controlproc/process.go
@@ -17,7 +17,7 @@
 	"anvilwick.example/anvilwick/lib/platform"
 )
 
-const closeTimeout = 2 * time.Second // for operators' connections at the end
+const closeTimeout = 2 * time.Second // for operators' connections at shutdown
 
 // Process is one control process with its operators' port.
 type Process struct {
@@ -64,7 +64,7 @@
 	return &Process{cfg: cfg, control: c, ops: ops, srv: opsapi.Server(opsapi.Handler(hashes, c.Source()))}, nil
 }
 
-// Run works until ctx is done, then gives leases back and closes. It returns early when the operators' port breaks.
+// Run works until ctx is done, then releases leases and closes. It returns early if the operators' port fails.
 func (p *Process) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
