--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -48,7 +48,7 @@
 	outcomes   map[string]int
 	accepted   []acceptance
 	seen       []sighting
-	watcher    *proc.Marks
+	watcher    *proc.OutputScanner
 }
 
 // Run does what cfg says and writes a report to out. The error is not nil when a promise was broken.
@@ -74,7 +74,7 @@
 func (r *run) open(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
-	r.watcher = &proc.Marks{Texts: breachMarks}
+	r.watcher = &proc.OutputScanner{Patterns: breachMarks}
 	r.down.Slack = slack
 	var tee io.Writer = r.watcher
 	if r.cfg.Logs != "" {
@@ -96,7 +96,7 @@
 
 func siteConfig(bin string, via func(link, addr string) (string, error), tee io.Writer) localsite.Config {
 	return localsite.Config{
-		Binaries: bin, Engines: siteEngines, Plains: sitePlains, Entries: siteEntries, Output: tee, Via: via,
+		Binaries: bin, Engines: siteEngines, Plains: sitePlains, Entries: siteEntries, Output: tee, LinkProxy: via,
 		EngineFlags: []string{"-report-lag", "100ms", "-step-base", "8ms"},
 		Settings: localsite.Settings{
 			Model: model, Service: service, Route: route, Deadline: deadline, Workspaces: []string{workspace},
@@ -107,7 +107,7 @@
 
 func clientOf(site *localsite.Site) *caller.Client {
 	return &caller.Client{
-		Entries: site.Callers(), Token: localsite.Key(workspace),
+		Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(workspace),
 		HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 }
@@ -159,4 +159,4 @@
 }
 
 // breachMarks begin the lines of broken invariants and panics in the processes' output.
-var breachMarks = append([]string{"event=invariant_broken"}, proc.PanicMarks...)
+var breachMarks = append([]string{"event=invariant_broken"}, proc.PanicPrefixes...)
