--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -79,7 +79,7 @@
 	for _, n := range site.Entries {
 		fmt.Printf("demo: %s in %s takes callers on %s\n", n.Name, n.Domain, n.Addr)
 	}
-	d := &demo{site: site, client: &caller.Client{Entries: site.Callers(), Token: localsite.Key(workspace), HTTP: http.DefaultClient}}
+	d := &demo{site: site, client: &caller.Client{Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(workspace), HTTP: http.DefaultClient}}
 	steps := []func(context.Context) error{d.stream, d.plain, d.kill, d.stop}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -161,7 +161,7 @@
 }
 
 func (d *demo) killBusy(ctx context.Context) error {
-	n, err := d.site.Busy(ctx)
+	n, err := d.site.StreamingEngine(ctx)
 	if err != nil {
 		return err
 	}
--- a/examples/demo/stay.go
+++ b/examples/demo/stay.go
@@ -35,7 +35,7 @@
 // printCommands shows what to type; [len=60] makes the stand-in engine answer with 60 tokens.
 func printCommands(site *localsite.Site, bin string) {
 	entry := site.Entries[0]
-	key := localsite.Key(workspace)
+	key := localsite.WorkspaceKey(workspace)
 	fmt.Printf(`The site runs. In another terminal:
 
   # a streamed answer
@@ -61,7 +61,7 @@
 func ops(nodes []*localsite.Node) string {
 	var addrs []string
 	for _, n := range nodes {
-		addrs = append(addrs, n.Ops)
+		addrs = append(addrs, n.OpsAddr)
 	}
 	return strings.Join(addrs, ",")
 }
--- a/lib/capacity/scrape.go
+++ b/lib/capacity/scrape.go
@@ -27,7 +27,7 @@
 
 // usageOf reads a process's processor clock and its own metrics.
 func usageOf(ctx context.Context, n *localsite.Node) (usage, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Ops+opsapi.PathMetrics, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.OpsAddr+opsapi.PathMetrics, nil)
 	if err != nil {
 		return usage{}, err
 	}
--- a/lib/capacity/streams.go
+++ b/lib/capacity/streams.go
@@ -32,7 +32,7 @@
 	time.Sleep(siteSettle)
 	transport := &http.Transport{MaxIdleConnsPerHost: 4 * streamsOnce}
 	return &streamSite{s, &caller.Client{
-		Entries: s.Callers(), Token: localsite.Key("workspace-0"), HTTP: &http.Client{Transport: transport},
+		Entries: s.CallerAddrs(), Token: localsite.WorkspaceKey("workspace-0"), HTTP: &http.Client{Transport: transport},
 	}}, nil
 }
 
--- a/lib/claim/history_test.go
+++ b/lib/claim/history_test.go
@@ -217,11 +217,11 @@
 
 // runFaults injects store faults and kills entries.
 func (w *simulation) runFaults(seed uint64) {
-	d := standin.Disturbance{
-		Kinds:  []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
-		Faults: 25, Unit: w.unit, Delay: 4, Duration: 8, Gap: 6,
+	d := standin.FaultSequence{
+		Kinds: []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
+		Count: 25, Unit: w.unit, MaxDelay: 4, MaxDuration: 8, MaxGap: 6,
 	}
-	w.s.Disturb(rand.New(rand.NewPCG(seed, 2)), d, func() {
+	w.s.InjectFaults(rand.New(rand.NewPCG(seed, 2)), d, func() {
 		if !w.noDeaths && w.draw(2) == 0 {
 			w.start(w.draw(len(w.tables)))
 		}
--- a/lib/claim/takeover_test.go
+++ b/lib/claim/takeover_test.go
@@ -192,11 +192,11 @@
 			req := sentBy(t, entry(s, "a"), 1)
 			chain := &takeoverChain{rng: rand.New(rand.NewPCG(seed, 7)), record: 1, owner: req.Owner}
 			var wg sync.WaitGroup
-			d := standin.Disturbance{
-				Kinds:  []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
-				Faults: 8, Unit: time.Second, Delay: 3, Duration: 4, Gap: 3,
+			d := standin.FaultSequence{
+				Kinds: []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
+				Count: 8, Unit: time.Second, MaxDelay: 3, MaxDuration: 4, MaxGap: 3,
 			}
-			wg.Go(func() { s.Disturb(rand.New(rand.NewPCG(seed, 2)), d, func() {}) })
+			wg.Go(func() { s.InjectFaults(rand.New(rand.NewPCG(seed, 2)), d, func() {}) })
 			for i := range 8 {
 				wg.Go(func() { chain.runner(s, fmt.Sprint("e", i), req) })
 			}
--- a/lib/e2e/control_test.go
+++ b/lib/e2e/control_test.go
@@ -48,7 +48,7 @@
 	a.whole(t, ctx)
 	b.whole(t, ctx)
 
-	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", localsite.Revision))
+	must.NoError(t, site.Commit(ctx, site.SettingsText()+"# second\n", localsite.Revision))
 	must.NoError(t, site.Restart(killed))
 	must.NoError(t, frozen.Thaw())
 	inForce(t, ctx, site, 2, site.Entries...)
@@ -58,7 +58,7 @@
 func TestSettingsAreInForceWithinFiveSeconds(t *testing.T) {
 	site, ctx := siteOf(t, 1, 3)
 	for base := uint64(localsite.Revision); base < 4; base++ {
-		must.NoError(t, site.Commit(ctx, fmt.Sprintf("%s# change %d\n", site.Text(), base), base))
+		must.NoError(t, site.Commit(ctx, fmt.Sprintf("%s# change %d\n", site.SettingsText(), base), base))
 		accepted := time.Now()
 		inForce(t, ctx, site, base+1, site.Entries...)
 		took := time.Since(accepted)
@@ -99,7 +99,7 @@
 	c := clientOf(site)
 	long := start(ctx, c, "long", 250, caller.Call{})
 	long.reach(t, ctx, 2)
-	busy, err := site.Busy(ctx)
+	busy, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, busy)
 
@@ -162,7 +162,7 @@
 	c := clientOf(site)
 	long := start(ctx, c, "long", 400, caller.Call{})
 	long.reach(t, ctx, 2)
-	busy, err := site.Busy(ctx)
+	busy, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, busy)
 	must.NoError(t, engineFault(ctx, busy, engine.Fault{Kind: engine.FaultLeave}))
--- a/lib/e2e/e2e_test.go
+++ b/lib/e2e/e2e_test.go
@@ -74,7 +74,7 @@
 }
 
 func clientOf(site *localsite.Site) *caller.Client {
-	return &caller.Client{Entries: site.Callers(), Token: localsite.Key(workspace), HTTP: &http.Client{Transport: &http.Transport{}}}
+	return &caller.Client{Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(workspace), HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
 // stream is a generation in progress.
--- a/lib/e2e/entry_test.go
+++ b/lib/e2e/entry_test.go
@@ -43,7 +43,7 @@
 	must.NoError(t, site.Entries[0].Thaw())
 	s.whole(t, ctx)
 	must.NoError(t, proc.Until(ctx, "the older attempt to end", func(ctx context.Context) error {
-		n, err := site.Busy(ctx)
+		n, err := site.StreamingEngine(ctx)
 		if n != nil {
 			return fmt.Errorf("%s still runs a stream", n.Name)
 		}
--- a/lib/e2e/limit_test.go
+++ b/lib/e2e/limit_test.go
@@ -19,7 +19,7 @@
 func TestLimitHoldsOverEntryProcesses(t *testing.T) {
 	const limit = 4
 	site, ctx := siteOf(t, 2, 3)
-	text := strings.Replace(site.Text(), "policy:\n  stall_floor: 1s\n", fmt.Sprintf("policy:\n  stall_floor: 1s\n  concurrency: %d\n", limit), 1)
+	text := strings.Replace(site.SettingsText(), "policy:\n  stall_floor: 1s\n", fmt.Sprintf("policy:\n  stall_floor: 1s\n  concurrency: %d\n", limit), 1)
 	must.NoError(t, site.Commit(ctx, text, localsite.Revision))
 	inForce(t, ctx, site, 2, site.Entries...)
 	c := clientOf(site)
--- a/lib/e2e/links_test.go
+++ b/lib/e2e/links_test.go
@@ -22,7 +22,7 @@
 
 	foreign, err := localsite.WriteCerts(t.TempDir())
 	must.NoError(t, err)
-	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", localsite.Revision))
+	must.NoError(t, site.Commit(ctx, site.SettingsText()+"# second\n", localsite.Revision))
 	must.NoError(t, site.Restart(control, "-link-ca", foreign.CA, "-link-cert", foreign.Cert, "-link-key", foreign.Key))
 	must.NoError(t, site.AwaitReady(ctx, control)) // it has the second revision and tries to hand it on
 	time.Sleep(time.Second)
@@ -30,7 +30,7 @@
 	linked(t, ctx, site, "down")
 	must.NoError(t, control.Kill())
 
-	own := site.Links()
+	own := site.LinkFiles()
 	must.NoError(t, site.Restart(control, "-link-ca", own.CA, "-link-cert", own.Cert, "-link-key", own.Key))
 	inForce(t, ctx, site, localsite.Revision+1, site.Entries[0])
 }
--- a/lib/e2e/pairs_test.go
+++ b/lib/e2e/pairs_test.go
@@ -74,7 +74,7 @@
 	site, ctx := siteOf(t, 2, 3)
 	s := start(ctx, clientOf(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", Resumes: 200})
 	s.reach(t, ctx, 200)
-	n, err := site.Busy(ctx)
+	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
 	must.NoError(t, n.Freeze()) // it says no more from here on, whichever dies first
--- a/lib/e2e/proof_test.go
+++ b/lib/e2e/proof_test.go
@@ -28,7 +28,7 @@
 	site, ctx := siteOf(t, 2, 2)
 	s := start(ctx, clientOf(site), "cedant bordereau", 250, caller.Call{})
 	s.reach(t, ctx, 40)
-	n, err := site.Busy(ctx)
+	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
 	const stalled = 8 * time.Second
--- a/lib/e2e/stream_test.go
+++ b/lib/e2e/stream_test.go
@@ -15,7 +15,7 @@
 	site, ctx := siteOf(t, 3, 1)
 	s := start(ctx, clientOf(site), "engine killed", 150, caller.Call{})
 	s.reach(t, ctx, 30)
-	n, err := site.Busy(ctx)
+	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
 	must.NoError(t, n.Kill())
--- a/lib/entry/generation_test.go
+++ b/lib/entry/generation_test.go
@@ -81,7 +81,7 @@
 	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 5 || n == 30 {
-			e.Order(engine.Fault{Kind: engine.FaultCut})
+			e.SetFault(engine.Fault{Kind: engine.FaultCut})
 		}
 	})
 	st.checkComplete(t, prompt, 60)
@@ -91,7 +91,7 @@
 // see each token once.
 func TestDuplicateAndLateFramesDropped(t *testing.T) {
 	e := startEngine(t, nil)
-	e.Order(engine.Fault{Kind: engine.FaultRepeat})
+	e.SetFault(engine.Fault{Kind: engine.FaultRepeat})
 	r := newRig(t, siteText("", true, []string{e.Addr()}, nil), nil)
 	const prompt = "twice [len=50]"
 	var st transcript
@@ -111,7 +111,7 @@
 	st.read(t, eventsOf(resp), func(n int) {
 		if n >= 10 && !stalled {
 			stalled = true
-			engines[r.runningOn()].Order(engine.Fault{Kind: engine.FaultStall, MS: 60_000})
+			engines[r.runningOn()].SetFault(engine.Fault{Kind: engine.FaultStall, MS: 60_000})
 		}
 	})
 	st.checkComplete(t, prompt, 60)
@@ -126,7 +126,7 @@
 	var st transcript
 	st.read(t, eventsOf(resp), func(n int) {
 		if n == 5 {
-			e.Order(engine.Fault{Kind: engine.FaultCut})
+			e.SetFault(engine.Fault{Kind: engine.FaultCut})
 		}
 	})
 	must.False(t, st.done)
--- a/lib/entry/guards_test.go
+++ b/lib/entry/guards_test.go
@@ -71,7 +71,7 @@
 func TestOpenBreakerSkipsTarget(t *testing.T) {
 	a, b := startPlain(t, "a"), startPlain(t, "b")
 	r := newRig(t, siteText("  retry_budget: 1\n", true, nil, []string{a.Addr(), b.Addr()}), nil)
-	a.Order(plain.Fault{Kind: plain.FaultCutBefore, Count: 1000})
+	a.SetFault(plain.Fault{Kind: plain.FaultCutBefore, Count: 1000})
 	for range 100 {
 		r.call(http.MethodPost, "/dispatch/send", "", "")
 		if r.server.opts.Breakers.State(time.Now(), "dispatch-1") == breaker.Open {
--- a/lib/entry/keyed_test.go
+++ b/lib/entry/keyed_test.go
@@ -336,7 +336,7 @@
 	r := newRig(t, siteText("", true, []string{a.Addr(), b.Addr()}, nil), withKeys(store.claims("e1"), newMemoryRecords()))
 	engines := map[string]*engine.Server{"planner-1": a, "planner-2": b}
 	for _, e := range engines {
-		e.Order(engine.Fault{Kind: engine.FaultStall, MS: 20_000})
+		e.SetFault(engine.Fault{Kind: engine.FaultStall, MS: 20_000})
 	}
 	first, second := make(chan string, 1), make(chan string, 1)
 	go func() {
@@ -349,7 +349,7 @@
 		}
 		first <- names[0]
 		second <- names[1]
-		engines[names[1]].Order(engine.Fault{Kind: engine.FaultHealthy})
+		engines[names[1]].SetFault(engine.Fault{Kind: engine.FaultHealthy})
 	}()
 	prompt := "first engine silent [len=400]"
 	var st transcript
--- a/lib/entry/plain_test.go
+++ b/lib/entry/plain_test.go
@@ -62,8 +62,8 @@
 		t.Run(fault, func(t *testing.T) {
 			a, b := startPlain(t, "a"), startPlain(t, "b")
 			r := newRig(t, siteText("", true, nil, []string{a.Addr(), b.Addr()}), nil)
-			a.Order(plain.Fault{Kind: fault})
-			b.Order(plain.Fault{Kind: fault})
+			a.SetFault(plain.Fault{Kind: fault})
+			b.SetFault(plain.Fault{Kind: fault})
 			resp := r.call(http.MethodPost, "/dispatch/send?id=crew", "", "go")
 			must.Eq(t, http.StatusBadGateway, resp.StatusCode)
 			e := readError(t, resp)
@@ -82,7 +82,7 @@
 	store := newMemoryStore()
 	r := newRig(t, siteText("", true, nil, []string{a.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
 	must.Eq(t, http.StatusOK, r.call(http.MethodPost, "/dispatch/send?id=warm", "k0", "").StatusCode)
-	a.Order(plain.Fault{Kind: plain.FaultCutAfter})
+	a.SetFault(plain.Fault{Kind: plain.FaultCutAfter})
 	resp := r.call(http.MethodPost, "/dispatch/send?id=crew", "k1", "")
 	must.Eq(t, result.Unknown, readError(t, resp).Code)
 	must.Eq(t, 1, a.Executions()["k1"]+a.Executions()["crew"])
@@ -171,7 +171,7 @@
 // another entry must say so and run nothing.
 func TestEntryDiesAfterCallSent(t *testing.T) {
 	p := startPlain(t, "one")
-	p.Order(plain.Fault{Kind: plain.FaultHang})
+	p.SetFault(plain.Fault{Kind: plain.FaultHang})
 	store := newMemoryStore()
 	text := siteText("", true, nil, []string{p.Addr()})
 	gate := store.gate()
@@ -219,7 +219,7 @@
 	for i := range 30 {
 		must.Eq(t, http.StatusOK, r.call(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "", "").StatusCode)
 	}
-	a.Order(plain.Fault{Kind: plain.FaultCutBefore, Count: 1000})
+	a.SetFault(plain.Fault{Kind: plain.FaultCutBefore, Count: 1000})
 	for i := range 20 {
 		if i == 10 {
 			a.Kill()
@@ -236,7 +236,7 @@
 	for i := range 30 {
 		must.Eq(t, http.StatusOK, r.call(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "", "").StatusCode)
 	}
-	a.Order(plain.Fault{Kind: plain.FaultHang, Count: 1000})
+	a.SetFault(plain.Fault{Kind: plain.FaultHang, Count: 1000})
 	slow := 0
 	for i := range 20 {
 		from := time.Now()
@@ -259,7 +259,7 @@
 	for i := range 30 {
 		must.Eq(t, http.StatusOK, r.call(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "", "").StatusCode)
 	}
-	a.Order(plain.Fault{Kind: plain.FaultHang, Count: 1000})
+	a.SetFault(plain.Fault{Kind: plain.FaultHang, Count: 1000})
 	b.Kill()
 	resp := r.call(http.MethodGet, "/dispatch/status/last", "", "")
 	must.NotEq(t, http.StatusOK, resp.StatusCode)
@@ -270,7 +270,7 @@
 // A target executes a call and never answers: at the deadline the outcome is unknown.
 func TestDeadlineAtSilentTargetIsUnknown(t *testing.T) {
 	p := startPlain(t, "one")
-	p.Order(plain.Fault{Kind: plain.FaultHang})
+	p.SetFault(plain.Fault{Kind: plain.FaultHang})
 	r := newRig(t, siteText("  deadline: 100ms\n", true, nil, []string{p.Addr()}), nil)
 	e := readError(t, r.call(http.MethodPost, "/dispatch/send", "", ""))
 	must.Eq(t, result.TargetSilent, e.Code)
@@ -279,7 +279,7 @@
 // The answer is cut in the middle. The caller must see a broken answer, never a short one that looks complete.
 func TestTruncatedAnswerIsError(t *testing.T) {
 	p := startPlain(t, "one")
-	p.Order(plain.Fault{Kind: plain.FaultCutBody})
+	p.SetFault(plain.Fault{Kind: plain.FaultCutBody})
 	r := newRig(t, siteText("", true, nil, []string{p.Addr()}), nil)
 	_, err := io.ReadAll(r.call(http.MethodPost, "/dispatch/send", "", "").Body)
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
@@ -306,7 +306,7 @@
 // answer; cancelled with its caller, it would have ended as "outcome unknown" permanently.
 func TestClaimedCallOutlivesCaller(t *testing.T) {
 	target := startPlain(t, "one")
-	target.Order(plain.Fault{Kind: plain.FaultDelay, MS: 200})
+	target.SetFault(plain.Fault{Kind: plain.FaultDelay, MS: 200})
 	store := newMemoryStore()
 	r := newRig(t, siteText("", true, nil, []string{target.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
 	ctx, cancel := context.WithCancel(context.Background())
--- a/lib/entry/silence_test.go
+++ b/lib/entry/silence_test.go
@@ -42,7 +42,7 @@
 func TestSilentTargetWithoutDeadline(t *testing.T) {
 	for _, key := range []string{"", "k"} {
 		p := startPlain(t, "one")
-		p.Order(plain.Fault{Kind: plain.FaultHang, Count: 1000})
+		p.SetFault(plain.Fault{Kind: plain.FaultHang, Count: 1000})
 		store := newMemoryStore()
 		r := newRig(t, siteText(maxSilencePolicy, true, nil, []string{p.Addr()}), func(o *Options) { o.Claims = store.claims("e1") })
 		e := readError(t, r.callWithTimeout(http.MethodPost, "/dispatch/send?id=crew", key))
@@ -71,7 +71,7 @@
 	for i := range 30 {
 		must.Eq(t, http.StatusOK, r.callWithTimeout(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "").StatusCode)
 	}
-	a.Order(plain.Fault{Kind: plain.FaultHang, Count: 1000})
+	a.SetFault(plain.Fault{Kind: plain.FaultHang, Count: 1000})
 	for i := range 4 {
 		must.Eq(t, http.StatusOK, r.callWithTimeout(http.MethodGet, fmt.Sprintf("/dispatch/status/%d", i), "").StatusCode)
 	}
--- a/lib/gateway/openconns.go
+++ b/lib/gateway/openconns.go
@@ -59,7 +59,7 @@
 			r.forgetCopiesAt(t.ID)
 		}
 	}
-	g.Pool.Drop(t.Addr)
+	g.Pool.CloseIdle(t.Addr)
 	for _, s := range g.conns.ofEarlierIncarnations(t) {
 		s.close()
 	}
--- a/lib/gateway/relay.go
+++ b/lib/gateway/relay.go
@@ -59,7 +59,7 @@
 
 // stoppedByMove reports whether the end of a response without Content-Length was caused by a move.
 func (r *run) stoppedByMove(resp *wirehttp.Response) bool {
-	if !resp.EndsWithConn() {
+	if !resp.CloseDelimited() {
 		return false
 	}
 	r.mu.Lock()
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -212,7 +212,7 @@
 			return
 		case now := <-t.C:
 			p.changed(p.fleet.Tick(now))
-			p.site.Pool.Sweep(now)
+			p.site.Pool.CloseExpired(now)
 			if p.fleet.HasMissing() {
 				t.Reset(tickInterval)
 			} else {
--- a/lib/lease/lease_test.go
+++ b/lib/lease/lease_test.go
@@ -244,9 +244,9 @@
 
 // injectFaults injects store faults and cuts links for a while, then lets the store recover.
 func injectFaults(rng *rand.Rand, s *standin.Server, links []*link) {
-	s.Disturb(rng, standin.Disturbance{
-		Kinds:  []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultSlow, standin.FaultStaleReads},
-		Faults: 60, Unit: time.Second, Delay: 20, Duration: 40, Gap: 30,
+	s.InjectFaults(rng, standin.FaultSequence{
+		Kinds: []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultSlow, standin.FaultStaleReads},
+		Count: 60, Unit: time.Second, MaxDelay: 20, MaxDuration: 40, MaxGap: 30,
 	}, func() { links[rng.IntN(len(links))].cut.Store(rng.IntN(3) == 0) })
 }
 
--- a/lib/localsite/links.go
+++ b/lib/localsite/links.go
@@ -9,10 +9,10 @@
 
 // via returns the address by which a link is configured.
 func (s *Site) via(link, addr string) string {
-	if s.cfg.Via == nil {
+	if s.cfg.LinkProxy == nil {
 		return addr
 	}
-	out, err := s.cfg.Via(link, addr)
+	out, err := s.cfg.LinkProxy(link, addr)
 	if err != nil && s.err == nil {
 		s.err = err
 	}
--- a/lib/localsite/settings.go
+++ b/lib/localsite/settings.go
@@ -29,8 +29,8 @@
 
 const defaultStallFloor = time.Second
 
-// Key returns the key of a workspace of a local site.
-func Key(workspace string) string { return workspace + "-localsite-key" }
+// WorkspaceKey returns the key of a workspace of a local site.
+func WorkspaceKey(workspace string) string { return workspace + "-localsite-key" }
 
 // text writes the settings of s.
 func (c Settings) text(s *Site) string {
@@ -69,7 +69,7 @@
 	}
 	b.WriteString("workspaces:\n")
 	for _, w := range c.Workspaces {
-		fmt.Fprintf(b, "  %s:\n    keys: [\"sha256:%x\"]\n    classes: [%s]\n", w, sha256.Sum256([]byte(Key(w))), strings.Join(names, ", "))
+		fmt.Fprintf(b, "  %s:\n    keys: [\"sha256:%x\"]\n    classes: [%s]\n", w, sha256.Sum256([]byte(WorkspaceKey(w))), strings.Join(names, ", "))
 	}
 }
 
@@ -88,7 +88,7 @@
 
 func targets(b *strings.Builder, nodes []*Node, more string) {
 	for _, n := range nodes {
-		fmt.Fprintf(b, "      %s:\n        addr: %s\n        failure_domain: %s\n        instance: %s\n%s", n.Name, n.Reach, n.Domain, n.Name, more)
+		fmt.Fprintf(b, "      %s:\n        addr: %s\n        failure_domain: %s\n        instance: %s\n%s", n.Name, n.DialAddr, n.Domain, n.Name, more)
 	}
 }
 
--- a/lib/localsite/site.go
+++ b/lib/localsite/site.go
@@ -37,20 +37,20 @@
 	Settings    Settings  // Targets are filled in
 	Output      io.Writer // gets all processes' output; nil: kept by each process only
 
-	// Via returns the address to configure instead of addr for one link; nil: links are direct. Faults of links are
+	// LinkProxy returns the address to configure instead of addr for one link; nil: links are direct. Faults of links are
 	// injected by a relay there. The link "mesh of" an entry carries what other entries open to it.
-	Via func(link, addr string) (string, error)
+	LinkProxy func(link, addr string) (string, error)
 }
 
 // Node is one process of the site.
 type Node struct {
 	*proc.Proc
-	Name   string
-	Domain string
-	Addr   string // callers' port of an entry, port of a target or of the platform; IP:port
-	Reach  string // where others of the site reach Addr
-	Ops    string // operators' port of an entry or control process
-	Mesh   string // where an entry listens for other entries and its control process
+	Name       string
+	Domain     string
+	Addr       string // callers' port of an entry, port of a target or of the platform; IP:port
+	DialAddr   string // where others of the site reach Addr
+	OpsAddr    string // operators' port of an entry or control process
+	MeshListen string // where an entry listens for other entries and its control process
 
 	meshReach string // where other entries reach Mesh
 
@@ -148,7 +148,7 @@
 func (s *Site) planPlatform(next func() string) {
 	addr := next()
 	s.Platform = &Node{
-		Name: "platform", Addr: addr, Reach: addr, binary: "anvilwick-standin",
+		Name: "platform", Addr: addr, DialAddr: addr, binary: "anvilwick-standin",
 		args: []string{"platform", "-addr", addr, "-instances", s.instanceList(), "-list-lag", "500ms"},
 	}
 }
@@ -163,7 +163,7 @@
 		args = append(args, "-max-batch", fmt.Sprint(n))
 	}
 	return &Node{
-		Name: name, Domain: domain(i), Addr: addr, Reach: s.via(linkToTarget(name), addr), binary: "anvilwick-standin",
+		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.via(linkToTarget(name), addr), binary: "anvilwick-standin",
 		args: append(args, s.cfg.EngineFlags...),
 	}
 }
@@ -171,7 +171,7 @@
 func (s *Site) plain(i int, addr string) *Node {
 	name := fmt.Sprintf("plain-%d", i+1)
 	return &Node{
-		Name: name, Domain: domain(i), Addr: addr, Reach: s.via(linkToTarget(name), addr), binary: "anvilwick-standin",
+		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.via(linkToTarget(name), addr), binary: "anvilwick-standin",
 		args: []string{"plain", "-addr", addr, "-name", name},
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	args = append(args, s.linkFlags()...)
 	return &Node{
-		Name: name, Domain: domain(i), Addr: addr, Reach: s.via(linkOfCallers(name), addr), Ops: ops, Mesh: mesh, meshReach: meshReach, binary: "anvilwick-entry",
+		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.via(linkOfCallers(name), addr), OpsAddr: ops, MeshListen: mesh, meshReach: meshReach, binary: "anvilwick-entry",
 		args: append(args, s.cfg.EntryFlags...),
 	}
 }
@@ -195,17 +195,17 @@
 func (s *Site) control(e *Node, ops string) *Node {
 	name := "control of " + e.Name
 	return &Node{
-		Name: name, Domain: e.Domain, Ops: ops, binary: "anvilwick-control",
+		Name: name, Domain: e.Domain, OpsAddr: ops, binary: "anvilwick-control",
 		args: append([]string{
-			"-instance", e.Name, "-failure-domain", e.Domain, "-entry-addr", s.via(linkToEntry(name), e.Mesh),
+			"-instance", e.Name, "-failure-domain", e.Domain, "-entry-addr", s.via(linkToEntry(name), e.MeshListen),
 			"-platform", s.via(linkToPlatform(name), s.Platform.Addr),
 			"-ops-addr", ops, "-operator-token-sha256", tokenHash(), "-lease-ttl", "3s",
 		}, s.linkFlags()...),
 	}
 }
 
-// Links returns the files of the site's links.
-func (s *Site) Links() mesh.TLSFiles { return s.links }
+// LinkFiles returns the files of the site's links.
+func (s *Site) LinkFiles() mesh.TLSFiles { return s.links }
 
 func (s *Site) linkFlags() []string {
 	return []string{"-link-ca", s.links.CA, "-link-cert", s.links.Cert, "-link-key", s.links.Key}
@@ -259,7 +259,7 @@
 // AwaitReady waits until each of the entries or control processes says that it is ready.
 func (s *Site) AwaitReady(ctx context.Context, nodes ...*Node) error {
 	for _, n := range nodes {
-		if err := s.await(ctx, n, "http://"+n.Ops+opsapi.PathReady); err != nil {
+		if err := s.await(ctx, n, "http://"+n.OpsAddr+opsapi.PathReady); err != nil {
 			return err
 		}
 	}
@@ -287,11 +287,11 @@
 const Revision = 1
 
 func (s *Site) commit(ctx context.Context) error {
-	return s.Commit(ctx, s.Text(), 0)
+	return s.Commit(ctx, s.SettingsText(), 0)
 }
 
-// Text returns the site's first settings.
-func (s *Site) Text() string { return s.cfg.Settings.text(s) }
+// SettingsText returns the site's first settings.
+func (s *Site) SettingsText() string { return s.cfg.Settings.text(s) }
 
 // Commit commits settings as the revision after base.
 func (s *Site) Commit(ctx context.Context, text string, base uint64) error {
@@ -300,11 +300,11 @@
 	return err
 }
 
-// Callers returns the callers' ports of all entries.
-func (s *Site) Callers() []string {
+// CallerAddrs returns the callers' ports of all entries.
+func (s *Site) CallerAddrs() []string {
 	var out []string
 	for _, e := range s.Entries {
-		out = append(out, e.Reach)
+		out = append(out, e.DialAddr)
 	}
 	return out
 }
--- a/lib/localsite/standin.go
+++ b/lib/localsite/standin.go
@@ -45,8 +45,8 @@
 	return ask(ctx, sling.New().Base("http://"+s.Platform.Addr).Post(platform.FaultPath).BodyJSON(f), nil)
 }
 
-// Busy returns the first running engine that has a stream, or nil.
-func (s *Site) Busy(ctx context.Context) (*Node, error) {
+// StreamingEngine returns the first running engine that has a stream, or nil.
+func (s *Site) StreamingEngine(ctx context.Context) (*Node, error) {
 	for _, n := range s.Engines {
 		if !n.Running() {
 			continue
@@ -63,7 +63,7 @@
 }
 
 // Operator returns a client of a process's operators' port.
-func Operator(n *Node) *opsapi.Client { return opsapi.NewClient(n.Ops, OperatorToken) }
+func Operator(n *Node) *opsapi.Client { return opsapi.NewClient(n.OpsAddr, OperatorToken) }
 
 func ask(ctx context.Context, s *sling.Sling, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, standinTimeout)
--- a/lib/platform/history_test.go
+++ b/lib/platform/history_test.go
@@ -73,9 +73,9 @@
 	w.log.Add(op)
 }
 
-var disturbance = standin.Disturbance{
-	Kinds:  []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
-	Faults: 15, Unit: time.Second, Delay: 3, Duration: 6, Gap: 4,
+var disturbance = standin.FaultSequence{
+	Kinds: []string{standin.FaultOutage, standin.FaultLoseAnswer, standin.FaultLoseAnswer, standin.FaultSlow},
+	Count: 15, Unit: time.Second, MaxDelay: 3, MaxDuration: 6, MaxGap: 4,
 }
 
 // Writers race for three keys while the store is down, slow, and loses half of its answers. Each is told whether its
@@ -94,7 +94,7 @@
 					wg.Go(func() { w.run(t.Context(), 60) })
 				}
 			}
-			s.Disturb(rand.New(rand.NewPCG(seed, 99)), disturbance, func() {})
+			s.InjectFaults(rand.New(rand.NewPCG(seed, 99)), disturbance, func() {})
 			wg.Wait()
 			time.Sleep(time.Minute)
 		})
--- a/lib/prove/inject.go
+++ b/lib/prove/inject.go
@@ -110,7 +110,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyLimit)
 	defer cancel()
-	if n.Ops != "" {
+	if n.OpsAddr != "" {
 		return r.site.AwaitReady(ctx, n)
 	}
 	return proc.Until(ctx, n.Name, func(ctx context.Context) error {
--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -155,7 +155,7 @@
 
 func (b *bench) engineRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
 	return b.goOn(ctx, caller.Call{Entry: b.round}, func(ctx context.Context) (*localsite.Node, error) {
-		n, err := b.site.Busy(ctx)
+		n, err := b.site.StreamingEngine(ctx)
 		if n == nil && err == nil {
 			err = errors.New("no engine is busy")
 		}
@@ -295,7 +295,7 @@
 	for range rounds {
 		base := uint64(localsite.Revision + b.round)
 		b.round++
-		text := fmt.Sprintf("%s# change %d\n", b.site.Text(), b.round)
+		text := fmt.Sprintf("%s# change %d\n", b.site.SettingsText(), b.round)
 		if err := b.site.Commit(ctx, text, base); err != nil {
 			return err
 		}
--- a/lib/prove/operators.go
+++ b/lib/prove/operators.go
@@ -56,7 +56,7 @@
 
 func (r *run) apply(ctx context.Context, op operation, base uint64, operator int) {
 	store := platform.New(platform.Config{Addr: r.site.Platform.Addr})
-	text := fmt.Sprintf("%s# operation %d of operator %d\n", r.site.Text(), op.n, operator)
+	text := fmt.Sprintf("%s# operation %d of operator %d\n", r.site.SettingsText(), op.n, operator)
 	rec := history.Op{
 		Model: history.ModelSettings, Object: settingsObject, Action: history.Apply, Client: operator,
 		Call: history.Now(), Number: base + 1, Value: settingsync.Digest([]byte(text)),
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -96,7 +96,7 @@
 
 func siteConfig(bin string, via func(link, addr string) (string, error), tee io.Writer) localsite.Config {
 	return localsite.Config{
-		Binaries: bin, Engines: siteEngines, Plains: sitePlains, Entries: siteEntries, Output: tee, Via: via,
+		Binaries: bin, Engines: siteEngines, Plains: sitePlains, Entries: siteEntries, Output: tee, LinkProxy: via,
 		EngineFlags: []string{"-report-lag", "100ms", "-step-base", "8ms"},
 		Settings: localsite.Settings{
 			Model: model, Service: service, Route: route, Deadline: deadline, Workspaces: []string{workspace},
@@ -107,7 +107,7 @@
 
 func clientOf(site *localsite.Site) *caller.Client {
 	return &caller.Client{
-		Entries: site.Callers(), Token: localsite.Key(workspace),
+		Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(workspace),
 		HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 }
--- a/lib/prove/settle.go
+++ b/lib/prove/settle.go
@@ -41,7 +41,7 @@
 	limit, cancel := context.WithTimeout(ctx, settleLimit)
 	defer cancel()
 	err := proc.Until(limit, "engines to be idle", func(ctx context.Context) error {
-		n, err := r.site.Busy(ctx)
+		n, err := r.site.StreamingEngine(ctx)
 		if n != nil {
 			return fmt.Errorf("%s still runs a stream", n.Name)
 		}
--- a/lib/settingsync/site_test.go
+++ b/lib/settingsync/site_test.go
@@ -101,7 +101,7 @@
 func TestRollingReplacementDuringOutage(t *testing.T) {
 	site, ctx := startSite(t)
 	awaitMembership(t, ctx, site)
-	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", 1))
+	must.NoError(t, site.Commit(ctx, site.SettingsText()+"# second\n", 1))
 	for _, n := range site.Entries {
 		awaitRevision(t, ctx, n, 2, 1)
 	}
@@ -113,7 +113,7 @@
 		t.Logf("%s replaced, revision 2 in force after %v", n.Name, time.Since(start))
 	}
 	must.NoError(t, site.PlatformFault(ctx, standin.Fault{Kind: standin.FaultClear}))
-	must.NoError(t, site.Commit(ctx, site.Text()+"# third\n", 2))
+	must.NoError(t, site.Commit(ctx, site.SettingsText()+"# third\n", 2))
 	for _, n := range append(site.Entries, site.Controls...) {
 		awaitRevision(t, ctx, n, 3, 2)
 	}
@@ -126,7 +126,7 @@
 	site, ctx := startSite(t)
 	awaitMembership(t, ctx, site)
 	time.Sleep(lag) // so that the table as it was lag ago holds revision 1
-	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", 1))
+	must.NoError(t, site.Commit(ctx, site.SettingsText()+"# second\n", 1))
 	committed := time.Now()
 	for _, n := range site.Entries {
 		awaitRevision(t, ctx, n, 2, 1)
@@ -199,7 +199,7 @@
 	site, ctx := startSite(t)
 	awaitMembership(t, ctx, site)
 	const everywhere = 2
-	must.NoError(t, site.Commit(ctx, site.Text()+"# second\n", everywhere-1))
+	must.NoError(t, site.Commit(ctx, site.SettingsText()+"# second\n", everywhere-1))
 	for _, n := range site.Entries {
 		awaitRevision(t, ctx, n, everywhere, everywhere-1)
 	}
--- a/lib/siterun/compare.go
+++ b/lib/siterun/compare.go
@@ -98,7 +98,7 @@
 // warmUp runs one stream through the entry: a site that has just started waits for news of what runs before its shard's
 // owner places anything, which is no part of the comparison.
 func warmUp(ctx context.Context, site *localsite.Site) error {
-	c := &caller.Client{Entries: site.Callers(), Token: localsite.Key(compareWorkspace), HTTP: http.DefaultClient}
+	c := &caller.Client{Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(compareWorkspace), HTTP: http.DefaultClient}
 	return measured(ctx, c, newSide(), "warm-up")
 }
 
@@ -107,7 +107,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 2 * c.Compare}
 	defer transport.CloseIdleConnections()
 	client := func(addr string) *caller.Client {
-		return &caller.Client{Entries: []string{addr}, Token: localsite.Key(compareWorkspace), HTTP: &http.Client{Transport: transport}}
+		return &caller.Client{Entries: []string{addr}, Token: localsite.WorkspaceKey(compareWorkspace), HTTP: &http.Client{Transport: transport}}
 	}
 	straight, entry := client(site.Engines[0].Addr), client(site.Entries[0].Addr)
 	end := time.Now().Add(c.Load.Span)
--- a/lib/siterun/recover.go
+++ b/lib/siterun/recover.go
@@ -90,7 +90,7 @@
 // killed runs a stream through an entry, calls kill in the middle, and returns the time from there to the next token. The
 // answer must come whole.
 func (r *recovery) killed(ctx context.Context, call caller.Call, kill func() error) (time.Duration, error) {
-	c := &caller.Client{Entries: r.site.Callers(), Token: localsite.Key(recoverWorkspace), HTTP: &http.Client{Transport: &http.Transport{}}}
+	c := &caller.Client{Entries: r.site.CallerAddrs(), Token: localsite.WorkspaceKey(recoverWorkspace), HTTP: &http.Client{Transport: &http.Transport{}}}
 	call.Model, call.Class = recoverModel, "standard"
 	call.Prompt = fmt.Sprintf("%d [len=%d]", time.Now().UnixNano(), recoverTokens)
 	var text strings.Builder
@@ -115,7 +115,7 @@
 func (r *recovery) engine(ctx context.Context, i int) (time.Duration, error) {
 	var dead *localsite.Node
 	d, err := r.killed(ctx, caller.Call{Entry: i}, func() (err error) {
-		if dead, err = r.site.Busy(ctx); err != nil {
+		if dead, err = r.site.StreamingEngine(ctx); err != nil {
 			return err
 		}
 		if dead == nil {
@@ -151,7 +151,7 @@
 	}
 	from := time.Now()
 	var first time.Time
-	c := &caller.Client{Entries: r.site.Callers(), Token: localsite.Key(recoverWorkspace), HTTP: &http.Client{Transport: &http.Transport{}}}
+	c := &caller.Client{Entries: r.site.CallerAddrs(), Token: localsite.WorkspaceKey(recoverWorkspace), HTTP: &http.Client{Transport: &http.Transport{}}}
 	call := caller.Call{Model: recoverModel, Class: "standard", Prompt: "new [len=5]", Entry: at + 1}
 	_, err = c.Stream(ctx, call, func(t caller.Token) {
 		if first.IsZero() {
--- a/lib/siterun/siterun.go
+++ b/lib/siterun/siterun.go
@@ -85,7 +85,7 @@
 	}
 	watched := append(slices.Clone(site.Entries), site.Controls...)
 	before := usages(ctx, watched)
-	c.Load.Entries = strings.Join(site.Callers(), ",")
+	c.Load.Entries = strings.Join(site.CallerAddrs(), ",")
 	err = loadrun.Run(ctx, c.Load, w, func() { printUsage(w, before, usages(ctx, watched), watched) })
 	return errors.Join(err, stop(ctx, site))
 }
@@ -118,7 +118,7 @@
 func killBusy(ctx context.Context, site *localsite.Site, after time.Duration) {
 	time.Sleep(after)
 	for ctx.Err() == nil {
-		n, err := site.Busy(ctx)
+		n, err := site.StreamingEngine(ctx)
 		if err != nil {
 			return
 		}
--- a/lib/siterun/usage.go
+++ b/lib/siterun/usage.go
@@ -40,7 +40,7 @@
 // usageOf reads a process's own metrics.
 func usageOf(ctx context.Context, n *localsite.Node) (usage, error) {
 	u := usage{at: time.Now()}
-	return u, opsapi.Scrape(ctx, n.Ops, u.add)
+	return u, opsapi.Scrape(ctx, n.OpsAddr, u.add)
 }
 
 func (u *usage) add(name string, v float64) {
--- a/lib/standin/engine/fault.go
+++ b/lib/standin/engine/fault.go
@@ -63,15 +63,15 @@
 		refuse(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
 		return
 	}
-	if !s.Order(f) {
+	if !s.SetFault(f) {
 		refuse(w, http.StatusBadRequest, engineapi.ErrBad, "unknown fault "+f.Kind, true)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Order carries a fault out and reports whether its kind is known.
-func (s *Server) Order(f Fault) bool {
+// SetFault carries a fault out and reports whether its kind is known.
+func (s *Server) SetFault(f Fault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait := time.Duration(f.MS) * time.Millisecond
@@ -83,13 +83,13 @@
 	case FaultFreeze:
 		s.freeze()
 		if wait > 0 {
-			time.AfterFunc(wait, func() { s.Order(Fault{Kind: FaultThaw}) })
+			time.AfterFunc(wait, func() { s.SetFault(Fault{Kind: FaultThaw}) })
 		}
 	case FaultThaw:
 		s.faults.frozen = false
 		s.model.FreezeReports(false)
 	case FaultSlow:
-		s.model.SetSlow(max(1, f.Factor))
+		s.model.SetStepFactor(max(1, f.Factor))
 	case FaultLeave:
 		s.model.SetLeaving(true)
 		if wait > 0 {
@@ -102,7 +102,7 @@
 	case FaultHealthy:
 		s.faults = faultState{}
 		s.model.FreezeReports(false)
-		s.model.SetSlow(1)
+		s.model.SetStepFactor(1)
 		s.model.SetLeaving(false)
 	default:
 		return false
--- a/lib/standin/engine/server_test.go
+++ b/lib/standin/engine/server_test.go
@@ -190,7 +190,7 @@
 // that takes the frames of its own attempt and of the next index still has the whole answer.
 func TestRepeatedFramesCanBeTold(t *testing.T) {
 	s := begin(t, fast())
-	must.True(t, s.Order(Fault{Kind: FaultRepeat}))
+	must.True(t, s.SetFault(Fault{Kind: FaultRepeat}))
 	frames, done := readFrames(post(t, s, engineapi.PathCompletions, streamed(ids.From(1, 5), 3, 0, "z [len=9]")).Body, unlimited)
 	must.True(t, done)
 	must.Eq(t, 3*9+1, len(frames))
@@ -231,17 +231,17 @@
 		must.NoError(t, json.NewDecoder(resp.Body).Decode(&rep))
 		return rep
 	}
-	must.True(t, s.Order(Fault{Kind: FaultFreeze}))
+	must.True(t, s.SetFault(Fault{Kind: FaultFreeze}))
 	frozen := load()
 	time.Sleep(3 * s.cfg.Engine.ReportLag)
 	must.Eq(t, frozen, load())
-	must.True(t, s.Order(Fault{Kind: FaultThaw}))
+	must.True(t, s.SetFault(Fault{Kind: FaultThaw}))
 	must.Greater(t, frozen.Seq, load().Seq)
 }
 
 func TestLeavingRefusesNewWork(t *testing.T) {
 	s := begin(t, fast())
-	must.True(t, s.Order(Fault{Kind: FaultLeave}))
+	must.True(t, s.SetFault(Fault{Kind: FaultLeave}))
 	resp := post(t, s, engineapi.PathCompletions, streamed(ids.From(1, 6), 1, 0, "q"))
 	must.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 	must.Eq(t, engineapi.ErrDraining, refusal(t, resp).Type)
--- a/lib/standin/plain/call.go
+++ b/lib/standin/plain/call.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Order carries a fault out and reports whether its kind is known.
-func (s *Server) Order(f Fault) bool {
+// SetFault carries a fault out and reports whether its kind is known.
+func (s *Server) SetFault(f Fault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wait := time.Duration(f.MS) * time.Millisecond
--- a/lib/standin/plain/plain.go
+++ b/lib/standin/plain/plain.go
@@ -163,7 +163,7 @@
 
 func (s *Server) faultHandler(w http.ResponseWriter, r *http.Request) {
 	var f Fault
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&f); err != nil || !s.Order(f) {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&f); err != nil || !s.SetFault(f) {
 		http.Error(w, "unknown fault", http.StatusBadRequest)
 		return
 	}
--- a/lib/standin/plain/plain_test.go
+++ b/lib/standin/plain/plain_test.go
@@ -56,10 +56,10 @@
 // call was never executed; cut after, it was. A router that repeats the second runs it twice.
 func TestCutBeforeAndAfterExecution(t *testing.T) {
 	s := begin(t)
-	must.True(t, s.Order(Fault{Kind: FaultCutBefore}))
+	must.True(t, s.SetFault(Fault{Kind: FaultCutBefore}))
 	_, err := call(s, "before")
 	must.Error(t, err)
-	must.True(t, s.Order(Fault{Kind: FaultCutAfter}))
+	must.True(t, s.SetFault(Fault{Kind: FaultCutAfter}))
 	_, err = call(s, "after")
 	must.Error(t, err)
 	must.Eq(t, map[string]int{"after": 1}, s.Executions())
@@ -67,7 +67,7 @@
 
 func TestCutBodyIsVisible(t *testing.T) {
 	s := begin(t)
-	must.True(t, s.Order(Fault{Kind: FaultCutBody}))
+	must.True(t, s.SetFault(Fault{Kind: FaultCutBody}))
 	resp, err := call(s, "half")
 	must.NoError(t, err)
 	defer resp.Body.Close()
@@ -77,7 +77,7 @@
 
 func TestLoadAndLeaving(t *testing.T) {
 	s := begin(t)
-	must.True(t, s.Order(Fault{Kind: FaultLeave}))
+	must.True(t, s.SetFault(Fault{Kind: FaultLeave}))
 	resp, err := http.Get("http://" + s.Addr() + engineapi.PathServiceLoad)
 	must.NoError(t, err)
 	defer resp.Body.Close()
--- a/lib/wirehttp/conn.go
+++ b/lib/wirehttp/conn.go
@@ -30,8 +30,8 @@
 
 // Errors of an exchange, beside those of the network.
 var (
-	ErrStray  = errors.New("wirehttp: answers to other requests on the connection")
-	ErrStatus = errors.New("wirehttp: informational or malformed status")
+	ErrUnexpectedResponse = errors.New("wirehttp: answers to other requests on the connection")
+	ErrStatus             = errors.New("wirehttp: informational or malformed status")
 )
 
 // Request is one call as it goes out. The body's length is always stated.
@@ -70,18 +70,18 @@
 
 // SendError is a failed exchange.
 type SendError struct {
-	Sent bool // whether a byte of the request may have reached the target
-	Err  error
+	MaybeSent bool // whether a byte of the request may have reached the target
+	Err       error
 }
 
-func (e *SendError) Error() string { return fmt.Sprintf("sent=%t: %v", e.Sent, e.Err) }
+func (e *SendError) Error() string { return fmt.Sprintf("sent=%t: %v", e.MaybeSent, e.Err) }
 func (e *SendError) Unwrap() error { return e.Err }
 
 // MaybeSent reports whether the request of a failed exchange may have reached the target.
 func MaybeSent(err error) bool {
 	var se *SendError
 	if errors.As(err, &se) {
-		return se.Sent
+		return se.MaybeSent
 	}
 	return true
 }
@@ -137,7 +137,7 @@
 		return nil
 	}
 	c.spoiled.Store(true)
-	return &SendError{Sent: n > 0, Err: err}
+	return &SendError{MaybeSent: n > 0, Err: err}
 }
 
 // Receive reads the head of the answer to the request named id in the header idHeader. Whole answers that bear another
@@ -147,21 +147,21 @@
 		resp, err := c.receive(method)
 		if err != nil {
 			c.spoiled.Store(true)
-			return nil, &SendError{Sent: true, Err: err}
+			return nil, &SendError{MaybeSent: true, Err: err}
 		}
 		if got := resp.Header.Get(idHeader); idHeader == "" || got == id || got == "" && resp.Status >= 300 {
 			return resp, nil
 		}
 		if err := resp.discard(); err != nil {
 			c.spoiled.Store(true)
-			return nil, &SendError{Sent: true, Err: errors.Join(ErrStray, err)}
+			return nil, &SendError{MaybeSent: true, Err: errors.Join(ErrUnexpectedResponse, err)}
 		}
 		if !resp.reusable() {
 			break
 		}
 	}
 	c.spoiled.Store(true)
-	return nil, &SendError{Sent: true, Err: ErrStray}
+	return nil, &SendError{MaybeSent: true, Err: ErrUnexpectedResponse}
 }
 
 func (c *Conn) receive(method string) (*Response, error) {
--- a/lib/wirehttp/pool.go
+++ b/lib/wirehttp/pool.go
@@ -127,8 +127,8 @@
 	return idleDefault
 }
 
-// Sweep closes idle connections that have expired; call it now and then.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes idle connections that have expired; call it now and then.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
@@ -148,8 +148,8 @@
 	}
 }
 
-// Drop closes the idle connections to addr.
-func (p *Pool) Drop(addr string) {
+// CloseIdle closes the idle connections to addr.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[addr] {
--- a/lib/wirehttp/wirehttp_test.go
+++ b/lib/wirehttp/wirehttp_test.go
@@ -255,11 +255,11 @@
 	p := NewPool(nil)
 	_, err := ask(t, p, addr, "a", "")
 	must.NoError(t, err)
-	p.Sweep(time.Now().Add(time.Hour))
+	p.CloseExpired(time.Now().Add(time.Hour))
 	must.MapEmpty(t, p.idle)
 	_, err = ask(t, p, addr, "b", "")
 	must.NoError(t, err)
-	p.Drop(addr)
+	p.CloseIdle(addr)
 	must.MapEmpty(t, p.idle)
 	p.Close()
 	_, err = ask(t, p, addr, "c", "")
@@ -280,6 +280,6 @@
 		c := &Conn{rd: bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\n" + head))}
 		r, err := c.receive("GET")
 		must.NoError(t, err)
-		must.Eq(t, !own, r.EndsWithConn(), must.Sprint(head))
+		must.Eq(t, !own, r.CloseDelimited(), must.Sprint(head))
 	}
 }
