--- a/lib/entryproc/config.go
+++ b/lib/entryproc/config.go
@@ -22,7 +22,7 @@
 	MeshAddr     string // port for the other entries and the control process, IP:port; empty: none
 	MeshListen   string // listen address when others reach MeshAddr through a proxy or address translation; empty: MeshAddr
 	Links        procflags.Links
-	Operators    procflags.Operators
+	Operators    procflags.OperatorTokens
 	StopNotice   time.Duration // from the end of readiness until new requests are refused
 	StopLimit    time.Duration // longest wait for requests in progress; 0: unlimited
 	MaxStreams   int
