--- a/lib/e2e/proof_test.go
+++ b/lib/e2e/proof_test.go
@@ -28,7 +28,7 @@
 	site, ctx := siteOf(t, 2, 2)
 	s := start(ctx, clientOf(site), "cedant bordereau", 250, caller.Call{})
 	s.reach(t, ctx, 40)
-	n, err := site.Busy(ctx)
+	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
 	const stalled = 8 * time.Second
@@ -251,7 +251,7 @@
 		if err == nil {
 			return refused, nil
 		}
-		if result.Lookup(res.Code).Again != result.AgainLater {
+		if result.Lookup(res.Code).RetryAdvice != result.RetryLater {
 			return refused, fmt.Errorf("%s: %w", key, err)
 		}
 		select {
--- a/lib/feed/bench_test.go
+++ b/lib/feed/bench_test.go
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// BenchmarkPageWithoutNews takes a page that says only that nothing has changed, beside the entries of 3,000 targets: most of what an
-// instance gets.
-func BenchmarkPageWithoutNews(b *testing.B) {
+// BenchmarkEmptyPage merges an empty page into a table of 3,000 targets: the most common page that an instance receives.
+func BenchmarkEmptyPage(b *testing.B) {
 	r := NewReplica(func(Update) {})
 	rows := make([]Row, 3000)
 	for i := range rows {
 		rows[i] = Row{Key: fmt.Sprint("t", i), Value: make([]byte, 150), Version: int64(i + 1)}
 	}
-	r.Take(Page{Rows: rows, Version: 3000}, true, time.Now())
+	r.Merge(Page{Rows: rows, Version: 3000}, true, time.Now())
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Take(Page{Version: 3000}, false, time.Now())
+		r.Merge(Page{Version: 3000}, false, time.Now())
 	}
 }
 
-// BenchmarkNewEra takes the whole table of a new era, of which nothing was lost.
+// BenchmarkNewEra merges the whole table of a new era when nothing was lost.
 func BenchmarkNewEra(b *testing.B) {
 	rows := make([]Row, 3000)
 	for i := range rows {
 		rows[i] = Row{Key: fmt.Sprint("t", i), Value: make([]byte, 150), Version: int64(i + 1)}
 	}
-	r := NewReplica(func(Update) {}).Keeping(Keep{For: time.Second})
+	r := NewReplica(func(Update) {}).WithRetention(Retention{Period: time.Second})
 	era := int64(0)
 	for b.Loop() {
 		era++
-		r.Take(Page{Rows: rows, Version: 3000, Era: era}, true, time.Now())
+		r.Merge(Page{Rows: rows, Version: 3000, Era: era}, true, time.Now())
 	}
 }
--- a/lib/gateway/gateway.go
+++ b/lib/gateway/gateway.go
@@ -74,7 +74,7 @@
 	Engines Engines
 	Fleet   *fleet.Fleet
 	Pool    *wirehttp.Pool
-	Budget  *retry.Share
+	Budget  *retry.InstanceBudget
 	Log     Log
 	// OnLeaving is called for a target whose response says that it is leaving; may be nil.
 	OnLeaving func(t fleet.Info)
@@ -157,7 +157,7 @@
 	}
 }
 
-// PrefillRates returns what is learnt of how fast prompts are read.
+// PrefillRates returns the prefill rates learnt from streams.
 func (g *Gateway) PrefillRates() *admit.PrefillRates { return g.placer.Prefill }
 
 // Table returns the table in force, or nil before the first.
@@ -186,7 +186,7 @@
 	defer cancel()
 	stop := context.AfterFunc(g.openCtx, cancel)
 	defer stop()
-	g.Budget.Request(c.arrived, c.service)
+	g.Budget.CountRequest(c.arrived, c.service)
 	if c.route.Kind == routes.Stream {
 		g.serveStream(ctx, w, c)
 		return
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -12,7 +12,7 @@
 	"anvilwick.example/anvilwick/lib/owner"
 )
 
-// siteOf has n instances in some failure domains, three large ones in each.
+// siteOf returns n instances spread over some failure domains, three large ones in each.
 func siteOf(n, domains int) []owner.Instance {
 	out := make([]owner.Instance, n)
 	for i := range out {
@@ -25,114 +25,114 @@
 	return out
 }
 
-// One instance reads the store, one in each failure domain has it from there, the others from that. Each finds the same
-// ones by itself, asks few, and may read itself in the end.
-func TestOneReadsAndOneADomainRelays(t *testing.T) {
+// One instance reads the store, one in each failure domain gets the tables from it, the others from that relay. All instances must
+// agree on these without coordination, have few sources, and have the store as a fallback.
+func TestOneReaderAndOneRelayPerDomain(t *testing.T) {
 	list := siteOf(295, 5)
 	firsts := make(map[feedlink.Role]map[string]bool)
 	roles := make(map[feedlink.Role]int)
 	for _, in := range list {
-		at := placeAmong(in.Name, in.Domain, list)
-		roles[at.Role]++
-		if firsts[at.Role] == nil {
-			firsts[at.Role] = make(map[string]bool)
+		assigned := assignAmong(in.Name, in.Domain, list)
+		roles[assigned.Role]++
+		if firsts[assigned.Role] == nil {
+			firsts[assigned.Role] = make(map[string]bool)
 		}
-		if at.Role != feedlink.Reads || at.Rank > 0 {
-			firsts[at.Role][at.Readers[0].Instance] = true
+		if assigned.Role != feedlink.RoleReader || assigned.Rank > 0 {
+			firsts[assigned.Role][assigned.Upstreams[0].Instance] = true
 		}
-		must.SliceContains(t, at.Readers, mesh.Peer{})
-		must.LessEq(t, 2*readersMax+1, len(at.Readers))
+		must.SliceContains(t, assigned.Upstreams, mesh.Peer{})
+		must.LessEq(t, 2*readersMax+1, len(assigned.Upstreams))
 	}
-	must.Eq(t, readersMax, roles[feedlink.Reads])
-	must.LessEq(t, 5*readersMax, roles[feedlink.Relays])
-	must.MapLen(t, 1, firsts[feedlink.Reads])
-	must.MapLen(t, 5, firsts[feedlink.Follows])
+	must.Eq(t, readersMax, roles[feedlink.RoleReader])
+	must.LessEq(t, 5*readersMax, roles[feedlink.RoleRelay])
+	must.MapLen(t, 1, firsts[feedlink.RoleReader])
+	must.MapLen(t, 5, firsts[feedlink.RoleFollower])
 }
 
-// Those that read or relay know who relays elsewhere, for when nobody near has the store's word. The others, who are many, ask
-// only those near.
-func TestOnlyReadersAndRelaysLookElsewhere(t *testing.T) {
+// Readers and relays know relays in other failure domains, for when nobody nearby is in contact with the store. Followers, who are
+// many, must query only nearby instances.
+func TestOnlyReadersAndRelaysHaveRemoteRelays(t *testing.T) {
 	list := siteOf(295, 5)
 	for _, in := range list {
-		at := placeAmong(in.Name, in.Domain, list)
-		if at.Role == feedlink.Follows {
-			must.SliceEmpty(t, at.Others)
+		assigned := assignAmong(in.Name, in.Domain, list)
+		if assigned.Role == feedlink.RoleFollower {
+			must.SliceEmpty(t, assigned.RemoteRelays)
 			continue
 		}
-		must.Len(t, 4*readersMax, at.Others)
-		for _, p := range at.Others {
+		must.Len(t, 4*readersMax, assigned.RemoteRelays)
+		for _, p := range assigned.RemoteRelays {
 			i := slices.IndexFunc(list, func(o owner.Instance) bool { return o.Name == p.Instance })
 			must.NotEq(t, in.Domain, list[i].Domain)
 		}
 	}
 }
 
-// On a small site each instance ranks for something, and the first in rank reads.
+// On a small site every instance is a reader candidate, and only the first reads the store.
 func TestSmallSitesHaveAReader(t *testing.T) {
 	list := siteOf(2, 2)
 	reads := 0
 	for _, in := range list {
-		at := placeAmong(in.Name, in.Domain, list)
-		must.Eq(t, feedlink.Reads, at.Role)
-		if at.Readers[0].Addr == "" {
+		assigned := assignAmong(in.Name, in.Domain, list)
+		must.Eq(t, feedlink.RoleReader, assigned.Role)
+		if assigned.Upstreams[0].Addr == "" {
 			reads++
 		}
 	}
 	must.Eq(t, 1, reads)
-	alone := placeAmong("me", "z", nil)
-	must.Eq(t, []mesh.Peer{{}}, alone.Readers)
+	alone := assignAmong("me", "z", nil)
+	must.Eq(t, []mesh.Peer{{}}, alone.Upstreams)
 }
 
-// An instance knows of no other than its seeds yet. One that is a seed reads; the others ask the seeds, and read the store
-// themselves in the end.
+// Before the first list an instance knows only the seeds. A seed reads the store; other instances follow the seeds, with the store
+// as the last fallback.
 func TestSeedsReadBeforeTheListIsKnown(t *testing.T) {
 	seeds := []string{"a:1", "b:1"}
-	must.Eq(t, feedlink.Place{Role: feedlink.Reads, Rank: 1, Readers: []mesh.Peer{{}}}, placeBySeeds("b:1", seeds))
-	other := placeBySeeds("c:1", seeds)
-	must.True(t, other.Guess)
-	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Readers)
-	must.Eq(t, []mesh.Peer{{}}, placeBySeeds("c:1", nil).Readers)
+	must.Eq(t, feedlink.Assignment{Role: feedlink.RoleReader, Rank: 1, Upstreams: []mesh.Peer{{}}}, assignBySeeds("b:1", seeds))
+	other := assignBySeeds("c:1", seeds)
+	must.True(t, other.Bootstrap)
+	must.Eq(t, []mesh.Peer{{Addr: "a:1"}, {Addr: "b:1"}, {}}, other.Upstreams)
+	must.Eq(t, []mesh.Peer{{}}, assignBySeeds("c:1", nil).Upstreams)
 }
 
-// The list names nobody else, or names a seed already: seeds that are missing come last, each once, this instance left out.
-func TestSeedsComeLast(t *testing.T) {
+// Seeds that are not among the readers are appended, each once and without this instance itself.
+func TestSeedsAreAppendedLast(t *testing.T) {
 	got := withSeeds([]mesh.Peer{{}, {Instance: "a", Addr: "a:1"}}, "me:1", []string{"a:1", "me:1", "b:1"})
 	must.Eq(t, []mesh.Peer{{}, {Instance: "a", Addr: "a:1"}, {Addr: "b:1"}}, got)
 }
 
-// A site's instances start in one moment, and the list that each reads is empty. Each took itself for the only one, read all
-// tables from the store, and the store had thousands of calls. Only the seeds read; the others follow them, then those that
-// are listed first, and rank themselves once their own row is there.
+// All instances of a new site start at once with an empty list. Each took itself for the only one and read all tables, which cost
+// the store thousands of calls. Only the seeds may read; the others follow the seeds, then the instances listed first, and take
+// part in the ranking once their own rows are listed.
 func TestOnlySeedsReadAtTheFirstStart(t *testing.T) {
 	list := siteOf(295, 5)
 	seeds := []string{list[200].Link, list[201].Link, list[202].Link}
 	reading := 0
 	firsts := make(map[string]int)
 	for _, in := range list {
-		at := placeOf(in, nil, seeds)
-		if at.Role == feedlink.Reads {
+		assigned := assignByList(in, nil, seeds)
+		if assigned.Role == feedlink.RoleReader {
 			reading++
 			continue
 		}
-		must.False(t, at.Guess)
-		must.Len(t, len(seeds)+1, at.Readers)
-		must.Eq(t, mesh.Peer{}, at.Readers[len(seeds)])
-		firsts[at.Readers[0].Addr]++
+		must.False(t, assigned.Bootstrap)
+		must.Len(t, len(seeds)+1, assigned.Upstreams)
+		must.Eq(t, mesh.Peer{}, assigned.Upstreams[len(seeds)])
+		firsts[assigned.Upstreams[0].Addr]++
 	}
 	must.Eq(t, len(seeds), reading)
 	for _, seed := range seeds {
-		must.Less(t, 3*len(list)/5, firsts[seed]) // one alone would send all tables to all
+		must.Less(t, 3*len(list)/5, firsts[seed]) // a single seed would send all tables to everyone
 	}
 
 	early := list[:2]
-	at := placeOf(list[100], early, seeds)
-	must.Eq(t, feedlink.Follows, at.Role)
-	must.SliceContains(t, []string{"i0", "i1"}, at.Readers[0].Instance)
-	must.Eq(t, feedlink.Reads, placeOf(list[0], early, seeds).Role)
+	assigned := assignByList(list[100], early, seeds)
+	must.Eq(t, feedlink.RoleFollower, assigned.Role)
+	must.SliceContains(t, []string{"i0", "i1"}, assigned.Upstreams[0].Instance)
+	must.Eq(t, feedlink.RoleReader, assignByList(list[0], early, seeds).Role)
 }
 
-// A single instance without seeds reads by itself.
-func TestAloneAtTheFirstStart(t *testing.T) {
-	at := placeOf(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
-	must.Eq(t, []mesh.Peer{{}}, at.Readers)
+// A single instance without seeds reads the store itself.
+func TestSingleInstanceWithoutSeedsReadsTheStore(t *testing.T) {
+	assigned := assignByList(owner.Instance{Name: "me", Link: "me:1"}, nil, nil)
+	must.Eq(t, []mesh.Peer{{}}, assigned.Upstreams)
 }
--- a/lib/procflags/procflags_test.go
+++ b/lib/procflags/procflags_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func parse(t *testing.T, args ...string) (Links, Operators) {
+func parse(t *testing.T, args ...string) (Links, OperatorTokens) {
 	t.Helper()
 	var l Links
-	var o Operators
+	var o OperatorTokens
 	fs := flag.NewFlagSet("t", flag.ContinueOnError)
 	l.Register(fs)
 	o.Register(fs)
@@ -28,7 +28,7 @@
 	l, _ := parse(t, "-plain-links")
 	opts, err := l.Options()
 	must.NoError(t, err)
-	must.True(t, opts.Plain)
+	must.True(t, opts.Plaintext)
 }
 
 func TestOperators(t *testing.T) {
--- a/lib/result/result.go
+++ b/lib/result/result.go
@@ -1,4 +1,4 @@
-// Package result defines the numbered result codes that callers see, with the outcome each one promises.
+// Package result defines the numbered result codes that callers see, and the outcome that each one guarantees.
 package result
 
 import (
@@ -10,17 +10,17 @@
 // Outcome is what a caller may conclude about its request.
 type Outcome uint8
 
-// The four outcomes. Every accepted request ends in exactly one of them.
+// The four outcomes. Every accepted request ends with exactly one of them.
 const (
 	Completed      Outcome = iota + 1 // the whole answer was delivered
-	NotRun                            // proved: no target executed any part of it
-	FailedRan                         // a target executed some of it, and no whole answer exists
-	OutcomeUnknown                    // a target may have executed it; nobody can prove which
+	NotRun                            // proven: no target executed any part of it
+	FailedRan                         // a target executed some of it, and there is no complete answer
+	OutcomeUnknown                    // a target may have executed it; that cannot be determined
 )
 
 var outcomeNames = [...]string{"", "completed", "refused, not run", "failed, was run", "outcome unknown"}
 
-// String returns the wording used in error bodies and docs.
+// String returns the text used in error bodies and docs.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -28,7 +28,7 @@
 	return "invalid outcome"
 }
 
-// Code is a stable number. Numbers are never reused; the thousands digit groups them by outcome.
+// Code is a stable number. Numbers are never reused; the thousands digit groups them by outcome and fault.
 type Code uint16
 
 // The result codes. docs/RESULT-CODES.md is tested against Table.
@@ -72,69 +72,69 @@
 	Unknown       Code = 5000
 	ClaimOrphan   Code = 5001
 	TargetSilent  Code = 5002
-	UnknownStream Code = 5003 // was 2008, "not run": of a stream that is kept nowhere that is not proved
+	UnknownStream Code = 5003 // was 2008 ("not run"), which is not proven for a stream that no instance keeps
 )
 
-// Again says whether the caller may send the same request again.
-type Again uint8
+// RetryAdvice tells the caller whether it may send the same request again.
+type RetryAdvice uint8
 
-// Values of Again.
+// The values of RetryAdvice.
 const (
-	AgainNo         Again = iota + 1 // asking again gives the same refusal
-	AgainLater                       // ask again after Retry-After
-	AgainWithKey                     // ask again only with the same Idempotency-Key
-	AgainIdempotent                  // ask again only if the call is idempotent
+	RetryNever        RetryAdvice = iota + 1 // a retry would be refused in the same way
+	RetryLater                               // retry after Retry-After
+	RetryWithKey                             // retry only with the same Idempotency-Key
+	RetryIfIdempotent                        // retry only if the call is idempotent
 )
 
-var againNames = [...]string{"", "no", "after Retry-After", "with the same Idempotency-Key", "only if idempotent"}
+var retryAdviceNames = [...]string{"", "no", "after Retry-After", "with the same Idempotency-Key", "only if idempotent"}
 
-// String returns the wording used in docs.
-func (a Again) String() string { return againNames[a] }
+// String returns the text used in error bodies and docs.
+func (a RetryAdvice) String() string { return retryAdviceNames[a] }
 
-// Info is one row of the table.
+// Info is one row of Table.
 type Info struct {
-	Code    Code
-	Name    string
-	HTTP    int
-	Outcome Outcome
-	Again   Again
-	Text    string
+	Code        Code
+	Name        string
+	HTTP        int
+	Outcome     Outcome
+	RetryAdvice RetryAdvice
+	Text        string
 }
 
-// Table lists every code in ascending order.
+// Table lists all codes in ascending order.
 var Table = []Info{
-	{OK, "ok", http.StatusOK, Completed, AgainNo, "the answer is complete"},
-	{AnswerGone, "answer_gone", http.StatusGone, Completed, AgainNo, "the first request with this key completed; its answer is no longer kept"},
-	{BadRequest, "bad_request", http.StatusBadRequest, NotRun, AgainNo, "the body can't be read as the route's format"},
-	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, NotRun, AgainNo, "the body is over the route's bound"},
-	{Unauthenticated, "unauthenticated", http.StatusUnauthorized, NotRun, AgainNo, "no workspace has this key"},
-	{Forbidden, "forbidden", http.StatusForbidden, NotRun, AgainNo, "the workspace may not use this service or class"},
-	{NoRoute, "no_route", http.StatusNotFound, NotRun, AgainNo, "no service answers this path"},
-	{BadHeader, "bad_header", http.StatusBadRequest, NotRun, AgainNo, "a header has a bad value"},
-	{KeyReused, "key_reused", http.StatusUnprocessableEntity, NotRun, AgainNo, "the Idempotency-Key was used for another request"},
-	{Poisoned, "poisoned", http.StatusUnprocessableEntity, NotRun, AgainLater, "targets died while they ran this content"},
-	{WorkspaceLimit, "workspace_limit", http.StatusTooManyRequests, NotRun, AgainLater, "the workspace or class is at its limit"},
-	{QueueFull, "queue_full", http.StatusServiceUnavailable, NotRun, AgainLater, "the queue is at its bound"},
-	{DeadlineTooNear, "deadline_too_near", http.StatusServiceUnavailable, NotRun, AgainLater, "the answer can't be had before its deadline"},
-	{NoTarget, "no_target", http.StatusServiceUnavailable, NotRun, AgainLater, "no target can take the request"},
-	{StoreDown, "store_down", http.StatusServiceUnavailable, NotRun, AgainLater, "the claim can't be recorded"},
-	{Stopping, "stopping", http.StatusServiceUnavailable, NotRun, AgainLater, "this instance is stopping"},
-	{RetryBudget, "retry_budget", http.StatusServiceUnavailable, NotRun, AgainLater, "the retry budget is spent"},
-	{PowerCap, "power_cap", http.StatusServiceUnavailable, NotRun, AgainLater, "the site's power cap leaves no room"},
-	{TooManyStreams, "too_many_streams", http.StatusServiceUnavailable, NotRun, AgainLater, "this instance holds its bound of streams"},
-	{AlreadyRunning, "already_running", http.StatusConflict, NotRun, AgainLater, "a request with this key is in progress; this one started nothing"},
-	{TargetFailed, "target_failed", http.StatusBadGateway, FailedRan, AgainIdempotent, "the target reported an error"},
-	{CannotResume, "cannot_resume", http.StatusBadGateway, FailedRan, AgainIdempotent, "the stream broke and can't be resumed"},
-	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, FailedRan, AgainIdempotent, "the deadline passed while it ran"},
-	{CallerTooSlow, "caller_too_slow", http.StatusRequestTimeout, FailedRan, AgainWithKey, "the caller read too slowly"},
-	{CallerGone, "caller_gone", 499, FailedRan, AgainWithKey, "the caller closed its connection"},
-	{TargetCutShort, "target_cut_short", http.StatusBadGateway, FailedRan, AgainIdempotent, "the target's answer ended without its end mark"},
-	{InvariantBroken, "invariant_broken", http.StatusInternalServerError, FailedRan, AgainIdempotent, "an internal check failed; this request was stopped"},
-	{TakenOver, "taken_over", http.StatusConflict, FailedRan, AgainWithKey, "this instance was cut off, and another goes on with the request"},
-	{Unknown, "outcome_unknown", http.StatusBadGateway, OutcomeUnknown, AgainNo, "the target may have run it; nobody can prove which"},
-	{ClaimOrphan, "claim_orphan", http.StatusConflict, OutcomeUnknown, AgainNo, "the key was claimed, its holder is gone, and the outcome is not known"},
-	{TargetSilent, "target_silent", http.StatusGatewayTimeout, OutcomeUnknown, AgainNo, "the target fell silent while it ran the call"},
-	{UnknownStream, "unknown_stream", http.StatusNotFound, OutcomeUnknown, AgainNo, "no stream is kept for this key and event id; what ran of it is not known"},
+	{OK, "ok", http.StatusOK, Completed, RetryNever, "the answer is complete"},
+	{AnswerGone, "answer_gone", http.StatusGone, Completed, RetryNever, "the first request with this key completed; its answer is no longer kept"},
+	{BadRequest, "bad_request", http.StatusBadRequest, NotRun, RetryNever, "the body can't be read as the route's format"},
+	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, NotRun, RetryNever, "the body is over the route's bound"},
+	{Unauthenticated, "unauthenticated", http.StatusUnauthorized, NotRun, RetryNever, "no workspace has this key"},
+	{Forbidden, "forbidden", http.StatusForbidden, NotRun, RetryNever, "the workspace may not use this service or class"},
+	{NoRoute, "no_route", http.StatusNotFound, NotRun, RetryNever, "no service answers this path"},
+	{BadHeader, "bad_header", http.StatusBadRequest, NotRun, RetryNever, "a header has a bad value"},
+	{KeyReused, "key_reused", http.StatusUnprocessableEntity, NotRun, RetryNever, "the Idempotency-Key was used for another request"},
+	{Poisoned, "poisoned", http.StatusUnprocessableEntity, NotRun, RetryLater, "targets died while they ran this content"},
+	{WorkspaceLimit, "workspace_limit", http.StatusTooManyRequests, NotRun, RetryLater, "the workspace or class is at its limit"},
+	{QueueFull, "queue_full", http.StatusServiceUnavailable, NotRun, RetryLater, "the queue is at its bound"},
+	{DeadlineTooNear, "deadline_too_near", http.StatusServiceUnavailable, NotRun, RetryLater, "the answer can't be had before its deadline"},
+	{NoTarget, "no_target", http.StatusServiceUnavailable, NotRun, RetryLater, "no target can take the request"},
+	{StoreDown, "store_down", http.StatusServiceUnavailable, NotRun, RetryLater, "the claim can't be recorded"},
+	{Stopping, "stopping", http.StatusServiceUnavailable, NotRun, RetryLater, "this instance is stopping"},
+	{RetryBudget, "retry_budget", http.StatusServiceUnavailable, NotRun, RetryLater, "the retry budget is spent"},
+	{PowerCap, "power_cap", http.StatusServiceUnavailable, NotRun, RetryLater, "the site's power cap leaves no room"},
+	{TooManyStreams, "too_many_streams", http.StatusServiceUnavailable, NotRun, RetryLater, "this instance holds its bound of streams"},
+	{AlreadyRunning, "already_running", http.StatusConflict, NotRun, RetryLater, "a request with this key is in progress; this one started nothing"},
+	{TargetFailed, "target_failed", http.StatusBadGateway, FailedRan, RetryIfIdempotent, "the target reported an error"},
+	{CannotResume, "cannot_resume", http.StatusBadGateway, FailedRan, RetryIfIdempotent, "the stream broke and can't be resumed"},
+	{DeadlinePassed, "deadline_passed", http.StatusGatewayTimeout, FailedRan, RetryIfIdempotent, "the deadline passed while it ran"},
+	{CallerTooSlow, "caller_too_slow", http.StatusRequestTimeout, FailedRan, RetryWithKey, "the caller read too slowly"},
+	{CallerGone, "caller_gone", 499, FailedRan, RetryWithKey, "the caller closed its connection"},
+	{TargetCutShort, "target_cut_short", http.StatusBadGateway, FailedRan, RetryIfIdempotent, "the target's answer ended without its end mark"},
+	{InvariantBroken, "invariant_broken", http.StatusInternalServerError, FailedRan, RetryIfIdempotent, "an internal check failed; this request was stopped"},
+	{TakenOver, "taken_over", http.StatusConflict, FailedRan, RetryWithKey, "this instance was cut off, and another goes on with the request"},
+	{Unknown, "outcome_unknown", http.StatusBadGateway, OutcomeUnknown, RetryNever, "the target may have run it; nobody can prove which"},
+	{ClaimOrphan, "claim_orphan", http.StatusConflict, OutcomeUnknown, RetryNever, "the key was claimed, its holder is gone, and the outcome is not known"},
+	{TargetSilent, "target_silent", http.StatusGatewayTimeout, OutcomeUnknown, RetryNever, "the target fell silent while it ran the call"},
+	{UnknownStream, "unknown_stream", http.StatusNotFound, OutcomeUnknown, RetryNever, "no stream is kept for this key and event id; what ran of it is not known"},
 }
 
 var byCode = func() map[Code]Info {
@@ -153,11 +153,11 @@
 	return byCode[Unknown]
 }
 
-// Error carries a code to the place that answers the caller.
+// Error carries a result code, with details, to the code that answers the caller.
 type Error struct {
 	Code       Code
-	Detail     string        // what was attempted, lower case, no secrets
-	RetryAfter time.Duration // 0 when the code's Again is not AgainLater
+	Detail     string        // what was attempted, in lower case; must not contain secrets
+	RetryAfter time.Duration // 0 unless the code's RetryAdvice is RetryLater
 	Cause      error
 }
 
--- a/lib/settingsync/fuzz_test.go
+++ b/lib/settingsync/fuzz_test.go
@@ -10,12 +10,12 @@
 	"anvilwick.example/anvilwick/lib/settings"
 )
 
-// FuzzRecord holds that an item of the table is either refused, or unpacks to the text of its digest within bounds.
+// FuzzRecord checks that a table item is either rejected or unpacks, within bounds, to the text that matches its digest.
 func FuzzRecord(f *testing.F) {
 	for _, base := range [][]byte{nil, tree(1)} {
 		body, err := pack(tree(2), base)
 		must.NoError(f, err)
-		value, err := json.Marshal(Record{Revision: 2, Whole: 1, Digest: Digest(tree(2)), Body: body})
+		value, err := json.Marshal(Record{Revision: 2, FullRevision: 1, Digest: Digest(tree(2)), Body: body})
 		must.NoError(f, err)
 		f.Add(value)
 	}
