--- a/lib/standin/engine/fault.go
+++ b/lib/standin/engine/fault.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/enginemodel"
 )
 
-// Paths of the stand-in itself; a real engine has none of them.
+// Paths of the stand-in's own interface; a real engine has none of them.
 const (
 	PathFault = "/standin/fault" // POST Fault
 	PathStats = "/standin/stats" // GET Stats
@@ -19,58 +19,58 @@
 // Values of Fault.Kind.
 const (
 	FaultDie     = "die"     // cut all connections and end the process
-	FaultStall   = "stall"   // the link carries nothing for MS; the engine works on
-	FaultFreeze  = "freeze"  // load reports stay as they are, age and all; MS 0: until thawed
-	FaultThaw    = "thaw"    // load reports go on
+	FaultStall   = "stall"   // the link carries no data for MS; the engine keeps running
+	FaultFreeze  = "freeze"  // load reports stay unchanged, age included; MS 0: until FaultThaw
+	FaultThaw    = "thaw"    // load reports are updated again
 	FaultSlow    = "slow"    // steps take Factor times as long
-	FaultLeave   = "leave"   // refuse new work, and die after MS; 0: stay
-	FaultCut     = "cut"     // cut every stream in progress without an end mark; the engine stays
-	FaultRepeat  = "repeat"  // streams carry repeated frames and frames of other attempts beside the right ones
+	FaultLeave   = "leave"   // reject new work and exit after MS; 0: don't exit
+	FaultCut     = "cut"     // cut every stream in progress without an end mark; the engine keeps running
+	FaultRepeat  = "repeat"  // streams carry duplicate frames and frames of other attempts among the right ones
 	FaultHealthy = "healthy" // end stall, freeze, slow, leave and repeat
 )
 
-// Fault is an order to misbehave.
+// Fault is a fault to inject, as POST PathFault takes it.
 type Fault struct {
 	Kind   string  `json:"kind"`
 	MS     int64   `json:"ms,omitempty"`
 	Factor float64 `json:"factor,omitempty"`
 }
 
-// Stats counts what the stand-in did, for tests.
+// Stats counts what the stand-in has done, for tests.
 type Stats struct {
-	Generations   int     `json:"generations"` // heard of, by an attempt or by a cancel
+	Generations   int     `json:"generations"` // known from an attempt or a cancel
 	Attempts      int     `json:"attempts"`    // accepted
 	OrdersApplied int     `json:"orders_applied"`
 	Fence         uint64  `json:"fence"`
 	Preemptions   uint64  `json:"preemptions"`
 	Streams       int     `json:"streams"`
-	Watts         float64 `json:"watts"` // drawn now, whatever the load reports say
+	Watts         float64 `json:"watts"` // current draw, regardless of the load reports
 }
 
 type faultState struct {
 	stalledUntil time.Time
 	repeat       bool
 	frozen       bool
-	frozenAge    int64 // age_ms that frozen reports go on telling
+	frozenAge    int64 // age_ms that frozen reports keep reporting
 }
 
-// stallPoll is how often a held-back writer looks whether the link has recovered.
+// stallPoll is how often a delayed request or writer checks whether the link has recovered.
 const stallPoll = 5 * time.Millisecond
 
 func (s *Server) faultHandler(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
 		return
 	}
 	if !s.SetFault(f) {
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, "unknown fault "+f.Kind, true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, "unknown fault "+f.Kind, true)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetFault carries a fault out and reports whether its kind is known.
+// SetFault injects a fault and reports whether its kind is known.
 func (s *Server) SetFault(f Fault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	return true
 }
 
-// freeze keeps load reports as they are, their age too: a reader can tell only by the sequence number that stands still.
+// freeze keeps load reports unchanged, their age included: a reader can detect it only by the unchanged sequence number.
 func (s *Server) freeze() {
 	s.faults.frozen = true
 	s.faults.frozenAge = s.reportAge()
@@ -138,8 +138,8 @@
 	}
 }
 
-// waitLink holds the caller while the link is stalled; false: the reader went away first.
-func (s *Server) waitLink(gone <-chan struct{}) bool {
+// waitForLink blocks while the link is stalled. It returns false if the reader disconnects or the server stops first.
+func (s *Server) waitForLink(disconnected <-chan struct{}) bool {
 	for {
 		s.mu.Lock()
 		left := time.Until(s.faults.stalledUntil)
@@ -148,7 +148,7 @@
 			return true
 		}
 		select {
-		case <-gone:
+		case <-disconnected:
 			return false
 		case <-s.Stopped():
 			return false
@@ -157,26 +157,27 @@
 	}
 }
 
-// poison ends the process if the prompt asks for it and the engine is vulnerable.
-func (s *Server) poison(j *job) {
+// dieIfPoisoned ends the process if the prompt contains the poison mark and Config.Poison is set.
+func (s *Server) dieIfPoisoned(j *job) {
 	if s.cfg.Poison && strings.Contains(j.prompt, markPoison) {
 		s.die()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// repeats adds the frames that a reader must drop, if they were ordered.
-func (s *Server) repeats(j *job, ev enginemodel.Event, f engineapi.Frame) []engineapi.Frame {
+// withRepeats returns f, together with frames that a reader must drop if FaultRepeat is active: one of an earlier attempt and a
+// duplicate.
+func (s *Server) withRepeats(j *job, ev enginemodel.Event, f engineapi.Frame) []engineapi.Frame {
 	s.mu.Lock()
 	repeat := s.faults.repeat
 	s.mu.Unlock()
 	if !repeat || ev.Kind != enginemodel.EvToken {
 		return []engineapi.Frame{f}
 	}
-	old := f
-	old.Ext.Attempt--
-	old.Choices = []engineapi.Choice{j.choice(" late-late-late")}
-	return []engineapi.Frame{old, f, f}
+	stale := f
+	stale.Ext.Attempt--
+	stale.Choices = []engineapi.Choice{j.choice(" late-late-late")}
+	return []engineapi.Frame{stale, f, f}
 }
 
 func (s *Server) stats(w http.ResponseWriter, _ *http.Request) {
@@ -184,7 +185,7 @@
 	defer s.mu.Unlock()
 	writeJSON(w, http.StatusOK, Stats{
 		Generations:   len(s.fences.byGen),
-		Attempts:      s.fences.begun,
+		Attempts:      s.fences.accepted,
 		OrdersApplied: s.orders.applied,
 		Fence:         s.orders.fence,
 		Preemptions:   s.model.Preemptions(),
--- a/lib/standin/engine/handlers.go
+++ b/lib/standin/engine/handlers.go
@@ -13,26 +13,26 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// maxBody bounds a request's body in bytes.
+// maxBody bounds a request body in bytes.
 const maxBody = 16 << 20
 
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+engineapi.PathCompletions, s.guard(s.complete))
-	mux.HandleFunc("POST "+engineapi.PathChatCompletions, s.guard(s.complete))
-	mux.HandleFunc("DELETE "+engineapi.PathGenerations+"{id}", s.guard(s.cancelHandler))
-	mux.HandleFunc("GET "+engineapi.PathLoad, s.guard(s.load))
-	mux.HandleFunc("GET "+engineapi.PathCacheEvents, s.guard(s.cacheEvents))
-	mux.HandleFunc("POST "+engineapi.PathOrders, s.guard(s.order))
+	mux.HandleFunc("POST "+engineapi.PathCompletions, s.delayWhileStalled(s.complete))
+	mux.HandleFunc("POST "+engineapi.PathChatCompletions, s.delayWhileStalled(s.complete))
+	mux.HandleFunc("DELETE "+engineapi.PathGenerations+"{id}", s.delayWhileStalled(s.cancelHandler))
+	mux.HandleFunc("GET "+engineapi.PathLoad, s.delayWhileStalled(s.load))
+	mux.HandleFunc("GET "+engineapi.PathCacheEvents, s.delayWhileStalled(s.cacheEvents))
+	mux.HandleFunc("POST "+engineapi.PathOrders, s.delayWhileStalled(s.order))
 	mux.HandleFunc("POST "+PathFault, s.faultHandler)
 	mux.HandleFunc("GET "+PathStats, s.stats)
 	return mux
 }
 
-// guard holds a request back while the link is stalled.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// delayWhileStalled delays a request while the link is stalled.
+func (s *Server) delayWhileStalled(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if s.waitLink(r.Context().Done()) {
+		if s.waitForLink(r.Context().Done()) {
 			next(w, r)
 		}
 	}
@@ -40,18 +40,18 @@
 
 // job is a parsed completion request.
 type job struct {
-	req    engineapi.Request
-	seq    enginemodel.Seq
-	prompt string
-	id     string // generation id as text
-	limit  bool   // the answer is cut by max_tokens
-	chat   bool
+	req       engineapi.Request
+	seq       enginemodel.Seq
+	prompt    string
+	id        string // text form of the generation id
+	truncated bool   // the answer is truncated by max_tokens
+	chat      bool
 }
 
 func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
 	j, err := parseJob(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
 		return
 	}
 	st, ok := s.accept(w, j)
@@ -62,7 +62,7 @@
 		s.sendStream(w, r, j, st)
 		return
 	}
-	s.sendWhole(w, r, j, st)
+	s.sendCompletion(w, r, j, st)
 }
 
 func parseJob(r *http.Request) (*job, error) {
@@ -81,11 +81,11 @@
 	if j.prompt == "" {
 		return nil, errors.New("the prompt is empty")
 	}
-	return j, j.fill()
+	return j, j.buildSequence()
 }
 
-// fill works the sequence out from the request.
-func (j *job) fill() error {
+// buildSequence sets the sequence, the generation id and whether the answer is truncated from the request.
+func (j *job) buildSequence() error {
 	gen := ids.New()
 	if ext := j.req.Ext; ext != nil {
 		var err error
@@ -104,9 +104,9 @@
 	j.seq.Attempt = max(1, j.seq.Attempt)
 	j.seq.Prompt = engineapi.CountTokens(j.prompt)
 	j.seq.Length = AnswerLength(j.prompt)
-	if most := j.req.MaxTokens; most > 0 && j.seq.Length > most {
-		j.seq.Length = most
-		j.limit = true
+	if maxTokens := j.req.MaxTokens; maxTokens > 0 && j.seq.Length > maxTokens {
+		j.seq.Length = maxTokens
+		j.truncated = true
 	}
 	if j.seq.Emitted > j.seq.Length {
 		return errors.New("start_index is beyond the end of the answer")
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// resumeMatches checks that the tokens to go on from are the answer's own. A real engine would go on from whatever it is
-// given; here a token that was dropped, repeated or taken from another stream on its way is found.
+// resumeMatches checks that the tokens to resume from are those of this answer. A real engine would continue from any
+// tokens; this check detects a token that was dropped, repeated or taken from another stream on the way.
 func (j *job) resumeMatches() bool {
 	if j.req.Ext == nil {
 		return true
@@ -131,36 +131,36 @@
 	return true
 }
 
-// accept starts the attempt or refuses it. A later attempt of the same generation ends the earlier one.
+// accept starts the attempt or rejects it. A later attempt of the same generation ends the earlier one.
 func (s *Server) accept(w http.ResponseWriter, j *job) (*stream, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case j.req.Model != "" && j.req.Model != s.orders.model:
-		refuse(w, http.StatusNotFound, engineapi.ErrNoModel, "this engine serves "+s.orders.model, true)
+		writeError(w, http.StatusNotFound, engineapi.ErrNoModel, "this engine serves "+s.orders.model, true)
 		return nil, false
 	case s.cfg.NoResume && j.seq.Emitted > 0:
-		refuse(w, http.StatusConflict, engineapi.ErrNoResume, "this engine starts at token 0 only", true)
+		writeError(w, http.StatusConflict, engineapi.ErrNoResume, "this engine starts at token 0 only", true)
 		return nil, false
 	case !j.resumeMatches():
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, "resume is not the beginning of this answer", true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, "resume is not the beginning of this answer", true)
 		return nil, false
 	case !s.fences.admit(j.seq.Gen, j.seq.Attempt):
-		notRun := s.fences.get(j.seq.Gen).started != j.seq.Attempt
-		refuse(w, http.StatusConflict, engineapi.ErrFenced, "the attempt is old", notRun)
+		notRun := s.fences.getOrCreate(j.seq.Gen).started != j.seq.Attempt
+		writeError(w, http.StatusConflict, engineapi.ErrFenced, "the attempt is old", notRun)
 		return nil, false
 	}
 	st := newStream()
-	s.dropAttempts(j.seq.Gen, j.seq.Attempt-1)
+	s.cancelAttempts(j.seq.Gen, j.seq.Attempt-1)
 	if err := s.startAttempt(j, st); err != nil {
-		s.refuseAdd(w, err)
+		s.writeAddError(w, err)
 		return nil, false
 	}
-	s.kick()
+	s.wakeRun()
 	return st, true
 }
 
-// startAttempt hands the sequence to the model. A resume with nothing left to decode ends at once.
+// startAttempt adds the sequence to the model. A resume with nothing left to decode finishes immediately.
 func (s *Server) startAttempt(j *job, st *stream) error {
 	if j.seq.Emitted == j.seq.Length {
 		s.fences.start(j.seq.Gen, j.seq.Attempt)
@@ -175,20 +175,20 @@
 	return nil
 }
 
-func (s *Server) refuseAdd(w http.ResponseWriter, err error) {
+func (s *Server) writeAddError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, enginemodel.ErrLeaving):
-		refuse(w, http.StatusServiceUnavailable, engineapi.ErrDraining, err.Error(), true)
+		writeError(w, http.StatusServiceUnavailable, engineapi.ErrDraining, err.Error(), true)
 	case errors.Is(err, enginemodel.ErrTooLarge):
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
 	default:
 		w.Header().Set("Retry-After", "1")
-		refuse(w, http.StatusServiceUnavailable, engineapi.ErrOverloaded, err.Error(), true)
+		writeError(w, http.StatusServiceUnavailable, engineapi.ErrOverloaded, err.Error(), true)
 	}
 }
 
-// dropAttempts ends the streams of a generation up to an attempt and reports whether any of them had run.
-func (s *Server) dropAttempts(g ids.Generation, upTo uint32) {
+// cancelAttempts cancels the streams of a generation up to an attempt.
+func (s *Server) cancelAttempts(g ids.Generation, upTo uint32) {
 	for key, st := range s.streams {
 		if key.gen != g || key.attempt > upTo {
 			continue
@@ -203,7 +203,7 @@
 	g, err := ids.Parse(r.PathValue("id"))
 	attempt, err2 := strconv.ParseUint(r.URL.Query().Get("attempt"), 10, 32)
 	if err != nil || err2 != nil {
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, "want /v1/generations/{id}?attempt=n", true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, "want /v1/generations/{id}?attempt=n", true)
 		return
 	}
 	writeJSON(w, http.StatusOK, s.cancel(g, uint32(attempt)))
@@ -212,7 +212,7 @@
 func (s *Server) cancel(g ids.Generation, attempt uint32) engineapi.CancelResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropAttempts(g, attempt)
+	s.cancelAttempts(g, attempt)
 	rec := s.fences.fence(g, attempt)
 	return engineapi.CancelResult{Known: rec.first > 0 && rec.first <= attempt, Ran: rec.ran, Tokens: uint32(rec.tokens)}
 }
@@ -262,9 +262,9 @@
 }
 
 func (s *Server) cacheSnapshot() engineapi.CacheEvents {
-	seq, held := s.model.CacheSnapshot()
+	seq, stored := s.model.CacheSnapshot()
 	page := engineapi.CacheEvents{Seq: seq, Snapshot: true}
-	for _, p := range held {
+	for _, p := range stored {
 		page.Events = append(page.Events, engineapi.CacheEvent{Seq: seq, Stored: true, Prefix: p.Hash, Tokens: p.Tokens})
 	}
 	return page
@@ -276,7 +276,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func refuse(w http.ResponseWriter, status int, kind, message string, notRun bool) {
+func writeError(w http.ResponseWriter, status int, kind, message string, notRun bool) {
 	writeJSON(w, status, struct {
 		Error engineapi.Error `json:"error"`
 	}{engineapi.Error{Type: kind, Message: message, NotRun: notRun}})
--- a/lib/standin/engine/order.go
+++ b/lib/standin/engine/order.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/engineapi"
 )
 
-// orderState is the desired state that orders built up, and the highest fencing number seen.
+// orderState is the desired state set by orders, and the highest fencing number seen.
 type orderState struct {
 	model    string
 	version  string
@@ -27,23 +27,23 @@
 	var o engineapi.Order
 	body := io.LimitReader(r.Body, maxBody)
 	if err := json.NewDecoder(body).Decode(&o); err != nil {
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, err.Error(), true)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cfg.Fencing && o.Fence < s.orders.fence {
-		refuse(w, http.StatusConflict, engineapi.ErrFenced, "the fencing number is old", true)
+		writeError(w, http.StatusConflict, engineapi.ErrFenced, "the fencing number is old", true)
 		return
 	}
 	if !s.orders.apply(o) {
-		refuse(w, http.StatusBadRequest, engineapi.ErrBad, "unknown order "+o.Kind, true)
+		writeError(w, http.StatusBadRequest, engineapi.ErrBad, "unknown order "+o.Kind, true)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// apply sets the desired state; the same order again changes nothing. It reports whether the kind is known.
+// apply sets the desired state; repeating an order changes nothing. It reports whether the kind is known.
 func (st *orderState) apply(o engineapi.Order) bool {
 	before := *st
 	switch o.Kind {
--- a/lib/standin/engine/send.go
+++ b/lib/standin/engine/send.go
@@ -10,7 +10,7 @@
 	"anvilwick.example/anvilwick/lib/enginemodel"
 )
 
-// sendStream writes one server-sent event for each token, then the end frame and [DONE].
+// sendStream writes one server-sent event per token, then the end frame and [DONE].
 func (s *Server) sendStream(w http.ResponseWriter, r *http.Request, j *job, st *stream) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
@@ -20,19 +20,19 @@
 	for {
 		select {
 		case <-r.Context().Done():
-			s.gone(j)
+			s.cancelAbandoned(j)
 			return
 		case <-st.cancel:
 			panic(http.ErrAbortHandler)
 		case <-st.ready:
 		}
-		if !s.waitLink(r.Context().Done()) {
-			s.gone(j)
+		if !s.waitForLink(r.Context().Done()) {
+			s.cancelAbandoned(j)
 			return
 		}
-		ended, err := s.writeEvents(w, j, st.take())
+		ended, err := s.writeEvents(w, j, st.takeAll())
 		if err != nil {
-			s.gone(j)
+			s.cancelAbandoned(j)
 			return
 		}
 		if err := flusher.Flush(); err != nil || ended {
@@ -44,8 +44,8 @@
 // writeEvents writes events and reports whether the stream has ended.
 func (s *Server) writeEvents(w http.ResponseWriter, j *job, evs []enginemodel.Event) (bool, error) {
 	for _, ev := range evs {
-		s.poison(j)
-		for _, f := range s.repeats(j, ev, j.frame(ev)) {
+		s.dieIfPoisoned(j)
+		for _, f := range s.withRepeats(j, ev, j.frame(ev)) {
 			if err := writeFrame(w, f); err != nil {
 				return false, err
 			}
@@ -76,7 +76,7 @@
 	return err
 }
 
-// frame builds the wire form of an event.
+// frame returns the wire form of an event.
 func (j *job) frame(ev enginemodel.Event) engineapi.Frame {
 	f := engineapi.Frame{
 		ID:     "gen-" + j.id,
@@ -109,57 +109,57 @@
 }
 
 func (j *job) finishReason() string {
-	if j.limit {
+	if j.truncated {
 		return "length"
 	}
 	return "stop"
 }
 
-// whole is the body of an answer that is not streamed.
-type whole struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
+// completion is the body of a non-streamed answer.
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
 }
 
-type wholeChoice struct {
+type completionChoice struct {
 	Index        int                `json:"index"`
 	Text         string             `json:"text,omitempty"`
 	Message      *engineapi.Message `json:"message,omitempty"`
 	FinishReason string             `json:"finish_reason"`
 }
 
-// sendWhole waits for the end and answers with the whole text.
-func (s *Server) sendWhole(w http.ResponseWriter, r *http.Request, j *job, st *stream) {
+// sendCompletion waits until the answer is complete and writes it as one body.
+func (s *Server) sendCompletion(w http.ResponseWriter, r *http.Request, j *job, st *stream) {
 	var b strings.Builder
 	for {
 		select {
 		case <-r.Context().Done():
-			s.gone(j)
+			s.cancelAbandoned(j)
 			return
 		case <-st.cancel:
 			panic(http.ErrAbortHandler)
 		case <-st.ready:
 		}
-		for _, ev := range st.take() {
-			s.poison(j)
+		for _, ev := range st.takeAll() {
+			s.dieIfPoisoned(j)
 			switch ev.Kind {
 			case enginemodel.EvToken:
 				b.WriteString(TokenText(j.prompt, j.id, ev.Index))
 			case enginemodel.EvDropped:
-				refuse(w, http.StatusServiceUnavailable, engineapi.ErrPreempted, "the memory was given away", false)
+				writeError(w, http.StatusServiceUnavailable, engineapi.ErrPreempted, "the memory was given away", false)
 				return
 			case enginemodel.EvFinished:
-				writeJSON(w, http.StatusOK, j.wholeAnswer(b.String()))
+				writeJSON(w, http.StatusOK, j.completion(b.String()))
 				return
 			}
 		}
 	}
 }
 
-func (j *job) wholeAnswer(text string) whole {
-	c := wholeChoice{FinishReason: j.finishReason()}
+func (j *job) completion(text string) completion {
+	c := completionChoice{FinishReason: j.finishReason()}
 	object := "text_completion"
 	if j.chat {
 		object = "chat.completion"
@@ -167,11 +167,11 @@
 	} else {
 		c.Text = text
 	}
-	return whole{ID: "gen-" + j.id, Object: object, Model: j.req.Model, Choices: []wholeChoice{c}}
+	return completion{ID: "gen-" + j.id, Object: object, Model: j.req.Model, Choices: []completionChoice{c}}
 }
 
-// gone frees the engine's memory when the reader of an attempt has left.
-func (s *Server) gone(j *job) {
+// cancelAbandoned cancels an attempt whose reader has disconnected, which frees its memory in the engine.
+func (s *Server) cancelAbandoned(j *job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.Cancel(s.now(), j.seq.Gen, j.seq.Attempt)
--- a/lib/standin/engine/server.go
+++ b/lib/standin/engine/server.go
@@ -1,7 +1,7 @@
 // Package engine is a stand-in model engine: it serves lib/engineapi over HTTP and runs lib/enginemodel in real time.
 //
-// Its answers are made-up text that tells prompt, generation and index apart (TokenText). Faults are ordered by flags, or
-// by POST /standin/fault, which has no authentication: the stand-in is for loopback only.
+// Its answers are synthetic text that identifies prompt, generation and index (TokenText). Faults are injected by flags, or
+// by POST /standin/fault, which has no authentication: use the stand-in on loopback only.
 package engine
 
 import (
@@ -15,21 +15,21 @@
 	"anvilwick.example/anvilwick/lib/standin/serving"
 )
 
-// Config is what the stand-in needs to know.
+// Config configures a Server.
 type Config struct {
-	Addr         string // IP:port; port 0 picks one
+	Addr         string // IP:port; port 0 picks a free one
 	Engine       enginemodel.Config
-	Model        string // model it starts with; requests for another are refused
+	Model        string // model loaded at start; requests for another are rejected
 	ModelVersion string
 	Role         string
-	Fencing      bool // refuse orders with an old fencing number
-	NoResume     bool // refuse requests that start beyond token 0
-	Poison       bool // die while running a prompt that holds "[poison]"
+	Fencing      bool // reject orders with an old fencing number
+	NoResume     bool // reject requests that start beyond token 0
+	Poison       bool // die while running a prompt that contains "[poison]"
 	Incarnation  uint64
-	Die          func() // called by the fault "die" after connections are cut; nil: os.Exit(1)
+	Die          func() // called after connections are cut when a fault ends the process; nil: os.Exit(1)
 }
 
-// Server is one running stand-in.
+// Server is a running stand-in.
 type Server struct {
 	serving.Server
 	cfg   Config
@@ -84,12 +84,12 @@
 
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
-// run ends the model's steps when they are due.
+// run steps the model whenever a step is due.
 func (s *Server) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		timer.Reset(s.stepDue())
+		timer.Reset(s.runDueSteps())
 		select {
 		case <-s.Stopped():
 			return
@@ -99,8 +99,8 @@
 	}
 }
 
-// stepDue runs the steps that are due and returns the time until the next.
-func (s *Server) stepDue() time.Duration {
+// runDueSteps runs the steps that are due and returns the time until the next one.
+func (s *Server) runDueSteps() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
@@ -118,7 +118,7 @@
 	}
 }
 
-// deliver hands an event to its stream. It never blocks: a stream holds as many events as its answer can have.
+// deliver passes an event to its stream. It never blocks: a stream's queue can hold every event of its answer.
 func (s *Server) deliver(ev enginemodel.Event) {
 	key := streamKey{ev.Gen, ev.Attempt}
 	st := s.streams[key]
@@ -129,15 +129,15 @@
 	case enginemodel.EvPreempted:
 		return
 	case enginemodel.EvToken:
-		s.fences.produced(ev.Gen, ev.Index+1)
+		s.fences.recordTokens(ev.Gen, ev.Index+1)
 	case enginemodel.EvFinished, enginemodel.EvDropped:
 		delete(s.streams, key)
 	}
 	st.push(ev)
 }
 
-// kick makes run look at the model again.
-func (s *Server) kick() {
+// wakeRun makes run recompute when the next step is due.
+func (s *Server) wakeRun() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/lib/standin/engine/server_test.go
+++ b/lib/standin/engine/server_test.go
@@ -19,8 +19,8 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// fast is an engine with millisecond steps.
-func fast() Config {
+// fastConfig returns the configuration of an engine with millisecond steps.
+func fastConfig() Config {
 	m := enginemodel.Default()
 	m.StepBase = time.Millisecond
 	m.StepPerSeq = 0
@@ -29,7 +29,7 @@
 	return Config{Addr: "127.0.0.1:0", Engine: m, Model: "m1", Fencing: true, Incarnation: 1, Die: func() {}}
 }
 
-func begin(t *testing.T, cfg Config) *Server {
+func startServer(t *testing.T, cfg Config) *Server {
 	s, err := Start(cfg)
 	must.NoError(t, err)
 	t.Cleanup(func() {
@@ -49,7 +49,7 @@
 	return resp
 }
 
-func streamed(g ids.Generation, attempt, start uint32, prompt string) engineapi.Request {
+func streamRequest(g ids.Generation, attempt, start uint32, prompt string) engineapi.Request {
 	return engineapi.Request{
 		Model:  "m1",
 		Prompt: prompt,
@@ -58,10 +58,10 @@
 	}
 }
 
-// readFrames reads until [DONE] or the end of the stream; done tells which.
-func readFrames(r io.Reader, most int) (frames []engineapi.Frame, done bool) {
+// readFrames reads up to most frames, until [DONE] or the end of the stream; done reports whether [DONE] came.
+func readFrames(r io.Reader, limit int) (frames []engineapi.Frame, done bool) {
 	sc := bufio.NewScanner(r)
-	for len(frames) < most && sc.Scan() {
+	for len(frames) < limit && sc.Scan() {
 		data, ok := strings.CutPrefix(sc.Text(), "data: ")
 		switch {
 		case !ok:
@@ -77,7 +77,7 @@
 	return frames, false
 }
 
-func text(frames []engineapi.Frame) string {
+func frameText(frames []engineapi.Frame) string {
 	var b strings.Builder
 	for _, f := range frames {
 		b.WriteString(f.Choices[0].Text)
@@ -85,7 +85,7 @@
 	return b.String()
 }
 
-func refusal(t *testing.T, resp *http.Response) engineapi.Error {
+func decodeError(t *testing.T, resp *http.Response) engineapi.Error {
 	var body struct {
 		Error engineapi.Error `json:"error"`
 	}
@@ -95,34 +95,34 @@
 
 const unlimited = 1 << 30
 
-func TestStreamIsWholeAndMarked(t *testing.T) {
-	s := begin(t, fast())
-	resp := post(t, s, engineapi.PathCompletions, streamed(ids.From(1, 1), 1, 0, "a [len=20]"))
+func TestStreamIsCompleteAndTerminated(t *testing.T) {
+	s := startServer(t, fastConfig())
+	resp := post(t, s, engineapi.PathCompletions, streamRequest(ids.From(1, 1), 1, 0, "a [len=20]"))
 	frames, done := readFrames(resp.Body, unlimited)
 	must.True(t, done)
 	must.Eq(t, 21, len(frames))
 	must.Eq(t, "stop", *frames[20].Choices[0].FinishReason)
-	must.NoError(t, CheckAnswer("a [len=20]", text(frames), 20))
+	must.NoError(t, CheckAnswer("a [len=20]", frameText(frames), 20))
 }
 
-// The caller sees one answer although its engine changed: the rest that a second engine sends from index 7 continues the
-// text of the first, because text depends on prompt, generation and index alone.
-func TestResumeContinuesElsewhere(t *testing.T) {
-	a, b := begin(t, fast()), begin(t, fast())
+// A generation moves to a second engine at index 7. The text depends on prompt, generation and index alone, so the second
+// engine's tokens must continue those of the first as one answer.
+func TestResumeOnAnotherEngineContinuesTheText(t *testing.T) {
+	a, b := startServer(t, fastConfig()), startServer(t, fastConfig())
 	g := ids.From(1, 2)
-	first, _ := readFrames(post(t, a, engineapi.PathCompletions, streamed(g, 1, 0, "x [len=30]")).Body, 7)
-	rest, done := readFrames(post(t, b, engineapi.PathCompletions, streamed(g, 2, 7, "x [len=30]")).Body, unlimited)
+	first, _ := readFrames(post(t, a, engineapi.PathCompletions, streamRequest(g, 1, 0, "x [len=30]")).Body, 7)
+	rest, done := readFrames(post(t, b, engineapi.PathCompletions, streamRequest(g, 2, 7, "x [len=30]")).Body, unlimited)
 	must.True(t, done)
-	must.NoError(t, CheckAnswer("x [len=30]", text(first)+text(rest), 30))
+	must.NoError(t, CheckAnswer("x [len=30]", frameText(first)+frameText(rest), 30))
 }
 
-// An entry lost a token on the way, and asks another engine to go on from the rest. The answer would read on as if
-// nothing were missing, so the stand-in refuses it.
-func TestResumeFromWrongTokensIsRefused(t *testing.T) {
-	s := begin(t, fast())
+// An entry loses a token and resumes from the rest on another engine. The answer would read as if nothing were missing, so
+// the stand-in rejects the request.
+func TestResumeWithWrongTokensIsRejected(t *testing.T) {
+	s := startServer(t, fastConfig())
 	g := ids.From(1, 7)
 	const prompt = "w [len=9]"
-	req := streamed(g, 2, 3, prompt)
+	req := streamRequest(g, 2, 3, prompt)
 	for i := range 3 {
 		req.Ext.Resume = append(req.Ext.Resume, TokenText(prompt, g.String(), i))
 	}
@@ -133,10 +133,10 @@
 	must.Eq(t, http.StatusBadRequest, post(t, s, engineapi.PathCompletions, req).StatusCode)
 }
 
-// An entry cancels attempt 1 and its request arrives after the cancel, delayed in a queue. It must not run: attempt 2
-// runs elsewhere by then. The engine refuses with 409 and proves that nothing was executed.
-func TestLateAttemptIsFenced(t *testing.T) {
-	s := begin(t, fast())
+// An entry cancels attempt 1, whose request was delayed in a queue and arrives after the cancel. It must not run, since
+// attempt 2 runs elsewhere by then: the engine answers 409 and reports that nothing was executed.
+func TestCancelledAttemptIsFenced(t *testing.T) {
+	s := startServer(t, fastConfig())
 	g := ids.From(1, 3)
 	req, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s%s%s?attempt=1", s.Addr(), engineapi.PathGenerations, g), nil)
 	must.NoError(t, err)
@@ -146,33 +146,33 @@
 	var res engineapi.CancelResult
 	must.NoError(t, json.NewDecoder(resp.Body).Decode(&res))
 	must.Eq(t, engineapi.CancelResult{}, res)
-	late := post(t, s, engineapi.PathCompletions, streamed(g, 1, 0, "late"))
+	late := post(t, s, engineapi.PathCompletions, streamRequest(g, 1, 0, "late"))
 	must.Eq(t, http.StatusConflict, late.StatusCode)
-	must.True(t, refusal(t, late).NotRun)
-	next := post(t, s, engineapi.PathCompletions, streamed(g, 2, 0, "late [len=2]"))
+	must.True(t, decodeError(t, late).NotRun)
+	next := post(t, s, engineapi.PathCompletions, streamRequest(g, 2, 0, "late [len=2]"))
 	must.Eq(t, http.StatusOK, next.StatusCode)
 }
 
-// Attempt 2 of a generation arrives at the same engine while attempt 1 still streams. The first stream ends without an
-// end mark, so that its reader can't take it for whole; only the second goes on.
-func TestLaterAttemptEndsTheEarlier(t *testing.T) {
-	s := begin(t, fast())
+// Attempt 2 of a generation arrives at the same engine while attempt 1 still streams. The first stream must end without an
+// end mark, so that its reader can't take it for complete; only the second continues.
+func TestNewerAttemptEndsOlderStream(t *testing.T) {
+	s := startServer(t, fastConfig())
 	g := ids.From(1, 4)
-	one := post(t, s, engineapi.PathCompletions, streamed(g, 1, 0, "y [len=2000]"))
+	one := post(t, s, engineapi.PathCompletions, streamRequest(g, 1, 0, "y [len=2000]"))
 	got, _ := readFrames(one.Body, 3)
 	must.Eq(t, 3, len(got))
-	two := post(t, s, engineapi.PathCompletions, streamed(g, 2, 3, "y [len=40]"))
+	two := post(t, s, engineapi.PathCompletions, streamRequest(g, 2, 3, "y [len=40]"))
 	_, done := readFrames(one.Body, unlimited)
 	must.False(t, done)
 	_, done = readFrames(two.Body, unlimited)
 	must.True(t, done)
 }
 
-func TestOrdersHonourFencingNumbers(t *testing.T) {
+func TestOrdersCheckFencingNumbers(t *testing.T) {
 	for _, enforced := range []bool{true, false} {
-		cfg := fast()
+		cfg := fastConfig()
 		cfg.Fencing = enforced
-		s := begin(t, cfg)
+		s := startServer(t, cfg)
 		order := func(fence uint64, model string) int {
 			o := engineapi.Order{Fence: fence, Kind: engineapi.OrderLoadModel, Model: model}
 			return post(t, s, engineapi.PathOrders, o).StatusCode
@@ -186,12 +186,12 @@
 	}
 }
 
-// Each frame of a stream comes twice, after one of an earlier attempt, as a confused link could deliver them. A reader
-// that takes the frames of its own attempt and of the next index still has the whole answer.
-func TestRepeatedFramesCanBeTold(t *testing.T) {
-	s := begin(t, fast())
+// Each frame of a stream comes twice, after a frame of an earlier attempt, as on a faulty link. A reader that keeps only
+// frames of its own attempt with the next index must still get the whole answer.
+func TestRepeatedFramesAreDistinguishable(t *testing.T) {
+	s := startServer(t, fastConfig())
 	must.True(t, s.SetFault(Fault{Kind: FaultRepeat}))
-	frames, done := readFrames(post(t, s, engineapi.PathCompletions, streamed(ids.From(1, 5), 3, 0, "z [len=9]")).Body, unlimited)
+	frames, done := readFrames(post(t, s, engineapi.PathCompletions, streamRequest(ids.From(1, 5), 3, 0, "z [len=9]")).Body, unlimited)
 	must.True(t, done)
 	must.Eq(t, 3*9+1, len(frames))
 	var kept []engineapi.Frame
@@ -200,16 +200,16 @@
 			kept = append(kept, f)
 		}
 	}
-	must.NoError(t, CheckAnswer("z [len=9]", text(kept), 9))
+	must.NoError(t, CheckAnswer("z [len=9]", frameText(kept), 9))
 }
 
-// The process dies while it streams: the reader sees the stream end without an end mark.
-func TestPoisonKillsTheEngine(t *testing.T) {
-	cfg := fast()
+// The process dies while it streams: the reader must see the stream end without an end mark.
+func TestPoisonPromptKillsEngine(t *testing.T) {
+	cfg := fastConfig()
 	cfg.Poison = true
 	died := make(chan struct{})
 	cfg.Die = func() { close(died) }
-	s := begin(t, cfg)
+	s := startServer(t, cfg)
 	body := strings.NewReader(`{"prompt":"[poison]","stream":true}`)
 	resp, err := http.Post("http://"+s.Addr()+engineapi.PathCompletions, "application/json", body)
 	if err == nil {
@@ -220,10 +220,10 @@
 	<-died
 }
 
-// The engine's reports stop changing, yet each says that it is fresh. Only the sequence number, which stands still, tells
-// the reader that the figures are old.
+// The engine's load reports stop changing, yet each reports the age of a fresh one. Only the unchanged sequence number shows
+// that the figures are old.
 func TestFrozenReportsLookFresh(t *testing.T) {
-	s := begin(t, fast())
+	s := startServer(t, fastConfig())
 	load := func() (rep engineapi.LoadReport) {
 		resp, err := http.Get("http://" + s.Addr() + engineapi.PathLoad)
 		must.NoError(t, err)
@@ -239,15 +239,15 @@
 	must.Greater(t, frozen.Seq, load().Seq)
 }
 
-func TestLeavingRefusesNewWork(t *testing.T) {
-	s := begin(t, fast())
+func TestLeavingEngineRejectsNewWork(t *testing.T) {
+	s := startServer(t, fastConfig())
 	must.True(t, s.SetFault(Fault{Kind: FaultLeave}))
-	resp := post(t, s, engineapi.PathCompletions, streamed(ids.From(1, 6), 1, 0, "q"))
+	resp := post(t, s, engineapi.PathCompletions, streamRequest(ids.From(1, 6), 1, 0, "q"))
 	must.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
-	must.Eq(t, engineapi.ErrDraining, refusal(t, resp).Type)
+	must.Eq(t, engineapi.ErrDraining, decodeError(t, resp).Type)
 }
 
-func TestCheckAnswerFindsMixedText(t *testing.T) {
+func TestCheckAnswerDetectsMixedText(t *testing.T) {
 	whole := Answer("p", "g", 5)
 	must.NoError(t, CheckAnswer("p", whole, 5))
 	must.Error(t, CheckAnswer("other", whole, 5))
@@ -268,9 +268,9 @@
 	})
 }
 
-// An engine ran the first attempt of a generation and was restarted, and a later attempt reached its new life. Asked of the
-// first, it must not pass for a witness that this never ran: the claim would be given out and the request run again.
-func TestRestartedEngineIsNoWitnessOfEarlierAttempts(t *testing.T) {
+// An engine ran the first attempt of a generation and was restarted, and a later attempt reached the new process. A cancel
+// of the first attempt must not be answered as known and not run: the claim would be released and the request run again.
+func TestRestartedEngineDoesNotKnowEarlierAttempts(t *testing.T) {
 	s := &Server{fences: newFences()}
 	g := ids.New()
 	s.fences.start(g, 17)
--- a/lib/standin/engine/stream.go
+++ b/lib/standin/engine/stream.go
@@ -6,7 +6,7 @@
 	"anvilwick.example/anvilwick/lib/enginemodel"
 )
 
-// stream carries events of one attempt to its HTTP handler. A reader that is slow lets it grow up to the answer's length.
+// stream queues the events of one attempt for its HTTP handler. With a slow reader the queue grows up to the answer's length.
 type stream struct {
 	mu     sync.Mutex
 	queue  []enginemodel.Event
@@ -28,8 +28,8 @@
 	}
 }
 
-// take returns all events that wait.
-func (st *stream) take() []enginemodel.Event {
+// takeAll returns and removes all queued events.
+func (st *stream) takeAll() []enginemodel.Event {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	q := st.queue
--- a/lib/standin/engine/text.go
+++ b/lib/standin/engine/text.go
@@ -10,26 +10,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Marks that a test may put into a prompt.
+// Marks that tests put into prompts.
 const (
 	markLength = "[len="    // [len=200]: the answer has 200 tokens
-	markPoison = "[poison]" // the engine dies while it runs this prompt, if Config.Poison is set
+	markPoison = "[poison]" // the engine dies while running this prompt, if Config.Poison is set
 )
 
-// Bounds of answers whose prompt does not fix a length.
+// Parameters of the answer length where the prompt doesn't set one.
 const (
 	medianLength = 120
 	sigmaLength  = 0.9
 	maxLength    = 8000
 )
 
-// TokenText returns token i of the answer to a prompt within a generation. Tests check a whole answer by it: the first
-// part names the prompt, the second the generation, the third the index.
+// TokenText returns token i of the answer to a prompt within a generation. Its parts identify the prompt, the generation
+// and the index, so that tests can check a whole answer token by token.
 func TokenText(prompt, generation string, i int) string {
 	return fmt.Sprintf(" %08x-%04x-%d", uint32(xxhash.Sum64String(prompt)), uint16(xxhash.Sum64String(generation)), i)
 }
 
-// Answer returns the whole text of an answer of n tokens.
+// Answer returns the text of an answer of n tokens.
 func Answer(prompt, generation string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -38,8 +38,8 @@
 	return b.String()
 }
 
-// CheckAnswer reports the first thing wrong with the text of a whole answer of n tokens to a prompt: a token of another
-// prompt, a change of generation, a gap, a repeat or a missing end. n < 0 accepts any count.
+// CheckAnswer checks the text of a whole answer of n tokens to a prompt and returns the first error: a token of another
+// prompt, a change of generation, a gap, a duplicate or a missing end. n < 0 accepts any length.
 func CheckAnswer(prompt, text string, n int) error {
 	tokens := strings.Fields(text)
 	if n >= 0 && len(tokens) != n {
@@ -57,9 +57,9 @@
 		}
 		switch {
 		case part[0] != want:
-			return fmt.Errorf("token %d is of another prompt: %q", i, tok)
+			return fmt.Errorf("token %d belongs to another prompt: %q", i, tok)
 		case part[1] != generation:
-			return fmt.Errorf("token %d is of another generation: %q", i, tok)
+			return fmt.Errorf("token %d belongs to another generation: %q", i, tok)
 		case part[2] != strconv.Itoa(i):
 			return fmt.Errorf("token %d has index %s", i, part[2])
 		}
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// AnswerLength returns the tokens of the answer to a prompt: what the prompt fixes, or a heavy-tailed draw that depends
-// on the prompt alone, so that every engine agrees on it.
+// AnswerLength returns the number of tokens of the answer to a prompt: the length set by the prompt, or a heavy-tailed draw
+// that depends on the prompt alone, so that all engines agree on it.
 func AnswerLength(prompt string) int {
 	if n, ok := fixedLength(prompt); ok {
 		return n
--- a/lib/standin/plain/call.go
+++ b/lib/standin/plain/call.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// SetFault carries a fault out and reports whether its kind is known.
+// SetFault injects a fault and reports whether its kind is known.
 func (s *Server) SetFault(f Fault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,9 +25,9 @@
 		}
 	case FaultDieBefore, FaultDieAfter, FaultCutBefore, FaultCutAfter, FaultCutBody, FaultHang, FaultError:
 		s.fault = f.Kind
-		s.left = max(1, f.Count)
+		s.faultCallsLeft = max(1, f.Count)
 	case FaultHealthy:
-		s.fault, s.left = "", 0
+		s.fault, s.faultCallsLeft = "", 0
 		s.leaving = false
 		s.delay = s.cfg.Delay
 	default:
@@ -41,19 +41,19 @@
 	s.cfg.Die()
 }
 
-// call executes one call, with the faults that were ordered around it.
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+// serveCall executes one call and applies the active fault before and after execution.
+func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
 		return
 	}
-	fault, delay, ok := s.enter()
+	fault, delay, ok := s.acquireSlot()
 	if !ok {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "at capacity", http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	s.failBefore(fault)
 	if fault == FaultError {
 		http.Error(w, "ordered to fail", http.StatusInternalServerError)
@@ -65,25 +65,25 @@
 	case <-s.Stopped():
 		panic(http.ErrAbortHandler)
 	}
-	s.answer(w, r, fault, ans)
+	s.writeAnswer(w, r, fault, ans)
 }
 
-// enter takes a place and the fault for this call; false: no place is free.
-func (s *Server) enter() (fault string, delay time.Duration, ok bool) {
+// acquireSlot reserves capacity for a call and returns the fault that applies to it; ok is false if no capacity is free.
+func (s *Server) acquireSlot() (fault string, delay time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running >= s.cfg.Capacity {
 		return "", 0, false
 	}
 	s.running++
-	if s.left > 0 {
-		s.left--
+	if s.faultCallsLeft > 0 {
+		s.faultCallsLeft--
 		fault = s.fault
 	}
 	return fault, s.delay, true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -103,7 +103,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := callID(r)
-	if len(s.counts) < maxPending || s.counts[id] > 0 {
+	if len(s.counts) < maxCountedIDs || s.counts[id] > 0 {
 		s.counts[id]++
 	}
 	return Answer{
@@ -116,7 +116,7 @@
 	}
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, fault string, ans Answer) {
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, fault string, ans Answer) {
 	switch fault {
 	case FaultDieAfter:
 		s.die()
--- a/lib/standin/plain/plain.go
+++ b/lib/standin/plain/plain.go
@@ -1,7 +1,7 @@
 // Package plain is a stand-in for a plain HTTP service behind anvilwick: it answers any method and path, counts
-// executions by the id that the call carries, reports its load, and misbehaves when told to.
+// executions by call id, reports its load and injects faults on request.
 //
-// An id is the header X-Call-Id, else Idempotency-Key, else the query parameter id, else the path.
+// The call id is the header X-Call-Id, else Idempotency-Key, else the query parameter id, else the path.
 package plain
 
 import (
@@ -18,50 +18,50 @@
 	"anvilwick.example/anvilwick/lib/standin/serving"
 )
 
-// Paths of the stand-in itself; a real service has only engineapi.PathServiceLoad.
+// Paths of the stand-in's own interface; a real service serves only engineapi.PathServiceLoad.
 const (
 	PathFault      = "/standin/fault"      // POST Fault
 	PathExecutions = "/standin/executions" // GET: map of id to count
 )
 
-// HeaderCallID names the execution to count.
+// HeaderCallID carries the id under which an execution is counted.
 const HeaderCallID = "X-Call-Id"
 
 const (
-	maxBody    = 16 << 20 // bytes
-	maxPending = 1 << 20  // ids counted at most
+	maxBody       = 16 << 20 // bytes
+	maxCountedIDs = 1 << 20  // most ids that are counted
 )
 
-// Config is what the stand-in needs to know.
+// Config configures a Server.
 type Config struct {
-	Addr      string // IP:port; port 0 picks one
-	Name      string // told in each answer
+	Addr      string // IP:port; port 0 picks a free one
+	Name      string // returned in each answer
 	Delay     time.Duration
-	Capacity  int           // calls at once; more are refused with 503
-	ReportLag time.Duration // load reports are up to so old
-	Die       func()        // called by the death faults after connections are cut; nil: os.Exit(1)
+	Capacity  int           // concurrent calls; more are rejected with 503
+	ReportLag time.Duration // maximum age of load reports
+	Die       func()        // called after connections are cut when a fault ends the process; nil: os.Exit(1)
 }
 
-// Values of Fault.Kind. All but "delay", "leave" and "die" act on the next Count calls.
+// Values of Fault.Kind. All but "delay", "leave" and "die" apply to the next Count calls.
 const (
 	FaultDie       = "die"        // cut all connections and end the process
-	FaultDieBefore = "die_before" // end the process on a call before it is executed
-	FaultDieAfter  = "die_after"  // end the process on a call after it is executed, before the answer
+	FaultDieBefore = "die_before" // end the process on a call before executing it
+	FaultDieAfter  = "die_after"  // end the process on a call after executing it, before the answer
 	FaultCutBefore = "cut_before" // close the connection before the call is executed
 	FaultCutAfter  = "cut_after"  // execute the call, then close the connection without an answer
-	FaultCutBody   = "cut_body"   // execute the call, answer half of the body, then close
+	FaultCutBody   = "cut_body"   // execute the call, send half of the answer's body, then close
 	FaultHang      = "hang"       // execute the call and never answer
-	FaultError     = "error"      // execute nothing and answer 500
+	FaultError     = "error"      // answer 500 without executing
 	FaultDelay     = "delay"      // every call takes MS from now on
-	FaultLeave     = "leave"      // report leaving; MS > 0: die after it
-	FaultHealthy   = "healthy"    // end all of them
+	FaultLeave     = "leave"      // report leaving; MS > 0: exit after MS
+	FaultHealthy   = "healthy"    // end all faults
 )
 
-// Fault is an order to misbehave.
+// Fault is a fault to inject, as POST PathFault takes it.
 type Fault struct {
 	Kind  string `json:"kind"`
 	MS    int64  `json:"ms,omitempty"`
-	Count int    `json:"count,omitempty"` // calls that it acts on; 0: one
+	Count int    `json:"count,omitempty"` // calls that it applies to; 0: one
 }
 
 // Answer is the body of every answer.
@@ -74,20 +74,20 @@
 	Body       string `json:"body,omitempty"`
 }
 
-// Server is one running stand-in.
+// Server is a running stand-in.
 type Server struct {
 	serving.Server
 	cfg Config
 
-	mu      sync.Mutex
-	counts  map[string]int
-	running int
-	delay   time.Duration
-	leaving bool
-	fault   string
-	left    int // calls that fault still acts on
-	report  engineapi.ServiceLoad
-	at      time.Time // when report was taken
+	mu             sync.Mutex
+	counts         map[string]int
+	running        int
+	delay          time.Duration
+	leaving        bool
+	fault          string
+	faultCallsLeft int // calls that fault still applies to
+	report         engineapi.ServiceLoad
+	reportedAt     time.Time // when report was taken
 }
 
 // Start listens and serves until Close or Kill.
@@ -125,7 +125,7 @@
 	mux.HandleFunc("GET "+PathExecutions, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Executions())
 	})
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.serveCall)
 	return mux
 }
 
@@ -147,8 +147,8 @@
 func (s *Server) load(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.report.Seq == 0 || time.Since(s.at) >= s.cfg.ReportLag {
-		s.at = time.Now()
+	if s.report.Seq == 0 || time.Since(s.reportedAt) >= s.cfg.ReportLag {
+		s.reportedAt = time.Now()
 		s.report = engineapi.ServiceLoad{
 			Seq:      s.report.Seq + 1,
 			Running:  s.running,
@@ -157,7 +157,7 @@
 		}
 	}
 	rep := s.report
-	rep.AgeMS = time.Since(s.at).Milliseconds()
+	rep.AgeMS = time.Since(s.reportedAt).Milliseconds()
 	writeJSON(w, http.StatusOK, rep)
 }
 
--- a/lib/standin/plain/plain_test.go
+++ b/lib/standin/plain/plain_test.go
@@ -14,7 +14,7 @@
 	"anvilwick.example/anvilwick/lib/engineapi"
 )
 
-func begin(t *testing.T) *Server {
+func startServer(t *testing.T) *Server {
 	s, err := Start(Config{Addr: "127.0.0.1:0", Name: "dispatch", Capacity: 2, Die: func() {}})
 	must.NoError(t, err)
 	t.Cleanup(func() {
@@ -25,7 +25,7 @@
 	return s
 }
 
-// call posts with an id on a connection of its own.
+// call sends a POST with an id on a new connection.
 func call(s *Server, id string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.Addr()+"/crews", strings.NewReader("send one"))
 	if err != nil {
@@ -37,7 +37,7 @@
 }
 
 func TestCallsAreCountedByID(t *testing.T) {
-	s := begin(t)
+	s := startServer(t)
 	for range 2 {
 		resp, err := call(s, "a")
 		must.NoError(t, err)
@@ -52,10 +52,10 @@
 	must.Eq(t, map[string]int{"a": 2, "b": 1}, s.Executions())
 }
 
-// The caller sees the connection close without an answer in both cases. Only the count tells them apart: cut before, the
-// call was never executed; cut after, it was. A router that repeats the second runs it twice.
+// The caller sees the connection close without an answer in both cases; only the count tells them apart. The call was not
+// executed when cut before and was executed when cut after: a router that resends the latter runs it twice.
 func TestCutBeforeAndAfterExecution(t *testing.T) {
-	s := begin(t)
+	s := startServer(t)
 	must.True(t, s.SetFault(Fault{Kind: FaultCutBefore}))
 	_, err := call(s, "before")
 	must.Error(t, err)
@@ -65,8 +65,8 @@
 	must.Eq(t, map[string]int{"after": 1}, s.Executions())
 }
 
-func TestCutBodyIsVisible(t *testing.T) {
-	s := begin(t)
+func TestCutBodyGivesUnexpectedEOF(t *testing.T) {
+	s := startServer(t)
 	must.True(t, s.SetFault(Fault{Kind: FaultCutBody}))
 	resp, err := call(s, "half")
 	must.NoError(t, err)
@@ -75,8 +75,8 @@
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestLoadAndLeaving(t *testing.T) {
-	s := begin(t)
+func TestLoadReportsLeaving(t *testing.T) {
+	s := startServer(t)
 	must.True(t, s.SetFault(Fault{Kind: FaultLeave}))
 	resp, err := http.Get("http://" + s.Addr() + engineapi.PathServiceLoad)
 	must.NoError(t, err)
--- a/lib/standin/platform/handlers.go
+++ b/lib/standin/platform/handlers.go
@@ -25,44 +25,44 @@
 		return
 	}
 	res, era := s.table.apply(txn, time.Now())
-	answerOf(w, era, res)
+	writeWithEra(w, era, res)
 }
 
 func (s *Server) op(w http.ResponseWriter, r *http.Request) {
 	res, era, ok := s.table.op(r.PathValue("id"))
-	tellEra(w, era)
+	setEraHeader(w, era)
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	answer(w, res)
+	writeJSON(w, res)
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	it, era, ok := s.table.get(r.URL.Query().Get("key"), s.asOf())
-	tellEra(w, era)
+	setEraHeader(w, era)
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	answer(w, it)
+	writeJSON(w, it)
 }
 
 func (s *Server) scan(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	after, _ := strconv.ParseUint(q.Get("after_rev"), 10, 64) // absent or bad: from the start
-	limit, _ := strconv.Atoi(q.Get("limit"))                  // absent or bad: the default
+	after, _ := strconv.ParseUint(q.Get("after_rev"), 10, 64) // absent or malformed: from the start
+	limit, _ := strconv.Atoi(q.Get("limit"))                  // absent or malformed: the default
 	res, era := s.table.scan(q.Get("prefix"), after, limit, s.asOf())
-	answerOf(w, era, res)
+	writeWithEra(w, era, res)
 }
 
-// answerOf answers with what the table holds in an era.
-func answerOf(w http.ResponseWriter, era uint64, v any) {
-	tellEra(w, era)
-	answer(w, v)
+// writeWithEra writes a result of the table, with the table's era in the header.
+func writeWithEra(w http.ResponseWriter, era uint64, v any) {
+	setEraHeader(w, era)
+	writeJSON(w, v)
 }
 
-func tellEra(w http.ResponseWriter, era uint64) {
+func setEraHeader(w http.ResponseWriter, era uint64) {
 	w.Header().Set(platformapi.HeaderEra, strconv.FormatUint(era, 10))
 }
 
@@ -85,7 +85,7 @@
 			http.NotFound(w, r)
 			return
 		}
-		_, _ = w.Write(b) // the sender has gone: nothing is left to tell
+		_, _ = w.Write(b) // an error means that the client has disconnected
 	case http.MethodDelete:
 		delete(s.objects, name)
 		w.WriteHeader(http.StatusNoContent)
@@ -97,15 +97,15 @@
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	lag := s.cfg.ListLag
-	if d, hit := s.faults.meets(FaultListLag, false, now); hit {
+	if d, hit := s.faults.hit(FaultListLag, false, now); hit {
 		lag = d
 	}
-	answer(w, s.instances.asOf(now.Add(-lag)))
+	writeJSON(w, s.instances.asOf(now.Add(-lag)))
 }
 
 func (s *Server) weight(w http.ResponseWriter, r *http.Request) {
 	if !s.weights.Allow() {
-		refuseLater(w, time.Duration(float64(time.Second)/s.cfg.WeightsPerSec))
+		writeRateLimited(w, time.Duration(float64(time.Second)/s.cfg.WeightsPerSec))
 		return
 	}
 	w.WriteHeader(http.StatusOK)
--- a/lib/standin/platform/instances.go
+++ b/lib/standin/platform/instances.go
@@ -13,7 +13,7 @@
 	list []platformapi.Instance
 }
 
-// instances keeps the history of the instance list, so that it can be served late.
+// instances keeps the history of the instance list, so that it can be served with a lag.
 type instances struct {
 	mu       sync.Mutex
 	versions []listVersion // oldest first
@@ -30,17 +30,17 @@
 func (in *instances) put(inst platformapi.Instance, now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.change(inst.ID, &inst, now)
+	in.replace(inst.ID, &inst, now)
 }
 
-// remove takes one instance off the list.
+// remove deletes one instance from the list.
 func (in *instances) remove(id string, now time.Time) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.change(id, nil, now)
+	in.replace(id, nil, now)
 }
 
-func (in *instances) change(id string, with *platformapi.Instance, now time.Time) {
+func (in *instances) replace(id string, with *platformapi.Instance, now time.Time) {
 	var next []platformapi.Instance
 	for _, it := range in.newest() {
 		if it.ID != id {
@@ -56,12 +56,12 @@
 }
 
 func (in *instances) trim(now time.Time) {
-	for len(in.versions) > 1 && now.Sub(in.versions[1].at) > keepVersions {
+	for len(in.versions) > 1 && now.Sub(in.versions[1].at) > versionRetention {
 		in.versions = in.versions[1:]
 	}
 }
 
-// asOf returns the list of an earlier moment.
+// asOf returns the list as it was at t.
 func (in *instances) asOf(t time.Time) platformapi.InstanceList {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/lib/standin/platform/listen.go
+++ b/lib/standin/platform/listen.go
@@ -15,15 +15,15 @@
 
 const headerTimeout = 5 * time.Second
 
-// Listener is a stand-in that serves on a port.
+// Listener is a stand-in served on a TCP port.
 type Listener struct {
 	*Server
 	ln  net.Listener
 	srv *http.Server
 }
 
-// Start serves a new stand-in on addr, an IP:port; port 0 picks one. list names a JSON file with the instance list
-// to start with; empty means none.
+// Start serves a new stand-in on addr, an IP:port; port 0 picks a free one. list names a JSON file with the initial
+// instance list; empty means none.
 func Start(addr, list string, cfg Config) (*Listener, error) {
 	s := New(cfg)
 	if err := s.loadInstances(list); err != nil {
@@ -44,13 +44,13 @@
 	}
 }
 
-// Addr is the IP:port that it serves on.
+// Addr returns the IP:port that it listens on.
 func (l *Listener) Addr() string { return l.ln.Addr().String() }
 
-// Close stops the stand-in; requests in progress may end until ctx does.
+// Close stops the stand-in; requests in progress may finish until ctx ends.
 func (l *Listener) Close(ctx context.Context) error { return l.srv.Shutdown(ctx) }
 
-// loadInstances reads the list to start with, as if it had stood for longer than any lag.
+// loadInstances reads the initial list and dates it before any lag, so that it is visible from the start.
 func (s *Server) loadInstances(path string) error {
 	if path == "" {
 		return nil
--- a/lib/standin/platform/platform_test.go
+++ b/lib/standin/platform/platform_test.go
@@ -25,7 +25,7 @@
 	return res.StatusCode
 }
 
-func TestSameOperationWritesOnce(t *testing.T) {
+func TestRepeatedOperationIDWritesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
 		var first, again platformapi.TxnResult
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestStaleReadsSeeTheOlderState(t *testing.T) {
+func TestStaleReadsReturnOlderState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{})
 		call(t, s, "POST", platformapi.PathTxn, `{"op_id":"a","puts":[{"key":"k","value":"AQ=="}]}`, nil)
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestListLagsAndFaultsEnd(t *testing.T) {
+func TestInstanceListLagsAndFaultExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{ListLag: 3 * time.Second})
 		must.Eq(t, 204, call(t, s, "PUT", InstancesPath+"i1", `{"incarnation":1,"state":"live"}`, nil))
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestLimitsTurnAwayUnread(t *testing.T) {
+func TestRateLimitedRequestsHaveNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{WritesPerSec: 10, WeightsPerSec: 0.5})
 		must.Eq(t, 200, call(t, s, "POST", platformapi.PathTxn, `{"op_id":"a"}`, nil))
--- a/lib/standin/platform/server.go
+++ b/lib/standin/platform/server.go
@@ -1,7 +1,7 @@
 // Package platform is a small stand-in for the platform: a transactional table, an object store, a lagging instance
-// list and a rate-limited weight store behind the HTTP interface of package platformapi, with faults to order.
+// list and a rate-limited weight store behind the HTTP interface of package platformapi, with fault injection.
 //
-// It keeps all in memory, in one process. Each transaction counts as one write however many keys it touches, up to
+// It keeps all data in the memory of one process. A transaction counts as one write however many keys it touches, up to
 // MaxTxnKeys.
 package platform
 
@@ -20,27 +20,27 @@
 	"anvilwick.example/anvilwick/lib/platformapi"
 )
 
-// Paths of the stand-in's own interface, for tests and operators of a trial site.
+// Paths of the stand-in's own interface, for tests and for operators of a test site.
 const (
 	FaultPath     = "/standin/fault"      // POST Fault
 	InstancesPath = "/standin/instances/" // PUT {id} with an Instance, DELETE {id}
 )
 
 const (
-	// MaxTxnKeys bounds the conditions, and the writes, of one transaction.
+	// MaxTxnKeys bounds the conditions, and separately the writes, of one transaction.
 	MaxTxnKeys = 128
 	maxBody    = 4 << 20
 )
 
-// Config sets limits and lags. Zero values take the defaults.
+// Config sets rate limits and lags. Zero values take the defaults.
 type Config struct {
 	WritesPerSec  float64       // default 300
 	ReadsPerSec   float64       // default 2000
 	ListLag       time.Duration // default 0
-	WeightsPerSec float64       // transfers that may start a second; default 1
-	Seed          uint64        // of the draws of faults
+	WeightsPerSec float64       // weight transfers that may start per second; default 1
+	Seed          uint64        // of the random source for faults
 	AnswerDelay   time.Duration // service time of every request
-	Unlimited     bool          // lifts both limits, for tests that measure something else
+	Unlimited     bool          // lifts the read and write limits, for tests of other behaviour
 }
 
 func (c *Config) setDefaults() {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Server is the stand-in. Serve Handler, or use Transport to reach it without a network.
+// Server is the stand-in. Serve Handler over HTTP, or use Transport to reach it without a network.
 type Server struct {
 	cfg       Config
 	table     *table
@@ -87,12 +87,12 @@
 	return s
 }
 
-// limiter allows bursts of a tenth of a second.
+// limiter allows bursts of a tenth of a second's requests.
 func limiter(perSec float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSec), max(1, int(perSec/10)))
 }
 
-// SetFault orders a fault; it reports false for an unknown kind.
+// SetFault injects a fault and reports whether its kind is known.
 func (s *Server) SetFault(f Fault) bool {
 	if f.Kind == FaultRestore {
 		s.table.restore(time.Now().Add(-time.Duration(f.DelayMS) * time.Millisecond))
@@ -104,34 +104,34 @@
 // PutInstance adds or replaces an instance on the list.
 func (s *Server) PutInstance(in platformapi.Instance) { s.instances.put(in, time.Now()) }
 
-// RemoveInstance takes an instance off the list.
+// RemoveInstance deletes an instance from the list.
 func (s *Server) RemoveInstance(id string) { s.instances.remove(id, time.Now()) }
 
-// Item returns the newest state of a key, past all faults and limits.
+// Item returns the newest state of a key, bypassing all faults and limits.
 func (s *Server) Item(key string) (platformapi.Item, bool) {
 	it, _, ok := s.table.get(key, time.Time{})
 	return it, ok
 }
 
-// Handler serves the platform's interface and the stand-in's own.
+// Handler serves the platform's interface and the stand-in's own paths.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+platformapi.PathTxn, s.met(s.writes, true, s.txn))
-	mux.HandleFunc("GET "+platformapi.PathOp+"{id}", s.met(s.reads, false, s.op))
-	mux.HandleFunc("GET "+platformapi.PathGet, s.met(s.reads, false, s.get))
-	mux.HandleFunc("GET "+platformapi.PathRange, s.met(s.reads, false, s.scan))
-	mux.HandleFunc(platformapi.PathObjects+"{name...}", s.met(s.reads, false, s.object))
-	mux.HandleFunc("GET "+platformapi.PathInstances, s.met(s.reads, false, s.list))
-	mux.HandleFunc("GET "+platformapi.PathWeights+"{model}/{version}", s.met(nil, false, s.weight))
+	mux.HandleFunc("POST "+platformapi.PathTxn, s.withLimitAndFaults(s.writes, true, s.txn))
+	mux.HandleFunc("GET "+platformapi.PathOp+"{id}", s.withLimitAndFaults(s.reads, false, s.op))
+	mux.HandleFunc("GET "+platformapi.PathGet, s.withLimitAndFaults(s.reads, false, s.get))
+	mux.HandleFunc("GET "+platformapi.PathRange, s.withLimitAndFaults(s.reads, false, s.scan))
+	mux.HandleFunc(platformapi.PathObjects+"{name...}", s.withLimitAndFaults(s.reads, false, s.object))
+	mux.HandleFunc("GET "+platformapi.PathInstances, s.withLimitAndFaults(s.reads, false, s.list))
+	mux.HandleFunc("GET "+platformapi.PathWeights+"{model}/{version}", s.withLimitAndFaults(nil, false, s.weight))
 	mux.HandleFunc("POST "+FaultPath, s.fault)
 	mux.HandleFunc("PUT "+InstancesPath+"{id}", s.putInstance)
 	mux.HandleFunc("DELETE "+InstancesPath+"{id}", s.deleteInstance)
 	return mux
 }
 
-// met wraps a handler with limits and faults. The answer is made in memory first: what a slow or lost answer hides
-// has taken effect all the same.
-func (s *Server) met(lim *rate.Limiter, write bool, h http.HandlerFunc) http.HandlerFunc {
+// withLimitAndFaults wraps a handler with a rate limit and faults. With FaultSlow or FaultLoseAnswer the request still takes effect, even
+// if the client never gets the answer.
+func (s *Server) withLimitAndFaults(lim *rate.Limiter, write bool, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		now := time.Now()
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -140,47 +140,47 @@
 			return
 		}
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
-		if _, hit := s.faults.meets(FaultOutage, write, now); hit {
+		if _, hit := s.faults.hit(FaultOutage, write, now); hit {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
 		if lim != nil && !lim.Allow() {
-			refuseLater(w, time.Second)
+			writeRateLimited(w, time.Second)
 			return
 		}
 		time.Sleep(s.cfg.AnswerDelay)
-		if d, hit := s.faults.meets(FaultSlow, write, now); hit {
+		if d, hit := s.faults.hit(FaultSlow, write, now); hit {
 			time.Sleep(d)
 		}
-		if _, hit := s.faults.meets(FaultLoseAnswer, write, now); hit {
-			h(&discard{header: http.Header{}}, r)
+		if _, hit := s.faults.hit(FaultLoseAnswer, write, now); hit {
+			h(&discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		h(w, r)
 	}
 }
 
-func refuseLater(w http.ResponseWriter, after time.Duration) {
+func writeRateLimited(w http.ResponseWriter, after time.Duration) {
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	http.Error(w, "over the limit", http.StatusTooManyRequests)
 }
 
-// discard takes an answer that nobody gets.
-type discard struct{ header http.Header }
+// discardWriter is a ResponseWriter for an answer that is lost.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardWriter) WriteHeader(int)             {}
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the sender has gone: nothing is left to tell
+	_ = json.NewEncoder(w).Encode(v) // an error means that the client has disconnected
 }
 
-// asOf is the moment that a read of the table sees; zero means now.
+// asOf returns the time whose state a table read sees; zero means the newest.
 func (s *Server) asOf() time.Time {
 	now := time.Now()
-	if d, hit := s.faults.meets(FaultStaleReads, false, now); hit {
+	if d, hit := s.faults.hit(FaultStaleReads, false, now); hit {
 		return now.Add(-d)
 	}
 	return time.Time{}
--- a/lib/standin/platform/table.go
+++ b/lib/standin/platform/table.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// keepVersions bounds how far back a stale read can look.
-	keepVersions = 2 * time.Minute
-	// keepOps is how many results of transactions are kept for a read by operation id.
-	keepOps = 200_000
-	// defaultRangeLimit is the page size when a range names none.
+	// versionRetention bounds how far back stale reads and restores can go.
+	versionRetention = 2 * time.Minute
+	// maxKeptOps is the number of transaction results kept for reads by operation id.
+	maxKeptOps = 200_000
+	// defaultRangeLimit is the page size when a range request sets none.
 	defaultRangeLimit = 1000
 )
 
-// version is one written state of a key.
+// version is one written state of a key, or the time of one commit.
 type version struct {
 	at      time.Time
 	rev     uint64
@@ -27,7 +27,7 @@
 }
 
 // table is a transactional key-value table. Transactions are serialised by one lock and see the newest state;
-// reads can be asked to see the state of an earlier moment.
+// reads can request an earlier state.
 type table struct {
 	mu       sync.Mutex
 	era      uint64
@@ -35,31 +35,31 @@
 	keys     map[string][]version // oldest first
 	ops      map[string]platformapi.TxnResult
 	opOrder  []string
-	revTimes []version // rev and at of each commit, for the revision of a stale read
+	revTimes []version // rev and at of each commit, to find the revision of a stale read
 }
 
 func newTable() *table {
 	return &table{era: 1, keys: map[string][]version{}, ops: map[string]platformapi.TxnResult{}}
 }
 
-// apply runs a transaction. The same operation id again answers the first result and writes nothing.
+// apply runs a transaction. Repeating an operation id returns the first result and writes nothing.
 func (t *table) apply(txn platformapi.Txn, now time.Time) (res platformapi.TxnResult, era uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if res, ok := t.ops[txn.OpID]; ok {
 		return res, t.era
 	}
-	res = platformapi.TxnResult{Rev: t.rev, Failed: t.failed(txn.Conds)}
+	res = platformapi.TxnResult{Rev: t.rev, Failed: t.failedConds(txn.Conds)}
 	if len(res.Failed) == 0 {
 		t.write(txn, now)
 		res = platformapi.TxnResult{Committed: true, Rev: t.rev}
 	}
-	t.remember(txn.OpID, res)
+	t.recordResult(txn.OpID, res)
 	return res, t.era
 }
 
-// failed lists current items of the conditions that do not hold.
-func (t *table) failed(conds []platformapi.Cond) []platformapi.Item {
+// failedConds returns the current items of the conditions that do not hold.
+func (t *table) failedConds(conds []platformapi.Cond) []platformapi.Item {
 	var out []platformapi.Item
 	for _, c := range conds {
 		it, _ := t.item(c.Key, time.Time{})
@@ -75,14 +75,14 @@
 	t.revTimes = append(t.revTimes, version{at: now, rev: t.rev})
 	t.revTimes = trim(t.revTimes, now)
 	for _, p := range txn.Puts {
-		t.push(p.Key, version{at: now, rev: t.rev, value: p.Value})
+		t.appendVersion(p.Key, version{at: now, rev: t.rev, value: p.Value})
 	}
 	for _, k := range txn.Deletes {
-		t.push(k, version{at: now, rev: t.rev, deleted: true})
+		t.appendVersion(k, version{at: now, rev: t.rev, deleted: true})
 	}
 }
 
-func (t *table) push(key string, v version) {
+func (t *table) appendVersion(key string, v version) {
 	vs := trim(append(t.keys[key], v), v.at)
 	if len(vs) == 1 && v.deleted {
 		delete(t.keys, key)
@@ -91,28 +91,28 @@
 	t.keys[key] = vs
 }
 
-// trim drops versions older than keepVersions, but never the newest.
+// trim removes versions superseded more than keepVersions ago; the newest always stays.
 func trim(vs []version, now time.Time) []version {
 	cut := 0
-	for cut < len(vs)-1 && now.Sub(vs[cut+1].at) > keepVersions {
+	for cut < len(vs)-1 && now.Sub(vs[cut+1].at) > versionRetention {
 		cut++
 	}
 	return vs[cut:]
 }
 
-func (t *table) remember(op string, res platformapi.TxnResult) {
+func (t *table) recordResult(op string, res platformapi.TxnResult) {
 	if op == "" {
 		return
 	}
 	t.ops[op] = res
 	t.opOrder = append(t.opOrder, op)
-	if len(t.opOrder) > keepOps {
+	if len(t.opOrder) > maxKeptOps {
 		delete(t.ops, t.opOrder[0])
 		t.opOrder = t.opOrder[1:]
 	}
 }
 
-// op returns the result of a transaction that took effect.
+// op returns the result of a transaction; ok is false unless it committed.
 func (t *table) op(id string) (res platformapi.TxnResult, era uint64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +120,7 @@
 	return res, t.era, ok && res.Committed
 }
 
-// restore puts the table back to its state of a moment: what was written since is gone, and its revisions are given out again.
+// restore resets the table to its state at a time: later writes are lost and their revisions are assigned again.
 func (t *table) restore(to time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,7 +169,7 @@
 	return it, t.era, ok
 }
 
-// scan returns items under prefix written after a revision, in order of revision.
+// scan returns the items under prefix written after a revision, ordered by revision.
 func (t *table) scan(prefix string, after uint64, limit int, asOf time.Time) (res platformapi.RangeResult, era uint64) {
 	if limit <= 0 {
 		limit = defaultRangeLimit
@@ -192,12 +192,12 @@
 		}
 		return a.Key < b.Key
 	})
-	return page(out, limit), t.era
+	return truncatePage(out, limit), t.era
 }
 
-// page cuts a result to limit items, but never between items of one revision: a caller that goes on after the
-// last revision it saw would miss the rest of that transaction.
-func page(r platformapi.RangeResult, limit int) platformapi.RangeResult {
+// truncatePage cuts a result to limit items, but never between items of one revision: a caller that continues after the last
+// revision it saw would miss the rest of that transaction.
+func truncatePage(r platformapi.RangeResult, limit int) platformapi.RangeResult {
 	if len(r.Items) <= limit {
 		return r
 	}
--- a/lib/standin/platform/transport.go
+++ b/lib/standin/platform/transport.go
@@ -6,19 +6,19 @@
 	"net/http/httptest"
 )
 
-// Transport reaches the stand-in without a network, for tests in virtual time. A request whose context ends is
-// answered with that error and still runs to its end, as it would behind a slow link.
-func (s *Server) Transport() http.RoundTripper { return &direct{h: s.Handler()} }
+// Transport reaches the stand-in without a network, for tests in virtual time. A request whose context ends returns that
+// error and still runs to completion, as it would behind a slow link.
+func (s *Server) Transport() http.RoundTripper { return &handlerTransport{h: s.Handler()} }
 
-type direct struct{ h http.Handler }
+type handlerTransport struct{ h http.Handler }
 
-type reply struct {
+type outcome struct {
 	res *http.Response
 	err error
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *handlerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if err := r.Context().Err(); err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 	if req.Body == nil {
 		req.Body = http.NoBody
 	}
-	done := make(chan reply, 1)
+	done := make(chan outcome, 1)
 	go func() { done <- d.serve(req) }()
 	select {
 	case <-r.Context().Done():
@@ -36,14 +36,14 @@
 	}
 }
 
-// serve turns an aborted handler into the error that a closed connection gives.
-func (d *direct) serve(r *http.Request) (out reply) {
+// serve runs the handler; an aborted handler gives the error of a closed connection.
+func (d *handlerTransport) serve(r *http.Request) (out outcome) {
 	defer func() {
 		if recover() != nil {
-			out = reply{err: io.ErrUnexpectedEOF}
+			out = outcome{err: io.ErrUnexpectedEOF}
 		}
 	}()
 	rec := httptest.NewRecorder()
 	d.h.ServeHTTP(rec, r)
-	return reply{res: rec.Result()}
+	return outcome{res: rec.Result()}
 }
