--- a/app/anvilwick-bench/main.go
+++ b/app/anvilwick-bench/main.go
@@ -138,17 +138,17 @@
 // run prints the lines of all seeds and returns how many requests were lost.
 func run(opt options) (lost int, err error) {
 	ratios := make(map[string][]bench.Ratios)
-	var worths []bench.Worth
+	var worths []bench.AblationEffect
 	for _, seed := range opt.seeds {
 		suite := bench.Suite{
-			Seed:     seed,
-			Window:   opt.window,
-			Policies: opt.policies,
-			Faults:   opt.faults,
-			Ablate:   opt.ablate,
-			Workers:  opt.workers,
-			Scale:    opt.scale,
-			Risk:     opt.risk,
+			Seed:       seed,
+			Window:     opt.window,
+			Policies:   opt.policies,
+			Faults:     opt.faults,
+			Ablate:     opt.ablate,
+			Workers:    opt.workers,
+			Scale:      opt.scale,
+			MemoryRisk: opt.risk,
 		}
 		results, err := suite.Run()
 		if err != nil {
@@ -158,7 +158,7 @@
 			fmt.Println(line(opt, &results[i]))
 			lost += results[i].Lost
 		}
-		worths = append(worths, bench.Worths(results)...)
+		worths = append(worths, bench.AblationEffects(results)...)
 		for _, m := range workload.Deployments() {
 			if r, ok := bench.RatiosOf(m.Deployment, seed, results); ok {
 				ratios[m.Deployment] = append(ratios[m.Deployment], r)
@@ -167,7 +167,7 @@
 		}
 	}
 	printMedians(ratios)
-	for _, w := range bench.MedianWorths(worths) {
+	for _, w := range bench.MedianAblationEffects(worths) {
 		fmt.Println(w.Line())
 	}
 	return lost, nil
@@ -183,7 +183,7 @@
 func printMedians(ratios map[string][]bench.Ratios) {
 	for _, m := range workload.Deployments() {
 		if rs := ratios[m.Deployment]; len(rs) > 1 {
-			r := bench.Median(rs)
+			r := bench.MedianRatios(rs)
 			fmt.Println("median " + r.Line())
 		}
 	}
--- a/app/anvilwick-bench/site.go
+++ b/app/anvilwick-bench/site.go
@@ -79,7 +79,7 @@
 			return err
 		}
 		fmt.Printf("%s: %d instances, %d engines, %d seeds\n", name, load.Instances, load.Engines, len(opt.seeds))
-		if err := replay.Print(os.Stdout, rows); err != nil {
+		if err := replay.WriteTable(os.Stdout, rows); err != nil {
 			return err
 		}
 		sections = append(sections, replaypage.Section{Load: name, Rows: rows})
--- a/lib/bench/bench_test.go
+++ b/lib/bench/bench_test.go
@@ -29,13 +29,13 @@
 func shortRun(policy, fault string, window time.Duration) Result {
 	m := smallMix()
 	c := Config{
-		Mix:      &m,
-		Arrivals: m.Arrivals(1, window),
-		Window:   window,
-		Policy:   policy,
-		Fault:    fault,
-		Oracle:   policy == PolicyOracle,
-		Make:     makePolicy(policy, sched.Options{}),
+		Mix:       &m,
+		Arrivals:  m.Arrivals(1, window),
+		Window:    window,
+		Policy:    policy,
+		Fault:     fault,
+		Oracle:    policy == PolicyOracle,
+		NewPolicy: makePolicy(policy, sched.Options{}),
 	}
 	return Run(c)
 }
@@ -66,7 +66,7 @@
 			c := base
 			c.Policy = policy
 			c.Fault = fault
-			c.Make = makePolicy(policy, sched.Options{})
+			c.NewPolicy = makePolicy(policy, sched.Options{})
 			configs = append(configs, c)
 		}
 	}
@@ -129,7 +129,7 @@
 
 func TestMedianOfRatios(t *testing.T) {
 	all := []Ratios{{Seeds: "1", Stall: 0.1, OverCap: 2}, {Seeds: "2", Stall: 0.5}, {Seeds: "3", Stall: 0.2}}
-	m := Median(all)
+	m := MedianRatios(all)
 	must.Eq(t, 0.2, m.Stall)
 	must.Eq(t, 2, m.OverCap)
 	must.Eq(t, "1,2,3", m.Seeds)
@@ -157,7 +157,7 @@
 		var d *division
 		r := Run(Config{
 			Mix: &m, Arrivals: arrivals, Window: shortWindow, Policy: policy, Fault: FaultNone,
-			Make: func(c *Config) sched.Policy {
+			NewPolicy: func(c *Config) sched.Policy {
 				p := makePolicy(policy, sched.Options{})(c)
 				d = p.(*division)
 				return p
--- a/lib/bench/division.go
+++ b/lib/bench/division.go
@@ -11,14 +11,14 @@
 
 // Ways to divide the decisions, beside one owner for all targets of the service (PolicyAnvilwick).
 const (
-	PolicyAlone     = "entries-alone"    // each entry decides for its own requests, over all targets, from lagging reports
+	PolicyPerEntry  = "entries-alone"    // each entry decides for its own requests, over all targets, from lagging reports
 	PolicySplit2    = "owners-2"         // two owners, each with half of the targets
 	PolicySplit5    = "owners-5"         // five owners
 	PolicyPerTarget = "owner-per-target" // one owner for each target
 )
 
 // Divisions lists them.
-var Divisions = []string{PolicyAnvilwick, PolicySplit2, PolicySplit5, PolicyPerTarget, PolicyAlone}
+var Divisions = []string{PolicyAnvilwick, PolicySplit2, PolicySplit5, PolicyPerTarget, PolicyPerEntry}
 
 // digestEvery is how old an entry's knowledge of an owner's load may be.
 const digestEvery = 500 * time.Millisecond
@@ -46,7 +46,7 @@
 		return 5
 	case PolicyPerTarget:
 		return m.Engines
-	case PolicyAlone:
+	case PolicyPerEntry:
 		return entries
 	}
 	return 1
--- a/lib/bench/giveup.go
+++ b/lib/bench/giveup.go
@@ -16,11 +16,11 @@
 // silent, too: it can't be told from one that is stuck.
 func (s *sim) giveUp(i int) {
 	f := &s.flows[i]
-	if s.cfg.GiveUp == 0 || f.state != flowGranted {
+	if s.cfg.StallTimeout == 0 || f.state != flowGranted {
 		return
 	}
 	started := f.last > f.grantedAt
-	if started && s.now-f.last < s.cfg.GiveUp || !started && s.now-f.grantedAt < firstTokenBound {
+	if started && s.now-f.last < s.cfg.StallTimeout || !started && s.now-f.grantedAt < firstTokenBound {
 		return
 	}
 	f.fruitless++
--- a/lib/bench/giveup_test.go
+++ b/lib/bench/giveup_test.go
@@ -16,7 +16,7 @@
 	m.Engines = 4
 	cfg := Config{Mix: &m, Arrivals: m.Arrivals(1, 20*time.Second), Window: 20 * time.Second, KVTokens: 24_000}
 	patient := RunPolicy(cfg, PolicyLeastLoaded)
-	cfg.GiveUp = 2 * time.Second
+	cfg.StallTimeout = 2 * time.Second
 	hasty := RunPolicy(cfg, PolicyLeastLoaded)
 	must.Zero(t, patient.GivenUp)
 	must.Positive(t, hasty.GivenUp)
--- a/lib/bench/observed.go
+++ b/lib/bench/observed.go
@@ -6,16 +6,16 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// Observed is one request of Config.Arrivals as its caller saw it in real time. Times count from the start of the run.
-type Observed struct {
+// ObservedRequest is one request of Config.Arrivals as its caller saw it in real time. Times count from the start of the run.
+type ObservedRequest struct {
 	Tokens    []time.Duration // when each token came
 	Completed bool
 	Refused   bool // neither: lost
 }
 
-// ResultOf returns the figures that a run in real time has in common with the bench's: the same columns by the same
+// ResultFromObserved returns the figures that a run in real time has in common with the bench's: the same columns by the same
 // definitions. seen holds one element for each of cfg.Arrivals. Ticks over the power cap are not observed.
-func ResultOf(cfg Config, seen []Observed, preemptions int) Result {
+func ResultFromObserved(cfg Config, seen []ObservedRequest, preemptions int) Result {
 	s := &sim{cfg: &cfg, flows: make([]flow, len(seen))}
 	s.metrics.init(&cfg)
 	s.metrics.moves = preemptions
@@ -29,7 +29,7 @@
 	return s.result()
 }
 
-func (o *Observed) state() flowState {
+func (o *ObservedRequest) state() flowState {
 	switch {
 	case o.Completed:
 		return flowCompleted
@@ -56,6 +56,6 @@
 func RunPolicy(cfg Config, policy string) Result {
 	cfg.Policy = policy
 	cfg.Oracle = policy == PolicyOracle
-	cfg.Make = makePolicy(policy, sched.Options{})
+	cfg.NewPolicy = makePolicy(policy, sched.Options{})
 	return Run(cfg)
 }
--- a/lib/bench/observed_test.go
+++ b/lib/bench/observed_test.go
@@ -19,7 +19,7 @@
 		{At: time.Second, Workspace: "fife", Class: urgent, Length: 3},
 		{At: time.Second, Workspace: "fife", Class: urgent, Length: 3},
 	}}
-	r := ResultOf(cfg, []Observed{
+	r := ResultFromObserved(cfg, []ObservedRequest{
 		{Tokens: []time.Duration{1500 * time.Millisecond, 1600 * time.Millisecond, 2600 * time.Millisecond}, Completed: true},
 		{Refused: true},
 		{Tokens: []time.Duration{1100 * time.Millisecond}},
--- a/lib/bench/plant.go
+++ b/lib/bench/plant.go
@@ -31,8 +31,8 @@
 	return plant{engine: c, capWatts: float64(m.Engines) * perEngine}
 }
 
-// EngineOf returns the engines of a run.
-func EngineOf(cfg Config) enginemodel.Config { return plantOf(&cfg).engine }
+// EngineConfig returns the engines of a run.
+func EngineConfig(cfg Config) enginemodel.Config { return plantOf(&cfg).engine }
 
 const (
 	wattsSeqs   = 32              // sequences on each engine that the cap has power for
--- a/lib/bench/policies.go
+++ b/lib/bench/policies.go
@@ -31,7 +31,7 @@
 	return func(c *Config) sched.Policy {
 		newOwner := func() sched.Policy { return sched.NewOwner(c.Mix.Service, opt) }
 		if n := ownersOf(name, c.Mix); n > 1 {
-			return newDivision(n, name == PolicyAlone, newOwner)
+			return newDivision(n, name == PolicyPerEntry, newOwner)
 		}
 		return newOwner()
 	}
--- a/lib/bench/ratios.go
+++ b/lib/bench/ratios.go
@@ -72,8 +72,8 @@
 	return a / b
 }
 
-// Median takes the median of each ratio over several seeds, and the sums of what must be zero.
-func Median(all []Ratios) Ratios {
+// MedianRatios takes the median of each ratio over several seeds, and the sums of what must be zero.
+func MedianRatios(all []Ratios) Ratios {
 	var seeds []string
 	out := Ratios{Deployment: all[0].Deployment}
 	for _, r := range all {
--- a/lib/bench/report.go
+++ b/lib/bench/report.go
@@ -27,7 +27,7 @@
 // by progress, each a second of the run.
 func (r *Result) DivisionLine() string {
 	messages, items := float64(r.Messages), float64(r.Items)
-	if r.Policy == PolicyAlone {
+	if r.Policy == PolicyPerEntry {
 		messages, items = 0, 0
 	}
 	return fmt.Sprintf("%s messages_per_s=%.0f progress_items_per_s=%.0f", r.Line(), messages/r.EndS, items/r.EndS)
--- a/lib/bench/sim.go
+++ b/lib/bench/sim.go
@@ -20,17 +20,17 @@
 
 // Config is one run.
 type Config struct {
-	Mix      *workload.Mix
-	Arrivals []workload.Request
-	Window   time.Duration
-	Policy   string // name for the report
-	Fault    string // one of the Fault constants, or none
-	Oracle   bool   // tell the policy each length
-	Without  string // the part taken out of anvilwick, or none
-	Make     func(c *Config) sched.Policy
+	Mix       *workload.Mix
+	Arrivals  []workload.Request
+	Window    time.Duration
+	Policy    string // name for the report
+	Fault     string // one of the Fault constants, or none
+	Oracle    bool   // tell the policy each length
+	Without   string // the part taken out of anvilwick, or none
+	NewPolicy func(c *Config) sched.Policy
 
-	KVTokens int           // memory of each engine; 0: the deployment's
-	GiveUp   time.Duration // entries leave an engine when one stream is silent for so long, as the real ones do; 0: never
+	KVTokens     int           // memory of each engine; 0: the deployment's
+	StallTimeout time.Duration // entries leave an engine when one stream is silent for so long, as the real ones do; 0: never
 }
 
 // sim is one run in progress.
@@ -77,7 +77,7 @@
 	s.owners = ownersOf(cfg.Policy, cfg.Mix)
 	s.capWatts = s.plant.capWatts
 	s.metrics.init(cfg)
-	s.policy = cfg.Make(cfg)
+	s.policy = cfg.NewPolicy(cfg)
 	s.policy.SetTargets(0, s.plant.targets(cfg.Mix))
 	s.policy.SetPolicy(classPolicies(cfg.Mix))
 	s.startEngines()
--- a/lib/bench/suite.go
+++ b/lib/bench/suite.go
@@ -13,15 +13,15 @@
 
 // Suite says which runs to make. All runs of a deployment see the same arrivals.
 type Suite struct {
-	Seed     uint64
-	Window   time.Duration
-	Policies []string
-	Faults   bool     // also run least-loaded and anvilwick under each fault
-	Scale    int      // engines, entries' load and batches times so many; 0: as they are
-	Ablate   []string // parts to take out of anvilwick, one run each
-	Risk     float64  // accepted memory risk of every class; 0: the mix's
-	Workers  int      // runs at once
-	Options  sched.Options
+	Seed       uint64
+	Window     time.Duration
+	Policies   []string
+	Faults     bool     // also run least-loaded and anvilwick under each fault
+	Scale      int      // engines, entries' load and batches times so many; 0: as they are
+	Ablate     []string // parts to take out of anvilwick, one run each
+	MemoryRisk float64  // accepted memory risk of every class; 0: the mix's
+	Workers    int      // runs at once
+	Options    sched.Options
 }
 
 // Run makes all runs and returns their results in a fixed order.
@@ -29,9 +29,9 @@
 	var configs []Config
 	for _, mix := range workload.Deployments() {
 		mix = mix.Scaled(max(1, s.Scale))
-		if s.Risk > 0 {
+		if s.MemoryRisk > 0 {
 			for i := range mix.Classes {
-				mix.Classes[i].MemoryRisk = s.Risk
+				mix.Classes[i].MemoryRisk = s.MemoryRisk
 			}
 		}
 		arrivals := mix.Arrivals(s.Seed, s.Window)
@@ -52,7 +52,7 @@
 		c.Policy = policy
 		c.Fault = fault
 		c.Oracle = policy == PolicyOracle
-		c.Make = makePolicy(policy, opt)
+		c.NewPolicy = makePolicy(policy, opt)
 		out = append(out, c)
 		return &out[len(out)-1]
 	}
--- a/lib/bench/worth.go
+++ b/lib/bench/worth.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Worth tells what grows without one part of anvilwick: each figure without it over the figure with it, in runs of the
+// AblationEffect tells what grows without one part of anvilwick: each figure without it over the figure with it, in runs of the
 // same seed and fault.
-type Worth struct {
+type AblationEffect struct {
 	Deployment  string
 	Without     string
 	Fault       string
@@ -23,9 +23,9 @@
 	Refused     int // more requests refused without the part
 }
 
-// Worths compares each ablation among the results with the whole policy under the same fault.
-func Worths(results []Result) []Worth {
-	var out []Worth
+// AblationEffects compares each ablation among the results with the whole policy under the same fault.
+func AblationEffects(results []Result) []AblationEffect {
+	var out []AblationEffect
 	for i := range results {
 		r := &results[i]
 		if r.Without == "" {
@@ -41,8 +41,8 @@
 	return out
 }
 
-func worthOf(without, whole *Result) Worth {
-	return Worth{
+func worthOf(without, whole *Result) AblationEffect {
+	return AblationEffect{
 		Deployment:  whole.Deployment,
 		Without:     without.Without,
 		Fault:       whole.Fault,
@@ -59,15 +59,15 @@
 	}
 }
 
-// MedianWorths takes the median of each figure over the seeds, by deployment and part, in order of first appearance.
-func MedianWorths(all []Worth) []Worth {
-	var out []Worth
+// MedianAblationEffects takes the median of each figure over the seeds, by deployment and part, in order of first appearance.
+func MedianAblationEffects(all []AblationEffect) []AblationEffect {
+	var out []AblationEffect
 	for i := range all {
-		same := func(w Worth) bool { return w.Deployment == all[i].Deployment && w.Without == all[i].Without }
+		same := func(w AblationEffect) bool { return w.Deployment == all[i].Deployment && w.Without == all[i].Without }
 		if slices.ContainsFunc(out, same) {
 			continue
 		}
-		var group []Worth
+		var group []AblationEffect
 		for _, w := range all {
 			if same(w) {
 				group = append(group, w)
@@ -78,19 +78,19 @@
 	return out
 }
 
-func medianWorth(group []Worth) Worth {
+func medianWorth(group []AblationEffect) AblationEffect {
 	out := group[0]
-	mid := func(get func(*Worth) float64) float64 { return median(group, get) }
-	out.Stall = mid(func(w *Worth) float64 { return w.Stall })
-	out.Preemptions = mid(func(w *Worth) float64 { return w.Preemptions })
-	out.ITL = mid(func(w *Worth) float64 { return w.ITL })
-	out.TTFT = mid(func(w *Worth) float64 { return w.TTFT })
-	out.Urgent = mid(func(w *Worth) float64 { return w.Urgent })
-	out.Wait = mid(func(w *Worth) float64 { return w.Wait })
-	out.Tokens = mid(func(w *Worth) float64 { return w.Tokens })
-	out.Fairness = mid(func(w *Worth) float64 { return w.Fairness })
-	out.OverCap = int(mid(func(w *Worth) float64 { return float64(w.OverCap) }))
-	out.Refused = int(mid(func(w *Worth) float64 { return float64(w.Refused) }))
+	mid := func(get func(*AblationEffect) float64) float64 { return median(group, get) }
+	out.Stall = mid(func(w *AblationEffect) float64 { return w.Stall })
+	out.Preemptions = mid(func(w *AblationEffect) float64 { return w.Preemptions })
+	out.ITL = mid(func(w *AblationEffect) float64 { return w.ITL })
+	out.TTFT = mid(func(w *AblationEffect) float64 { return w.TTFT })
+	out.Urgent = mid(func(w *AblationEffect) float64 { return w.Urgent })
+	out.Wait = mid(func(w *AblationEffect) float64 { return w.Wait })
+	out.Tokens = mid(func(w *AblationEffect) float64 { return w.Tokens })
+	out.Fairness = mid(func(w *AblationEffect) float64 { return w.Fairness })
+	out.OverCap = int(mid(func(w *AblationEffect) float64 { return float64(w.OverCap) }))
+	out.Refused = int(mid(func(w *AblationEffect) float64 { return float64(w.Refused) }))
 	return out
 }
 
@@ -105,7 +105,7 @@
 }
 
 // Line formats what the part is worth.
-func (w *Worth) Line() string {
+func (w *AblationEffect) Line() string {
 	fault := ""
 	if w.Fault != FaultNone {
 		fault = " fault=" + w.Fault
--- a/lib/enginemodel/engine.go
+++ b/lib/enginemodel/engine.go
@@ -275,8 +275,8 @@
 	return time.Duration(float64(d) * e.slow)
 }
 
-// SetSlow multiplies the time of later steps; 1 is the usual speed.
-func (e *Engine) SetSlow(factor float64) { e.slow = factor }
+// SetStepFactor multiplies the time of later steps; 1 is the usual speed.
+func (e *Engine) SetStepFactor(factor float64) { e.slow = factor }
 
 // SetLeaving makes Add refuse; what runs goes on.
 func (e *Engine) SetLeaving(v bool) { e.leaving = v }
--- a/lib/replay/compare.go
+++ b/lib/replay/compare.go
@@ -10,8 +10,8 @@
 
 // Measure is a figure of a play.
 type Measure struct {
-	Name string
-	Of   func(Tally) float64
+	Name  string
+	Value func(Tally) float64
 }
 
 // Measures are the figures that Compare gives, in order.
@@ -38,7 +38,7 @@
 
 // Compare plays a load under policies, named as in Policies, with the same seeds. workers bounds the plays at a time; the
 // figures don't depend on it.
-func Compare(l Load, policies []string, seeds []uint64, workers int) ([]Row, error) {
+func Compare(l Pattern, policies []string, seeds []uint64, workers int) ([]Row, error) {
 	tallies := make([][]Tally, len(policies))
 	var work sync.WaitGroup
 	slots := make(chan struct{}, max(1, workers))
@@ -52,7 +52,7 @@
 			work.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				tallies[i][j] = Play(l, p, seed)
+				tallies[i][j] = Simulate(l, p, seed)
 			})
 		}
 	}
@@ -69,8 +69,8 @@
 	for _, m := range Measures {
 		values, diffs := make([]float64, len(own)), make([]float64, len(own))
 		for i := range own {
-			values[i] = m.Of(own[i])
-			diffs[i] = values[i] - m.Of(first[i])
+			values[i] = m.Value(own[i])
+			diffs[i] = values[i] - m.Value(first[i])
 		}
 		r.Means = append(r.Means, estimate(values))
 		r.Diffs = append(r.Diffs, estimate(diffs))
@@ -100,8 +100,8 @@
 	return e
 }
 
-// Print writes rows as a table: each measure's mean, and its difference to the first policy with the standard error.
-func Print(w io.Writer, rows []Row) error {
+// WriteTable writes rows as a table: each measure's mean, and its difference to the first policy with the standard error.
+func WriteTable(w io.Writer, rows []Row) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(tw, "policy")
 	for _, m := range Measures {
--- a/lib/replay/compare_test.go
+++ b/lib/replay/compare_test.go
@@ -8,16 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-func short() Load {
-	l := Crowded()
-	l.Span = 3 * time.Second
+func short() Pattern {
+	l := Saturated()
+	l.Duration = 3 * time.Second
 	return l
 }
 
 // The same seed brings the same figures, whatever else runs beside: a difference of two policies is theirs.
 func TestSameSeedSameFigures(t *testing.T) {
 	for name, p := range Policies {
-		must.Eq(t, Play(short(), p, 3), Play(short(), p, 3), must.Sprint(name))
+		must.Eq(t, Simulate(short(), p, 3), Simulate(short(), p, 3), must.Sprint(name))
 	}
 	one, err := Compare(short(), []string{"owners", "news"}, []uint64{1, 2}, 1)
 	must.NoError(t, err)
@@ -36,7 +36,7 @@
 	must.Eq(t, Estimate{Mean: 2, Err: 1}, estimate([]float64{1, 3}))
 	must.Eq(t, Estimate{Mean: 5}, estimate([]float64{5}))
 	var b strings.Builder
-	must.NoError(t, Print(&b, rows))
+	must.NoError(t, WriteTable(&b, rows))
 	must.Eq(t, 3, strings.Count(b.String(), "\n"))
 	_, err = Compare(short(), []string{"nobody"}, []uint64{1}, 1)
 	must.Error(t, err)
--- a/lib/replay/site.go
+++ b/lib/replay/site.go
@@ -44,7 +44,7 @@
 
 // site plays a load.
 type site struct {
-	load      Load
+	load      Pattern
 	pol       Policy
 	rng       *rand.Rand // of the load: the same streams come under each policy
 	chance    *rand.Rand // of the instances' decisions
@@ -78,8 +78,8 @@
 
 func (s *site) clock() time.Time { return start.Add(s.now) }
 
-// Play plays a load under a policy.
-func Play(l Load, pol Policy, seed uint64) Tally {
+// Simulate plays a load under a policy.
+func Simulate(l Pattern, pol Policy, seed uint64) Tally {
 	l.Domains = max(1, l.Domains)
 	s := &site{load: l, pol: pol, rng: rand.New(rand.NewPCG(seed, 7)), chance: rand.New(rand.NewPCG(seed, 8))}
 	if pol.Way == Owners {
@@ -93,7 +93,7 @@
 	for range l.Engines {
 		s.addEngine()
 	}
-	for ; s.now < l.Span; s.now += tick {
+	for ; s.now < l.Duration; s.now += tick {
 		s.step()
 	}
 	return s.tally
@@ -124,7 +124,7 @@
 func (s *site) addEngine() {
 	s.made++
 	info := fleet.Info{ID: fmt.Sprint("e", s.made), Service: service, Domain: s.domain(s.made), Slots: 24}
-	e := &engine{Info: info, runs: make(map[uint64]*stream), byGen: make(map[ids.Generation]*stream), faulty: s.made <= s.load.Faulty}
+	e := &engine{Info: info, runs: make(map[uint64]*stream), byGen: make(map[ids.Generation]*stream), faulty: s.made <= s.load.FaultyEngines}
 	e.model = enginemodel.New(enginemodel.Config{
 		Seed: uint64(s.made), StepBase: 7 * time.Millisecond, StepPerSeq: 120 * time.Microsecond, StepPerContext: 4 * time.Nanosecond,
 		StepPerPrefill: time.Millisecond / 14, PrefillChunk: 112, MaxBatch: 24, QueueBound: 72, KVTokens: kv,
@@ -146,14 +146,14 @@
 	}
 	s.deliver()
 	factor, short := 1.0, 1.0
-	if s.load.Shape != nil {
-		factor = s.load.Shape(s.now)
+	if s.load.RateFactor != nil {
+		factor = s.load.RateFactor(s.now)
 	}
-	if s.load.ShortShape != nil {
-		short = s.load.ShortShape(s.now)
+	if s.load.ShortRateFactor != nil {
+		short = s.load.ShortRateFactor(s.now)
 	}
-	s.arrivals(true, s.load.Longs*factor)
-	s.arrivals(false, s.load.Shorts*factor*short)
+	s.arrivals(true, s.load.LongRate*factor)
+	s.arrivals(false, s.load.ShortRate*factor*short)
 	for _, in := range s.instances {
 		in.waiting = slices.DeleteFunc(in.waiting, func(r *stream) bool { return s.now >= r.next && s.way.decide(r) })
 	}
@@ -224,7 +224,7 @@
 			s.end(r, fleet.Abandoned)
 			s.tally.Lost++
 		}
-		s.after(s.load.BackAfter, s.addEngine)
+		s.after(s.load.ReplaceAfter, s.addEngine)
 	}
 	s.way.listed()
 }
@@ -246,11 +246,11 @@
 func (s *site) instancesGone() {
 	switch {
 	case s.now == 0:
-	case s.now == s.load.HalfGoneAt:
+	case s.now == s.load.HalfInstancesFailAt:
 		for _, in := range s.instances[len(s.instances)/2:] {
 			s.endInstance(in)
 		}
-	case s.now == s.load.OwnersGoneAt:
+	case s.now == s.load.OwnersFailAt:
 		for _, in := range s.firstInRank() {
 			s.endInstance(in)
 		}
--- a/lib/replay/stream.go
+++ b/lib/replay/stream.go
@@ -46,7 +46,7 @@
 	}
 	if !long {
 		r.prompt, r.length = 800+s.rng.IntN(3400), 4+s.rng.IntN(12)
-		r.budget = s.load.ShortBudget
+		r.budget = s.load.ShortTimeout
 	}
 	r.length = min(r.length, 1500)
 	off := s.rng.NormFloat64()
--- a/lib/replaypage/page.go
+++ b/lib/replaypage/page.go
@@ -65,7 +65,7 @@
 			v.Plots = append(v.Plots, svg)
 		}
 		var table bytes.Buffer
-		if err := replay.Print(&table, s.Rows); err != nil {
+		if err := replay.WriteTable(&table, s.Rows); err != nil {
 			return err
 		}
 		v.Table = table.String()
--- a/lib/replaypage/page_test.go
+++ b/lib/replaypage/page_test.go
@@ -13,8 +13,8 @@
 
 // The page holds a plot of each measure for each load, and names nothing outside itself.
 func TestPageHoldsItsPlots(t *testing.T) {
-	l := replay.Crowded()
-	l.Span = time.Second
+	l := replay.Saturated()
+	l.Duration = time.Second
 	rows, err := replay.Compare(l, []string{"owners", "news"}, []uint64{1, 2}, 2)
 	must.NoError(t, err)
 	var b bytes.Buffer
--- a/lib/siterun/policies.go
+++ b/lib/siterun/policies.go
@@ -77,11 +77,11 @@
 	m = loadgen.Scale(m, c.Load.Load, c.Load.Length)
 	m.Engines = c.Policies.Engines
 	run := bench.Config{
-		Mix:      &m,
-		Arrivals: m.Arrivals(c.Load.Seed, c.Load.Span),
-		Window:   c.Load.Span,
-		KVTokens: c.Policies.KVTokens,
-		GiveUp:   c.Policies.StallFloor,
+		Mix:          &m,
+		Arrivals:     m.Arrivals(c.Load.Seed, c.Load.Span),
+		Window:       c.Load.Span,
+		KVTokens:     c.Policies.KVTokens,
+		StallTimeout: c.Policies.StallFloor,
 	}
 	for _, name := range c.Policies.names() {
 		r, more, err := c.real(ctx, run, name)
@@ -105,7 +105,7 @@
 type observer struct {
 	mu    sync.Mutex
 	start time.Time
-	seen  []bench.Observed
+	seen  []bench.ObservedRequest
 	codes map[result.Code]int // of answers that are not whole
 }
 
@@ -154,14 +154,14 @@
 	}
 	run.Policy = policy
 	more := fmt.Sprintf("given_up_stalled=%.0f failure_codes=%s", u.stalled, obs.failures())
-	return bench.ResultOf(run, obs.seen, byEngines+int(u.moved)), more, stop(ctx, site)
+	return bench.ResultFromObserved(run, obs.seen, byEngines+int(u.moved)), more, stop(ctx, site)
 }
 
 // send sends the plan and returns what callers saw.
 func (c Config) send(ctx context.Context, run bench.Config, site *localsite.Site) (*observer, error) {
 	obs := &observer{
 		start: time.Now(),
-		seen:  make([]bench.Observed, len(run.Arrivals)),
+		seen:  make([]bench.ObservedRequest, len(run.Arrivals)),
 		codes: make(map[result.Code]int),
 	}
 	r := loadgen.Runner{
@@ -193,7 +193,7 @@
 	set.StallFloor = c.Policies.StallFloor
 	return start(ctx, localsite.Config{
 		Binaries: c.Binaries, Engines: c.Policies.Engines, Plains: 1, Entries: 1,
-		EngineFlags: engineFlags(bench.EngineOf(run)),
+		EngineFlags: engineFlags(bench.EngineConfig(run)),
 		EntryFlags:  []string{"-scheduler", schedulers[policy], "-log-level", "warn"},
 		Settings:    set,
 	})
--- a/lib/standin/engine/fault.go
+++ b/lib/standin/engine/fault.go
@@ -89,7 +89,7 @@
 		s.faults.frozen = false
 		s.model.FreezeReports(false)
 	case FaultSlow:
-		s.model.SetSlow(max(1, f.Factor))
+		s.model.SetStepFactor(max(1, f.Factor))
 	case FaultLeave:
 		s.model.SetLeaving(true)
 		if wait > 0 {
@@ -102,7 +102,7 @@
 	case FaultHealthy:
 		s.faults = faultState{}
 		s.model.FreezeReports(false)
-		s.model.SetSlow(1)
+		s.model.SetStepFactor(1)
 		s.model.SetLeaving(false)
 	default:
 		return false
