--- a/lib/e2e/copy_test.go
+++ b/lib/e2e/copy_test.go
@@ -12,11 +12,12 @@
 	"anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// The platform's table comes back from a copy while bookings are under way, with entries that live. Each booking is asked for with a key
-// until its answer is final, through one entry after another: it stands exactly once, whether the copy has its claim or not.
+// The platform's table is restored from a copy while bookings are in progress and the entries keep running. Each booking is
+// retried with its key until the answer is final, through one entry after another: it must be executed exactly once, whether
+// or not the copy contains its claim.
 func TestBookingsThroughACopyOfTheTable(t *testing.T) {
-	site, ctx := siteOf(t, 1, 3)
-	c := clientOf(site)
+	site, ctx := startSite(t, 1, 3)
+	c := newClient(site)
 	const bookings = 24
 	var wg sync.WaitGroup
 	errs := make([]error, bookings)
@@ -24,8 +25,8 @@
 		wg.Go(func() {
 			time.Sleep(time.Duration(i) * 100 * time.Millisecond)
 			key := fmt.Sprintf("copied-%d", i)
-			if _, errs[i] = insist(ctx, c, key, i); errs[i] == nil {
-				_, errs[i] = insist(ctx, c, key, i+1) // a resend through another entry
+			if _, errs[i] = bookUntilFinal(ctx, c, key, i); errs[i] == nil {
+				_, errs[i] = bookUntilFinal(ctx, c, key, i+1) // a resend through another entry
 			}
 		})
 	}
--- a/lib/e2e/doc.go
+++ b/lib/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e holds tests of the whole path as separate processes: real binaries on loopback, under SIGKILL, SIGSTOP,
-// SIGTERM and faults of the platform. It has no code outside its tests.
+// Package e2e holds end-to-end tests: they run the real binaries as separate processes on loopback, under SIGKILL, SIGSTOP,
+// SIGTERM and platform faults. It has no code outside its tests.
 package e2e
--- a/lib/e2e/e2e_test.go
+++ b/lib/e2e/e2e_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	workspace = "treaty-desk"
-	model     = "treaty-70b"
-	patience  = 2 * time.Minute // of one test, the build of the binaries included; they wait on conditions and end much sooner
+	workspace   = "treaty-desk"
+	model       = "treaty-70b"
+	testTimeout = 2 * time.Minute // bounds one test, building the binaries included; tests wait on conditions and end much sooner
 )
 
-// sites bounds the sites that run at once, some ten processes each: more would wait for the processor and not for the
-// conditions that the tests are about.
-var sites = make(chan struct{}, 4)
+// siteSlots bounds the number of concurrent sites. Each has some ten processes; with more sites the tests would wait for the CPU
+// instead of the conditions under test.
+var siteSlots = make(chan struct{}, 4)
 
 func TestMain(m *testing.M) {
 	code := m.Run()
@@ -34,26 +34,28 @@
 	os.Exit(code)
 }
 
-// siteOf starts a site with the settings that most tests use.
-func siteOf(t *testing.T, engines, entries int, engineFlags ...string) (*localsite.Site, context.Context) {
+// startSite starts a site with defaultSettings.
+func startSite(t *testing.T, engines, entries int, engineFlags ...string) (*localsite.Site, context.Context) {
 	t.Helper()
-	return siteWith(t, engines, entries, someSettings(), engineFlags...)
+	return startSiteWith(t, engines, entries, defaultSettings(), engineFlags...)
 }
 
-func someSettings() localsite.Settings {
+func defaultSettings() localsite.Settings {
 	return localsite.Settings{
 		Model: model, Service: "anvilwick-treaty", Route: "/ledger", Workspaces: []string{workspace},
 		Classes: []workload.Class{{Name: "standard", Priority: 50, MaxWait: time.Minute, QueueBound: 100, MaxPreemptions: 2}},
 	}
 }
 
-// siteWith starts a site and stops it at the end of the test. On a failure it shows what the processes said.
-func siteWith(t *testing.T, engines, entries int, settings localsite.Settings, engineFlags ...string) (*localsite.Site, context.Context) {
+// startSiteWith starts a site and stops it at the end of the test. If the test fails, it logs the output of all processes.
+func startSiteWith(
+	t *testing.T, engines, entries int, settings localsite.Settings, engineFlags ...string,
+) (*localsite.Site, context.Context) {
 	t.Helper()
 	t.Parallel()
-	sites <- struct{}{}
-	t.Cleanup(func() { <-sites })
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	siteSlots <- struct{}{}
+	t.Cleanup(func() { <-siteSlots })
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	bin, err := proc.Binaries(ctx)
 	must.NoError(t, err)
@@ -73,8 +75,10 @@
 	return site, ctx
 }
 
-func clientOf(site *localsite.Site) *caller.Client {
-	return &caller.Client{Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(workspace), HTTP: &http.Client{Transport: &http.Transport{}}}
+func newClient(site *localsite.Site) *caller.Client {
+	return &caller.Client{
+		Entries: site.CallerAddrs(), Token: localsite.WorkspaceKey(workspace), HTTP: &http.Client{Transport: &http.Transport{}},
+	}
 }
 
 // stream is a generation in progress.
@@ -88,8 +92,8 @@
 	err    error
 }
 
-// start asks for an answer of n tokens.
-func start(ctx context.Context, c *caller.Client, name string, n int, call caller.Call) *stream {
+// startStream requests an answer of n tokens and reads it in the background.
+func startStream(ctx context.Context, c *caller.Client, name string, n int, call caller.Call) *stream {
 	s := &stream{
 		prompt: fmt.Sprintf("%s [len=%d]", name, n),
 		tokens: n,
@@ -107,8 +111,8 @@
 	return s
 }
 
-// reach waits until token n has come.
-func (s *stream) reach(t *testing.T, ctx context.Context, n int) {
+// awaitToken waits until a token with index n or higher has arrived.
+func (s *stream) awaitToken(t *testing.T, ctx context.Context, n int) {
 	t.Helper()
 	for {
 		select {
@@ -118,17 +122,17 @@
 			}
 		case <-s.done:
 			if len(s.seen) > 0 {
-				continue // what is still to be read comes first
+				continue // tokens that arrived before the end are read first
 			}
 			t.Fatalf("%s ended before token %d: %+v %v", s.prompt, n, s.res, s.err)
 		case <-ctx.Done():
-			t.Fatalf("%s: token %d did not come", s.prompt, n)
+			t.Fatalf("%s: token %d did not arrive in time", s.prompt, n)
 		}
 	}
 }
 
-// whole waits for the end and checks every token.
-func (s *stream) whole(t *testing.T, ctx context.Context) {
+// checkComplete waits until the stream has ended and checks every token.
+func (s *stream) checkComplete(t *testing.T, ctx context.Context) {
 	t.Helper()
 	select {
 	case <-s.done:
@@ -139,7 +143,7 @@
 	must.NoError(t, engine.CheckAnswer(s.prompt, s.text.String(), s.tokens))
 }
 
-func running(nodes []*localsite.Node) int {
+func countRunning(nodes []*localsite.Node) int {
 	n := 0
 	for _, node := range nodes {
 		if node.Running() {
--- a/lib/e2e/entry_test.go
+++ b/lib/e2e/entry_test.go
@@ -16,32 +16,32 @@
 	"anvilwick.example/anvilwick/lib/standin/plain"
 )
 
-// The entry that holds a caller's stream is killed. The caller sees a cut without end mark, asks another entry with its
-// Idempotency-Key and Last-Event-ID, and gets the rest of the same generation: no token twice, none left out.
-func TestEntryKilledUnderAKeyedStream(t *testing.T) {
-	site, ctx := siteOf(t, 2, 3)
-	s := start(ctx, clientOf(site), "entry killed", 200, caller.Call{Entry: 0, Key: "extraction-1", Resumes: 100})
-	s.reach(t, ctx, 120)
+// The entry that holds a caller's stream is killed. The caller sees the stream cut without an end mark, retries at another
+// entry with its Idempotency-Key and Last-Event-ID, and must get the rest of the same generation without gaps or duplicates.
+func TestEntryKilledDuringKeyedStream(t *testing.T) {
+	site, ctx := startSite(t, 2, 3)
+	s := startStream(ctx, newClient(site), "entry killed", 200, caller.Call{Entry: 0, Key: "extraction-1", Resumes: 100})
+	s.awaitToken(t, ctx, 120)
 	killed := time.Now()
 	must.NoError(t, site.Entries[0].Kill())
-	s.reach(t, ctx, 121)
+	s.awaitToken(t, ctx, 121)
 	t.Logf("stream goes on %v after SIGKILL", time.Since(killed))
-	s.whole(t, ctx)
+	s.checkComplete(t, ctx)
 	must.Positive(t, s.res.Resumed)
 }
 
-// The entry that holds a caller's stream is frozen, the caller gives it up and goes on through another, and then the
-// frozen one wakes with its attempt half done. Both now speak to engines for one generation; the attempt numbers must
-// keep the older one from reaching the caller or from running on beside the newer.
-func TestEntryFrozenUnderAKeyedStream(t *testing.T) {
-	site, ctx := siteOf(t, 2, 3)
+// The entry that holds a caller's stream is frozen, the caller times out and resumes through another entry, and then the
+// frozen one continues with its attempt half done. Both now have an engine running the same generation: attempt numbers must
+// keep the older attempt from reaching the caller and from running on beside the newer one.
+func TestEntryFrozenDuringKeyedStream(t *testing.T) {
+	site, ctx := startSite(t, 2, 3)
 	call := caller.Call{Entry: 0, Key: "extraction-2", Resumes: 100, Silence: time.Second}
-	s := start(ctx, clientOf(site), "entry frozen", 250, call)
-	s.reach(t, ctx, 100)
+	s := startStream(ctx, newClient(site), "entry frozen", 250, call)
+	s.awaitToken(t, ctx, 100)
 	must.NoError(t, site.Entries[0].Freeze())
-	s.reach(t, ctx, 150)
+	s.awaitToken(t, ctx, 150)
 	must.NoError(t, site.Entries[0].Thaw())
-	s.whole(t, ctx)
+	s.checkComplete(t, ctx)
 	must.NoError(t, proc.Until(ctx, "the older attempt to end", func(ctx context.Context) error {
 		n, err := site.StreamingEngine(ctx)
 		if n != nil {
@@ -49,15 +49,14 @@
 		}
 		return err
 	}))
-	start(ctx, clientOf(site), "after the thaw", 20, caller.Call{Entry: 0}).whole(t, ctx)
+	startStream(ctx, newClient(site), "after the thaw", 20, caller.Call{Entry: 0}).checkComplete(t, ctx)
 }
 
-// The caller sends a keyed, non-idempotent call, and its entry is killed while the service runs it. The caller asks two
-// other entries again with the same key. The call was sent, so it must not run again, and nobody may be told that it
-// did not run.
-func TestEntryKilledUnderANonIdempotentCall(t *testing.T) {
-	site, ctx := siteOf(t, 1, 3)
-	c := clientOf(site)
+// The entry of a keyed, non-idempotent call is killed while the service runs it, and the caller retries with the same key at
+// two other entries. Since the call was sent, it must not run again, and no answer may say that it did not run.
+func TestEntryKilledDuringNonIdempotentCall(t *testing.T) {
+	site, ctx := startSite(t, 1, 3)
+	c := newClient(site)
 	for _, n := range site.Plains {
 		must.NoError(t, localsite.PlainFault(ctx, n, plain.Fault{Kind: plain.FaultDelay, MS: 3000}))
 	}
@@ -76,7 +75,7 @@
 	must.NoError(t, site.Entries[0].Kill())
 	must.Error(t, <-first)
 
-	// While the dead holder still counts as live the key is in progress; then its outcome is unknown, for good.
+	// While the killed entry still counts as live, the key is in progress; after that the outcome stays unknown.
 	for try := 0; ; try++ {
 		call.Entry = 1 + try%2
 		_, res, err := c.Plain(ctx, call)
@@ -93,8 +92,8 @@
 	must.Eq(t, 1, n)
 }
 
-// saysNotRun tells whether a caller would take the answer as proof that its call did not run. AlreadyRunning is none: it
-// speaks of the resend alone, and says that the first is in progress.
+// saysNotRun reports whether a caller would take the answer as proof that its call did not run. AlreadyRunning is no such
+// proof: it applies to the resend only, and says that the first call is in progress.
 func saysNotRun(res caller.Result) bool {
 	in := result.Lookup(res.Code)
 	return in.Outcome == result.NotRun && res.Code != result.AlreadyRunning
@@ -112,16 +111,16 @@
 	return sum, nil
 }
 
-// statusDeadline is when a screen that checks a status gives up. Without an answer by then the test fails.
+// statusDeadline is the time-out of a client that polls a status. A check without an answer by then fails the test.
 const statusDeadline = 5 * time.Second
 
-// One caller's link is retired with its entry: the entry is stopped by SIGTERM while long streams run on it. Status
-// checks at that entry and at its fellows are answered all the while, or refused at once as not run; they never hang.
-func TestStatusChecksDuringAPlannedStop(t *testing.T) {
-	site, ctx := siteOf(t, 2, 2)
-	c := clientOf(site)
-	long := start(ctx, c, "long", 200, caller.Call{Entry: 0})
-	long.reach(t, ctx, 3)
+// An entry is stopped by SIGTERM while a long stream runs on it. Status checks at that entry and at the other one must be
+// answered throughout, or at the stopping entry be refused immediately as not run; none may hang.
+func TestStatusChecksDuringPlannedStop(t *testing.T) {
+	site, ctx := startSite(t, 2, 2)
+	c := newClient(site)
+	long := startStream(ctx, c, "long", 200, caller.Call{Entry: 0})
+	long.awaitToken(t, ctx, 3)
 	must.NoError(t, site.Entries[0].Terminate())
 	slowest := time.Duration(0)
 	answered, refused := 0, 0
@@ -149,7 +148,7 @@
 	}
 	t.Logf("answered %d, refused as stopping %d, slowest %v", answered, refused, slowest)
 	must.Positive(t, refused)
-	long.whole(t, ctx)
+	long.checkComplete(t, ctx)
 	code, err := site.Entries[0].Wait(ctx)
 	must.NoError(t, err)
 	must.Eq(t, 0, code)
--- a/lib/e2e/flags_test.go
+++ b/lib/e2e/flags_test.go
@@ -10,11 +10,11 @@
 	"anvilwick.example/anvilwick/lib/proc"
 )
 
-// An operator mistypes a flag. The process must say which in one line, start nothing and end with 2: half started, it
-// would take a place behind the balancer and refuse everyone.
-func TestBadFlagsStartNothing(t *testing.T) {
+// With a malformed flag, a process must name the flag in one line, start nothing and exit with code 2: a half-started process
+// would receive traffic from the load balancer and refuse all of it.
+func TestInvalidFlagsAreReported(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	bin, err := proc.Binaries(ctx)
 	must.NoError(t, err)
@@ -52,7 +52,7 @@
 
 func TestHelpAndVersion(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	bin, err := proc.Binaries(ctx)
 	must.NoError(t, err)
--- a/lib/e2e/pairs_test.go
+++ b/lib/e2e/pairs_test.go
@@ -17,49 +17,50 @@
 	"anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// The platform goes down, and then the entry under a keyed stream of an idempotent service is killed. The table can't tell
-// the next entry anything; the record that the dead one left with its peers must be enough for the rest of the answer.
-func TestEntryKilledDuringAnOutage(t *testing.T) {
-	set := someSettings()
+// During a platform outage, the entry of a keyed stream of an idempotent service is killed. The next entry can't use the
+// table; the record that the killed entry replicated to its peers must suffice to complete the answer.
+func TestEntryKilledDuringPlatformOutage(t *testing.T) {
+	set := defaultSettings()
 	set.Idempotent = true
-	site, ctx := siteWith(t, 2, 3, set)
-	s := start(ctx, clientOf(site), "killed in an outage", 400, caller.Call{Entry: 0, Key: "extraction-3", Resumes: 200})
-	s.reach(t, ctx, 200)
+	site, ctx := startSiteWith(t, 2, 3, set)
+	s := startStream(ctx, newClient(site), "killed in an outage", 400, caller.Call{Entry: 0, Key: "extraction-3", Resumes: 200})
+	s.awaitToken(t, ctx, 200)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
 	must.NoError(t, site.Entries[0].Kill())
-	s.whole(t, ctx)
+	s.checkComplete(t, ctx)
 	must.Positive(t, s.res.Resumed)
 }
 
-// The same under a keyed stream that may run only once. Two entries could both find the record, and only the table can
-// say which of them goes on: until it is back the caller is told so, each time at once, and then it gets the rest.
-func TestEntryKilledDuringAnOutageOfWorkThatRunsOnce(t *testing.T) {
-	site, ctx := siteOf(t, 2, 3)
-	c := clientOf(site)
+// The same for a keyed stream that must not run twice. Two entries could both find the replicated record, and only the table
+// decides which of them continues: until it is back, each retry must be refused immediately with StoreDown; after that the
+// caller must get the rest.
+func TestEntryOfNonIdempotentStreamKilledDuringPlatformOutage(t *testing.T) {
+	site, ctx := startSite(t, 2, 3)
+	c := newClient(site)
 	const tokens = 400
 	call := caller.Call{Entry: 0, Key: "extraction-once", Resumes: 500}
-	s := start(ctx, c, "once in an outage", tokens, call)
-	s.reach(t, ctx, 200)
+	s := startStream(ctx, c, "once in an outage", tokens, call)
+	s.awaitToken(t, ctx, 200)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
 	must.NoError(t, site.Entries[0].Kill())
-	refused := refusal(t, ctx, c, caller.Call{Entry: 1, Key: call.Key}, tokens)
+	refused := awaitRefusal(t, ctx, c, caller.Call{Entry: 1, Key: call.Key}, tokens)
 	must.Eq(t, result.StoreDown, refused.res.Code)
 	must.Positive(t, refused.res.RetryAfter)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultClear}))
-	s.whole(t, ctx)
+	s.checkComplete(t, ctx)
 	must.Positive(t, s.res.Resumed)
 }
 
-// refusal asks once more with the key and returns how it was refused. While another request asks for the key's claim at the
-// same entry it may truthfully hear that, and asks again.
-func refusal(t *testing.T, ctx context.Context, c *caller.Client, call caller.Call, tokens int) *stream {
+// awaitRefusal sends one more request with the key and returns how it was refused. While another request for the key's claim is in
+// progress at the same entry, AlreadyRunning is a valid answer, and the request is repeated.
+func awaitRefusal(t *testing.T, ctx context.Context, c *caller.Client, call caller.Call, tokens int) *stream {
 	t.Helper()
 	for {
-		s := start(ctx, c, "once in an outage", tokens, call)
+		s := startStream(ctx, c, "once in an outage", tokens, call)
 		select {
 		case <-s.done:
 		case <-ctx.Done():
-			t.Fatal("no refusal")
+			t.Fatal("no refusal in time")
 		}
 		must.Error(t, s.err)
 		if s.res.Code != result.AlreadyRunning {
@@ -68,27 +69,27 @@
 	}
 }
 
-// The entry and the engine under a keyed stream are killed together: a rack went. The stream goes on through another
-// entry, on another engine, from the next token.
+// The entry and the engine of a keyed stream are killed together, as when a rack fails. The stream must continue through
+// another entry, on another engine, from the next token.
 func TestEntryAndEngineKilledTogether(t *testing.T) {
-	site, ctx := siteOf(t, 2, 3)
-	s := start(ctx, clientOf(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", Resumes: 200})
-	s.reach(t, ctx, 200)
+	site, ctx := startSite(t, 2, 3)
+	s := startStream(ctx, newClient(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", Resumes: 200})
+	s.awaitToken(t, ctx, 200)
 	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
-	must.NoError(t, n.Freeze()) // it says no more from here on, whichever dies first
+	must.NoError(t, n.Freeze()) // it sends nothing from here on, whichever process dies first
 	must.NoError(t, site.Entries[0].Kill())
 	must.NoError(t, n.Kill())
-	s.whole(t, ctx)
+	s.checkComplete(t, ctx)
 	must.Positive(t, s.res.Resumed)
 }
 
-// The holder of a lease is frozen for longer than its term and wakes believing that nothing happened. Another holds the
-// lease by then; from its waking on, the old one must not count itself as holder for a moment, and numbers only grow.
-func TestFrozenLeaseHolderWakesWithoutTheLease(t *testing.T) {
-	site, ctx := siteOf(t, 1, 2)
-	old, before := holderOf(t, ctx, site.Controls)
+// A lease holder is frozen for longer than the lease's term. Another process holds the lease by the time it continues: from
+// then on the old holder must never report itself as holder, and fencing numbers must only grow.
+func TestFrozenLeaseHolderLosesTheLease(t *testing.T) {
+	site, ctx := startSite(t, 1, 2)
+	old, before := awaitHolder(t, ctx, site.Controls)
 	must.NoError(t, old.Freeze())
 	var others []*localsite.Node
 	for _, n := range site.Controls {
@@ -96,23 +97,23 @@
 			others = append(others, n)
 		}
 	}
-	holder, now := holderOf(t, ctx, others)
+	holder, now := awaitHolder(t, ctx, others)
 	must.Greater(t, before, now)
 	must.NoError(t, old.Thaw())
 	for range 50 {
 		st, err := localsite.Operator(old).Status(ctx)
 		must.NoError(t, err)
-		must.Eq(t, 0, leaseIn(st).Fence)
+		must.Eq(t, 0, heldLease(st).Fence)
 	}
 	st, err := localsite.Operator(holder).Status(ctx)
 	must.NoError(t, err)
-	must.Eq(t, now, leaseIn(st).Fence)
+	must.Eq(t, now, heldLease(st).Fence)
 }
 
-const lease = "placement"
+const leaseName = "placement"
 
-// holderOf waits until one of the control processes holds the lease, and returns its fencing number too.
-func holderOf(t *testing.T, ctx context.Context, controls []*localsite.Node) (holder *localsite.Node, fence uint64) {
+// awaitHolder waits until one of the control processes holds the lease, and returns it with its fencing number.
+func awaitHolder(t *testing.T, ctx context.Context, controls []*localsite.Node) (holder *localsite.Node, fence uint64) {
 	t.Helper()
 	must.NoError(t, proc.Until(ctx, "a holder", func(ctx context.Context) error {
 		for _, n := range controls {
@@ -120,31 +121,31 @@
 			if err != nil {
 				return err
 			}
-			if l := leaseIn(st); l.Fence > 0 {
+			if l := heldLease(st); l.Fence > 0 {
 				holder, fence = n, l.Fence
 				return nil
 			}
 		}
-		return errors.New("nobody holds it")
+		return errors.New("no process holds the lease")
 	}))
 	return holder, fence
 }
 
-// leaseIn returns the lease as a process holds it now; without one the number is 0.
-func leaseIn(st opsapi.Status) opsapi.Lease {
+// heldLease returns the lease as a process reports it; Fence is 0 unless the process holds it.
+func heldLease(st opsapi.Status) opsapi.Lease {
 	for _, l := range st.Leases {
-		if l.Name == lease && l.LeftMS > 0 {
+		if l.Name == leaseName && l.LeftMS > 0 {
 			return l
 		}
 	}
 	return opsapi.Lease{}
 }
 
-// Callers ask for keyed, non-idempotent calls while the platform is down: only those need it. They must be refused at
-// once as not run, with a time to come back, and unkeyed and idempotent calls beside them must be answered.
-func TestOnlyClaimsNeedThePlatform(t *testing.T) {
-	site, ctx := siteOf(t, 1, 2)
-	c := clientOf(site)
+// During a platform outage, callers send keyed, non-idempotent calls, the only ones that need the platform. They must be
+// refused at once as not run, with a retry time, while idempotent calls without a key must be answered.
+func TestOnlyKeyedNonIdempotentCallsNeedThePlatform(t *testing.T) {
+	site, ctx := startSite(t, 1, 2)
+	c := newClient(site)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
 	for i := range 10 {
 		id := fmt.Sprint("claim-", i)
--- a/lib/e2e/power_test.go
+++ b/lib/e2e/power_test.go
@@ -16,16 +16,16 @@
 	"anvilwick.example/anvilwick/lib/standin/engine"
 )
 
-// Forty requests arrive at once at a site whose cap lets some sixteen sequences run at most. All of them at once would
-// draw 2200 W. What must be seen: the engines' own reports never pass the cap of 1000 W together, and every caller gets
-// its whole answer: work is slowed, not dropped.
-func TestPowerCapSlowsAndDropsNothing(t *testing.T) {
-	site, ctx := siteWith(t, 2, 2, cappedSettings())
-	underTheCap(t, ctx, site, drawn)
+// Forty requests arrive at once at a site whose power cap allows some sixteen running sequences; all forty would draw 2200 W.
+// The sum of the engines' reports must never exceed the cap of 1000 W, and every caller must get its whole answer: work is
+// delayed, not dropped.
+func TestPowerCapDelaysWithoutDropping(t *testing.T) {
+	site, ctx := startSiteWith(t, 2, 2, cappedSettings())
+	checkPowerCap(t, ctx, site, reportedWatts)
 }
 
-// drawn sums up what the engines say that they draw.
-func drawn(t *testing.T, ctx context.Context, site *localsite.Site) float64 {
+// reportedWatts returns the sum of the power that the engines report.
+func reportedWatts(t *testing.T, ctx context.Context, site *localsite.Site) float64 {
 	t.Helper()
 	sum := 0.0
 	for _, n := range site.Engines {
@@ -42,12 +42,12 @@
 	return sum
 }
 
-// Every control process is killed, and then the entries are restarted one after another: each has its settings from the
-// other, and nobody to tell it of power. Forty requests at once would draw 2200 W. What must be seen: the entries hold to
-// the fallbacks that the settings give, the cap is never passed, and every caller gets its whole answer.
+// Every control process is killed, and then the entries are restarted one after another: each gets its settings from the
+// other, and no process sends it power limits. Forty requests at once would draw 2200 W. The entries must apply the fallback
+// limits of the settings: the cap is never exceeded, and every caller gets its whole answer.
 func TestPowerCapHoldsWithoutControlProcesses(t *testing.T) {
 	s := cappedSettings()
-	site, ctx := siteWith(t, 2, 2, s)
+	site, ctx := startSiteWith(t, 2, 2, s)
 	for _, n := range site.Controls {
 		must.NoError(t, n.Kill())
 	}
@@ -56,34 +56,36 @@
 		must.NoError(t, site.Restart(n))
 		must.NoError(t, site.AwaitReady(ctx, n))
 	}
-	underTheCap(t, ctx, site, trulyDrawn)
+	checkPowerCap(t, ctx, site, actualWatts)
 }
 
-// The engines' load reports freeze, age and all, before forty requests come: they tell of idle engines for ever. The cap
-// must hold on what owners know themselves, and every caller gets its whole answer.
+// The engines' load reports freeze, age included, before forty requests arrive, so that they keep showing idle engines. The
+// cap must hold from what owners know themselves, and every caller must get its whole answer.
 func TestPowerCapHoldsWithFrozenReports(t *testing.T) {
-	site, ctx := siteWith(t, 2, 2, cappedSettings())
+	site, ctx := startSiteWith(t, 2, 2, cappedSettings())
 	for _, n := range site.Engines {
 		must.NoError(t, localsite.EngineFault(ctx, n, engine.Fault{Kind: engine.FaultFreeze}))
 	}
-	underTheCap(t, ctx, site, trulyDrawn)
+	checkPowerCap(t, ctx, site, actualWatts)
 }
 
 const capWatts = 1000
 
 func cappedSettings() localsite.Settings {
-	s := someSettings()
+	s := defaultSettings()
 	s.PowerCap, s.IdleWatts, s.SeqWatts, s.MaxBatch = capWatts, 100, 50, 30
 	return s
 }
 
-// underTheCap sends forty requests and checks by measure what the engines draw meanwhile, in watts.
-func underTheCap(t *testing.T, ctx context.Context, site *localsite.Site, measure func(*testing.T, context.Context, *localsite.Site) float64) {
+// checkPowerCap sends forty requests and checks the engines' total draw, in watts, as measure returns it.
+func checkPowerCap(
+	t *testing.T, ctx context.Context, site *localsite.Site, measure func(*testing.T, context.Context, *localsite.Site) float64,
+) {
 	t.Helper()
-	c := clientOf(site)
+	c := newClient(site)
 	var streams []*stream
 	for i := range 40 {
-		streams = append(streams, start(ctx, c, fmt.Sprint("watts ", i), 40, caller.Call{Entry: i}))
+		streams = append(streams, startStream(ctx, c, fmt.Sprint("watts ", i), 40, caller.Call{Entry: i}))
 	}
 	done := make(chan struct{})
 	go func() {
@@ -103,15 +105,15 @@
 		}
 	}
 	for _, s := range streams {
-		s.whole(t, ctx)
+		s.checkComplete(t, ctx)
 	}
-	t.Logf("most drawn %.0f W of %d W in %d samples", top, capWatts, samples)
+	t.Logf("maximum draw %.0f W of %d W in %d samples", top, capWatts, samples)
 	must.LessEq(t, capWatts, top)
 	must.Greater(t, 200, top)
 }
 
-// trulyDrawn sums up what the engines draw, whatever their reports say.
-func trulyDrawn(t *testing.T, ctx context.Context, site *localsite.Site) float64 {
+// actualWatts returns the sum of the power that the engines draw, regardless of their load reports.
+func actualWatts(t *testing.T, ctx context.Context, site *localsite.Site) float64 {
 	t.Helper()
 	sum := 0.0
 	for _, n := range site.Engines {
--- a/lib/e2e/proof_test.go
+++ b/lib/e2e/proof_test.go
@@ -21,30 +21,30 @@
 	"anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// An extraction runs overnight and its engine's link stalls: the connection stands, load reports come or not, and no
-// token arrives. Left alone, the extraction would wait for as long as the link does. The entry sees the silence, fences
-// the attempt and goes on elsewhere; when the link wakes, what it still carries is dropped.
-func TestStalledOvernightExtraction(t *testing.T) {
-	site, ctx := siteOf(t, 2, 2)
-	s := start(ctx, clientOf(site), "cedant bordereau", 250, caller.Call{})
-	s.reach(t, ctx, 40)
+// An engine's link stalls during a long extraction: the connection stays open, load reports may or may not arrive, and no
+// token does. Without stall detection the stream would wait as long as the link stalls. The entry must detect the stall, fence
+// the attempt and resume elsewhere; frames that arrive once the link recovers are dropped.
+func TestStalledStreamResumesElsewhere(t *testing.T) {
+	site, ctx := startSite(t, 2, 2)
+	s := startStream(ctx, newClient(site), "cedant bordereau", 250, caller.Call{})
+	s.awaitToken(t, ctx, 40)
 	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
 	const stalled = 8 * time.Second
 	from := time.Now()
 	must.NoError(t, engineFault(ctx, n, engine.Fault{Kind: engine.FaultStall, MS: stalled.Milliseconds()}))
-	s.whole(t, ctx)
-	t.Logf("whole %v after its link stalled for %v", time.Since(from), stalled)
+	s.checkComplete(t, ctx)
+	t.Logf("complete %v after its link stalled for %v", time.Since(from), stalled)
 	must.Less(t, stalled, time.Since(from))
 }
 
-// A claims summary is booked. The service books it, and the connection breaks before its answer: nobody can know. The
-// clerk and a colleague ask again with the same key, at once and through every entry. Sent again, it would be booked
-// twice; told "not run", the clerk would book it under a new key.
-func TestDuplicatedClaimsSummary(t *testing.T) {
-	site, ctx := siteOf(t, 1, 3)
-	c := clientOf(site)
+// A booking is executed, and the connection breaks before its answer, so its outcome is unknown. Clients retry with the same
+// key, concurrently and through every entry. If it were sent again, it would be booked twice; if an answer said "not run", the
+// client would book it again under a new key.
+func TestBookingWithLostAnswerRunsOnce(t *testing.T) {
+	site, ctx := startSite(t, 1, 3)
+	c := newClient(site)
 	for _, n := range site.Plains {
 		must.NoError(t, localsite.PlainFault(ctx, n, plain.Fault{Kind: plain.FaultCutAfter, Count: 100}))
 	}
@@ -76,12 +76,12 @@
 	must.Eq(t, 1, n)
 }
 
-// The link to a ledger target is retired: an operator drains it, calls in progress there take their time, and then it is
-// stopped. Underwriters check states all the while through every entry. Each check is answered, by the other target; the
-// slow call on the retiring link is answered whole.
-func TestStatusChecksDuringALinksRetirement(t *testing.T) {
-	site, ctx := siteOf(t, 1, 2)
-	c := clientOf(site)
+// A target is retired: an operator drains it, calls in progress there finish slowly, and then it is stopped. Status checks
+// run through every entry meanwhile. Each must be answered, by the other target if need be, and the slow calls on the
+// retiring target must be answered whole.
+func TestStatusChecksWhileATargetIsRetired(t *testing.T) {
+	site, ctx := startSite(t, 1, 2)
+	c := newClient(site)
 	retiring := site.Plains[0]
 	for _, n := range site.Plains {
 		must.NoError(t, localsite.PlainFault(ctx, n, plain.Fault{Kind: plain.FaultDelay, MS: 2500}))
@@ -89,7 +89,9 @@
 	slow := make(chan error, 4)
 	for i := range cap(slow) {
 		go func() {
-			_, _, err := c.Plain(ctx, caller.PlainCall{Method: http.MethodPost, Path: fmt.Sprintf("/ledger/book?id=slow-%d", i), Body: "b", Entry: i})
+			_, _, err := c.Plain(ctx, caller.PlainCall{
+				Method: http.MethodPost, Path: fmt.Sprintf("/ledger/book?id=slow-%d", i), Body: "b", Entry: i,
+			})
 			slow <- err
 		}()
 	}
@@ -104,7 +106,7 @@
 	for _, n := range site.Plains {
 		must.NoError(t, localsite.PlainFault(ctx, n, plain.Fault{Kind: plain.FaultDelay, MS: 1}))
 	}
-	checks := keepChecking(ctx, site)
+	checks := startStatusChecks(ctx, site)
 	rep, err := localsite.Operator(site.Controls[0]).Drain(ctx, opsapi.DrainRequest{Target: retiring.Name, On: true, Operator: "ann"})
 	must.NoError(t, err)
 	must.True(t, rep.Durable)
@@ -112,7 +114,7 @@
 		must.NoError(t, <-slow)
 	}
 	for _, e := range site.Entries {
-		must.NoError(t, proc.Until(ctx, "the drain", func(ctx context.Context) error { return draining(ctx, e, retiring.Name) }))
+		must.NoError(t, proc.Until(ctx, "the drain", func(ctx context.Context) error { return checkDraining(ctx, e, retiring.Name) }))
 	}
 	must.NoError(t, proc.Terminate(ctx, retiring.Proc))
 	answered, err := checks()
@@ -121,16 +123,16 @@
 	t.Logf("%d checks answered", answered)
 }
 
-// keepChecking sends status checks through all entries until the returned function is called, which tells how many were
-// answered and the first that was not.
-func keepChecking(ctx context.Context, site *localsite.Site) func() (int, error) {
+// startStatusChecks sends status checks through all entries until the returned function is called, which returns the number of
+// answered checks and the first failure.
+func startStatusChecks(ctx context.Context, site *localsite.Site) func() (int, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var mu sync.Mutex
 	answered, failed := 0, error(nil)
 	var wg sync.WaitGroup
 	for i := range site.Entries {
 		wg.Go(func() {
-			c := clientOf(site)
+			c := newClient(site)
 			for ctx.Err() == nil {
 				_, res, err := c.Plain(ctx, caller.PlainCall{Method: http.MethodGet, Path: "/ledger/status?id=s", Entry: i})
 				if ctx.Err() != nil {
@@ -155,15 +157,15 @@
 
 var errUnanswered = errors.New("not answered")
 
-// The control process that holds a lease is paused for longer than the lease lives, and goes on still believing that it
-// holds it. Another has taken the lease by then, under a higher number; the paused one must see that its time is over and
-// act under it no more.
-func TestLeaseHolderFrozenPastItsLease(t *testing.T) {
-	site, ctx := siteOf(t, 1, 3)
+// The control process that holds a lease is frozen for longer than the lease's term and continues with its old state.
+// Another process has acquired the lease by then, with a higher fencing number; the old holder must detect that its lease has
+// expired and stop acting under it.
+func TestLeaseHolderFrozenPastItsTerm(t *testing.T) {
+	site, ctx := startSite(t, 1, 3)
 	var old *localsite.Node
 	var held opsapi.Lease
 	must.NoError(t, proc.Until(ctx, "a holder", func(ctx context.Context) (err error) {
-		old, held, err = holder(ctx, site, "", nil)
+		old, held, err = findHolder(ctx, site, "", nil)
 		return err
 	}))
 	must.NoError(t, old.Freeze())
@@ -171,10 +173,10 @@
 	var next *localsite.Node
 	var taken opsapi.Lease
 	must.NoError(t, proc.Until(ctx, "the next holder", func(ctx context.Context) (err error) {
-		next, taken, err = holder(ctx, site, held.Name, old)
+		next, taken, err = findHolder(ctx, site, held.Name, old)
 		return err
 	}))
-	t.Logf("%s is held again %v after its holder froze", held.Name, time.Since(frozen))
+	t.Logf("%s has a new holder %v after the old one froze", held.Name, time.Since(frozen))
 	must.Greater(t, held.Fence, taken.Fence)
 	must.NoError(t, old.Thaw())
 	st, err := localsite.Operator(old).Status(ctx)
@@ -182,15 +184,15 @@
 	for _, l := range st.Leases {
 		must.NotEq(t, held.Fence, l.Fence, must.Sprintf("%s still holds %s after the thaw", old.Name, l.Name))
 	}
-	_, now, err := holder(ctx, site, held.Name, old)
+	_, now, err := findHolder(ctx, site, held.Name, old)
 	must.NoError(t, err)
 	must.Eq(t, taken.Fence, now.Fence, must.Sprint(next.Name))
 }
 
-var errNoHolder = errors.New("nobody holds it")
+var errNoHolder = errors.New("no process holds the lease")
 
-// holder finds the control process, other than not, that holds a lease; an empty name means any lease.
-func holder(ctx context.Context, site *localsite.Site, name string, not *localsite.Node) (*localsite.Node, opsapi.Lease, error) {
+// findHolder returns the control process, other than not, that holds the named lease; an empty name means any lease.
+func findHolder(ctx context.Context, site *localsite.Site, name string, not *localsite.Node) (*localsite.Node, opsapi.Lease, error) {
 	for _, n := range site.Controls {
 		if n == not {
 			continue
@@ -208,19 +210,19 @@
 	return nil, opsapi.Lease{}, errNoHolder
 }
 
-// The platform loses the answers to half of its writes, each of which takes effect, and then it is down. Every booking is
-// asked for with a key until its answer is final, through one entry after another. While claims can't be settled the
-// refusal is "not run", and is true; in the end each booking stands exactly once.
-func TestClaimsThroughLostAnswersAndAnOutage(t *testing.T) {
-	site, ctx := siteOf(t, 1, 3)
-	c := clientOf(site)
+// The platform loses the answers to half of its writes, each of which takes effect, and then has an outage. Every booking is
+// retried with its key until its answer is final, through one entry after another. While claims can't be settled, bookings
+// are refused as not run, which must be true: in the end each booking must be executed exactly once.
+func TestBookingsDuringLostAnswersAndOutage(t *testing.T) {
+	site, ctx := startSite(t, 1, 3)
+	c := newClient(site)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultLoseAnswer, Probability: 0.5, WritesOnly: true}))
 	const bookings = 12
 	var wg sync.WaitGroup
 	refused := make([]int, bookings)
 	errs := make([]error, bookings)
 	for i := range bookings {
-		wg.Go(func() { refused[i], errs[i] = insist(ctx, c, fmt.Sprintf("crew-%d", i), i) })
+		wg.Go(func() { refused[i], errs[i] = bookUntilFinal(ctx, c, fmt.Sprintf("crew-%d", i), i) })
 	}
 	must.NoError(t, proc.Until(ctx, "some bookings", func(ctx context.Context) error {
 		if n, err := executions(ctx, site, "crew-0"); err != nil || n == 0 {
@@ -229,7 +231,7 @@
 		return nil
 	}))
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage, DurationMS: 1500}))
-	_, err := insist(ctx, c, "in-the-outage", 0)
+	_, err := bookUntilFinal(ctx, c, "in-the-outage", 0)
 	must.NoError(t, err)
 	wg.Wait()
 	must.NoError(t, errors.Join(errs...))
@@ -244,8 +246,8 @@
 	must.Eq(t, 1, n)
 }
 
-// insist books under a key until the booking is answered, and counts refusals.
-func insist(ctx context.Context, c *caller.Client, key string, entry int) (refused int, err error) {
+// bookUntilFinal books under a key until the booking is answered, and returns the number of refusals before that.
+func bookUntilFinal(ctx context.Context, c *caller.Client, key string, entry int) (refused int, err error) {
 	for ; ; refused++ {
 		_, res, err := c.Plain(ctx, caller.PlainCall{Method: http.MethodPost, Path: "/ledger/crews", Body: key, Key: key, Entry: entry + refused})
 		if err == nil {
--- a/lib/e2e/stream_test.go
+++ b/lib/e2e/stream_test.go
@@ -9,24 +9,24 @@
 	"anvilwick.example/anvilwick/lib/standin/engine"
 )
 
-// The engine under a stream is killed. The caller's connection stands; what it sees is a pause and then the rest: the
-// entry fences the dead attempt and resumes from the next index on another engine.
-func TestEngineKilledUnderAStream(t *testing.T) {
-	site, ctx := siteOf(t, 3, 1)
-	s := start(ctx, clientOf(site), "engine killed", 150, caller.Call{})
-	s.reach(t, ctx, 30)
+// The engine that runs a stream is killed. The caller's connection stays open, and after a pause it must get the rest: the
+// entry fences the lost attempt and resumes from the next index on another engine.
+func TestEngineKilledDuringStream(t *testing.T) {
+	site, ctx := startSite(t, 3, 1)
+	s := startStream(ctx, newClient(site), "engine killed", 150, caller.Call{})
+	s.awaitToken(t, ctx, 30)
 	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
 	must.NotNil(t, n)
 	must.NoError(t, n.Kill())
-	s.whole(t, ctx)
-	must.Eq(t, 2, running(site.Engines))
+	s.checkComplete(t, ctx)
+	must.Eq(t, 2, countRunning(site.Engines))
 }
 
-// The link to the engine carries repeated frames and frames of an earlier attempt beside the right ones. Without the
-// check of (generation, attempt, index) at the entry the caller would read them as its answer.
-func TestRepeatedAndLateFramesDontReachTheCaller(t *testing.T) {
-	site, ctx := siteOf(t, 1, 1)
+// The engine's link carries duplicate frames and frames of an earlier attempt among the right ones. Without the entry's check
+// of (generation, attempt, index) the caller would read them as part of its answer.
+func TestDuplicateAndLateFramesAreDropped(t *testing.T) {
+	site, ctx := startSite(t, 1, 1)
 	must.NoError(t, engineFault(ctx, site.Engines[0], engine.Fault{Kind: engine.FaultRepeat}))
-	start(ctx, clientOf(site), "repeated frames", 60, caller.Call{}).whole(t, ctx)
+	startStream(ctx, newClient(site), "repeated frames", 60, caller.Call{}).checkComplete(t, ctx)
 }
--- a/lib/engineapi/engineapi.go
+++ b/lib/engineapi/engineapi.go
@@ -1,8 +1,8 @@
-// Package engineapi defines the published HTTP interface of model engines, as docs/TARGETS.md tells operators.
+// Package engineapi defines the published HTTP interface of model engines, as documented for operators in docs/TARGETS.md.
 //
-// A completion is the OpenAI-compatible request with one extension object, Ext. The answer is a stream of
-// server-sent events, one Frame for each token, closed by a Frame with FinishReason set and then by "data: [DONE]".
-// A stream that ends without both is a failed stream.
+// A completion is the OpenAI-compatible request with one extension object, Ext. The response is a stream of
+// server-sent events, one Frame per token, ended by a Frame with FinishReason set and then by "data: [DONE]".
+// A stream that ends without both has failed.
 package engineapi
 
 // Paths of the interface.
@@ -10,20 +10,20 @@
 	PathCompletions     = "/v1/completions"      // POST: prompt in Request.Prompt
 	PathChatCompletions = "/v1/chat/completions" // POST: messages in Request.Messages
 	PathGenerations     = "/v1/generations/"     // DELETE {id}?attempt=n: cancel and fence attempts <= n; answers CancelResult
-	PathLoad            = "/v1/load"             // GET: LoadReport, up to a second or more old
+	PathLoad            = "/v1/load"             // GET: LoadReport, which may be a second or more old
 	PathCacheEvents     = "/v1/cache-events"     // GET ?after=seq, or ?snapshot=1: CacheEvents
-	PathOrders          = "/v1/orders"           // POST: Order; 409 when the fencing number is old and fencing is enforced
+	PathOrders          = "/v1/orders"           // POST: Order; 409 if the fencing number is old and fencing is enforced
 	DoneData            = "[DONE]"
 )
 
-// Ext is what the system adds to the caller's request, under the key "ext".
+// Ext is the extension object that the system adds to the caller's request, under the key "ext".
 type Ext struct {
 	Generation string   `json:"generation"`            // 32 hexadecimal digits
-	Attempt    uint32   `json:"attempt"`               // from 1; an engine refuses an attempt it was told to fence
+	Attempt    uint32   `json:"attempt"`               // from 1; an engine rejects a fenced attempt
 	StartIndex uint32   `json:"start_index"`           // index of the first token to send
 	Priority   int      `json:"priority"`              // higher runs first
-	Resume     []string `json:"resume,omitempty"`      // tokens [0, StartIndex) already delivered
-	DeadlineMS int64    `json:"deadline_ms,omitempty"` // time left, milliseconds
+	Resume     []string `json:"resume,omitempty"`      // tokens [0, StartIndex), already delivered
+	DeadlineMS int64    `json:"deadline_ms,omitempty"` // remaining time in milliseconds
 }
 
 // Message is one chat turn.
@@ -32,7 +32,7 @@
 	Content string `json:"content"`
 }
 
-// Request is a completion request. Unknown caller fields are passed through by the entry as they came.
+// Request is a completion request. The entry passes unknown fields of the caller's request through unchanged.
 type Request struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt,omitempty"`
@@ -57,11 +57,11 @@
 	FinishReason *string `json:"finish_reason"` // "stop" or "length" on the last frame
 }
 
-// FrameExt dates each frame, so that an entry can drop what is late, repeated or of another attempt.
+// FrameExt identifies each frame, so that an entry can drop late, duplicate or other attempts' frames.
 type FrameExt struct {
 	Generation string `json:"generation"`
 	Attempt    uint32 `json:"attempt"`
-	Index      uint32 `json:"index"` // token index; on the last frame, the count of tokens
+	Index      uint32 `json:"index"` // token index; on the last frame, the number of tokens
 }
 
 // Frame is one event of a stream.
@@ -74,11 +74,11 @@
 	Error   *Error   `json:"error,omitempty"`
 }
 
-// Error is the body of any refusal, and of a frame that ends a stream by failure.
+// Error is the body of a rejection, or the error of a frame that ends a failed stream.
 type Error struct {
 	Type    string `json:"type"` // one of the Err* constants
 	Message string `json:"message"`
-	NotRun  bool   `json:"not_run"` // true: the engine proves that it executed nothing
+	NotRun  bool   `json:"not_run"` // true: the engine guarantees that nothing was executed
 }
 
 // Values of Error.Type.
@@ -87,22 +87,22 @@
 	ErrFenced     = "fenced"        // 409: old attempt or old fencing number
 	ErrNoModel    = "no_model"      // 404, not run
 	ErrDraining   = "draining"      // 503, not run: the engine is leaving
-	ErrPreempted  = "preempted"     // frame: the engine gave the memory to another sequence and does not requeue
+	ErrPreempted  = "preempted"     // frame: the engine gave the sequence's memory to another and does not requeue it
 	ErrBad        = "bad_request"   // 400, not run
 	ErrNoResume   = "cannot_resume" // 409, not run: the engine does not resume streams
 )
 
-// CancelResult answers a cancel.
+// CancelResult is the response to a cancel.
 type CancelResult struct {
-	Known  bool   `json:"known"`  // the engine has seen an attempt of this generation, up to the cancelled one
-	Ran    bool   `json:"ran"`    // it executed some of it
-	Tokens uint32 `json:"tokens"` // count of tokens produced
+	Known  bool   `json:"known"`  // the engine has seen an attempt of this generation up to the cancelled one
+	Ran    bool   `json:"ran"`    // some of the generation was executed
+	Tokens uint32 `json:"tokens"` // number of tokens produced
 }
 
-// LoadReport is an engine's own view, dated on its own clock. Memory is counted in tokens of key-value cache.
+// LoadReport is an engine's view of its own load; AgeMS is by its own clock. Memory is in tokens of key-value cache.
 type LoadReport struct {
 	Seq          uint64   `json:"seq"`
-	AgeMS        int64    `json:"age_ms"` // how old the figures were when sent
+	AgeMS        int64    `json:"age_ms"` // age of the figures when sent
 	Running      int      `json:"running"`
 	Waiting      int      `json:"waiting"`
 	KVUsed       int      `json:"kv_used"`
@@ -121,7 +121,7 @@
 	Resumes      bool     `json:"resumes"`
 }
 
-// CacheEvent tells that a prompt prefix was stored or evicted. Prefixes are hashes of the first Tokens tokens.
+// CacheEvent reports that a prompt prefix was stored or evicted. Prefix is the hash of the prompt's first Tokens tokens.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Stored bool   `json:"stored"` // false: evicted
@@ -129,7 +129,7 @@
 	Tokens int    `json:"tokens"`
 }
 
-// CacheEvents is a page of events, or a snapshot of all that is stored at Seq.
+// CacheEvents is a page of events, or a snapshot of all prefixes stored at Seq.
 type CacheEvents struct {
 	Seq      uint64       `json:"seq"`
 	Snapshot bool         `json:"snapshot"`
@@ -144,7 +144,7 @@
 	OrderChangeRole  = "change_role"
 )
 
-// Order asks for a desired state; giving it again changes nothing.
+// Order sets a desired state; repeating it changes nothing.
 type Order struct {
 	ID      string `json:"id"`
 	Fence   uint64 `json:"fence"`
@@ -164,5 +164,5 @@
 	Leaving  bool   `json:"leaving"`
 }
 
-// PathServiceLoad is where a plain service reports its load.
+// PathServiceLoad is the path at which a plain service reports its load.
 const PathServiceLoad = "/load"
--- a/lib/engineapi/prefix.go
+++ b/lib/engineapi/prefix.go
@@ -2,15 +2,15 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Sizes that engines and entries agree on for prompt prefixes and counts of tokens.
+// Constants for prompt prefixes and token counts. Engines and entries must agree on them.
 const (
-	BytesPerToken     = 4    // estimate of a prompt's tokens from its bytes
-	FirstPrefixTokens = 64   // the shortest prefix that is hashed; each longer one doubles
+	BytesPerToken     = 4    // estimate of a prompt's bytes per token
+	FirstPrefixTokens = 64   // length of the shortest hashed prefix; each further one is twice as long
 	maxPrefixes       = 12   // so the longest is 64 << 11 tokens
-	turnSeparator     = "\n" // between role, content and turns of a chat
+	turnSeparator     = "\n" // after each role and content of a chat turn
 )
 
-// PromptText returns the text that tokens and prefixes are counted on: the prompt, or the chat's turns in order.
+// PromptText returns the text on which tokens and prefixes are computed: the prompt, or the chat's turns in order.
 func PromptText(r *Request) string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -25,12 +25,12 @@
 	return string(b)
 }
 
-// CountTokens estimates the tokens of a text; at least 1.
+// CountTokens estimates the number of tokens of a text; at least 1.
 func CountTokens(text string) int {
 	return max(1, (len(text)+BytesPerToken-1)/BytesPerToken)
 }
 
-// PrefixHashes returns the hashes of growing prefixes of a prompt, shortest first: 64 tokens, 128, 256 and so on.
+// PrefixHashes returns the hashes of prefixes of doubling length of a prompt, shortest first: 64 tokens, 128, 256 and so on.
 func PrefixHashes(text string) []uint64 {
 	var out []uint64
 	n := FirstPrefixTokens * BytesPerToken
@@ -41,5 +41,5 @@
 	return out
 }
 
-// PrefixTokens returns the tokens that hash i of PrefixHashes covers.
+// PrefixTokens returns the number of tokens that hash i of PrefixHashes covers.
 func PrefixTokens(i int) int { return FirstPrefixTokens << i }
--- a/lib/localsite/certs.go
+++ b/lib/localsite/certs.go
@@ -15,11 +15,11 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-const certLife = 24 * time.Hour // a local site lives for seconds
+const certValidity = 24 * time.Hour // far more than the lifetime of a local site
 
-// WriteCerts makes an authority and one certificate for links, in dir.
+// WriteCerts writes a new CA certificate, and one certificate and key for the site's links, to dir.
 func WriteCerts(dir string) (mesh.TLSFiles, error) {
-	caKey, caCert, err := authority()
+	caKey, caCert, err := newCA()
 	if err != nil {
 		return mesh.TLSFiles{}, err
 	}
@@ -27,7 +27,7 @@
 	if err != nil {
 		return mesh.TLSFiles{}, err
 	}
-	tmpl := certificate(mesh.CertName)
+	tmpl := certTemplate(mesh.CertName)
 	tmpl.DNSNames = []string{mesh.CertName}
 	tmpl.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, caCert, &key.PublicKey, caKey)
@@ -54,12 +54,12 @@
 	return f, nil
 }
 
-func authority() (*ecdsa.PrivateKey, *x509.Certificate, error) {
+func newCA() (*ecdsa.PrivateKey, *x509.Certificate, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	tmpl := certificate("local site")
+	tmpl := certTemplate("local site")
 	tmpl.IsCA, tmpl.BasicConstraintsValid = true, true
 	tmpl.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, tmpl, &key.PublicKey, key)
@@ -70,12 +70,12 @@
 	return key, cert, err
 }
 
-func certificate(name string) *x509.Certificate {
+func certTemplate(name string) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(certLife),
+		NotAfter:     now.Add(certValidity),
 	}
 }
--- a/lib/localsite/site.go
+++ b/lib/localsite/site.go
@@ -1,6 +1,6 @@
-// Package localsite starts a whole small site as separate processes on loopback, for the demo, the load tool and the
-// multi-process tests: the platform's stand-in, model engines, plain services, entries with their control processes.
-// Links between our processes are TLS, with certificates made for the one site.
+// Package localsite runs a small site as separate processes on loopback, for the demo, the load tool and the multi-process
+// tests: the platform stand-in, model engines, plain services, and entries with their control processes. The links among
+// entries and control processes use TLS, with certificates that are generated for each site.
 package localsite
 
 import (
@@ -20,39 +20,39 @@
 	"anvilwick.example/anvilwick/lib/settingsync"
 )
 
-// OperatorToken is what the processes of a site accept on their operators' ports.
+// OperatorToken is the token that a site's processes accept on their operator ports.
 const OperatorToken = "localsite-operator"
 
-// domains are Kelburn's three.
+// domains are the three failure domains of the Kelburn deployment.
 var domains = []string{"govan-depot", "leith-hall", "falkirk-bay"}
 
-// Config says how large a site to start.
+// Config sets the size and options of a site.
 type Config struct {
 	Binaries    string // directory of the programs
 	Engines     int
 	Plains      int
-	Entries     int       // each with its control process
+	Entries     int       // each with a control process
 	EngineFlags []string  // added for every engine
 	EntryFlags  []string  // added for every entry
-	Settings    Settings  // Targets are filled in
-	Output      io.Writer // gets all processes' output; nil: kept by each process only
+	Settings    Settings  // the targets are filled in by Start
+	Output      io.Writer // receives the output of all processes; nil: each process's output is only kept with it
 
-	// LinkProxy returns the address to configure instead of addr for one link; nil: links are direct. Faults of links are
-	// injected by a relay there. The link "mesh of" an entry carries what other entries open to it.
+	// LinkProxy returns the address to configure instead of addr for one link; nil: links are direct. It serves to route links
+	// through a relay that injects faults. The link "mesh of" an entry carries the connections other entries open to it.
 	LinkProxy func(link, addr string) (string, error)
 }
 
-// Node is one process of the site.
+// Node is a process of the site.
 type Node struct {
 	*proc.Proc
 	Name       string
 	Domain     string
-	Addr       string // callers' port of an entry, port of a target or of the platform; IP:port
-	DialAddr   string // where others of the site reach Addr
-	OpsAddr    string // operators' port of an entry or control process
-	MeshListen string // where an entry listens for other entries and its control process
+	Addr       string // caller port of an entry, port of a target or of the platform; IP:port
+	DialAddr   string // address at which other processes of the site reach Addr
+	OpsAddr    string // operator port of an entry or control process
+	MeshListen string // address at which an entry listens for other entries and its control process
 
-	meshReach string // where other entries reach Mesh
+	meshDialAddr string // address at which other entries reach MeshListen
 
 	binary string
 	args   []string
@@ -65,23 +65,23 @@
 	Plains   []*Node
 	Entries  []*Node
 	Controls []*Node
-	Store    *platform.Client // an operator's own client of the platform
+	Store    *platform.Client // client of the platform with an operator's access
 
-	cfg Config
-	set proc.Set
-	dir string // scratch
-	err error  // of Config.Via
+	cfg      Config
+	procs    proc.Set
+	tempDir  string
+	proxyErr error // first error of Config.LinkProxy
 
-	links mesh.TLSFiles
+	linkFiles mesh.TLSFiles
 }
 
-// Start starts every process and commits the settings. On an error nothing is left running.
+// Start starts every process and commits the settings. If it fails, no process is left running.
 func Start(ctx context.Context, cfg Config) (*Site, error) {
 	dir, err := os.MkdirTemp("", "anvilwick-site-")
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{cfg: cfg, set: proc.Set{Dir: cfg.Binaries, Tee: cfg.Output}, dir: dir}
+	s := &Site{cfg: cfg, procs: proc.Set{Dir: cfg.Binaries, Tee: cfg.Output}, tempDir: dir}
 	if err := s.start(ctx); err != nil {
 		s.Close()
 		return nil, err
@@ -94,7 +94,7 @@
 		return err
 	}
 	for _, n := range s.Nodes() {
-		if err := s.launch(n); err != nil {
+		if err := s.startProcess(n); err != nil {
 			return err
 		}
 	}
@@ -102,16 +102,16 @@
 	if err := s.AwaitTargets(ctx); err != nil {
 		return err
 	}
-	if err := s.commit(ctx); err != nil {
+	if err := s.commitInitial(ctx); err != nil {
 		return err
 	}
 	return s.AwaitReady(ctx, append(s.Entries, s.Controls...)...)
 }
 
-// plan draws addresses and works out every command line.
+// plan allocates addresses and builds every command line.
 func (s *Site) plan() (err error) {
 	c := s.cfg
-	if s.links, err = WriteCerts(s.dir); err != nil {
+	if s.linkFiles, err = WriteCerts(s.tempDir); err != nil {
 		return err
 	}
 	addrs, err := proc.Addrs(1 + c.Engines + c.Plains + 4*c.Entries)
@@ -125,25 +125,25 @@
 	}
 	s.planPlatform(next)
 	for i := range c.Engines {
-		s.Engines = append(s.Engines, s.engine(i, next()))
+		s.Engines = append(s.Engines, s.planEngine(i, next()))
 	}
 	for i := range c.Plains {
-		s.Plains = append(s.Plains, s.plain(i, next()))
+		s.Plains = append(s.Plains, s.planPlain(i, next()))
 	}
 	for i := range c.Entries {
-		e := s.entry(i, next(), next(), next())
+		e := s.planEntry(i, next(), next(), next())
 		s.Entries = append(s.Entries, e)
-		s.Controls = append(s.Controls, s.control(e, next()))
+		s.Controls = append(s.Controls, s.planControl(e, next()))
 	}
-	if s.err != nil {
-		return s.err
+	if s.proxyErr != nil {
+		return s.proxyErr
 	}
 	return s.writeInstances()
 }
 
 func domain(i int) string { return domains[i%len(domains)] }
 
-func (s *Site) instanceList() string { return filepath.Join(s.dir, "instances.json") }
+func (s *Site) instanceList() string { return filepath.Join(s.tempDir, "instances.json") }
 
 func (s *Site) planPlatform(next func() string) {
 	addr := next()
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *Site) engine(i int, addr string) *Node {
+func (s *Site) planEngine(i int, addr string) *Node {
 	args := []string{"engine", "-addr", addr, "-model", s.cfg.Settings.Model, "-seed", fmt.Sprint(i + 1), "-fencing"}
 	name := fmt.Sprintf("engine-%d", i+1)
 	if set := s.cfg.Settings; set.IdleWatts > 0 {
@@ -163,52 +163,53 @@
 		args = append(args, "-max-batch", fmt.Sprint(n))
 	}
 	return &Node{
-		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.via(linkToTarget(name), addr), binary: "anvilwick-standin",
+		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.proxiedAddr(targetLink(name), addr), binary: "anvilwick-standin",
 		args: append(args, s.cfg.EngineFlags...),
 	}
 }
 
-func (s *Site) plain(i int, addr string) *Node {
+func (s *Site) planPlain(i int, addr string) *Node {
 	name := fmt.Sprintf("plain-%d", i+1)
 	return &Node{
-		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.via(linkToTarget(name), addr), binary: "anvilwick-standin",
+		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.proxiedAddr(targetLink(name), addr), binary: "anvilwick-standin",
 		args: []string{"plain", "-addr", addr, "-name", name},
 	}
 }
 
-func (s *Site) entry(i int, addr, ops, mesh string) *Node {
+func (s *Site) planEntry(i int, addr, ops, mesh string) *Node {
 	name := fmt.Sprintf("entry-%d", i+1)
-	meshReach := s.via(linkOfMesh(name), mesh)
+	meshDialAddr := s.proxiedAddr(meshLink(name), mesh)
 	args := []string{
 		"-instance", name, "-failure-domain", domain(i), "-listen", addr, "-ops-addr", ops,
-		"-mesh-addr", meshReach, "-mesh-listen", mesh,
+		"-mesh-addr", meshDialAddr, "-mesh-listen", mesh,
 		"-operator-token-sha256", tokenHash(), "-stop-notice", "200ms",
-		"-platform", s.via(linkToPlatform(name), s.Platform.Addr),
+		"-platform", s.proxiedAddr(platformLink(name), s.Platform.Addr),
 	}
 	args = append(args, s.linkFlags()...)
 	return &Node{
-		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.via(linkOfCallers(name), addr), OpsAddr: ops, MeshListen: mesh, meshReach: meshReach, binary: "anvilwick-entry",
+		Name: name, Domain: domain(i), Addr: addr, DialAddr: s.proxiedAddr(callerLink(name), addr),
+		OpsAddr: ops, MeshListen: mesh, meshDialAddr: meshDialAddr, binary: "anvilwick-entry",
 		args: append(args, s.cfg.EntryFlags...),
 	}
 }
 
-func (s *Site) control(e *Node, ops string) *Node {
+func (s *Site) planControl(e *Node, ops string) *Node {
 	name := "control of " + e.Name
 	return &Node{
 		Name: name, Domain: e.Domain, OpsAddr: ops, binary: "anvilwick-control",
 		args: append([]string{
-			"-instance", e.Name, "-failure-domain", e.Domain, "-entry-addr", s.via(linkToEntry(name), e.MeshListen),
-			"-platform", s.via(linkToPlatform(name), s.Platform.Addr),
+			"-instance", e.Name, "-failure-domain", e.Domain, "-entry-addr", s.proxiedAddr(controlLink(name), e.MeshListen),
+			"-platform", s.proxiedAddr(platformLink(name), s.Platform.Addr),
 			"-ops-addr", ops, "-operator-token-sha256", tokenHash(), "-lease-ttl", "3s",
 		}, s.linkFlags()...),
 	}
 }
 
-// LinkFiles returns the files of the site's links.
-func (s *Site) LinkFiles() mesh.TLSFiles { return s.links }
+// LinkFiles returns the certificate and key files of the site's links.
+func (s *Site) LinkFiles() mesh.TLSFiles { return s.linkFiles }
 
 func (s *Site) linkFlags() []string {
-	return []string{"-link-ca", s.links.CA, "-link-cert", s.links.Cert, "-link-key", s.links.Key}
+	return []string{"-link-ca", s.linkFiles.CA, "-link-cert", s.linkFiles.Cert, "-link-key", s.linkFiles.Key}
 }
 
 func tokenHash() string { return fmt.Sprintf("%x", opsapi.HashToken(OperatorToken)) }
@@ -217,7 +218,7 @@
 	var list platformapi.InstanceList
 	for _, e := range s.Entries {
 		list.Instances = append(list.Instances, platformapi.Instance{
-			ID: e.Name, FailureDomain: e.Domain, MeshAddr: e.meshReach, State: platformapi.InstanceLive,
+			ID: e.Name, FailureDomain: e.Domain, MeshAddr: e.meshDialAddr, State: platformapi.InstanceLive,
 		})
 	}
 	b, err := json.Marshal(list)
@@ -227,16 +228,16 @@
 	return os.WriteFile(s.instanceList(), b, 0o600)
 }
 
-func (s *Site) launch(n *Node) error {
-	p, err := s.set.Start(n.Name, n.binary, n.args...)
+func (s *Site) startProcess(n *Node) error {
+	p, err := s.procs.Start(n.Name, n.binary, n.args...)
 	n.Proc = p
 	return err
 }
 
-// Restart starts a process that has ended again, on its old addresses. Flags are added, and win over earlier ones.
+// Restart starts an exited process again, on the same addresses. Flags are appended and override earlier ones.
 func (s *Site) Restart(n *Node, flags ...string) error {
 	n.args = append(n.args, flags...)
-	return s.launch(n)
+	return s.startProcess(n)
 }
 
 // AwaitTargets waits until the platform and every target answers.
@@ -256,7 +257,7 @@
 	return nil
 }
 
-// AwaitReady waits until each of the entries or control processes says that it is ready.
+// AwaitReady waits until each of the entries or control processes reports that it is ready.
 func (s *Site) AwaitReady(ctx context.Context, nodes ...*Node) error {
 	for _, n := range nodes {
 		if err := s.await(ctx, n, "http://"+n.OpsAddr+opsapi.PathReady); err != nil {
@@ -266,7 +267,7 @@
 	return nil
 }
 
-// await gives up at once when the process has ended, and shows its last words.
+// await waits until url answers. It fails as soon as the process has exited, and the error includes the process's output.
 func (s *Site) await(ctx context.Context, n *Node, url string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -278,29 +279,29 @@
 		}
 	}()
 	if err := proc.Until(ctx, n.Name, proc.RespondsOK(url)); err != nil {
-		return fmt.Errorf("%w\nlast words of %s:\n%s", err, n.Name, n.Output())
+		return fmt.Errorf("%w\noutput of %s:\n%s", err, n.Name, n.Output())
 	}
 	return nil
 }
 
-// Revision of the first settings of a site.
+// Revision is the revision of a site's initial settings.
 const Revision = 1
 
-func (s *Site) commit(ctx context.Context) error {
+func (s *Site) commitInitial(ctx context.Context) error {
 	return s.Commit(ctx, s.SettingsText(), 0)
 }
 
-// SettingsText returns the site's first settings.
+// SettingsText returns the site's initial settings.
 func (s *Site) SettingsText() string { return s.cfg.Settings.text(s) }
 
-// Commit commits settings as the revision after base.
+// Commit commits settings as the successor of revision base.
 func (s *Site) Commit(ctx context.Context, text string, base uint64) error {
 	change := settingsync.Change{Text: []byte(text), File: "localsite", Base: base, Operator: "localsite", Time: time.Now()}
 	_, err := settingsync.Commit(ctx, s.Store, change)
 	return err
 }
 
-// CallerAddrs returns the callers' ports of all entries.
+// CallerAddrs returns the caller addresses of all entries.
 func (s *Site) CallerAddrs() []string {
 	var out []string
 	for _, e := range s.Entries {
@@ -318,7 +319,7 @@
 	return nodes
 }
 
-// Stop stops the site gracefully: entries first, so that nothing in progress loses its target, then the rest.
+// Stop stops the site gracefully: entries first, so that requests in progress don't lose their targets, then the rest.
 func (s *Site) Stop(ctx context.Context) error {
 	groups := [][]*Node{s.Entries, s.Controls, append(s.Plains, s.Engines...), {s.Platform}}
 	for _, group := range groups {
@@ -333,8 +334,8 @@
 	return nil
 }
 
-// Close kills what still runs and removes scratch files.
+// Close kills the remaining processes and removes temporary files.
 func (s *Site) Close() {
-	s.set.Close()
-	_ = os.RemoveAll(s.dir)
+	s.procs.Close()
+	_ = os.RemoveAll(s.tempDir)
 }
--- a/lib/localsite/standin.go
+++ b/lib/localsite/standin.go
@@ -16,36 +16,36 @@
 
 const standinTimeout = 5 * time.Second
 
-// Stats asks an engine what it did.
+// Stats queries an engine stand-in for its counters.
 func Stats(ctx context.Context, n *Node) (engine.Stats, error) {
 	var st engine.Stats
-	err := ask(ctx, sling.New().Base("http://"+n.Addr).Get(engine.PathStats), &st)
+	err := query(ctx, sling.New().Base("http://"+n.Addr).Get(engine.PathStats), &st)
 	return st, err
 }
 
-// Executions asks a plain service how often it ran each id.
+// Executions queries a plain service for the number of executions by id.
 func Executions(ctx context.Context, n *Node) (map[string]int, error) {
 	out := map[string]int{}
-	err := ask(ctx, sling.New().Base("http://"+n.Addr).Get(plain.PathExecutions), &out)
+	err := query(ctx, sling.New().Base("http://"+n.Addr).Get(plain.PathExecutions), &out)
 	return out, err
 }
 
-// EngineFault orders a fault of an engine.
+// EngineFault injects a fault into an engine.
 func EngineFault(ctx context.Context, n *Node, f engine.Fault) error {
-	return ask(ctx, sling.New().Base("http://"+n.Addr).Post(engine.PathFault).BodyJSON(f), nil)
+	return query(ctx, sling.New().Base("http://"+n.Addr).Post(engine.PathFault).BodyJSON(f), nil)
 }
 
-// PlainFault orders a fault of a plain service.
+// PlainFault injects a fault into a plain service.
 func PlainFault(ctx context.Context, n *Node, f plain.Fault) error {
-	return ask(ctx, sling.New().Base("http://"+n.Addr).Post(plain.PathFault).BodyJSON(f), nil)
+	return query(ctx, sling.New().Base("http://"+n.Addr).Post(plain.PathFault).BodyJSON(f), nil)
 }
 
-// PlatformFault orders a fault of the platform.
+// PlatformFault injects a fault into the platform.
 func (s *Site) PlatformFault(ctx context.Context, f platform.Fault) error {
-	return ask(ctx, sling.New().Base("http://"+s.Platform.Addr).Post(platform.FaultPath).BodyJSON(f), nil)
+	return query(ctx, sling.New().Base("http://"+s.Platform.Addr).Post(platform.FaultPath).BodyJSON(f), nil)
 }
 
-// StreamingEngine returns the first running engine that has a stream, or nil.
+// StreamingEngine returns the first running engine with a stream in progress, or nil.
 func (s *Site) StreamingEngine(ctx context.Context) (*Node, error) {
 	for _, n := range s.Engines {
 		if !n.Running() {
@@ -62,17 +62,17 @@
 	return nil, nil
 }
 
-// Operator returns a client of a process's operators' port.
+// Operator returns a client for the operator port of a process.
 func Operator(n *Node) *opsapi.Client { return opsapi.NewClient(n.OpsAddr, OperatorToken) }
 
-func ask(ctx context.Context, s *sling.Sling, into any) error {
+func query(ctx context.Context, s *sling.Sling, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, standinTimeout)
 	defer cancel()
 	req, err := s.Request()
 	if err != nil {
 		return err
 	}
-	resp, err := s.Do(req.WithContext(ctx), into, nil)
+	resp, err := s.Do(req.WithContext(ctx), result, nil)
 	if err != nil {
 		return err
 	}
--- a/lib/wirehttp/conn.go
+++ b/lib/wirehttp/conn.go
@@ -1,8 +1,8 @@
-// Package wirehttp is an HTTP/1.1 client for calls that must leave this process at most once.
+// Package wirehttp is an HTTP/1.1 client for calls that must be sent at most once.
 //
-// net/http's Transport sends a request again by itself when a kept connection turns out to be closed. Here nothing is
-// sent twice: one Conn carries one exchange at a time, and an error tells whether any byte of the request may have
-// reached the target. Parsing of answers is net/http's.
+// net/http's Transport retries a request by itself when a reused connection turns out to be closed. This client never
+// resends: a Conn carries one exchange at a time, and errors report whether any byte of the request may have reached the
+// target. Responses are parsed by net/http.
 package wirehttp
 
 import (
@@ -17,24 +17,24 @@
 	"time"
 )
 
-// inlineWrite is the largest request, in bytes, that is written before the answer is read. A longer one is written
-// beside reading: a target may answer before it has read the body, and both ends would wait for each other.
-const inlineWrite = 8 << 10
+// inlineWriteLimit is the largest request, in bytes, that is written before the response is read. A larger one is written
+// concurrently with reading: a target may respond before it has read the body, and both ends would block on each other.
+const inlineWriteLimit = 8 << 10
 
-// readBuffer is the size in bytes of a connection's read buffer. Answers' heads and single events fit; a larger one
-// costs memory for each of the hundreds of connections of a process.
-const readBuffer = 4 << 10
+// readBufferSize is the size in bytes of a connection's read buffer. It fits response headers and single events; a larger one
+// would cost memory for each of the hundreds of connections of a process.
+const readBufferSize = 4 << 10
 
-// maxStray bounds the answers to other requests that are read past on one connection before it is given up.
-const maxStray = 3
+// maxUnexpectedResponses bounds the responses to other requests that are skipped on one connection before it is abandoned.
+const maxUnexpectedResponses = 3
 
-// Errors of an exchange, beside those of the network.
+// Errors of an exchange, besides network errors.
 var (
-	ErrUnexpectedResponse = errors.New("wirehttp: answers to other requests on the connection")
+	ErrUnexpectedResponse = errors.New("wirehttp: responses to other requests on the connection")
 	ErrStatus             = errors.New("wirehttp: informational or malformed status")
 )
 
-// Request is one call as it goes out. The body's length is always stated.
+// Request is an outgoing call. Content-Length is always sent for a body.
 type Request struct {
 	Method string
 	Target string // request target as in the request line
@@ -43,7 +43,7 @@
 	Body   []byte
 }
 
-// encode returns the head of the request.
+// encode returns the request line and header.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(512)
@@ -53,7 +53,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	// Write fails only when the buffer does, which it can't.
+	// Writes to a bytes.Buffer can't fail.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || hasBody(r.Method) {
 		b.WriteString("Content-Length: ")
@@ -68,7 +68,7 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// SendError is a failed exchange.
+// SendError is the error of a failed exchange.
 type SendError struct {
 	MaybeSent bool // whether a byte of the request may have reached the target
 	Err       error
@@ -88,42 +88,42 @@
 
 // Conn is a connection to one target, used for one exchange at a time.
 type Conn struct {
-	nc      net.Conn
-	rd      *bufio.Reader
-	addr    string
-	used    bool        // an exchange went over it before
-	spoiled atomic.Bool // it must not carry another exchange; a cancelled request sets it from beside
-	expires time.Time   // idle connections are not used after it
-	writing chan error  // result of a write that goes on beside reading; nil when there is none
+	nc           net.Conn
+	rd           *bufio.Reader
+	addr         string
+	used         bool        // it has carried an exchange before
+	unusable     atomic.Bool // it must not carry another exchange; set concurrently by a cancelled request
+	idleUntil    time.Time   // it must not be taken from the pool after this time
+	pendingWrite chan error  // result of a write in progress concurrently with reading; nil when there is none
 }
 
 func newConn(nc net.Conn, addr string) *Conn {
-	return &Conn{nc: nc, rd: bufio.NewReaderSize(nc, readBuffer), addr: addr}
+	return &Conn{nc: nc, rd: bufio.NewReaderSize(nc, readBufferSize), addr: addr}
 }
 
-// SetDeadline bounds all reads and writes that follow and those under way.
+// SetDeadline sets the deadline of all pending and future reads and writes.
 func (c *Conn) SetDeadline(t time.Time) {
-	// The connection is closed by its user on any later error, so a failure here has no other effect.
+	// The caller closes the connection on any later error, so an error here has no other effect.
 	_ = c.nc.SetDeadline(t)
 }
 
-// Close ends the connection. The target sees it as the caller's leaving.
+// Close closes the connection. To the target it looks like the caller disconnecting.
 func (c *Conn) Close() {
-	c.spoiled.Store(true)
+	c.unusable.Store(true)
 	_ = c.nc.Close()
 }
 
 // Send writes the request. An error is a *SendError.
 func (c *Conn) Send(req *Request) error {
 	head := req.encode()
-	if len(head)+len(req.Body) <= inlineWrite {
+	if len(head)+len(req.Body) <= inlineWriteLimit {
 		return c.write(append(head, req.Body...))
 	}
 	if err := c.write(head); err != nil {
 		return err
 	}
 	done := make(chan error, 1)
-	c.writing = done
+	c.pendingWrite = done
 	go func() {
 		_, err := c.nc.Write(req.Body)
 		done <- err
@@ -136,31 +136,31 @@
 	if err == nil {
 		return nil
 	}
-	c.spoiled.Store(true)
+	c.unusable.Store(true)
 	return &SendError{MaybeSent: n > 0, Err: err}
 }
 
-// Receive reads the head of the answer to the request named id in the header idHeader. Whole answers that bear another
-// id are read past: a faulty target sends an answer twice or late, at the place where the next one is due.
+// Receive reads the header of the response to the request identified by id in the header idHeader. Whole responses with
+// another id are skipped: a faulty target may send a response twice or late, in place of the next one.
 func (c *Conn) Receive(method, idHeader, id string) (*Response, error) {
-	for range maxStray {
+	for range maxUnexpectedResponses {
 		resp, err := c.receive(method)
 		if err != nil {
-			c.spoiled.Store(true)
+			c.unusable.Store(true)
 			return nil, &SendError{MaybeSent: true, Err: err}
 		}
 		if got := resp.Header.Get(idHeader); idHeader == "" || got == id || got == "" && resp.Status >= 300 {
 			return resp, nil
 		}
 		if err := resp.discard(); err != nil {
-			c.spoiled.Store(true)
+			c.unusable.Store(true)
 			return nil, &SendError{MaybeSent: true, Err: errors.Join(ErrUnexpectedResponse, err)}
 		}
 		if !resp.reusable() {
 			break
 		}
 	}
-	c.spoiled.Store(true)
+	c.unusable.Store(true)
 	return nil, &SendError{MaybeSent: true, Err: ErrUnexpectedResponse}
 }
 
@@ -174,19 +174,19 @@
 	}
 	framed := r.ContentLength >= 0 || len(r.TransferEncoding) > 0
 	return &Response{
-		Status: r.StatusCode, Header: r.Header, Length: r.ContentLength, body: r.Body, closes: r.Close, framed: framed,
+		Status: r.StatusCode, Header: r.Header, Length: r.ContentLength, body: r.Body, connectionClose: r.Close, framed: framed,
 	}, nil
 }
 
-// written reports whether the whole request has been written. It waits for a moment, since the last write may still
-// be returning when the answer is complete.
-func (c *Conn) written() bool {
-	if c.writing == nil {
+// requestWritten reports whether the whole request has been written. It waits up to 10 ms, since the last write may still be
+// returning when the response is complete.
+func (c *Conn) requestWritten() bool {
+	if c.pendingWrite == nil {
 		return true
 	}
 	select {
-	case err := <-c.writing:
-		c.writing = nil
+	case err := <-c.pendingWrite:
+		c.pendingWrite = nil
 		return err == nil
 	case <-time.After(10 * time.Millisecond):
 		return false
--- a/lib/wirehttp/pool.go
+++ b/lib/wirehttp/pool.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Bounds of idle connections.
+// Limits of idle connections.
 const (
-	// idleDefault holds where a target states no idle timeout: long enough for the next request of a busy service,
-	// short enough that a target which closes idle connections early seldom closes one that is just being used.
+	// idleDefault applies where a target states no idle timeout: long enough for the next request to a service under load,
+	// short enough that a target which closes idle connections early rarely closes one that is about to be reused.
 	idleDefault = 4 * time.Second
-	// idleMargin is taken off a stated idle timeout: the clock of the target starts when its answer leaves.
+	// idleMargin is subtracted from a stated idle timeout, since the target's clock starts when it sends its response.
 	idleMargin = 700 * time.Millisecond
-	// idleMax bounds what a target may state.
+	// idleMax bounds the idle timeout that a target may state.
 	idleMax = 30 * time.Second
-	// idlePerTarget bounds the idle connections kept to one address.
+	// idlePerTarget bounds the idle connections per address.
 	idlePerTarget = 32
 )
 
-// ErrClosed says that the pool was closed.
+// ErrClosed reports that the pool was closed.
 var ErrClosed = errors.New("wirehttp: pool closed")
 
 // Pool keeps idle connections by address. It is safe for concurrent use.
@@ -38,7 +38,7 @@
 	dials  uint64
 }
 
-// NewPool returns a pool that opens connections with dial; nil: net.Dialer.
+// NewPool returns a pool that opens connections with dial; nil means a net.Dialer.
 func NewPool(dial func(ctx context.Context, addr string) (net.Conn, error)) *Pool {
 	if dial == nil {
 		d := net.Dialer{KeepAlive: -1}
@@ -47,14 +47,14 @@
 	return &Pool{dial: dial, idle: make(map[string][]*Conn)}
 }
 
-// Get returns an idle connection to addr that is still sound, else a new one.
+// Get returns a usable idle connection to addr, or else a new one.
 func (p *Pool) Get(ctx context.Context, addr string) (*Conn, error) {
 	for {
-		c := p.take(addr)
+		c := p.takeIdle(addr)
 		if c == nil {
 			return p.Dial(ctx, addr)
 		}
-		if time.Now().Before(c.expires) && c.quiet() {
+		if time.Now().Before(c.idleUntil) && c.idleAndOpen() {
 			c.SetDeadline(time.Time{})
 			return c, nil
 		}
@@ -62,7 +62,7 @@
 	}
 }
 
-// Dial opens a new connection. Its errors say that nothing was sent.
+// Dial opens a new connection. Its errors report that nothing was sent.
 func (p *Pool) Dial(ctx context.Context, addr string) (*Conn, error) {
 	p.mu.Lock()
 	p.dials++
@@ -74,14 +74,14 @@
 	return newConn(nc, addr), nil
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connections opened, failed attempts included.
 func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-func (p *Pool) take(addr string) *Conn {
+func (p *Pool) takeIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -93,15 +93,15 @@
 	return c
 }
 
-// Put takes a connection back after the exchange that resp ended. It is closed unless the next exchange is sure to find
-// nothing of this one on it: the answer was read whole, the request was written whole, and no byte follows.
+// Put returns a connection to the pool after the exchange of resp. It is closed instead unless no data of that exchange can
+// remain on it: the response was read whole, the request was written whole, and no further byte is buffered.
 func (p *Pool) Put(c *Conn, resp *Response) {
-	if c.spoiled.Load() || resp == nil || !resp.reusable() || !c.written() || c.rd.Buffered() > 0 {
+	if c.unusable.Load() || resp == nil || !resp.reusable() || !c.requestWritten() || c.rd.Buffered() > 0 {
 		c.Close()
 		return
 	}
 	c.used = true
-	c.expires = time.Now().Add(idleLimit(resp.Header))
+	c.idleUntil = time.Now().Add(idleLimit(resp.Header))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.idle[c.addr]) >= idlePerTarget {
@@ -111,7 +111,7 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// idleLimit reads the idle timeout that a target states.
+// idleLimit returns how long a connection may stay idle, from the target's Keep-Alive header.
 func idleLimit(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -127,14 +127,14 @@
 	return idleDefault
 }
 
-// CloseExpired closes idle connections that have expired; call it now and then.
+// CloseExpired closes idle connections that have expired. Call it periodically.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.expires) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -158,7 +158,7 @@
 	delete(p.idle, addr)
 }
 
-// Close closes all idle connections; those in use are closed when they come back.
+// Close closes all idle connections; those in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,9 +171,9 @@
 	}
 }
 
-// quiet reports whether nothing has come on an idle connection: neither its end nor bytes that belong to no request.
-// Without it a request is sent on a connection that the target has closed, and whether it ran can't be known.
-func (c *Conn) quiet() bool {
+// idleAndOpen reports whether an idle connection is open and has no unread bytes, which would belong to no request. Without this
+// check a request could be sent on a connection that the target has closed, and whether it ran would be unknown.
+func (c *Conn) idleAndOpen() bool {
 	sc, ok := c.nc.(syscall.Conn)
 	if !ok {
 		return true
@@ -182,12 +182,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, rerr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(rerr, syscall.EAGAIN)
+		open = errors.Is(rerr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && open
 }
--- a/lib/wirehttp/response.go
+++ b/lib/wirehttp/response.go
@@ -6,30 +6,30 @@
 	"net/http"
 )
 
-// ErrBodyTooLarge says that an answer's body is over the caller's bound.
-var ErrBodyTooLarge = errors.New("wirehttp: answer too long")
+// ErrBodyTooLarge reports that a response body exceeds the caller's limit.
+var ErrBodyTooLarge = errors.New("wirehttp: response body too large")
 
-// Response is the head of an answer; its body is read from the connection that it came on.
+// Response is the header of a response; its body is read from the same connection.
 type Response struct {
 	Status int
 	Header http.Header
-	Length int64  // of the body in bytes; -1 when not stated
-	OnRead func() // called for each piece of the body that is read; nil: nothing is
+	Length int64  // of the body in bytes; -1 if not stated
+	OnRead func() // called for each part of the body that is read; may be nil
 
-	body   io.Reader
-	closes bool
-	framed bool // the body tells its own end, by a length or by chunks
-	ended  bool
+	body            io.Reader
+	connectionClose bool
+	framed          bool // the body's end is marked by a length or by chunked encoding
+	bodyEnded       bool
 }
 
-// Read reads the body. io.EOF comes only after a whole body; one that was cut gives another error.
+// Read reads the body. It returns io.EOF only after a whole body; a truncated body gives another error.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if n > 0 && r.OnRead != nil {
 		r.OnRead()
 	}
 	if err == io.EOF {
-		r.ended = true
+		r.bodyEnded = true
 	}
 	return n, err
 }
@@ -49,20 +49,20 @@
 	return b, nil
 }
 
-// strayLimit bounds, in bytes, an answer to another request that is read past.
-const strayLimit = 1 << 20
+// unexpectedBodyLimit bounds, in bytes, a response to another request that is skipped.
+const unexpectedBodyLimit = 1 << 20
 
 func (r *Response) discard() error {
-	_, err := r.ReadAll(strayLimit)
+	_, err := r.ReadAll(unexpectedBodyLimit)
 	return err
 }
 
-// reusable reports whether another exchange may follow on the connection.
-func (r *Response) reusable() bool { return r.ended && !r.closes }
+// reusable reports whether the connection can carry another exchange.
+func (r *Response) reusable() bool { return r.bodyEnded && !r.connectionClose }
 
-// CloseDelimited reports whether only the end of the connection ends the body. An answer that asks for its connection to be
-// closed may tell its own end all the same.
+// CloseDelimited reports whether only the end of the connection marks the end of the body. A response with
+// "Connection: close" can still mark its own end.
 func (r *Response) CloseDelimited() bool { return !r.framed }
 
 // Ended reports whether the whole body has been read.
-func (r *Response) Ended() bool { return r.ended }
+func (r *Response) Ended() bool { return r.bodyEnded }
--- a/lib/wirehttp/wirehttp_test.go
+++ b/lib/wirehttp/wirehttp_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// target plays one connection's script and notes what it read.
-func target(t *testing.T, script func(c net.Conn, rd *bufio.Reader)) string {
+// startTarget starts a server that runs script on each connection, and returns its address.
+func startTarget(t *testing.T, script func(c net.Conn, rd *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -34,7 +34,7 @@
 	return ln.Addr().String()
 }
 
-func request(id, body string) *Request {
+func newRequest(id, body string) *Request {
 	method := http.MethodGet
 	if body != "" {
 		method = http.MethodPost
@@ -42,8 +42,8 @@
 	return &Request{Method: method, Target: "/x?q=1", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte(body)}
 }
 
-// ask makes one exchange over the pool.
-func ask(t *testing.T, p *Pool, addr, id, body string) (string, error) {
+// exchange makes one exchange through the pool.
+func exchange(t *testing.T, p *Pool, addr, id, body string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -52,7 +52,7 @@
 		return "", err
 	}
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	req := request(id, body)
+	req := newRequest(id, body)
 	if err := c.Send(req); err != nil {
 		c.Close()
 		return "", err
@@ -71,7 +71,7 @@
 	return string(b), nil
 }
 
-func read(t *testing.T, rd *bufio.Reader) *http.Request {
+func readRequest(t *testing.T, rd *bufio.Reader) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(rd)
 	if err != nil {
@@ -87,103 +87,103 @@
 
 func write(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
-func itoa(n int) string { return string(rune('0' + n)) } // bodies here are under ten bytes
+func itoa(n int) string { return string(rune('0' + n)) } // bodies are shorter than ten bytes
 
-// A caller gets another caller's answer. A faulty target sends the answer to request a twice; the second lies on the
-// kept connection when b is sent on it, or arrives just after. The id tells them apart.
-func TestExtraAnswerIsNotTheNextOnes(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
+// A faulty target sends the response to request a twice. The second is on the reused connection when b is sent, or arrives
+// just after; without the check of the id, the caller of b would get another caller's response.
+func TestDuplicateResponseIsNotTakenForTheNext(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
 		for {
-			r := read(t, rd)
+			r := readRequest(t, rd)
 			if r == nil {
 				return
 			}
 			id := r.Header.Get("Id")
 			if id == "b" {
-				write(c, answer("a", "stray"))
+				write(c, response("a", "stray"))
 			}
-			write(c, answer(id, id))
+			write(c, response(id, id))
 		}
 	})
 	p := NewPool(nil)
-	got, err := ask(t, p, addr, "a", "")
+	got, err := exchange(t, p, addr, "a", "")
 	must.NoError(t, err)
 	must.Eq(t, "a", got)
-	got, err = ask(t, p, addr, "b", "")
+	got, err = exchange(t, p, addr, "b", "")
 	must.NoError(t, err)
 	must.Eq(t, "b", got)
 }
 
-// Bytes after a whole answer belong to no request: the connection that they came on is not used again.
-func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
-		r := read(t, rd)
+// Bytes after a whole response belong to no request: the connection must not be reused.
+func TestExtraBytesAfterResponsePreventReuse(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
+		r := readRequest(t, rd)
 		if r == nil {
 			return
 		}
-		write(c, answer(r.Header.Get("Id"), "ok")+"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
+		write(c, response(r.Header.Get("Id"), "ok")+"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad")
 		time.Sleep(200 * time.Millisecond)
 	})
 	p := NewPool(nil)
-	_, err := ask(t, p, addr, "a", "")
+	_, err := exchange(t, p, addr, "a", "")
 	must.NoError(t, err)
 	time.Sleep(20 * time.Millisecond)
-	got, err := ask(t, p, addr, "b", "")
+	got, err := exchange(t, p, addr, "b", "")
 	must.NoError(t, err)
 	must.Eq(t, "ok", got)
 	must.Eq(t, 2, p.Dials())
 }
 
-// An answer that ends early must not look complete: the target promised six bytes and sent three.
-func TestCutAnswerIsAnError(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
-		r := read(t, rd)
+// A truncated response must not look complete: the target announced six bytes and sent three.
+func TestTruncatedResponseIsAnError(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
+		r := readRequest(t, rd)
 		write(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nContent-Length: 6\r\n\r\nabc")
 	})
-	_, err := ask(t, NewPool(nil), addr, "a", "")
+	_, err := exchange(t, NewPool(nil), addr, "a", "")
 	must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	must.True(t, MaybeSent(err))
 }
 
-// An answer without a length that is reset on the way is not complete, although bytes of it came.
-func TestResetUnframedAnswerIsAnError(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
-		r := read(t, rd)
+// A response without a length whose connection is reset is incomplete, although some of its bytes arrived.
+func TestResetCloseDelimitedResponseIsAnError(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
+		r := readRequest(t, rd)
 		write(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\n\r\nabc")
 		time.Sleep(20 * time.Millisecond)
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
-	_, err := ask(t, NewPool(nil), addr, "a", "")
+	_, err := exchange(t, NewPool(nil), addr, "a", "")
 	must.Error(t, err)
 }
 
-// Bytes that are no answer are an error, and the request may have run.
-func TestGarbageIsAnError(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
-		read(t, rd)
+// Bytes that are not an HTTP response are an error, and the request may have run.
+func TestMalformedResponseIsAnError(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
+		readRequest(t, rd)
 		write(c, "\x00\x01\x02 not http\r\n\r\n")
 	})
-	_, err := ask(t, NewPool(nil), addr, "a", "")
+	_, err := exchange(t, NewPool(nil), addr, "a", "")
 	must.Error(t, err)
 	must.True(t, MaybeSent(err))
 }
 
-// A request runs twice. The target closed the idle connection; a client that sends on it and then again on another
-// can't know whether the first ran. Here the closed one is noticed before anything is sent.
-func TestClosedIdleConnectionIsNoticedBeforeSending(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
-		r := read(t, rd)
+// The target has closed an idle connection. A client that sends on it and resends on another connection can't know whether
+// the first request ran, so the request might run twice: the closed connection must be detected before anything is sent.
+func TestClosedIdleConnectionIsDetectedBeforeSending(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
+		r := readRequest(t, rd)
 		if r != nil {
-			write(c, answer(r.Header.Get("Id"), "ok"))
+			write(c, response(r.Header.Get("Id"), "ok"))
 		}
 	})
 	p := NewPool(nil)
 	for _, id := range []string{"a", "b", "c"} {
-		got, err := ask(t, p, addr, id, "")
+		got, err := exchange(t, p, addr, id, "")
 		must.NoError(t, err)
 		must.Eq(t, "ok", got)
 		time.Sleep(20 * time.Millisecond)
@@ -191,16 +191,16 @@
 	must.Eq(t, 3, p.Dials())
 }
 
-// A target answers before it has read a long body and reads on later. It must get the rest of that body or the end of
-// the connection there, never the next request.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// A target responds before it has read a long body and then reads on. It must read the rest of that body or the end of the
+// connection, never the next request.
+func TestResponseBeforeLongBodyIsRead(t *testing.T) {
 	rest := make(chan string, 1)
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
 		r, err := http.ReadRequest(rd)
 		if err != nil {
 			return
 		}
-		write(c, answer(r.Header.Get("Id"), "early"))
+		write(c, response(r.Header.Get("Id"), "early"))
 		if r.Header.Get("Id") != "a" {
 			return
 		}
@@ -210,28 +210,28 @@
 	})
 	p := NewPool(nil)
 	body := strings.Repeat("x", 8<<20)
-	got, err := ask(t, p, addr, "a", body)
+	got, err := exchange(t, p, addr, "a", body)
 	must.NoError(t, err)
 	must.Eq(t, "early", got)
-	got, err = ask(t, p, addr, "b", "")
+	got, err = exchange(t, p, addr, "b", "")
 	must.NoError(t, err)
 	must.Eq(t, "early", got)
 	must.StrNotContains(t, <-rest, "GET")
 	must.Eq(t, 2, p.Dials())
 }
 
-// Nothing is sent where no connection can be made.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// If the connection is refused, the error must report that nothing was sent.
+func TestRefusedConnectionReportsNothingSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	addr := ln.Addr().String()
 	must.NoError(t, ln.Close())
-	_, err = ask(t, NewPool(nil), addr, "a", "")
+	_, err = exchange(t, NewPool(nil), addr, "a", "")
 	must.Error(t, err)
 	must.False(t, MaybeSent(err))
 }
 
-// A target's stated idle timeout is kept to, with room for the way; an unreadable one falls back to the default.
+// A target's stated idle timeout is respected, less a margin for network delay; a malformed one means the default.
 func TestIdleLimit(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"":                idleDefault,
@@ -245,31 +245,31 @@
 	}
 }
 
-// Expired connections are closed by Sweep, and none is handed out after its time.
-func TestSweepAndClose(t *testing.T) {
-	addr := target(t, func(c net.Conn, rd *bufio.Reader) {
-		for r := read(t, rd); r != nil; r = read(t, rd) {
-			write(c, answer(r.Header.Get("Id"), "ok"))
+// CloseExpired closes expired connections, CloseIdle those of one address, and a closed pool keeps none.
+func TestCloseExpiredCloseIdleAndClose(t *testing.T) {
+	addr := startTarget(t, func(c net.Conn, rd *bufio.Reader) {
+		for r := readRequest(t, rd); r != nil; r = readRequest(t, rd) {
+			write(c, response(r.Header.Get("Id"), "ok"))
 		}
 	})
 	p := NewPool(nil)
-	_, err := ask(t, p, addr, "a", "")
+	_, err := exchange(t, p, addr, "a", "")
 	must.NoError(t, err)
 	p.CloseExpired(time.Now().Add(time.Hour))
 	must.MapEmpty(t, p.idle)
-	_, err = ask(t, p, addr, "b", "")
+	_, err = exchange(t, p, addr, "b", "")
 	must.NoError(t, err)
 	p.CloseIdle(addr)
 	must.MapEmpty(t, p.idle)
 	p.Close()
-	_, err = ask(t, p, addr, "c", "")
+	_, err = exchange(t, p, addr, "c", "")
 	must.NoError(t, err)
 	must.MapEmpty(t, p.idle)
 }
 
-// An answer in chunks that also asks for its connection to be closed tells its own end: taken for one that only the end
-// of its connection ends, a whole stream would look like one that was stopped.
-func TestWhetherAnAnswerTellsItsOwnEnd(t *testing.T) {
+// A chunked response with "Connection: close" marks its own end. If it were taken for one that only the end of the connection
+// ends, a complete stream would look truncated.
+func TestCloseDelimited(t *testing.T) {
 	for head, own := range map[string]bool{
 		"Connection: close\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": true,
 		"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n":                      true,
