--- a/lib/e2e/entry_test.go
+++ b/lib/e2e/entry_test.go
@@ -20,14 +20,14 @@
 // entry with its Idempotency-Key and Last-Event-ID, and must get the rest of the same generation without gaps or duplicates.
 func TestEntryKilledDuringKeyedStream(t *testing.T) {
 	site, ctx := startSite(t, 2, 3)
-	s := startStream(ctx, newClient(site), "entry killed", 200, caller.Call{Entry: 0, Key: "extraction-1", Resumes: 100})
+	s := startStream(ctx, newClient(site), "entry killed", 200, caller.Call{Entry: 0, Key: "extraction-1", MaxResumes: 100})
 	s.awaitToken(t, ctx, 120)
 	killed := time.Now()
 	must.NoError(t, site.Entries[0].Kill())
 	s.awaitToken(t, ctx, 121)
 	t.Logf("stream goes on %v after SIGKILL", time.Since(killed))
 	s.checkComplete(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // The entry that holds a caller's stream is frozen, the caller times out and resumes through another entry, and then the
@@ -35,7 +35,7 @@
 // keep the older attempt from reaching the caller and from running on beside the newer one.
 func TestEntryFrozenDuringKeyedStream(t *testing.T) {
 	site, ctx := startSite(t, 2, 3)
-	call := caller.Call{Entry: 0, Key: "extraction-2", Resumes: 100, Silence: time.Second}
+	call := caller.Call{Entry: 0, Key: "extraction-2", MaxResumes: 100, IdleTimeout: time.Second}
 	s := startStream(ctx, newClient(site), "entry frozen", 250, call)
 	s.awaitToken(t, ctx, 100)
 	must.NoError(t, site.Entries[0].Freeze())
--- a/lib/e2e/pairs_test.go
+++ b/lib/e2e/pairs_test.go
@@ -23,12 +23,12 @@
 	set := defaultSettings()
 	set.Idempotent = true
 	site, ctx := startSiteWith(t, 2, 3, set)
-	s := startStream(ctx, newClient(site), "killed in an outage", 400, caller.Call{Entry: 0, Key: "extraction-3", Resumes: 200})
+	s := startStream(ctx, newClient(site), "killed in an outage", 400, caller.Call{Entry: 0, Key: "extraction-3", MaxResumes: 200})
 	s.awaitToken(t, ctx, 200)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
 	must.NoError(t, site.Entries[0].Kill())
 	s.checkComplete(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // The same for a keyed stream that must not run twice. Two entries could both find the replicated record, and only the table
@@ -38,7 +38,7 @@
 	site, ctx := startSite(t, 2, 3)
 	c := newClient(site)
 	const tokens = 400
-	call := caller.Call{Entry: 0, Key: "extraction-once", Resumes: 500}
+	call := caller.Call{Entry: 0, Key: "extraction-once", MaxResumes: 500}
 	s := startStream(ctx, c, "once in an outage", tokens, call)
 	s.awaitToken(t, ctx, 200)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
@@ -48,7 +48,7 @@
 	must.Positive(t, refused.res.RetryAfter)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultClear}))
 	s.checkComplete(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // awaitRefusal sends one more request with the key and returns how it was refused. While another request for the key's claim is in
@@ -73,7 +73,7 @@
 // another entry, on another engine, from the next token.
 func TestEntryAndEngineKilledTogether(t *testing.T) {
 	site, ctx := startSite(t, 2, 3)
-	s := startStream(ctx, newClient(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", Resumes: 200})
+	s := startStream(ctx, newClient(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", MaxResumes: 200})
 	s.awaitToken(t, ctx, 200)
 	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
@@ -82,7 +82,7 @@
 	must.NoError(t, site.Entries[0].Kill())
 	must.NoError(t, n.Kill())
 	s.checkComplete(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // A lease holder is frozen for longer than the lease's term. Another process holds the lease by the time it continues: from
