--- a/lib/gatewayproc/readers.go
+++ b/lib/gatewayproc/readers.go
@@ -64,16 +64,16 @@
 	return assigned
 }
 
-// withSeeds appends the seeds to an instance's readers. A list read just before the store became unavailable may name only
+// withSeeds appends the seeds to an instance's upstreams. A list read just before the store became unavailable may name only
 // instances that do not have the tables; a seed may not have written its row yet but has read them.
-func withSeeds(readers []mesh.Peer, ownLink string, seeds []string) []mesh.Peer {
+func withSeeds(upstreams []mesh.Peer, ownLink string, seeds []string) []mesh.Peer {
 	for _, addr := range seeds {
-		known := slices.ContainsFunc(readers, func(r mesh.Peer) bool { return r.Addr == addr })
+		known := slices.ContainsFunc(upstreams, func(r mesh.Peer) bool { return r.Addr == addr })
 		if addr != ownLink && !known {
-			readers = append(readers, mesh.Peer{Addr: addr})
+			upstreams = append(upstreams, mesh.Peer{Addr: addr})
 		}
 	}
-	return readers
+	return upstreams
 }
 
 // assignAmong returns the assignment of an instance. The first candidate reads the store for all, the first in each failure domain
@@ -101,14 +101,15 @@
 // assign returns the assignment of an instance by the ranks in its failure domain.
 func (r ranks) assign(self string) feedlink.Assignment {
 	if i := indexOf(r.Readers, self); i >= 0 {
-		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i, Upstreams: peers(self, r.Readers, r.Relays[:min(readersMax, len(r.Relays))])}
+		return feedlink.Assignment{Role: feedlink.RoleReader, Rank: i,
+			Upstreams: peers(self, r.Readers, r.Relays[:min(readersMax, len(r.Relays))])}
 	}
 	if i := indexOf(r.Relays, self); i >= 0 {
-		readers := peers(self, r.Relays[:min(i, higherRankedMax)], r.Readers, r.Relays[i:i+1])
-		return feedlink.Assignment{Role: feedlink.RoleRelay, Rank: i, Upstreams: readers}
+		upstreams := peers(self, r.Relays[:min(i, higherRankedMax)], r.Readers, r.Relays[i:i+1])
+		return feedlink.Assignment{Role: feedlink.RoleRelay, Rank: i, Upstreams: upstreams}
 	}
-	readers := append(peers(self, preferred(self, r.Relays, r.Serving), r.Readers), mesh.Peer{})
-	return feedlink.Assignment{Role: feedlink.RoleFollower, Upstreams: readers, LargeSite: r.Serving > 1}
+	upstreams := append(peers(self, preferred(self, r.Relays, r.Serving), r.Readers), mesh.Peer{})
+	return feedlink.Assignment{Role: feedlink.RoleFollower, Upstreams: upstreams, LargeSite: r.Serving > 1}
 }
 
 // higherRankedMax is the number of higher-ranked relays that a relay queries.
--- a/lib/gatewayproc/readers_test.go
+++ b/lib/gatewayproc/readers_test.go
@@ -94,7 +94,7 @@
 	must.Eq(t, []mesh.Peer{{}}, assignBySeeds("c:1", nil).Upstreams)
 }
 
-// Seeds that are not among the readers are appended, each once and without this instance itself.
+// Seeds that are not among the upstreams are appended, each once and without this instance itself.
 func TestSeedsAreAppendedLast(t *testing.T) {
 	got := withSeeds([]mesh.Peer{{}, {Instance: "a", Addr: "a:1"}}, "me:1", []string{"a:1", "me:1", "b:1"})
 	must.Eq(t, []mesh.Peer{{}, {Instance: "a", Addr: "a:1"}, {Addr: "b:1"}}, got)
