--- a/lib/capacity/claims.go
+++ b/lib/capacity/claims.go
@@ -13,21 +13,21 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-const claimsEach = 1500 // claims at each number of callers
+const claimsPerRun = 1500 // claims for each number of callers
 
-// MeasureClaims measures whole claims (begun, sent, finished) of one entry against a stand-in of the table over loopback,
-// by callers at once: how many share a write depends on how many ask at the same time. Processor time is that of the
-// entry and the stand-in together.
+// MeasureClaims measures complete claims (begun, sent, finished) of one entry against a stand-in of the table over loopback,
+// by concurrent callers, since claims that are requested at the same time share writes. Processor time is that of the entry
+// and the stand-in together.
 func MeasureClaims(ctx context.Context, r Report) error {
 	var cpu, writes []Point
 	for _, callers := range []int{8, 32, 128} {
-		spent, perClaim, bytes, err := claimsAt(ctx, callers)
+		spent, perClaim, bytes, err := runClaims(ctx, callers)
 		if err != nil {
 			return err
 		}
 		r.point("claim", "callers=%d claims=%d cpu_us_per_claim=%.0f writes_per_claim=%.3f bytes_per_claim=%.0f",
-			callers, claimsEach, micros(spent)/claimsEach, perClaim, bytes)
-		cpu = append(cpu, Point{1 / float64(callers), micros(spent) / claimsEach})
+			callers, claimsPerRun, micros(spent)/claimsPerRun, perClaim, bytes)
+		cpu = append(cpu, Point{1 / float64(callers), micros(spent) / claimsPerRun})
 		writes = append(writes, Point{1 / float64(callers), perClaim})
 	}
 	r.fit("claim", "cpu_us_per_claim", "1/callers", cpu)
@@ -35,21 +35,21 @@
 	return nil
 }
 
-func claimsAt(ctx context.Context, callers int) (cpu time.Duration, writes, bytes float64, err error) {
+func runClaims(ctx context.Context, callers int) (cpu time.Duration, writes, bytes float64, err error) {
 	l, err := standin.Start("127.0.0.1:0", "", standin.Config{Unlimited: true})
 	if err != nil {
 		return 0, 0, 0, err
 	}
 	defer l.Close(context.WithoutCancel(ctx))
-	wire := newCountingTransport(callers)
-	store := platform.New(platform.Config{Addr: l.Addr(), Transport: wire, WritesPerSec: 1e6, BudgetWait: time.Minute})
+	transport := newCountingTransport(callers)
+	store := platform.New(platform.Config{Addr: l.Addr(), Transport: transport, WritesPerSec: 1e6, BudgetWait: time.Minute})
 	table := claim.New(store, claim.Config{Holder: claim.Holder{Instance: "a"}, Timeout: time.Minute})
 	from := processTime()
 	var next, failed atomic.Int64
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Go(func() {
-			for n := next.Add(1); n <= claimsEach; n = next.Add(1) {
+			for n := next.Add(1); n <= claimsPerRun; n = next.Add(1) {
 				if !claimOnce(ctx, table, n) {
 					failed.Add(1)
 				}
@@ -63,7 +63,7 @@
 	if n := failed.Load(); n > 0 {
 		return 0, 0, 0, fmt.Errorf("%d claims failed", n)
 	}
-	return processTime() - from, float64(wire.posts.Load()) / claimsEach, float64(wire.bytes.Load()) / claimsEach, nil
+	return processTime() - from, float64(transport.posts.Load()) / claimsPerRun, float64(transport.bytes.Load()) / claimsPerRun, nil
 }
 
 func claimOnce(ctx context.Context, t *claim.Table, n int64) bool {
--- a/lib/capacity/decisions.go
+++ b/lib/capacity/decisions.go
@@ -12,25 +12,25 @@
 
 const (
 	ownerTick     = 20 * time.Millisecond
-	ownerProbe    = 200 * time.Millisecond // processor time spent on each figure
+	ownerProbe    = 200 * time.Millisecond // processor time spent on each value
 	gensPerTarget = 64
 )
 
-// crowdedOwner is an owner of targets that run gensPerTarget generations each.
-type crowdedOwner struct {
+// loadedOwner is an owner whose targets run gensPerTarget generations each.
+type loadedOwner struct {
 	*sched.Owner
-	now  sched.Time
-	acts []sched.Action
-	gens int
-	req  sched.Request
+	now         sched.Time
+	actions     []sched.Action
+	generations int
+	req         sched.Request
 }
 
-func newCrowdedOwner(targets int) *crowdedOwner {
+func newLoadedOwner(targets int) *loadedOwner {
 	rng := rand.New(rand.NewPCG(1, 2))
-	c := &crowdedOwner{
-		Owner: sched.NewOwner(capacityService, sched.Options{DisablePrefill: true, DisableSilence: true}),
-		now:   sched.Time(time.Second),
-		gens:  targets * gensPerTarget,
+	c := &loadedOwner{
+		Owner:       sched.NewOwner(capacityService, sched.Options{DisablePrefill: true, DisableSilence: true}),
+		now:         sched.Time(time.Second),
+		generations: targets * gensPerTarget,
 	}
 	c.SetPolicy(func(_, class string) sched.ClassPolicy {
 		return sched.ClassPolicy{Urgent: class == "urgent", Weight: 1, MaxWait: time.Hour}
@@ -41,12 +41,12 @@
 	}
 	c.SetTargets(c.now, specs)
 	c.SetPower(c.now, 1e9, c.now.Add(time.Hour), 1e9)
-	for n := range c.gens {
+	for n := range c.generations {
 		c.Submit(c.now, ownerRequest(rng, n))
 	}
 	for range 50 {
 		c.tick()
-		c.progress()
+		c.reportProgress()
 	}
 	c.req = ownerRequest(rng, 1)
 	return c
@@ -63,44 +63,44 @@
 	}
 }
 
-func (c *crowdedOwner) tick() {
+func (c *loadedOwner) tick() {
 	c.now = c.now.Add(ownerTick)
-	c.acts = c.Tick(c.now, c.acts[:0])
+	c.actions = c.Tick(c.now, c.actions[:0])
 }
 
-// progress gives every generation one more token. An owner hears of many at once, each interval of progress.
-func (c *crowdedOwner) progress() {
+// reportProgress reports one more token for every generation. An owner receives progress in such batches, one each interval.
+func (c *loadedOwner) reportProgress() {
 	tokens := int(c.now.Sub(0) / ownerTick)
-	for n := range c.gens {
+	for n := range c.generations {
 		c.Progress(c.now, ids.From(7, uint64(n)), 1, tokens)
 	}
 }
 
-// decide ends one generation and places one in its stead.
-func (c *crowdedOwner) decide() {
+// replaceOne ends one generation and submits and places another.
+func (c *loadedOwner) replaceOne() {
 	c.End(c.now, c.req.Gen, 1, 200, sched.EndCompleted)
 	c.Submit(c.now, c.req)
 	c.now = c.now.Add(time.Millisecond)
-	c.acts = c.Tick(c.now, c.acts[:0])
+	c.actions = c.Tick(c.now, c.actions[:0])
 }
 
-// MeasureOwner measures an owner's tables: processor time of a tick, of news of one generation and of one decision, and
-// the heap, by targets with 64 generations each.
+// MeasureOwner measures an owner's tables: the processor time of a tick, of a progress report of one generation and of one
+// decision, and the heap, by targets with 64 generations each.
 func MeasureOwner(_ context.Context, r Report) error {
 	var ticks, decisions, progress, heap []Point
 	for _, targets := range []int{7, 14, 28, 56} {
-		var c *crowdedOwner
-		bytes := held(func() any { c = newCrowdedOwner(targets); return c })
+		var c *loadedOwner
+		bytes := retainedHeap(func() any { c = newLoadedOwner(targets); return c })
 		tick := perOp(ownerProbe, c.tick)
-		decide := perOp(ownerProbe, c.decide)
-		news := perOp(ownerProbe, c.progress)
+		decide := perOp(ownerProbe, c.replaceOne)
+		progressRound := perOp(ownerProbe, c.reportProgress)
 		size := float64(targets)
 		ticks = append(ticks, Point{size, micros(tick)})
 		decisions = append(decisions, Point{size, micros(decide)})
-		progress = append(progress, Point{float64(c.gens), micros(news)})
-		heap = append(heap, Point{float64(c.gens), bytes})
+		progress = append(progress, Point{float64(c.generations), micros(progressRound)})
+		heap = append(heap, Point{float64(c.generations), bytes})
 		r.point("owner", "targets=%d generations=%d tick_us=%.1f decision_us=%.1f progress_round_us=%.1f heap_bytes=%.0f",
-			targets, c.gens, micros(tick), micros(decide), micros(news), bytes)
+			targets, c.generations, micros(tick), micros(decide), micros(progressRound), bytes)
 	}
 	r.fit("owner", "tick_us", "target_of_shard", ticks)
 	r.fit("owner", "decision_us", "target_of_shard", decisions)
--- a/lib/capacity/fit.go
+++ b/lib/capacity/fit.go
@@ -1,7 +1,8 @@
-// Package capacity measures what a node spends, at several sizes, and fits slopes to it.
+// Package capacity measures what one node costs in processor time, memory and bytes at several sizes, and fits lines to the
+// results.
 //
-// The sizes that one machine can hold are far below the size that the system is designed for; a slope with its error
-// says what may be claimed beyond them.
+// One machine holds sizes far below the one that the system is designed for. The slope and its standard error bound what
+// may be claimed beyond the measured sizes.
 package capacity
 
 import (
@@ -9,17 +10,17 @@
 	"math"
 )
 
-// Point is a measurement at a size.
+// Point is a measured value at one size.
 type Point struct {
 	Size  float64
 	Value float64
 }
 
-// Line is a least-squares fit Value = Base + Slope * Size.
+// Line is the least-squares fit Value = Base + Slope * Size.
 type Line struct {
 	Base     float64
 	Slope    float64
-	SlopeErr float64 // standard error of Slope; 0 with two points
+	SlopeErr float64 // standard error of Slope; 0 for two points
 }
 
 // Fit returns the least-squares line through at least two points of different sizes.
@@ -56,7 +57,7 @@
 // At returns the fitted value at a size.
 func (l Line) At(size float64) float64 { return l.Base + l.Slope*size }
 
-// String gives base, slope and error in key=value form.
+// String returns base, slope and standard error in key=value form.
 func (l Line) String() string {
 	return fmt.Sprintf("base=%.4g slope=%.4g slope_err=%.2g", l.Base, l.Slope, l.SlopeErr)
 }
--- a/lib/capacity/fit_test.go
+++ b/lib/capacity/fit_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestFitOfAnExactLine(t *testing.T) {
+func TestFitOfExactLine(t *testing.T) {
 	l := Fit([]Point{{4, 11}, {8, 19}, {16, 35}})
 	must.InDelta(t, 3, l.Base, 1e-9)
 	must.InDelta(t, 2, l.Slope, 1e-9)
@@ -14,7 +14,7 @@
 	must.InDelta(t, 863, l.At(430), 1e-6)
 }
 
-func TestFitTellsItsError(t *testing.T) {
+func TestFitReturnsStandardError(t *testing.T) {
 	l := Fit([]Point{{0, 0}, {1, 2}, {2, 0}, {3, 2}})
 	must.InDelta(t, 0.4, l.Slope, 1e-9)
 	must.Positive(t, l.SlopeErr)
--- a/lib/capacity/heartbeat.go
+++ b/lib/capacity/heartbeat.go
@@ -14,7 +14,7 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-// Heartbeats is what membership costs one node, on average.
+// Heartbeats is the cost of membership for one node, the mean over all nodes.
 type Heartbeats struct {
 	Nodes       int
 	SentPerSec  float64 // bytes sent a second
@@ -22,8 +22,8 @@
 	CPUFraction float64 // of one core
 }
 
-// HeartbeatsOverSockets runs n nodes in this process over loopback for d, once all know each other, and divides what
-// the process spent by n. Bytes are those of yamux and TLS without TCP headers; tlsFiles nil means plain links.
+// HeartbeatsOverSockets runs n nodes in this process over loopback. Once all know each other it measures for d and divides
+// the cost of the process by n. Bytes are those of yamux and TLS without TCP headers; tlsFiles nil means plaintext links.
 func HeartbeatsOverSockets(ctx context.Context, n int, interval, d time.Duration, tlsFiles *mesh.TLSFiles) (Heartbeats, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &socketNodes{ctx: ctx}
@@ -34,7 +34,7 @@
 			return Heartbeats{}, err
 		}
 	}
-	if err := s.meet(n); err != nil {
+	if err := s.awaitMembership(n); err != nil {
 		return Heartbeats{}, err
 	}
 	sent, cpu := s.sent(), processTime()
@@ -89,31 +89,31 @@
 	return nil
 }
 
-// meet gives all the list and waits until every table holds n and the links stand.
-func (s *socketNodes) meet(n int) error {
+// awaitMembership sends the member list to all nodes and waits until every table holds n members and the links are established.
+func (s *socketNodes) awaitMembership(n int) error {
 	for _, r := range s.runners {
 		r.SetInstances(s.members)
 	}
 	last := s.sent()
-	for end := time.Now().Add(meetTimeout); time.Now().Before(end); {
-		time.Sleep(meetPause)
+	for end := time.Now().Add(membershipTimeout); time.Now().Before(end); {
+		time.Sleep(membershipPoll)
 		if sent := s.sent(); sent == last {
 			continue
 		}
-		if s.allKnow(n) {
-			time.Sleep(meetPause)
+		if s.allTablesHold(n) {
+			time.Sleep(membershipPoll)
 			return nil
 		}
 	}
-	return fmt.Errorf("%d nodes did not meet within %s", n, meetTimeout)
+	return fmt.Errorf("%d nodes did not discover each other within %s", n, membershipTimeout)
 }
 
 const (
-	meetTimeout = 20 * time.Second
-	meetPause   = 300 * time.Millisecond
+	membershipTimeout = 20 * time.Second
+	membershipPoll    = 300 * time.Millisecond
 )
 
-func (s *socketNodes) allKnow(n int) bool {
+func (s *socketNodes) allTablesHold(n int) bool {
 	for _, r := range s.runners {
 		if len(r.View().Workers()) != n {
 			return false
@@ -137,7 +137,7 @@
 	s.wg.Wait()
 }
 
-// processTime is the user and system time that this process has spent.
+// processTime returns the user and system time that this process has used.
 func processTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -146,9 +146,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// HeartbeatsOfTables runs n tables for d of virtual time with no transport at all, and gives the bytes of the messages
-// alone and the processor time of the state machine, messages' encoding included.
-func HeartbeatsOfTables(n int, interval, d time.Duration) Heartbeats {
+// HeartbeatsInMemory runs n membership tables for d of virtual time without any transport. It returns the size of the
+// messages alone and the processor time of the state machine including the encoding of messages.
+func HeartbeatsInMemory(n int, interval, d time.Duration) Heartbeats {
 	tables := make(map[string]*member.Table, n)
 	var list []member.Member
 	for i := range n {
@@ -159,10 +159,10 @@
 	for _, t := range tables {
 		t.SetInstances(0, list)
 	}
-	now := exchange(tables, 0, settleRounds*interval, interval, nil)
-	var c counter
+	now := exchangeHeartbeats(tables, 0, settleRounds*interval, interval, nil)
+	var c messageCounter
 	cpu := processTime()
-	exchange(tables, now, d, interval, &c)
+	exchangeHeartbeats(tables, now, d, interval, &c)
 	perNode := func(x float64) float64 { return x / d.Seconds() / float64(n) }
 	return Heartbeats{
 		Nodes:       n,
@@ -172,14 +172,14 @@
 	}
 }
 
-// settleRounds lets news of the start die down.
+// settleRounds is the number of rounds before the measurement, in which updates about the start finish propagating.
 const settleRounds = 10
 
-type counter struct {
+type messageCounter struct {
 	msgs, bytes int
 }
 
-func (c *counter) add(m proto.Message) {
+func (c *messageCounter) add(m proto.Message) {
 	b, err := proto.Marshal(m)
 	if err == nil {
 		c.msgs++
@@ -187,8 +187,8 @@
 	}
 }
 
-// exchange passes heartbeats between the tables for d and returns the time after it.
-func exchange(tables map[string]*member.Table, now, d, interval time.Duration, c *counter) time.Duration {
+// exchangeHeartbeats delivers heartbeats between the tables for d and returns the time at the end.
+func exchangeHeartbeats(tables map[string]*member.Table, now, d, interval time.Duration, c *messageCounter) time.Duration {
 	for end := now + d; now < end; now += interval {
 		for _, t := range tables {
 			for _, o := range t.Tick(now) {
--- a/lib/capacity/lengths.go
+++ b/lib/capacity/lengths.go
@@ -11,13 +11,13 @@
 
 const lengthsProbe = 100 * time.Millisecond
 
-// MeasureLengths measures an owner's estimator of output lengths by workspaces of three classes each.
+// MeasureLengths measures an owner's estimator of output lengths, by groups: three classes of each workspace.
 func MeasureLengths(_ context.Context, r Report) error {
 	var heap []Point
 	for _, workspaces := range []int{60, 120, 480} {
 		var e *length.Estimator
 		groups := 3 * workspaces
-		bytes := held(func() any { e = learned(groups); return e })
+		bytes := retainedHeap(func() any { e = newTrainedEstimator(groups); return e })
 		rng := rand.New(rand.NewPCG(1, 1))
 		g := e.Group("workspace-1", "class-1")
 		observe := perOp(lengthsProbe, func() { e.Observe(g, 1+rng.IntN(4000)) })
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func learned(groups int) *length.Estimator {
+func newTrainedEstimator(groups int) *length.Estimator {
 	e := length.New(length.Options{})
 	for i := range groups {
 		g := e.Group(fmt.Sprint("workspace-", i/3), fmt.Sprint("class-", i%3))
--- a/lib/capacity/limits.go
+++ b/lib/capacity/limits.go
@@ -17,14 +17,14 @@
 
 const (
 	limitSpan      = 2 * time.Second
-	limitSpacing   = 50 * time.Millisecond // between the requests of an entry
-	limitLength    = 500 * time.Millisecond
+	limitSpacing   = 50 * time.Millisecond // between the requests at an entry
+	limitHoldTime  = 500 * time.Millisecond
 	limitSlots     = 64
 	limitTickProbe = 100 * time.Millisecond
-	letterEntries  = 430
+	designEntries  = 430
 )
 
-// limitSite is a number of entries in this process whose limits talk over real sockets.
+// limitSite is a set of entries in this process that enforce limits together over real sockets.
 type limitSite struct {
 	files   mesh.TLSFiles
 	wg      sync.WaitGroup
@@ -39,7 +39,7 @@
 }
 
 func newLimitSite(ctx context.Context, n int) (*limitSite, error) {
-	files, err := linkFiles()
+	files, err := linkCerts()
 	if err != nil {
 		return nil, err
 	}
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// hold keeps a request in progress for each of keys until ctx is done.
-func (p *limitProcess) hold(ctx context.Context, _ uint64, keys int) {
+// holdKeys keeps one request of each key in progress until ctx is done.
+func (p *limitProcess) holdKeys(ctx context.Context, _ uint64, keys int) {
 	for i := 0; i < keys && ctx.Err() == nil; {
 		key := limit.Key{Workspace: fmt.Sprint("workspace-", i), Class: "urgent"}
 		if p.limits.Acquire(ctx, key).Verdict == limit.Admitted {
@@ -102,13 +102,13 @@
 	<-ctx.Done()
 }
 
-// use makes requests of random keys at one entry until ctx is done.
-func (p *limitProcess) use(ctx context.Context, seed uint64, keys int) {
+// useRandomKeys makes requests with random keys at one entry until ctx is done.
+func (p *limitProcess) useRandomKeys(ctx context.Context, seed uint64, keys int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for ctx.Err() == nil {
 		key := limit.Key{Workspace: fmt.Sprint("workspace-", rng.IntN(keys)), Class: "urgent"}
 		if p.limits.Acquire(ctx, key).Verdict == limit.Admitted {
-			time.AfterFunc(limitLength, func() { p.limits.Release(key) })
+			time.AfterFunc(limitHoldTime, func() { p.limits.Release(key) })
 		}
 		time.Sleep(limitSpacing)
 	}
@@ -122,10 +122,10 @@
 	return sum
 }
 
-// limitLoad uses keys of a process until ctx is done; it may be nil.
+// limitLoad generates load on one entry with a number of keys until ctx is done. Nil means no load.
 type limitLoad func(p *limitProcess, ctx context.Context, seed uint64, keys int)
 
-// limitTraffic returns bytes a second, both ways, and the part of a core, of one entry.
+// limitTraffic returns the bytes a second in both directions and the fraction of a core that one entry uses.
 func limitTraffic(ctx context.Context, entries, keys int, load limitLoad) (bytesPerSec, core float64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	s, err := newLimitSite(ctx, entries)
@@ -154,12 +154,12 @@
 	s.wg.Wait()
 }
 
-// MeasureLimits measures what limits cost an entry: over sockets by peers and by keys in use, and by the tables alone at
-// the letter's 430 entries by keys in use.
+// MeasureLimits measures the cost of limits for an entry: over sockets by peers and by keys in use, and with tables alone
+// by keys in use at the design size of 430 entries.
 func MeasureLimits(ctx context.Context, r Report) error {
-	var bytes, cpu, support []Point
+	var bytes, cpu, idleBytes []Point
 	for _, n := range []int{8, 16, 32} {
-		b, c, err := limitTraffic(ctx, n, 30, (*limitProcess).use)
+		b, c, err := limitTraffic(ctx, n, 30, (*limitProcess).useRandomKeys)
 		if err != nil {
 			return err
 		}
@@ -170,11 +170,11 @@
 		r.point("limits", "entries=%d keys=30 bytes_per_s=%.0f core_percent=%.3f idle_bytes_per_s=%.0f", n, b, 100*c, idle)
 		bytes = append(bytes, Point{float64(n - 1), b})
 		cpu = append(cpu, Point{float64(n - 1), 100 * c})
-		support = append(support, Point{float64(n - 1), idle})
+		idleBytes = append(idleBytes, Point{float64(n - 1), idle})
 	}
 	r.fit("limits", "bytes_per_s", "peer", bytes)
 	r.fit("limits", "core_percent", "peer", cpu)
-	r.fit("limits", "idle_bytes_per_s", "peer", support)
+	r.fit("limits", "idle_bytes_per_s", "peer", idleBytes)
 	if err := limitsByKeys(ctx, r); err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 func limitsByKeys(ctx context.Context, r Report) error {
 	var bytes, cpu []Point
 	for _, keys := range []int{20, 80, 240} {
-		b, c, err := limitTraffic(ctx, 8, keys, (*limitProcess).hold)
+		b, c, err := limitTraffic(ctx, 8, keys, (*limitProcess).holdKeys)
 		if err != nil {
 			return err
 		}
@@ -198,18 +198,18 @@
 	return nil
 }
 
-// limitTables measures a tick and the heap of one of 430 entries; nothing is sent.
+// limitTables measures a tick and the heap of one of 430 entries without sending anything.
 func limitTables(r Report) {
 	var cpu, heap []Point
 	for _, keys := range []int{120, 480, 1440} {
 		var n *limit.Node
 		now := time.Unix(0, 0)
-		bytes := held(func() any { n = limitNode(now, keys); return n })
+		bytes := retainedHeap(func() any { n = limitNode(now, keys); return n })
 		spent := perOp(limitTickProbe, func() {
 			now = now.Add(limit.DefaultConfig.Interval)
 			n.Tick(now)
 		})
-		r.point("limit-table", "entries=%d keys=%d tick_us=%.0f heap_bytes=%.0f", letterEntries, keys, micros(spent), bytes)
+		r.point("limit-table", "entries=%d keys=%d tick_us=%.0f heap_bytes=%.0f", designEntries, keys, micros(spent), bytes)
 		cpu = append(cpu, Point{float64(keys), micros(spent)})
 		heap = append(heap, Point{float64(keys), bytes})
 	}
@@ -220,7 +220,7 @@
 func limitNode(now time.Time, keys int) *limit.Node {
 	n := limit.NewNode(now, limit.DefaultConfig, "entry-000", 1, func(limit.Key) limit.Limit { return limit.Limit{Concurrency: 1000} })
 	var members []string
-	for i := range letterEntries {
+	for i := range designEntries {
 		members = append(members, fmt.Sprintf("entry-%03d", i))
 	}
 	n.SetView(now, members)
--- a/lib/capacity/line.go
+++ b/lib/capacity/line.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Report writes one key=value line a measurement and one a fit.
+// Report writes one key=value line for each measurement and one for each fit.
 type Report struct {
 	W io.Writer
 }
 
-// point writes a measurement of one probe at one size.
+// point writes the line of one measurement.
 func (r Report) point(probe, format string, args ...any) {
 	fmt.Fprintf(r.W, "point probe=%s %s\n", probe, fmt.Sprintf(format, args...))
 }
 
-// letterSize is what a series grows to in the users' letter; docs/CAPACITY.md says how each was worked out.
-var letterSize = map[string]float64{
+// designSize holds, for each series, the size that the system is designed for; docs/CAPACITY.md derives each.
+var designSize = map[string]float64{
 	"node":             430,
 	"peer":             429,
 	"target":           12_000,
@@ -33,18 +33,19 @@
 	"token":            388,
 }
 
-// fit writes the line through points: value for each one more of by, and what it comes to at the letter's size.
+// fit writes the least-squares line through points: the slope is the value for one more of by. If by has a design size, the
+// line also gives the value fitted there.
 func (r Report) fit(probe, value, by string, points []Point) {
 	l := Fit(points)
 	fmt.Fprintf(r.W, "fit probe=%s value=%s by=%s points=%d %v", probe, value, by, len(points), l)
-	if size, ok := letterSize[by]; ok {
+	if size, ok := designSize[by]; ok {
 		fmt.Fprintf(r.W, " letter_size=%.0f letter_value=%.5g", size, l.At(size))
 	}
 	fmt.Fprintln(r.W)
 }
 
-// perOp returns the processor time of one run of work. It works for at least d of processor time, so that the clock's
-// steps and the start don't count.
+// perOp returns the processor time of one call of work. It repeats work for at least d of processor time, so that the
+// resolution of the clock and warm-up do not matter.
 func perOp(d time.Duration, work func()) time.Duration {
 	work()
 	runtime.GC()
@@ -56,8 +57,8 @@
 	return (processTime() - start) / time.Duration(n)
 }
 
-// held returns the bytes of heap that what make returns holds on to.
-func held(build func() any) float64 {
+// retainedHeap returns the bytes of heap that the result of build retains.
+func retainedHeap(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/lib/capacity/links.go
+++ b/lib/capacity/links.go
@@ -8,22 +8,22 @@
 	"anvilwick.example/anvilwick/lib/mesh"
 )
 
-// linkFiles returns certificates for links between instances in this process, made once. Links of a real site are TLS too,
-// and its records add to every message.
-var linkFiles = sync.OnceValues(func() (mesh.TLSFiles, error) {
+// linkCerts returns certificates for links between instances in this process, created once. Links of a real site use TLS
+// too, and its record headers add bytes to every message.
+var linkCerts = sync.OnceValues(func() (mesh.TLSFiles, error) {
 	var err error
-	if linkDir, err = os.MkdirTemp("", "anvilwick-capacity-"); err != nil {
+	if certDir, err = os.MkdirTemp("", "anvilwick-capacity-"); err != nil {
 		return mesh.TLSFiles{}, err
 	}
-	return localsite.WriteCerts(linkDir)
+	return localsite.WriteCerts(certDir)
 })
 
-// linkDir holds linkFiles once they were made.
-var linkDir string
+// certDir is the directory of linkCerts once they are created.
+var certDir string
 
-// removeLinkFiles leaves nothing behind; links can't be made after it.
-func removeLinkFiles() {
-	if linkDir != "" {
-		_ = os.RemoveAll(linkDir)
+// removeLinkCerts deletes the certificates; no links can be created after it.
+func removeLinkCerts() {
+	if certDir != "" {
+		_ = os.RemoveAll(certDir)
 	}
 }
--- a/lib/capacity/loopback.go
+++ b/lib/capacity/loopback.go
@@ -9,8 +9,9 @@
 
 const loopbackProbe = 300 * time.Millisecond
 
-// MeasureLoopback measures one write and the read that it wakes, over loopback in this process, by the message's bytes. A
-// token costs an entry one read and one write with other ends, so this is about what no program can go below here.
+// MeasureLoopback measures the processor time of one write and the read that it wakes, over loopback in this process, by
+// message size. An entry does one read and one write for each token, each with a peer in another process, so this is about
+// the lower bound of a token's cost for any program on this machine.
 func MeasureLoopback(_ context.Context, r Report) error {
 	var cpu []Point
 	for _, size := range []int{100, 300, 1000, 3000} {
--- a/lib/capacity/run.go
+++ b/lib/capacity/run.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Probe measures one kind of cost. Kind says what ran: "tables" without any transport, "sockets" for instances in one
+// Probe measures one kind of cost. Kind is the setup: "tables" without any transport, "sockets" for instances in one
 // process over loopback, "processes" for the programs themselves.
 type Probe struct {
 	Name string
@@ -39,14 +39,14 @@
 	}
 }
 
-// Run runs the probes named in only, all when it is empty, one after the other.
+// Run runs the probes named in only, or all if it is empty, one after the other.
 func Run(ctx context.Context, r Report, binaries string, only []string) error {
 	fmt.Fprintf(r.W, "run time=%s cores=%d go=%s load_average=%q clock=processor\n",
 		time.Now().UTC().Format(time.RFC3339), runtime.NumCPU(), runtime.Version(), loadAverage())
-	defer removeLinkFiles()
+	defer removeLinkCerts()
 	began := time.Now()
 	for _, p := range Probes() {
-		if !named(p.Name, only) {
+		if !selected(p.Name, only) {
 			continue
 		}
 		from, cpu := time.Now(), processTime()
@@ -59,14 +59,14 @@
 	return nil
 }
 
-func named(name string, only []string) bool {
+func selected(name string, only []string) bool {
 	if len(only) == 0 {
 		return true
 	}
 	return slices.Contains(only, name)
 }
 
-// loadAverage tells how busy the machine was, beside what is measured here.
+// loadAverage returns the load averages of the machine, which show whether other programs disturbed the measurements.
 func loadAverage() string {
 	b, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -76,11 +76,11 @@
 	return strings.Join(f[:min(3, len(f))], " ")
 }
 
-// MeasureHeartbeats measures membership: tables alone up to 430 nodes, and nodes over loopback.
+// MeasureHeartbeats measures membership: tables alone with up to 430 nodes, and nodes over loopback.
 func MeasureHeartbeats(ctx context.Context, r Report) error {
 	var bytes, cpu []Point
 	for _, n := range []int{32, 64, 128, 430} {
-		h := HeartbeatsOfTables(n, heartbeatEvery, 4*time.Second)
+		h := HeartbeatsInMemory(n, heartbeatEvery, 4*time.Second)
 		r.point("heartbeat-tables", "nodes=%d bytes_per_s=%.0f messages_per_s=%.1f core_percent=%.4f", n, h.SentPerSec, h.MsgsPerSec, 100*h.CPUFraction)
 		bytes = append(bytes, Point{float64(n), h.SentPerSec})
 		cpu = append(cpu, Point{float64(n), 100 * h.CPUFraction})
@@ -88,7 +88,7 @@
 	r.fit("heartbeat-tables", "sent_bytes_per_s", "node", bytes)
 	r.fit("heartbeat-tables", "core_percent", "node", cpu)
 	bytes, cpu = nil, nil
-	files, err := linkFiles()
+	files, err := linkCerts()
 	if err != nil {
 		return err
 	}
@@ -108,13 +108,13 @@
 
 const heartbeatEvery = 500 * time.Millisecond
 
-// MeasurePlacementSlopes measures what asking another entry for places costs, by generations a second and by reports of
-// progress of one generation.
+// MeasurePlacementSlopes measures the cost of placement requests to another entry, by generations a second and by progress
+// reports for one generation.
 func MeasurePlacementSlopes(ctx context.Context, r Report) error {
-	const span, life = 1500 * time.Millisecond, time.Second
+	const span, lifetime = 1500 * time.Millisecond, time.Second
 	var cpu, bytes []Point
 	for _, rate := range []int{30, 58, 120} {
-		p, err := MeasurePlacements(ctx, PlacementLoad{Rate: rate, Duration: span, Life: life, Prefixes: 8, Progress: time.Second})
+		p, err := MeasurePlacements(ctx, PlacementLoad{Rate: rate, Duration: span, Lifetime: lifetime, Prefixes: 8, Progress: time.Second})
 		if err != nil {
 			return err
 		}
@@ -126,11 +126,11 @@
 	r.fit("placement", "bytes_per_s", "generation_per_s", bytes)
 	bytes = nil
 	for _, interval := range []time.Duration{time.Second, 200 * time.Millisecond, 50 * time.Millisecond} {
-		p, err := MeasurePlacements(ctx, PlacementLoad{Rate: 58, Duration: span, Life: life, Prefixes: 8, Progress: interval})
+		p, err := MeasurePlacements(ctx, PlacementLoad{Rate: 58, Duration: span, Lifetime: lifetime, Prefixes: 8, Progress: interval})
 		if err != nil {
 			return err
 		}
-		reports := life.Seconds() / interval.Seconds()
+		reports := lifetime.Seconds() / interval.Seconds()
 		r.point("placement", "rate=58 reports=%.0f up_bytes=%.0f cpu_us_per_generation=%.0f", reports, p.UpBytes, micros(p.CPUPerGen))
 		bytes = append(bytes, Point{reports, p.UpBytes + p.DownBytes})
 	}
--- a/lib/capacity/schedlink.go
+++ b/lib/capacity/schedlink.go
@@ -18,35 +18,35 @@
 	"anvilwick.example/anvilwick/lib/shard"
 )
 
-// Placements is what asking another entry for places costs.
+// Placements is the measured cost of placement requests to another entry.
 type Placements struct {
-	Rate        float64       // generations a second, as reached
+	Rate        float64       // generations a second, as measured
 	UpBytes     float64       // to the owner, for each generation
 	DownBytes   float64       // from the owner, for each generation
-	CPUPerGen   time.Duration // of both ends together
+	CPUPerGen   time.Duration // of both entries together
 	Generations int
 }
 
-// PlacementLoad is what the entry asks.
+// PlacementLoad is the load of placement requests.
 type PlacementLoad struct {
 	Rate     int           // generations a second
 	Duration time.Duration // of the run
-	Life     time.Duration // of a generation
+	Lifetime time.Duration // of a generation
 	Prefixes int           // hashes of prompt prefixes in a request
 	Progress time.Duration // between an entry's reports of progress
 }
 
 const capacityService = "service"
 
-// fixedMembers is a membership that never changes.
+// fixedMembers is a membership view that never changes.
 type fixedMembers struct{ view *member.View }
 
 func (m fixedMembers) View() *member.View       { return m.view }
 func (m fixedMembers) Changed() <-chan struct{} { return nil }
 func (m fixedMembers) Digests() []member.Digest { return nil }
 
-// MeasurePlacements runs one entry that owns nothing and one owner over loopback. The policy grants at once, so the
-// figures are those of the exchange alone.
+// MeasurePlacements runs one entry that owns no shard and one owner over loopback. The policy grants placements at once, so
+// only the cost of the exchange is measured.
 func MeasurePlacements(ctx context.Context, load PlacementLoad) (Placements, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -72,11 +72,11 @@
 	}
 	id := shard.ID{Service: capacityService}
 	owner := shard.Assign([]shard.ID{id}, members)[id]
-	asking := 0
+	requester := 0
 	if owner.Instance == members[0].Instance {
-		asking = 1
+		requester = 1
 	}
-	return askPlaces(ctx, links[asking], nodes[asking], load)
+	return requestPlacements(ctx, links[requester], nodes[requester], load)
 }
 
 func newPlacementLink(ctx context.Context, node *mesh.Node, members fixedMembers, progress time.Duration) *schedlink.Link {
@@ -96,8 +96,8 @@
 	return l
 }
 
-// askPlaces submits at the load's rate and ends each generation after its life, telling progress as an entry does.
-func askPlaces(ctx context.Context, l *schedlink.Link, node *mesh.Node, load PlacementLoad) (Placements, error) {
+// requestPlacements submits at the load's rate, reports progress as an entry does, and ends each generation after its lifetime.
+func requestPlacements(ctx context.Context, l *schedlink.Link, node *mesh.Node, load PlacementLoad) (Placements, error) {
 	total := int(float64(load.Rate) * load.Duration.Seconds())
 	var ended atomic.Int64
 	sent0, recv0 := node.Bytes()
@@ -106,11 +106,11 @@
 	defer tick.Stop()
 	for i := range total {
 		<-tick.C
-		go oneGeneration(l, ids.From(1, uint64(i)), load, &ended)
+		go runGeneration(l, ids.From(1, uint64(i)), load, &ended)
 	}
-	for end := time.Now().Add(load.Life + 5*time.Second); ended.Load() < int64(total); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(load.Lifetime + 5*time.Second); ended.Load() < int64(total); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) || ctx.Err() != nil {
-			return Placements{}, errors.New("generations did not end")
+			return Placements{}, errors.New("generations did not end in time")
 		}
 	}
 	took := time.Since(from)
@@ -124,7 +124,7 @@
 	}, nil
 }
 
-func oneGeneration(l *schedlink.Link, g ids.Generation, load PlacementLoad, ended *atomic.Int64) {
+func runGeneration(l *schedlink.Link, g ids.Generation, load PlacementLoad, ended *atomic.Int64) {
 	granted := make(chan struct{}, 1)
 	prefixes := make([]uint64, load.Prefixes)
 	for i := range prefixes {
@@ -136,7 +136,7 @@
 	tick := time.NewTicker(load.Progress)
 	defer tick.Stop()
 	tokens := 0
-	for end := time.Now().Add(load.Life); time.Now().Before(end); {
+	for end := time.Now().Add(load.Lifetime); time.Now().Before(end); {
 		<-tick.C
 		tokens += 2
 		l.Progress(capacityService, g, 1, tokens)
--- a/lib/capacity/scrape.go
+++ b/lib/capacity/scrape.go
@@ -14,18 +14,18 @@
 	"anvilwick.example/anvilwick/lib/opsapi"
 )
 
-// usage is what a process has spent so far.
+// usage is the cumulative resource usage of a process.
 type usage struct {
 	at        time.Time
 	cpu       time.Duration
 	memory    float64 // resident bytes
-	meshBytes float64 // links to other processes of ours, both ways
-	httpBytes float64 // platform and targets, both ways; control processes only
+	meshBytes float64 // links to other anvilwick processes, both directions
+	httpBytes float64 // platform and targets, both directions; control processes only
 	reads     float64 // of the platform
 	writes    float64
 }
 
-// usageOf reads a process's processor clock and its own metrics.
+// usageOf reads a process's processor clock and its metrics.
 func usageOf(ctx context.Context, n *localsite.Node) (usage, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.OpsAddr+opsapi.PathMetrics, nil)
 	if err != nil {
@@ -41,7 +41,7 @@
 		return usage{}, err
 	}
 	u.at = time.Now()
-	u.cpu, err = cpuOf(n.PID())
+	u.cpu, err = processCPU(n.PID())
 	return u, err
 }
 
@@ -51,12 +51,12 @@
 	sc := bufio.NewScanner(r)
 	for sc.Scan() {
 		line := sc.Text()
-		at := strings.LastIndexByte(line, ' ') // labels may hold spaces
+		at := strings.LastIndexByte(line, ' ') // labels may contain spaces
 		if at < 0 || line[0] == '#' {
 			continue
 		}
 		if seen[line[:at]] {
-			continue // an entry writes the metrics of its whole process twice; summing them would count all bytes double
+			continue // an entry writes the metrics of its process twice; adding both would double its byte counts
 		}
 		seen[line[:at]] = true
 		v, err := strconv.ParseFloat(line[at+1:], 64)
@@ -78,11 +78,11 @@
 	case "anvilwick_control_sent_bytes_total", "anvilwick_control_received_bytes_total":
 		u.httpBytes += v
 	case "anvilwick_platform_exchanges_total":
-		u.exchange(labels, v)
+		u.addExchange(labels, v)
 	}
 }
 
-func (u *usage) exchange(labels string, v float64) {
+func (u *usage) addExchange(labels string, v float64) {
 	switch {
 	case strings.Contains(labels, "not_sent"):
 	case strings.Contains(labels, `use="txn"`):
@@ -92,7 +92,7 @@
 	}
 }
 
-// rates is a usage by the second, the mean of several processes of a kind.
+// rates is usage per second, the mean of several processes of one kind.
 type rates struct {
 	processes                                                  int
 	corePercent, memoryMB, meshBytes, httpBytes, reads, writes float64
--- a/lib/capacity/scrape_test.go
+++ b/lib/capacity/scrape_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// An entry lists the metrics of its process twice. Added up, its bytes looked twice as many as they were.
-func TestReadMetricsCountsALineOnce(t *testing.T) {
+// Guards against counting bytes twice: an entry lists the metrics of its process twice.
+func TestReadMetricsCountsRepeatedLineOnce(t *testing.T) {
 	const text = `# help
 process_resident_memory_bytes 20000000
 anvilwick_mesh_sent_bytes_total 100
--- a/lib/capacity/settingstree.go
+++ b/lib/capacity/settingstree.go
@@ -26,8 +26,8 @@
 	changeDeadline = 20 * time.Second
 )
 
-// treeText writes settings of 4 services and 21 failure domains.
-func treeText(workspaces, targets int) []byte {
+// settingsText returns settings with 4 services and 21 failure domains.
+func settingsText(workspaces, targets int) []byte {
 	var b bytes.Buffer
 	b.WriteString("site:\n  name: capacity\n  failure_domains: [domain-0")
 	for d := range treeDomains - 1 {
@@ -50,7 +50,8 @@
 	return b.Bytes()
 }
 
-// MeasureSettings measures one parse and resolve of the settings tree and what it holds, by workspaces and by targets.
+// MeasureSettings measures the time to parse and resolve settings, and the heap that they retain, by workspaces and by
+// targets.
 func MeasureSettings(_ context.Context, r Report) error {
 	if err := measureTrees(r, "workspace", [][2]int{{60, 0}, {120, 0}, {240, 0}, {480, 0}}); err != nil {
 		return err
@@ -63,12 +64,12 @@
 	for _, size := range sizes {
 		workspaces, targets := size[0], size[1]
 		n := float64(max(workspaces, targets))
-		source := treeText(workspaces, targets)
+		source := settingsText(workspaces, targets)
 		if _, err := loadTree(source); err != nil {
 			return err
 		}
 		spent := perOp(treeProbe, func() { _, _ = loadTree(source) })
-		bytes := held(func() any { snap, _ := loadTree(bytes.Clone(source)); return snap })
+		bytes := retainedHeap(func() any { snap, _ := loadTree(bytes.Clone(source)); return snap })
 		r.point("settings", "workspaces=%d targets=%d text_bytes=%d parse_and_resolve_us=%.0f heap_bytes=%.0f", workspaces, targets, len(source), micros(spent), bytes)
 		cpu = append(cpu, Point{n, micros(spent)})
 		heap = append(heap, Point{n, bytes})
@@ -94,7 +95,7 @@
 	return loadedTree{tree, snap}, err
 }
 
-// countingTransport counts exchanges and the bytes of their bodies.
+// countingTransport counts requests with POST and the bytes of all bodies.
 type countingTransport struct {
 	next  http.RoundTripper
 	bytes atomic.Int64 // received and sent
@@ -118,14 +119,14 @@
 	return res, err
 }
 
-// MeasureChanges measures what one change of the settings costs an instance: changes are committed one after the other, to
-// a stand-in of the table in this process, while n instances hold 480 workspaces. The slope by instances is the cost of
-// one instance, the stand-in's answers included; the base is the commit's.
+// MeasureChanges measures the cost of one settings change for an instance. Changes are committed one after the other to a
+// stand-in of the table in this process, while n instances follow settings of up to 480 workspaces. The slope by instances
+// is the cost of one instance, including the stand-in's answers; the base is the cost of the commit.
 func MeasureChanges(ctx context.Context, r Report) error {
 	for _, workspaces := range []int{120, 240, 480} {
 		var cpu, bytes []Point
 		for _, n := range []int{1, 4, 8} {
-			spent, received, err := changesAt(ctx, n, treeText(workspaces, 0))
+			spent, received, err := runChanges(ctx, n, settingsText(workspaces, 0))
 			if err != nil {
 				return err
 			}
@@ -139,16 +140,16 @@
 	return nil
 }
 
-// changesAt returns processor time and received bytes of one change with n instances.
-func changesAt(ctx context.Context, n int, text []byte) (time.Duration, float64, error) {
+// runChanges returns the processor time and the received bytes of one change with n instances.
+func runChanges(ctx context.Context, n int, text []byte) (time.Duration, float64, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	srv := standin.New(standin.Config{Unlimited: true})
 	operator := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: srv.Transport(), WritesPerSec: 1e6, ReadsPerSec: 1e6})
-	wire := &countingTransport{next: srv.Transport()}
-	table := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: wire, WritesPerSec: 1e6, ReadsPerSec: 1e6})
+	transport := &countingTransport{next: srv.Transport()}
+	table := platform.New(platform.Config{Addr: "127.0.0.1:1", Transport: transport, WritesPerSec: 1e6, ReadsPerSec: 1e6})
 	syncs := make([]*settingsync.Sync, n)
 	for i := range syncs {
 		syncs[i] = settingsync.New(settingsync.Config{Table: table, Poll: changePoll, SwapShare: 1})
@@ -157,24 +158,24 @@
 	var cpu time.Duration
 	var bytes int64
 	for i := range uint64(changesTimed + 1) {
-		from, got := processTime(), wire.bytes.Load()
+		from, got := processTime(), transport.bytes.Load()
 		text = append(text, "# one more\n"...)
 		change := settingsync.Change{Text: text, File: treeName, Base: i, Operator: treeName, Time: time.Now()}
 		if _, err := settingsync.Commit(ctx, operator, change); err != nil {
 			return 0, 0, err
 		}
-		if err := inForce(ctx, syncs, i+1); err != nil {
+		if err := awaitInForce(ctx, syncs, i+1); err != nil {
 			return 0, 0, err
 		}
-		if i > 0 { // the first brings the whole text
+		if i > 0 { // the first one transfers the whole text
 			cpu += processTime() - from
-			bytes += wire.bytes.Load() - got
+			bytes += transport.bytes.Load() - got
 		}
 	}
 	return cpu / changesTimed, float64(bytes) / changesTimed, nil
 }
 
-func inForce(ctx context.Context, syncs []*settingsync.Sync, revision uint64) error {
+func awaitInForce(ctx context.Context, syncs []*settingsync.Sync, revision uint64) error {
 	end := time.Now().Add(changeDeadline)
 	for _, s := range syncs {
 		for s.Status().InForce < revision {
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// newCountingTransport counts what goes over sockets.
+// newCountingTransport returns a countingTransport over sockets.
 func newCountingTransport(conns int) *countingTransport {
 	return &countingTransport{next: &http.Transport{MaxIdleConnsPerHost: conns}}
 }
--- a/lib/capacity/sites.go
+++ b/lib/capacity/sites.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	siteStart  = 40 * time.Second
-	siteStop   = 20 * time.Second
-	siteSettle = 6 * time.Second
-	siteIdle   = 6 * time.Second
-	siteModel  = "capacity"
-	siteCap    = 1_000_000 // watts: power is divided, and holds nothing back
+	siteStart    = 40 * time.Second
+	siteStop     = 20 * time.Second
+	siteSettle   = 6 * time.Second
+	idleSpan     = 6 * time.Second
+	siteModel    = "capacity"
+	sitePowerCap = 1_000_000 // watts: power is planned, but never limits anything
 )
 
 func startSite(ctx context.Context, binaries string, entries, engines, workspaces int, engineFlags ...string) (*localsite.Site, error) {
 	ctx, cancel := context.WithTimeout(ctx, siteStart)
 	defer cancel()
 	set := localsite.Settings{
-		Model: siteModel, Service: siteModel, Route: "/plain", PowerCap: siteCap, IdleWatts: 100, SeqWatts: 2, MaxBatch: 256,
+		Model: siteModel, Service: siteModel, Route: "/plain", PowerCap: sitePowerCap, IdleWatts: 100, SeqWatts: 2, MaxBatch: 256,
 		Classes: []workload.Class{{Name: "standard", Priority: 1, MaxWait: time.Minute, QueueBound: 10000}},
 	}
 	for i := range workspaces {
@@ -46,9 +46,9 @@
 	s.Close()
 }
 
-// ordinaryLeases starts the control processes again with the TTL that operators get: a local site's own is shorter, and
-// campaigns for leases would count five times.
-func ordinaryLeases(ctx context.Context, s *localsite.Site) error {
+// useDefaultLeaseTTL restarts the control processes with the default lease TTL. A local site uses a shorter one, and attempts to
+// acquire leases would be five times as frequent.
+func useDefaultLeaseTTL(ctx context.Context, s *localsite.Site) error {
 	var procs []*proc.Proc
 	for _, n := range s.Controls {
 		procs = append(procs, n.Proc)
@@ -64,14 +64,14 @@
 	return s.AwaitReady(ctx, s.Controls...)
 }
 
-// idleSite returns what an entry and a control process of a site without requests spend.
-func idleSite(ctx context.Context, binaries string, entries, engines, workspaces int) (entry, control rates, err error) {
+// measureIdleSite returns the rates of an entry and of a control process of a site without requests.
+func measureIdleSite(ctx context.Context, binaries string, entries, engines, workspaces int) (entry, control rates, err error) {
 	s, err := startSite(ctx, binaries, entries, engines, workspaces)
 	if err != nil {
 		return entry, control, err
 	}
 	defer stopSite(ctx, s)
-	if err := ordinaryLeases(ctx, s); err != nil {
+	if err := useDefaultLeaseTTL(ctx, s); err != nil {
 		return entry, control, err
 	}
 	time.Sleep(siteSettle)
@@ -81,7 +81,7 @@
 			return entry, control, err
 		}
 	}
-	time.Sleep(siteIdle)
+	time.Sleep(idleSpan)
 	for i, nodes := range [][]*localsite.Node{s.Entries, s.Controls} {
 		if after[i], err = usagesOf(ctx, nodes); err != nil {
 			return entry, control, err
@@ -90,7 +90,7 @@
 	return meanRates(before[0], after[0]), meanRates(before[1], after[1]), nil
 }
 
-// sitePoints collects one kind of process over sizes.
+// sitePoints collects the points of one kind of process by size.
 type sitePoints struct {
 	core, memory, mesh, http, reads, writes []Point
 }
@@ -104,7 +104,7 @@
 	p.writes = append(p.writes, Point{size, m.writes * float64(m.processes)})
 }
 
-func (p *sitePoints) fits(r Report, probe, by string) {
+func (p *sitePoints) printFits(r Report, probe, by string) {
 	r.fit(probe, "core_percent", by, p.core)
 	r.fit(probe, "memory_mb", by, p.memory)
 	r.fit(probe, "mesh_bytes_per_s", by, p.mesh)
@@ -116,14 +116,14 @@
 	r.fit(probe, "platform_writes_per_s_of_site", by, p.writes)
 }
 
-// siteSize is the size of one site of a series.
+// siteSize is the size of one site.
 type siteSize struct{ entries, engines, workspaces int }
 
-// siteSeries is a series of sites that differ in one number.
+// siteSeries is a series of sites that differ in one dimension.
 type siteSeries struct {
-	by    string
-	sizes []siteSize
-	of    func(siteSize) int
+	by     string
+	sizes  []siteSize
+	sizeOf func(siteSize) int
 }
 
 var allSeries = []siteSeries{
@@ -132,8 +132,8 @@
 	{"workspace", []siteSize{{1, 4, 120}, {1, 4, 240}, {1, 4, 480}}, func(s siteSize) int { return s.workspaces }},
 }
 
-// MeasureSites measures what entries and control processes spend while no request comes, as separate processes over TLS:
-// by instances, by targets and by workspaces. All sites run side by side, about 120 processes; each has its own clock.
+// MeasureSites measures entries and control processes without requests, as separate processes over TLS: by instances, by
+// targets and by workspaces. All sites run concurrently, about 120 processes; each process has its own processor clock.
 func MeasureSites(ctx context.Context, r Report, binaries string) error {
 	results := make([][]siteRates, len(allSeries))
 	errs := make([]error, len(allSeries))
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// siteRates is what the two kinds of process of a site spend.
+// siteRates holds the rates of the two kinds of process of a site.
 type siteRates struct{ entry, control rates }
 
 func (series siteSeries) measure(ctx context.Context, binaries string) ([]siteRates, error) {
@@ -159,7 +159,7 @@
 	var wg sync.WaitGroup
 	for i, s := range series.sizes {
 		wg.Go(func() {
-			out[i].entry, out[i].control, errs[i] = idleSite(ctx, binaries, s.entries, s.engines, s.workspaces)
+			out[i].entry, out[i].control, errs[i] = measureIdleSite(ctx, binaries, s.entries, s.engines, s.workspaces)
 		})
 	}
 	wg.Wait()
@@ -169,14 +169,14 @@
 func (series siteSeries) print(r Report, results []siteRates) {
 	var entries, controls sitePoints
 	for i, s := range series.sizes {
-		size := float64(series.of(s))
+		size := float64(series.sizeOf(s))
 		s.print(r, "idle-entry", results[i].entry)
 		s.print(r, "idle-control", results[i].control)
 		entries.add(size, results[i].entry)
 		controls.add(size, results[i].control)
 	}
-	entries.fits(r, "idle-entry", series.by)
-	controls.fits(r, "idle-control", series.by)
+	entries.printFits(r, "idle-entry", series.by)
+	controls.printFits(r, "idle-control", series.by)
 }
 
 func (s siteSize) print(r Report, probe string, m rates) {
--- a/lib/capacity/streams.go
+++ b/lib/capacity/streams.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	streamSpan   = 3 * time.Second
-	streamsOnce  = 64
-	streamTokens = 40
+	streamSpan        = 3 * time.Second
+	concurrentStreams = 64
+	streamTokens      = 40
 )
 
-// streamSite is one entry before one engine that takes a step of 20 ms whatever its batch.
+// streamSite is a site of one entry and one engine whose steps take 20 ms whatever the batch.
 type streamSite struct {
 	*localsite.Site
 	client *caller.Client
@@ -30,66 +30,66 @@
 		return nil, err
 	}
 	time.Sleep(siteSettle)
-	transport := &http.Transport{MaxIdleConnsPerHost: 4 * streamsOnce}
+	transport := &http.Transport{MaxIdleConnsPerHost: 4 * concurrentStreams}
 	return &streamSite{s, &caller.Client{
 		Entries: s.CallerAddrs(), Token: localsite.WorkspaceKey("workspace-0"), HTTP: &http.Client{Transport: transport},
 	}}, nil
 }
 
-// streamCost is what one stream costs, on the mean.
+// streamCost is the mean cost of one stream.
 type streamCost struct {
-	streams, tokensPerSec          float64
-	entryMicros, engineMicros      float64
-	entryCorePercent, entryMemoryM float64
+	streams, tokensPerSec           float64
+	entryMicros, engineMicros       float64
+	entryCorePercent, entryMemoryMB float64
 }
 
-// MeasureStreams measures an entry's processor time by the length of streams, and its memory by streams at once, as
-// separate processes. The slope by tokens is a token's cost, its base a request's. The stand-in engine's own time is
-// given beside it: a write to a socket for each token and little else.
+// MeasureStreams measures an entry's processor time by the length of streams, and its memory by concurrent streams, as
+// separate processes. The slope by tokens is the cost of a token, the base that of a request. The processor time of the
+// stand-in engine is reported for comparison: it is little more than a socket write for each token.
 func MeasureStreams(ctx context.Context, r Report, binaries string) error {
 	s, err := startStreams(ctx, binaries)
 	if err != nil {
 		return err
 	}
 	defer stopSite(ctx, s.Site)
-	var cpu, bare, memory, crowded []Point
+	var cpu, engineCPU, memory, perToken []Point
 	for _, length := range []int{1, 10, 40, 100} {
-		c, err := s.measure(ctx, r, length, streamsOnce)
+		c, err := s.measure(ctx, r, length, concurrentStreams)
 		if err != nil {
 			return err
 		}
 		cpu = append(cpu, Point{float64(length), c.entryMicros})
-		bare = append(bare, Point{float64(length), c.engineMicros})
+		engineCPU = append(engineCPU, Point{float64(length), c.engineMicros})
 	}
-	for _, once := range []int{32, 64, 96, 128} {
-		c, err := s.measure(ctx, r, streamTokens, once)
+	for _, concurrency := range []int{32, 64, 96, 128} {
+		c, err := s.measure(ctx, r, streamTokens, concurrency)
 		if err != nil {
 			return err
 		}
-		memory = append(memory, Point{float64(once), c.entryMemoryM})
-		crowded = append(crowded, Point{float64(once), c.entryMicros / streamTokens})
+		memory = append(memory, Point{float64(concurrency), c.entryMemoryMB})
+		perToken = append(perToken, Point{float64(concurrency), c.entryMicros / streamTokens})
 	}
 	r.fit("stream", "entry_cpu_us", "token", cpu)
-	r.fit("stream", "engine_cpu_us", "token", bare)
+	r.fit("stream", "engine_cpu_us", "token", engineCPU)
 	r.fit("stream", "entry_memory_mb", "stream_at_once", memory)
-	r.fit("stream", "entry_cpu_us_per_token", "at_once", crowded)
+	r.fit("stream", "entry_cpu_us_per_token", "at_once", perToken)
 	return nil
 }
 
-func (s *streamSite) measure(ctx context.Context, r Report, length, once int) (c streamCost, err error) {
+func (s *streamSite) measure(ctx context.Context, r Report, length, concurrency int) (c streamCost, err error) {
 	before, err := usageOf(ctx, s.Entries[0])
 	if err != nil {
 		return c, err
 	}
-	engine, err := cpuOf(s.Engines[0].PID())
+	engine, err := processCPU(s.Engines[0].PID())
 	if err != nil {
 		return c, err
 	}
-	n, err := s.run(ctx, length, once)
+	n, err := s.run(ctx, length, concurrency)
 	if err != nil {
 		return c, err
 	}
-	engineAfter, err := cpuOf(s.Engines[0].PID())
+	engineAfter, err := processCPU(s.Engines[0].PID())
 	if err != nil {
 		return c, err
 	}
@@ -104,20 +104,20 @@
 		entryMicros:      micros(after.cpu-before.cpu) / float64(n),
 		engineMicros:     micros(engineAfter-engine) / float64(n),
 		entryCorePercent: 100 * (after.cpu - before.cpu).Seconds() / took,
-		entryMemoryM:     after.memory / 1e6,
+		entryMemoryMB:    after.memory / 1e6,
 	}
 	r.point("stream", "tokens=%d streams=%.0f at_once=%d entry_cpu_us_per_stream=%.0f engine_cpu_us_per_stream=%.0f tokens_per_s=%.0f core_percent=%.1f memory_mb=%.1f",
-		length, c.streams, once, c.entryMicros, c.engineMicros, c.tokensPerSec, c.entryCorePercent, c.entryMemoryM)
+		length, c.streams, concurrency, c.entryMicros, c.engineMicros, c.tokensPerSec, c.entryCorePercent, c.entryMemoryMB)
 	return c, nil
 }
 
-// run keeps so many streams of a length going for streamSpan and returns how many there were.
-func (s *streamSite) run(ctx context.Context, length, once int) (int64, error) {
+// run keeps the given number of concurrent streams of a length running for streamSpan and returns how many it started.
+func (s *streamSite) run(ctx context.Context, length, concurrency int) (int64, error) {
 	end := time.Now().Add(streamSpan)
 	var n atomic.Int64
-	errs := make(chan error, once)
+	errs := make(chan error, concurrency)
 	var wg sync.WaitGroup
-	for i := range once {
+	for i := range concurrency {
 		wg.Go(func() {
 			for time.Now().Before(end) {
 				prompt := fmt.Sprintf("stream %d %d [len=%d]", i, n.Add(1), length)
--- a/lib/prove/book.go
+++ b/lib/prove/book.go
@@ -17,43 +17,43 @@
 
 // book sends a non-idempotent call without a key, once.
 func (r *run) book(ctx context.Context, op operation) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	from := time.Now()
 	res, err := r.send(ctx, op, "", 0, op.entry)
-	r.judgeCall(op, res, err, from)
+	r.checkCallEnd(op, res, err, from)
 }
 
-// bookOnce sends a keyed non-idempotent call until its outcome is final, from one or two callers at once, each through
-// one entry after another.
+// bookOnce sends a keyed non-idempotent call until its outcome is final, from one or two callers at once, each trying one
+// entry after another.
 func (r *run) bookOnce(ctx context.Context, op operation) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	callers := 1
-	if op.twice {
+	if op.duplicate {
 		callers = 2
 	}
 	var wg sync.WaitGroup
 	for c := range callers {
-		wg.Go(func() { r.insist(ctx, op, c) })
+		wg.Go(func() { r.retryUntilFinal(ctx, op, c) })
 	}
 	wg.Wait()
 }
 
-// insist asks again, through the next entry, until the answer is final.
-func (r *run) insist(ctx context.Context, op operation, client int) {
-	key := fmt.Sprintf("book-%d", op.n)
-	for try := 0; ; try++ {
-		one, cancel := context.WithTimeout(ctx, callPatience)
-		res, err := r.send(one, op, key, 1000*client+try, op.entry+client+try)
+// retryUntilFinal retries a keyed call, each time through the next entry, until the answer is final.
+func (r *run) retryUntilFinal(ctx context.Context, op operation, client int) {
+	key := fmt.Sprintf("book-%d", op.index)
+	for attempt := 0; ; attempt++ {
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		res, err := r.send(attemptCtx, op, key, 1000*client+attempt, op.entry+client+attempt)
 		cancel()
-		if final(err) {
+		if isFinal(err) {
 			r.countCall(op, res, err)
 			return
 		}
 		select {
 		case <-ctx.Done():
-			r.violated("no final answer for a keyed call: %s operation %d after %d tries: %v", op.kind, op.n, try+1, err)
+			r.addViolation("no final answer for a keyed call: %s operation %d after %d attempts: %v", op.kind, op.index, attempt+1, err)
 			return
 		case <-time.After(max(resendPause, min(res.RetryAfter, time.Second))):
 		}
@@ -69,8 +69,8 @@
 	r.count(op.kind, fmt.Sprintf("http_%d", res.HTTP))
 }
 
-// final tells whether asking again can't give another answer.
-func final(err error) bool {
+// isFinal reports whether a retry can't change the answer.
+func isFinal(err error) bool {
 	var refused *caller.Refused
 	switch {
 	case err == nil:
@@ -81,29 +81,29 @@
 	return false
 }
 
-// send sends a call once, under a name of its own, and records what its caller was told.
-func (r *run) send(ctx context.Context, op operation, key string, try, entry int) (caller.Result, error) {
-	name := fmt.Sprintf("book-%d.%d", op.n, try)
+// send makes one attempt of a call, under a unique name, and records the answer that the caller received.
+func (r *run) send(ctx context.Context, op operation, key string, attempt, entry int) (caller.Result, error) {
+	name := fmt.Sprintf("book-%d.%d", op.index, attempt)
 	rec := history.Op{
-		Model: history.ModelClaim, Object: fmt.Sprintf("book-%d", op.n), Action: history.Reply,
-		Client: op.n*10000 + try, Request: name, Call: history.Now(),
+		Model: history.ModelClaim, Object: fmt.Sprintf("book-%d", op.index), Action: history.Reply,
+		Client: op.index*10000 + attempt, Request: name, Call: history.Now(),
 	}
 	body, res, err := r.client.Plain(ctx, caller.PlainCall{
-		Method: http.MethodPost, Path: route + "/book", Body: fmt.Sprintf("booking %d", op.n), Class: classOfAll,
+		Method: http.MethodPost, Path: route + "/book", Body: fmt.Sprintf("booking %d", op.index), Class: classOfAll,
 		Key: key, Entry: entry, ID: name,
 	})
 	rec.Return = history.Now()
-	rec.Outcome, rec.Value = told(body, res, err)
-	r.log.Add(rec)
+	rec.Outcome, rec.Value = observedOutcome(body, res, err)
+	r.history.Add(rec)
 	return res, err
 }
 
-// told is what a caller may conclude from an answer: the outcome, and the sending whose answer it was given.
-func told(body []byte, res caller.Result, err error) (outcome, value string) {
+// observedOutcome maps an answer to what a caller may conclude from it: the outcome, and the name of the attempt that ran.
+func observedOutcome(body []byte, res caller.Result, err error) (outcome, value string) {
 	var refused *caller.Refused
 	switch {
 	case errors.As(err, &refused) && refused.Detail.Code == result.AnswerGone:
-		return history.FailedRan, "" // it ran, and there is no answer to compare
+		return history.FailedRan, "" // it ran, and its answer is no longer stored for comparison
 	case errors.As(err, &refused):
 		return outcomes[result.Lookup(refused.Detail.Code).Outcome], ""
 	case err != nil:
@@ -111,7 +111,7 @@
 	}
 	var ans plain.Answer
 	if json.Unmarshal(body, &ans) != nil || ans.ID == "" {
-		return history.Unknown, "" // an answer by the service that it did nothing, such as 500 or 503
+		return history.Unknown, "" // the service answered without executing, such as with 500 or 503
 	}
 	return history.Completed, ans.ID
 }
--- a/lib/prove/inject.go
+++ b/lib/prove/inject.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	readyLimit = 20 * time.Second // for a process that was started again
-	stopLimit  = 40 * time.Second // for a planned stop: the longest request and more
+	readyLimit = 20 * time.Second // for a restarted process to become ready
+	stopLimit  = 40 * time.Second // for a planned stop, more than the longest request takes
 )
 
-// Figures of faults that stand-ins are ordered.
+// Parameters of the faults that stand-ins simulate.
 const (
-	slowPlatformMS  = 400
-	staleMS         = 5000
-	listLagMS       = 6000
-	loseShare       = 0.3
-	slowEngine      = 4
-	plainDelayMS    = 1500
-	plainFaultCalls = 5
+	slowPlatformMS   = 400
+	staleReadsMS     = 5000
+	listLagMS        = 6000
+	loseProbability  = 0.3
+	slowEngineFactor = 4
+	plainDelayMS     = 1500
+	plainFaultCalls  = 5
 )
 
-// injectAll injects each fault when it is due and ends it after its time.
+// injectAll injects each fault when it is due and ends it after its span.
 func (r *run) injectAll(ctx context.Context, faults []fault) {
 	var wg sync.WaitGroup
 	for _, f := range faults {
 		if !r.due(ctx, f.at) {
 			break
 		}
-		r.faults[f.name()]++
+		r.faultCounts[f.name()]++
 		if f.pair {
-			r.faults["pairs"]++
+			r.faultCounts["pairs"]++
 		}
 		fmt.Fprintf(r.out, "%v\n", f)
 		wg.Go(func() { r.inject(ctx, f) })
@@ -48,29 +48,29 @@
 	wg.Wait()
 }
 
-// inject takes a fault through its life. An order that can't be given is a fault of this tool and is reported as such.
+// inject starts a fault, waits for its span and ends it. Failing to start it is an error of this tool and is reported as such.
 func (r *run) inject(ctx context.Context, f fault) {
-	end := r.down.Begin(f.subject, f.kind)
+	end := r.faultLog.Begin(f.subject, f.kind)
 	defer end()
-	heal, err := r.start(ctx, f)
+	endFault, err := r.startFault(ctx, f)
 	if err != nil {
-		r.violated("the tool: inject %v: %v", f, err)
+		r.addViolation("prove itself: inject %v: %v", f, err)
 		return
 	}
 	r.due(ctx, f.at+f.span)
-	if err := heal(ctx); err != nil {
-		r.violated("%v: %v", f, err)
+	if err := endFault(ctx); err != nil {
+		r.addViolation("end of fault %v: %v", f, err)
 	}
 }
 
-type healer func(context.Context) error
+type endFunc func(context.Context) error
 
-func (r *run) start(ctx context.Context, f fault) (healer, error) {
+func (r *run) startFault(ctx context.Context, f fault) (endFunc, error) {
 	switch f.kind {
 	case faultCut:
-		return r.link(f.subject, relay.Cut)
+		return r.setLink(f.subject, relay.Cut)
 	case faultStall:
-		return r.link(f.subject, relay.Stalled)
+		return r.setLink(f.subject, relay.Stalled)
 	case faultPlatform:
 		return r.platformFault(ctx, f)
 	case faultEngine:
@@ -83,14 +83,14 @@
 	case faultFreeze:
 		return func(context.Context) error { return n.Thaw() }, n.Freeze()
 	case faultKill:
-		return func(ctx context.Context) error { return r.again(ctx, n) }, n.Kill()
+		return func(ctx context.Context) error { return r.restart(ctx, n) }, n.Kill()
 	case faultStop:
-		return func(ctx context.Context) error { return r.stopped(ctx, n) }, n.Terminate()
+		return func(ctx context.Context) error { return r.awaitStopAndRestart(ctx, n) }, n.Terminate()
 	}
-	return nil, fmt.Errorf("unknown kind %q", f.kind)
+	return nil, fmt.Errorf("unknown fault kind %q", f.kind)
 }
 
-func (r *run) link(name string, m relay.Mode) (healer, error) {
+func (r *run) setLink(name string, m relay.Mode) (endFunc, error) {
 	return func(context.Context) error { return r.relays.Set(name, relay.Up) }, r.relays.Set(name, m)
 }
 
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// again starts a process that has ended and waits until it is ready.
-func (r *run) again(ctx context.Context, n *localsite.Node) error {
+// restart restarts a process that has ended and waits until it is ready.
+func (r *run) restart(ctx context.Context, n *localsite.Node) error {
 	if err := r.site.Restart(n); err != nil {
 		return err
 	}
@@ -123,55 +123,55 @@
 	})
 }
 
-// stopped waits for the end of a planned stop, which must be graceful, and starts the process again.
-func (r *run) stopped(ctx context.Context, n *localsite.Node) error {
+// awaitStopAndRestart waits for the end of a planned stop, which must be graceful, and restarts the process.
+func (r *run) awaitStopAndRestart(ctx context.Context, n *localsite.Node) error {
 	wait, cancel := context.WithTimeout(ctx, stopLimit)
 	defer cancel()
 	code, err := n.Wait(wait)
 	if err != nil {
-		return fmt.Errorf("planned stop does not end: %w", err)
+		return fmt.Errorf("planned stop did not finish: %w", err)
 	}
 	if code != 0 {
 		return fmt.Errorf("exit code %d after a planned stop", code)
 	}
-	return r.again(ctx, n)
+	return r.restart(ctx, n)
 }
 
-func (r *run) platformFault(ctx context.Context, f fault) (healer, error) {
-	order := platform.Fault{Kind: f.order}
-	switch f.order {
+func (r *run) platformFault(ctx context.Context, f fault) (endFunc, error) {
+	standinFault := platform.Fault{Kind: f.standinKind}
+	switch f.standinKind {
 	case platform.FaultSlow:
-		order.DelayMS = slowPlatformMS
+		standinFault.DelayMS = slowPlatformMS
 	case platform.FaultStaleReads:
-		order.DelayMS = staleMS
+		standinFault.DelayMS = staleReadsMS
 	case platform.FaultListLag:
-		order.DelayMS = listLagMS
+		standinFault.DelayMS = listLagMS
 	case platform.FaultLoseAnswer:
-		order.Probability = loseShare
+		standinFault.Probability = loseProbability
 	}
-	heal := func(ctx context.Context) error {
+	end := func(ctx context.Context) error {
 		return r.site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultClear})
 	}
-	return heal, r.site.PlatformFault(ctx, order)
+	return end, r.site.PlatformFault(ctx, standinFault)
 }
 
-func (r *run) engineFault(ctx context.Context, f fault) (healer, error) {
+func (r *run) engineFault(ctx context.Context, f fault) (endFunc, error) {
 	n := r.node(f.subject)
-	order := engine.Fault{Kind: f.order, Factor: slowEngine}
-	if f.order == engine.FaultStall {
-		order.MS = f.span.Milliseconds()
+	standinFault := engine.Fault{Kind: f.standinKind, Factor: slowEngineFactor}
+	if f.standinKind == engine.FaultStall {
+		standinFault.MS = f.span.Milliseconds()
 	}
-	heal := func(ctx context.Context) error {
+	end := func(ctx context.Context) error {
 		return localsite.EngineFault(ctx, n, engine.Fault{Kind: engine.FaultHealthy})
 	}
-	return heal, localsite.EngineFault(ctx, n, order)
+	return end, localsite.EngineFault(ctx, n, standinFault)
 }
 
-func (r *run) plainFault(ctx context.Context, f fault) (healer, error) {
+func (r *run) plainFault(ctx context.Context, f fault) (endFunc, error) {
 	n := r.node(f.subject)
-	order := plain.Fault{Kind: f.order, MS: plainDelayMS, Count: plainFaultCalls}
-	heal := func(ctx context.Context) error {
+	standinFault := plain.Fault{Kind: f.standinKind, MS: plainDelayMS, Count: plainFaultCalls}
+	end := func(ctx context.Context) error {
 		return localsite.PlainFault(ctx, n, plain.Fault{Kind: plain.FaultHealthy})
 	}
-	return heal, localsite.PlainFault(ctx, n, order)
+	return end, localsite.PlainFault(ctx, n, standinFault)
 }
--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	roundLimit   = 60 * time.Second
-	killAt       = 40              // token at which a stream's engine or entry is killed
-	longAnswer   = 2000            // tokens; the stream is left once it goes on
-	rest         = 2 * time.Second // between a restart and the next round
-	probeEvery   = 100 * time.Millisecond
-	probesAfter  = 5 * time.Second
-	probeDelayed = 300 * time.Millisecond // a first token later than this counts as delayed by the kill
+	roundLimit       = 60 * time.Second
+	killAt           = 40              // token at which a stream's engine or entry is killed
+	longAnswer       = 2000            // tokens; the stream is cancelled once it has resumed
+	roundPause       = 2 * time.Second // between a restart and the next round
+	probeInterval    = 100 * time.Millisecond
+	probeSpan        = 5 * time.Second
+	delayedThreshold = 300 * time.Millisecond // a first token that took longer counts as delayed by the kill
 )
 
-// times are the results of the rounds of one measurement.
-type times []time.Duration
+// durations holds the durations measured in the rounds of one measurement.
+type durations []time.Duration
 
-func (t times) quantile(q float64) time.Duration {
+func (t durations) quantile(q float64) time.Duration {
 	s := slices.Sorted(slices.Values(t))
 	return s[min(len(s)-1, int(q*float64(len(s))))].Round(time.Millisecond)
 }
 
-func (t times) print(w io.Writer, what string) {
+func (t durations) print(w io.Writer, what string) {
 	fmt.Fprintf(w, "measured what=%q rounds=%d p50=%v p99=%v worst=%v\n", what, len(t), t.quantile(0.5), t.quantile(0.99), t.quantile(1))
 }
 
-// bench is a site for measurements.
-type bench struct {
+// testbed is a site on which recovery and settings propagation are measured.
+type testbed struct {
 	site   *localsite.Site
 	client *caller.Client
 	relays relay.Set
 	round  int
 }
 
-func openBench(ctx context.Context, cfg Config, relayed bool) (*bench, error) {
+func openTestbed(ctx context.Context, cfg Config, relayed bool) (*testbed, error) {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
-	b := &bench{}
+	b := &testbed{}
 	var via func(link, addr string) (string, error)
 	if relayed {
 		via = b.relays.Add
@@ -60,14 +60,14 @@
 	return b, nil
 }
 
-func (b *bench) close() {
+func (b *testbed) close() {
 	b.site.Close()
 	b.relays.Close()
 }
 
-// measureRecovery kills one kind of process after another, and measures how long its callers wait for full service.
+// measureRecovery kills processes of each role in turn and measures how long callers wait until full service resumes.
 func measureRecovery(ctx context.Context, cfg Config, out io.Writer) error {
-	b, err := openBench(ctx, cfg, false)
+	b, err := openTestbed(ctx, cfg, false)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 		{"SIGKILL of an entry to the next token of its keyed stream through another", b.entryRound},
 		{"SIGKILL of the owner to full service at another entry", b.ownerRound},
 	} {
-		var got times
+		var got durations
 		for range cfg.Rounds {
 			d, err := b.measure(ctx, m.round)
 			if err != nil {
@@ -94,25 +94,26 @@
 	return nil
 }
 
-// measure runs one round and makes the site whole again.
-func (b *bench) measure(ctx context.Context, round func(context.Context) (time.Duration, *localsite.Node, error)) (time.Duration, error) {
+// measure runs one round, restarts the process that it killed and waits until the site is ready again.
+func (b *testbed) measure(ctx context.Context, round func(context.Context) (time.Duration, *localsite.Node, error)) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, roundLimit)
 	defer cancel()
 	b.round++
-	took, dead, err := round(ctx)
+	elapsed, killed, err := round(ctx)
 	if err != nil {
 		return 0, err
 	}
 	r := run{site: b.site}
-	if err := r.again(ctx, dead); err != nil {
+	if err := r.restart(ctx, killed); err != nil {
 		return 0, err
 	}
-	time.Sleep(rest)
-	return took, nil
+	time.Sleep(roundPause)
+	return elapsed, nil
 }
 
-// goOn starts a long stream, kills what victim names once it runs, and times the next token.
-func (b *bench) goOn(ctx context.Context, call caller.Call, victim func(context.Context) (*localsite.Node, error)) (time.Duration, *localsite.Node, error) {
+// timeToResume starts a long stream, kills the process that victim returns once the stream runs, and returns the time to the next
+// token.
+func (b *testbed) timeToResume(ctx context.Context, call caller.Call, victim func(context.Context) (*localsite.Node, error)) (time.Duration, *localsite.Node, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	call.Model, call.Class = model, classOfAll
@@ -120,10 +121,10 @@
 	tokens := make(chan caller.Token, longAnswer)
 	go func() {
 		defer close(tokens)
-		_, _ = b.client.Stream(ctx, call, func(t caller.Token) { tokens <- t }) // judged by its tokens
+		_, _ = b.client.Stream(ctx, call, func(t caller.Token) { tokens <- t }) // the tokens show whether it resumed
 	}()
-	if !reach(tokens, killAt) {
-		return 0, nil, errors.New("the stream ended early")
+	if !awaitToken(tokens, killAt) {
+		return 0, nil, errors.New("stream ended before the kill")
 	}
 	n, err := victim(ctx)
 	if err != nil {
@@ -138,13 +139,13 @@
 			return t.At.Sub(killed), n, nil
 		}
 	}
-	return 0, nil, errors.New("the stream did not go on")
+	return 0, nil, errors.New("stream did not resume after the kill")
 }
 
-// bufferedTokens is how long after a kill tokens that were under way may still arrive.
+// bufferedTokens is how long after a kill tokens that were already in transit may still arrive.
 const bufferedTokens = 30 * time.Millisecond
 
-func reach(tokens <-chan caller.Token, index int) bool {
+func awaitToken(tokens <-chan caller.Token, index int) bool {
 	for t := range tokens {
 		if t.Index >= index {
 			return true
@@ -153,8 +154,8 @@
 	return false
 }
 
-func (b *bench) engineRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
-	return b.goOn(ctx, caller.Call{Entry: b.round}, func(ctx context.Context) (*localsite.Node, error) {
+func (b *testbed) engineRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
+	return b.timeToResume(ctx, caller.Call{Entry: b.round}, func(ctx context.Context) (*localsite.Node, error) {
 		n, err := b.site.StreamingEngine(ctx)
 		if n == nil && err == nil {
 			err = errors.New("no engine is busy")
@@ -163,13 +164,13 @@
 	})
 }
 
-func (b *bench) entryRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
+func (b *testbed) entryRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
 	i := b.round % len(b.site.Entries)
-	call := caller.Call{Entry: i, Key: fmt.Sprint("measurement-", b.round), Resumes: resumes}
-	return b.goOn(ctx, call, func(context.Context) (*localsite.Node, error) { return b.site.Entries[i], nil })
+	call := caller.Call{Entry: i, Key: fmt.Sprint("measurement-", b.round), Resumes: maxResumes}
+	return b.timeToResume(ctx, call, func(context.Context) (*localsite.Node, error) { return b.site.Entries[i], nil })
 }
 
-func (b *bench) ownerRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
+func (b *testbed) ownerRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
 	i, err := b.owner(ctx)
 	if err != nil {
 		return 0, nil, err
@@ -178,12 +179,12 @@
 	if err := n.Kill(); err != nil {
 		return 0, nil, err
 	}
-	took, err := b.probe(ctx, time.Now(), i+1)
-	return took, n, err
+	elapsed, err := b.probe(ctx, time.Now(), i+1)
+	return elapsed, n, err
 }
 
-// owner is the entry that owns the shard of the engines.
-func (b *bench) owner(ctx context.Context) (int, error) {
+// owner returns the index of the entry that owns the engines' shard.
+func (b *testbed) owner(ctx context.Context) (int, error) {
 	for i, n := range b.site.Entries {
 		qs, err := localsite.Operator(n).Queues(ctx)
 		if err != nil {
@@ -195,12 +196,12 @@
 			}
 		}
 	}
-	return 0, errors.New("nobody owns the shard")
+	return 0, errors.New("no entry owns the shard")
 }
 
-// probe sends short requests to one entry and returns when, after the kill, the last one that was delayed got its first
-// token; without any, when the first one did.
-func (b *bench) probe(ctx context.Context, killed time.Time, entry int) (time.Duration, error) {
+// probe sends short requests to one entry. It returns the time from the kill to the first token of the last request that
+// was delayed, or of the first one answered if none was delayed.
+func (b *testbed) probe(ctx context.Context, killed time.Time, entry int) (time.Duration, error) {
 	type answer struct {
 		first time.Duration // since the kill
 		took  time.Duration
@@ -208,7 +209,7 @@
 	}
 	answers := make(chan answer)
 	sent := 0
-	for ; time.Since(killed) < probesAfter; sent++ {
+	for ; time.Since(killed) < probeSpan; sent++ {
 		name := fmt.Sprintf("probe %d.%d [len=3]", b.round, sent)
 		go func() {
 			from := time.Now()
@@ -221,7 +222,7 @@
 			})
 			answers <- answer{first.Sub(killed), first.Sub(from), err}
 		}()
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 	}
 	earliest, delayed := roundLimit, time.Duration(0)
 	var errs []error
@@ -229,14 +230,14 @@
 		a := <-answers
 		errs = append(errs, a.err)
 		earliest = min(earliest, a.first)
-		if a.took > probeDelayed {
+		if a.took > delayedThreshold {
 			delayed = max(delayed, a.first)
 		}
 	}
 	return max(earliest, delayed), errors.Join(errs...)
 }
 
-func (b *bench) holderRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
+func (b *testbed) holderRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
 	holder, held, err := b.holder(ctx, nil, "")
 	if err != nil {
 		return 0, nil, err
@@ -252,10 +253,10 @@
 	return time.Since(killed), holder, err
 }
 
-// holder is a control process other than not that holds a lease, or any lease for an empty name, with the lease's name.
-func (b *bench) holder(ctx context.Context, not *localsite.Node, lease string) (*localsite.Node, string, error) {
+// holder returns a control process other than not that holds the lease, and the lease's name. An empty name matches any lease.
+func (b *testbed) holder(ctx context.Context, exclude *localsite.Node, lease string) (*localsite.Node, string, error) {
 	for _, n := range b.site.Controls {
-		if n == not {
+		if n == exclude {
 			continue
 		}
 		st, err := localsite.Operator(n).Status(ctx)
@@ -268,13 +269,13 @@
 			}
 		}
 	}
-	return nil, "", errors.New("nobody holds the lease")
+	return nil, "", errors.New("no control process holds the lease")
 }
 
-// measureSettings commits revisions and times until the last entry has each in force: with the store, and with all but
-// one instance cut off from it.
+// measureSettings commits revisions and measures the time until each is in force at every entry: first with the store
+// reachable, then with all instances but one cut off from it.
 func measureSettings(ctx context.Context, cfg Config, out io.Writer) error {
-	b, err := openBench(ctx, cfg, true)
+	b, err := openTestbed(ctx, cfg, true)
 	if err != nil {
 		return err
 	}
@@ -290,8 +291,8 @@
 	return b.propagation(ctx, cfg.Rounds, out, "acceptance to in force at every entry, all but one instance cut off from the store")
 }
 
-func (b *bench) propagation(ctx context.Context, rounds int, out io.Writer, what string) error {
-	var got times
+func (b *testbed) propagation(ctx context.Context, rounds int, out io.Writer, what string) error {
+	var got durations
 	for range rounds {
 		base := uint64(localsite.Revision + b.round)
 		b.round++
@@ -304,7 +305,7 @@
 			err := proc.Until(ctx, n.Name, func(ctx context.Context) error {
 				st, err := localsite.Operator(n).Status(ctx)
 				if err == nil && st.SettingsRevision <= base {
-					err = errBehind
+					err = errNotInForce
 				}
 				return err
 			})
@@ -313,7 +314,7 @@
 			}
 		}
 		got = append(got, time.Since(accepted))
-		time.Sleep(time.Duration(b.round%7) * 37 * time.Millisecond) // so that commits don't fall in step with polls
+		time.Sleep(time.Duration(b.round%7) * 37 * time.Millisecond) // varies the phase of commits against the poll interval
 	}
 	got.print(out, what)
 	return nil
--- a/lib/prove/operate.go
+++ b/lib/prove/operate.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	patience     = 35 * time.Second // for the final answer to one request
-	callPatience = 5 * time.Second  // for the answer to one sending of a keyed call, which can be sent again
-	resendPause  = 250 * time.Millisecond
-	silence      = 2 * time.Second // after which a caller with a key gives its entry up
-	resumes      = 200
+	requestTimeout = 35 * time.Second // for the final answer to one request
+	attemptTimeout = 5 * time.Second  // for the answer to one attempt of a keyed call, which can be sent again
+	resendPause    = 250 * time.Millisecond
+	silenceTimeout = 2 * time.Second // without data, after which a caller with a key switches to another entry
+	maxResumes     = 200
 )
 
-// operateAll begins each operation when it is due, whatever became of the others, and waits for all.
-func (r *run) operateAll(ctx context.Context, ops []operation) {
+// runOperations starts each operation when it is due, without waiting for earlier ones, and then waits for all of them.
+func (r *run) runOperations(ctx context.Context, ops []operation) {
 	var wg sync.WaitGroup
 	for _, op := range ops {
 		if !r.due(ctx, op.at) {
 			break
 		}
-		r.kinds[op.kind]++
-		wg.Go(func() { r.operate(ctx, op) })
+		r.opCounts[op.kind]++
+		wg.Go(func() { r.runOperation(ctx, op) })
 	}
 	wg.Wait()
 }
 
-func (r *run) operate(ctx context.Context, op operation) {
+func (r *run) runOperation(ctx context.Context, op operation) {
 	switch op.kind {
 	case opStream, opKeyed:
 		r.stream(ctx, op)
@@ -53,42 +53,42 @@
 	}
 }
 
-// stream asks for a generation; one with a key in half of the cases from two callers at once, through two entries.
+// stream requests a generation. Half of the keyed ones are sent by two callers at once, through two entries.
 func (r *run) stream(ctx context.Context, op operation) {
 	callers := 1
-	if op.kind == opKeyed && op.twice {
+	if op.kind == opKeyed && op.duplicate {
 		callers = 2
 	}
 	recs := make([]*streamRecord, callers)
 	var wg sync.WaitGroup
 	for c := range callers {
 		recs[c] = newStreamRecord(op, c, r.prompt(op))
-		wg.Go(func() { r.streamOne(ctx, op, op.entry+c, recs[c]) })
+		wg.Go(func() { r.streamAsCaller(ctx, op, op.entry+c, recs[c]) })
 	}
 	wg.Wait()
 	for _, rec := range recs {
-		r.log.AddAll(rec.ops)
+		r.history.AddAll(rec.ops)
 		if first := recs[0].gen; first != "" && rec.gen != "" && rec.gen != first {
-			r.violated("one key ran as two generations: %s operation %d: %s and %s", op.kind, op.n, first, rec.gen)
+			r.addViolation("one key ran as two generations: %s operation %d: %s and %s", op.kind, op.index, first, rec.gen)
 		}
 	}
 }
 
 func (r *run) prompt(op operation) string {
-	return fmt.Sprintf("operation %d of seed %d [len=%d]", op.n, r.cfg.Seed, op.tokens)
+	return fmt.Sprintf("operation %d of seed %d [len=%d]", op.index, r.cfg.Seed, op.tokens)
 }
 
-// streamOne follows one caller's stream to its end and records each token as the caller read it.
-func (r *run) streamOne(ctx context.Context, op operation, entry int, rec *streamRecord) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// streamAsCaller reads one caller's stream to its end and records each token.
+func (r *run) streamAsCaller(ctx context.Context, op operation, entry int, rec *streamRecord) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	call := caller.Call{Model: model, Prompt: r.prompt(op), Class: classOfAll, Entry: entry}
 	if op.kind == opKeyed {
-		call.Key, call.Resumes, call.Silence = fmt.Sprintf("key-%d", op.n), resumes, silence
+		call.Key, call.Resumes, call.Silence = fmt.Sprintf("key-%d", op.index), maxResumes, silenceTimeout
 	}
 	from := time.Now()
 	res, err := r.client.Stream(ctx, call, rec.token)
-	for running(err) && res.Tokens == 0 && pause(ctx, resendPause) {
+	for isAlreadyRunning(err) && res.Tokens == 0 && pause(ctx, resendPause) {
 		call.Entry++
 		entry = call.Entry
 		res, err = r.client.Stream(ctx, call, rec.token)
@@ -96,11 +96,11 @@
 	if res.Done {
 		rec.end(op.tokens)
 	}
-	r.judgeStream(op, entry, res, err, from)
+	r.checkStreamEnd(op, entry, res, err, from)
 }
 
-// running tells whether the key was refused because its request is in progress elsewhere.
-func running(err error) bool {
+// isAlreadyRunning reports whether the request was refused because another request with its key is in progress.
+func isAlreadyRunning(err error) bool {
 	var refused *caller.Refused
 	return errors.As(err, &refused) && refused.Detail.Code == result.AlreadyRunning
 }
@@ -114,44 +114,44 @@
 	}
 }
 
-// judgeStream tells whether the end of a stream was one that the caller may be given.
-func (r *run) judgeStream(op operation, asked int, res caller.Result, err error, from time.Time) {
+// checkStreamEnd records a violation unless the stream ended in a way that is allowed, given the faults during it.
+func (r *run) checkStreamEnd(op operation, entryIndex int, res caller.Result, err error, from time.Time) {
 	var refused *caller.Refused
-	entry := fmt.Sprintf("entry-%d", asked%siteEntries+1)
-	what := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.n, entry, res.Tokens, op.tokens, res.Resumed)
+	entry := fmt.Sprintf("entry-%d", entryIndex%siteEntries+1)
+	desc := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.index, entry, res.Tokens, op.tokens, res.Resumed)
 	switch {
 	case err == nil:
 		r.count(op.kind, "completed")
 	case errors.As(err, &refused):
 		r.count(op.kind, string(refused.Detail.Type))
 		if res.Tokens > 0 && result.Lookup(refused.Detail.Code).Outcome == result.NotRun {
-			r.violated("told not run after tokens: %s: %v", what, err)
+			r.addViolation("refused as not run after tokens were sent: %s: %v", desc, err)
 		}
 	case errors.Is(err, caller.ErrOrder), errors.Is(err, caller.ErrGeneration):
-		r.violated("%s: %v", what, err)
+		r.addViolation("%s: %v", desc, err)
 	case op.kind == opKeyed:
-		r.violated("no final answer for a keyed request: %s: %v", what, err)
-	case r.down.During(from, time.Now(), cutsCallers(entry)):
+		r.addViolation("no final answer for a keyed request: %s: %v", desc, err)
+	case r.faultLog.During(from, time.Now(), cutsConnections(entry)):
 		r.count(op.kind, "cut with its entry")
-	case res.HTTP == 0 && r.down.During(from, time.Now(), stops(entry)):
+	case res.HTTP == 0 && r.faultLog.During(from, time.Now(), stopsEntry(entry)):
 		r.count(op.kind, "not connected")
 	default:
-		r.violated("cut or silent without a fault: %s: %v", what, err)
+		r.addViolation("stream cut or silent without a fault: %s: %v", desc, err)
 	}
 }
 
-// streamRecord turns the tokens of one caller into a history. Its times only order it: one caller reads one by one.
+// streamRecord builds the history of one caller's tokens. Its times are a sequence only, since one caller reads in order.
 type streamRecord struct {
 	object string
-	want   string // first part of each token of the prompt's answer
-	gen    string // second part: names the generation
+	want   string // first part of each token's text: identifies the prompt
+	gen    string // second part: identifies the generation
 	ops    []history.Op
 }
 
 func newStreamRecord(op operation, client int, prompt string) *streamRecord {
 	first := strings.TrimSpace(engine.TokenText(prompt, "", 0))
 	want, _, _ := strings.Cut(first, "-")
-	return &streamRecord{object: fmt.Sprintf("stream-%d.%d", op.n, client), want: want}
+	return &streamRecord{object: fmt.Sprintf("stream-%d.%d", op.index, client), want: want}
 }
 
 func (s *streamRecord) add(op history.Op) {
@@ -161,8 +161,8 @@
 	s.ops = append(s.ops, op)
 }
 
-// token takes the index and the generation from the text itself, so that neither the entry's numbers nor the reader's
-// are believed.
+// token parses the index and the generation from the token's text, so that the check does not depend on the numbers that
+// the entry or the client assigned.
 func (s *streamRecord) token(tok caller.Token) {
 	var gen string
 	var index uint64
@@ -181,22 +181,22 @@
 	s.add(history.Op{Action: history.Token, Number: index, Value: value})
 }
 
-// end records the end mark with the count of tokens that the whole answer has.
+// end records the end mark with the number of tokens in a complete answer.
 func (s *streamRecord) end(tokens int) {
 	s.add(history.Op{Action: history.End, Number: uint64(tokens)})
 }
 
-// status is an idempotent call: entries may repeat it, and it must end in an answer or a refusal.
+// status makes an idempotent call. Entries may retry it, and it must end in an answer or a refusal.
 func (r *run) status(ctx context.Context, op operation) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	from := time.Now()
-	path := fmt.Sprintf("%s/status?id=status-%d", route, op.n)
+	path := fmt.Sprintf("%s/status?id=status-%d", route, op.index)
 	_, res, err := r.client.Plain(ctx, caller.PlainCall{Method: http.MethodGet, Path: path, Class: classOfAll, Entry: op.entry})
-	r.judgeCall(op, res, err, from)
+	r.checkCallEnd(op, res, err, from)
 }
 
-func (r *run) judgeCall(op operation, res caller.Result, err error, from time.Time) {
+func (r *run) checkCallEnd(op operation, res caller.Result, err error, from time.Time) {
 	var refused *caller.Refused
 	entry := fmt.Sprintf("entry-%d", op.entry+1)
 	switch {
@@ -204,17 +204,17 @@
 		r.count(op.kind, fmt.Sprintf("http_%d", res.HTTP))
 	case errors.As(err, &refused):
 		r.count(op.kind, string(refused.Detail.Type))
-	case r.down.During(from, time.Now(), cutsCallers(entry)):
+	case r.faultLog.During(from, time.Now(), cutsConnections(entry)):
 		r.count(op.kind, "cut with its entry")
-	case res.HTTP == 0 && r.down.During(from, time.Now(), stops(entry)):
+	case res.HTTP == 0 && r.faultLog.During(from, time.Now(), stopsEntry(entry)):
 		r.count(op.kind, "not connected")
-	case res.HTTP != 0 && r.down.During(from, time.Now(), plainCuts):
+	case res.HTTP != 0 && r.faultLog.During(from, time.Now(), cutsPlainBodies):
 		r.count(op.kind, "cut with its service")
 	default:
-		r.violated("cut or silent without a fault: %s operation %d at %s, HTTP %d after %v: %v",
-			op.kind, op.n, entry, res.HTTP, time.Since(from).Round(time.Millisecond), err)
+		r.addViolation("call cut or silent without a fault: %s operation %d at %s, HTTP %d after %v: %v",
+			op.kind, op.index, entry, res.HTTP, time.Since(from).Round(time.Millisecond), err)
 	}
 }
 
-// plainCuts matches faults that cut the body of an answer of a plain service.
-func plainCuts(subject, _ string) bool { return strings.Contains(subject, "plain-") }
+// cutsPlainBodies matches faults of plain services, which may cut the body of an answer.
+func cutsPlainBodies(subject, _ string) bool { return strings.Contains(subject, "plain-") }
--- a/lib/prove/operators.go
+++ b/lib/prove/operators.go
@@ -16,31 +16,31 @@
 
 const (
 	operators      = 2
-	applyPatience  = 8 * time.Second
+	applyTimeout   = 8 * time.Second
 	inForceLimit   = 5 * time.Second
 	watchInterval  = 150 * time.Millisecond
 	settingsObject = "settings"
 	drainLimit     = 3 * time.Second
-	drainWatched   = 3 * time.Second // after the limit
+	drainWatch     = 3 * time.Second // after drainLimit
 	drainPoll      = 200 * time.Millisecond
 )
 
-// acceptance is a revision that an operator was told is committed.
-type acceptance struct {
+// acceptedRevision is a revision whose commit was confirmed to an operator.
+type acceptedRevision struct {
 	revision uint64
 	at       time.Time
 }
 
-// sighting is a revision that was in force at an instance.
-type sighting struct {
+// observation is an observation of the revision in force at an instance.
+type observation struct {
 	node     string
 	revision uint64
 	at       time.Time
 }
 
-// applyRace lets two operators commit different settings made from one base.
+// applyRace lets two operators concurrently commit different settings made from the same base revision.
 func (r *run) applyRace(ctx context.Context, op operation) {
-	ctx, cancel := context.WithTimeout(ctx, applyPatience)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	base, err := settingsync.Newest(ctx, r.site.Store)
 	if err != nil {
@@ -56,7 +56,7 @@
 
 func (r *run) apply(ctx context.Context, op operation, base uint64, operator int) {
 	store := platform.New(platform.Config{Addr: r.site.Platform.Addr})
-	text := fmt.Sprintf("%s# operation %d of operator %d\n", r.site.SettingsText(), op.n, operator)
+	text := fmt.Sprintf("%s# operation %d of operator %d\n", r.site.SettingsText(), op.index, operator)
 	rec := history.Op{
 		Model: history.ModelSettings, Object: settingsObject, Action: history.Apply, Client: operator,
 		Call: history.Now(), Number: base + 1, Value: settingsync.Digest([]byte(text)),
@@ -73,7 +73,7 @@
 	case err == nil:
 		rec.Outcome = history.Yes
 		r.mu.Lock()
-		r.accepted = append(r.accepted, acceptance{got.Revision, time.Now()})
+		r.accepted = append(r.accepted, acceptedRevision{got.Revision, time.Now()})
 		r.mu.Unlock()
 	case isUnknown(err):
 		rec.Outcome, rec.Return = history.Unknown, 0
@@ -88,10 +88,10 @@
 	default:
 		r.count(op.kind, rec.Outcome)
 	}
-	r.log.Add(rec)
+	r.history.Add(rec)
 }
 
-// watchSettings asks every instance over and over which revision is in force.
+// watchSettings polls every entry for the revision in force.
 func (r *run) watchSettings(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, n := range r.site.Entries {
@@ -107,11 +107,11 @@
 		call := history.Now()
 		st, err := operator.Status(ctx)
 		if err == nil && st.SettingsRevision > 0 {
-			r.saw(n.Name, st.SettingsRevision)
+			r.recordRevision(n.Name, st.SettingsRevision)
 			if st.SettingsRevision != last || time.Since(recorded) > 2*time.Second {
 				last, recorded = st.SettingsRevision, time.Now()
-				r.log.Add(history.Op{
-					Model: history.ModelSettings, Object: settingsObject, Action: history.See, Client: 100 + index(r.site.Entries, n),
+				r.history.Add(history.Op{
+					Model: history.ModelSettings, Object: settingsObject, Action: history.See, Client: 100 + nodeIndex(r.site.Entries, n),
 					Request: n.Name, Number: st.SettingsRevision, Call: call, Return: history.Now(),
 				})
 			}
@@ -123,7 +123,7 @@
 	}
 }
 
-func index(nodes []*localsite.Node, n *localsite.Node) int {
+func nodeIndex(nodes []*localsite.Node, n *localsite.Node) int {
 	for i, it := range nodes {
 		if it == n {
 			return i
@@ -132,13 +132,13 @@
 	return len(nodes)
 }
 
-func (r *run) saw(node string, revision uint64) {
+func (r *run) recordRevision(node string, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = append(r.seen, sighting{node, revision, time.Now()})
+	r.observed = append(r.observed, observation{node, revision, time.Now()})
 }
 
-// drain drains an engine through one control process and watches that it is given nothing new from the limit on.
+// drain drains an engine through one control process and checks that it gets no new attempts once drainLimit has passed.
 func (r *run) drain(ctx context.Context, op operation) {
 	n := r.site.Engines[op.target]
 	control := r.site.Controls[op.entry]
@@ -148,10 +148,10 @@
 		r.count(op.kind, "not recorded")
 		return
 	}
-	asked := time.Now()
+	drainedAt := time.Now()
 	time.Sleep(drainLimit)
 	before, err := localsite.Stats(ctx, n)
-	for err == nil && time.Since(asked) < drainLimit+drainWatched {
+	for err == nil && time.Since(drainedAt) < drainLimit+drainWatch {
 		time.Sleep(drainPoll)
 		now, nowErr := localsite.Stats(ctx, n)
 		if nowErr != nil || now.Attempts < before.Attempts {
@@ -159,27 +159,27 @@
 			return
 		}
 		if now.Attempts > before.Attempts {
-			r.judgeLateWork(op, n.Name, asked, now.Attempts-before.Attempts)
+			r.checkLateAttempts(op, n.Name, drainedAt, now.Attempts-before.Attempts)
 			return
 		}
 	}
 	r.count(op.kind, "held")
 }
 
-// judgeLateWork excuses work by an entry that was frozen, or without its control process, within the last seconds: it may
-// learn of the drain as late as the limit after that has ended.
-func (r *run) judgeLateWork(op operation, target string, asked time.Time, n int) {
+// checkLateAttempts records a violation for attempts at a drained engine, unless an entry was frozen or had lost its control
+// process within the last drainLimit: such an entry may learn of the drain up to drainLimit after that fault has ended.
+func (r *run) checkLateAttempts(op operation, target string, drainedAt time.Time, n int) {
 	recent := time.Now().Add(-drainLimit)
 	for _, e := range r.site.Entries {
-		if subject, kind, on := r.down.First(recent, time.Now(), keepsDrains(e.Name)); on {
-			r.count(op.kind, "late work beside "+kind+" of "+class(subject))
+		if subject, kind, on := r.faultLog.First(recent, time.Now(), delaysDrains(e.Name)); on {
+			r.count(op.kind, "late work beside "+kind+" of "+subjectKind(subject))
 			return
 		}
 	}
-	r.violated("%d new attempts at drained %s, %v after its drain was recorded", n, target, time.Since(asked).Round(time.Millisecond))
+	r.addViolation("%d new attempts at drained %s, %v after its drain was recorded", n, target, time.Since(drainedAt).Round(time.Millisecond))
 }
 
-// undrain repeats until it is recorded: an engine left without work would spoil the rest of the run.
+// undrain retries until the end of the drain is recorded, since an engine left drained would distort the rest of the run.
 func (r *run) undrain(n *localsite.Node) {
 	ctx, cancel := context.WithTimeout(context.Background(), readyLimit)
 	defer cancel()
--- a/lib/prove/plan.go
+++ b/lib/prove/plan.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sizes of the site of a run.
+// Size of the site of a run.
 const (
 	siteEngines = 4
 	sitePlains  = 2
@@ -17,35 +17,35 @@
 // Kinds of operation.
 const (
 	opStream   = "stream"   // a generation without a key
-	opKeyed    = "keyed"    // a generation with a key, gone on with through other entries
+	opKeyed    = "keyed"    // a generation with a key, resumed through other entries
 	opStatus   = "status"   // an idempotent plain call
 	opBook     = "book"     // a non-idempotent plain call without a key
-	opBookOnce = "bookonce" // a non-idempotent plain call with a key, sent again and from two sides
-	opApply    = "apply"    // two operators commit settings from one base
+	opBookOnce = "bookonce" // a non-idempotent plain call with a key, retried and sent by two callers
+	opApply    = "apply"    // two operators commit settings made from the same base revision
 	opDrain    = "drain"    // an operator drains an engine for some seconds
 )
 
-// operation is one planned act of a client.
+// operation is one planned operation of a client or an operator.
 type operation struct {
-	at     time.Duration
-	n      int
-	kind   string
-	entry  int // asked first
-	tokens int
-	target int
-	twice  bool // the same key is sent by two callers at once
+	at        time.Duration
+	index     int
+	kind      string
+	entry     int // tried first
+	tokens    int
+	target    int
+	duplicate bool // the same key is sent by two callers at once
 }
 
-// weights of the kinds, in hundredths.
+// weights are the shares of the kinds in percent.
 var weights = []struct {
 	kind  string
 	share int
 }{{opStream, 25}, {opKeyed, 22}, {opStatus, 18}, {opBook, 10}, {opBookOnce, 16}, {opApply, 6}, {opDrain, 3}}
 
-// drainEvery keeps two drains apart, so that at most one engine is without work.
+// drainEvery is the minimum time between two drains, so that at most one engine is without work.
 const drainEvery = 9 * time.Second
 
-// planOperations draws what clients do: the same for the same seed and span.
+// planOperations draws the operations of a run, the same for equal arguments.
 func planOperations(seed uint64, span time.Duration, rate float64) []operation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var ops []operation
@@ -56,8 +56,8 @@
 			return ops
 		}
 		op := operation{
-			at: at, n: len(ops), kind: drawKind(rng), entry: rng.IntN(siteEntries),
-			tokens: 5 + int(rng.ExpFloat64()*60), target: rng.IntN(siteEngines), twice: rng.IntN(2) == 0,
+			at: at, index: len(ops), kind: drawKind(rng), entry: rng.IntN(siteEntries),
+			tokens: 5 + int(rng.ExpFloat64()*60), target: rng.IntN(siteEngines), duplicate: rng.IntN(2) == 0,
 		}
 		if op.kind == opDrain {
 			if at-drained < drainEvery {
@@ -82,39 +82,39 @@
 
 // Kinds of fault.
 const (
-	faultKill     = "kill"   // SIGKILL, and a start on the old addresses at the end
+	faultKill     = "kill"   // SIGKILL, and a restart on the old addresses at the end
 	faultFreeze   = "freeze" // SIGSTOP, and SIGCONT at the end
-	faultStop     = "stop"   // SIGTERM; a start on the old addresses once it has ended
+	faultStop     = "stop"   // SIGTERM, and a restart on the old addresses once the process has ended
 	faultCut      = "cut_link"
 	faultStall    = "stall_link"
-	faultPlatform = "platform" // ordered from the stand-in
+	faultPlatform = "platform" // simulated by the stand-in
 	faultEngine   = "engine"
 	faultPlain    = "plain"
 )
 
-// fault is one planned fault. A pair is two faults whose times overlap.
+// fault is one planned fault. Two faults whose times overlap are a pair.
 type fault struct {
-	at      time.Duration
-	span    time.Duration
-	kind    string
-	order   string // for stand-ins: their kind of fault
-	subject string // process or link
-	pair    bool   // begins while another is on
+	at          time.Duration
+	span        time.Duration
+	kind        string
+	standinKind string // for stand-ins: which of their faults
+	subject     string // process or link
+	pair        bool   // begins while another fault is active
 }
 
 func (f fault) name() string {
-	if f.order != "" {
-		return f.kind + "_" + f.order
+	if f.standinKind != "" {
+		return f.kind + "_" + f.standinKind
 	}
-	return f.kind + "_" + class(f.subject)
+	return f.kind + "_" + subjectKind(f.subject)
 }
 
 func (f fault) String() string {
 	return fmt.Sprintf("at=%v span=%v fault=%s subject=%q", f.at.Round(time.Millisecond), f.span.Round(time.Millisecond), f.name(), f.subject)
 }
 
-// class is a subject without its number.
-func class(subject string) string {
+// subjectKind returns the kind of a subject: its name without the number.
+func subjectKind(subject string) string {
 	switch {
 	case strings.HasPrefix(subject, "callers of"):
 		return "callers"
@@ -139,26 +139,26 @@
 }
 
 const (
-	faultMin = 300 * time.Millisecond
-	faultMax = 4500 * time.Millisecond // beyond the leases' time to live
-	gapMin   = 400 * time.Millisecond
-	gapMax   = 1800 * time.Millisecond
-	recovery = 3 * time.Second // a subject is left alone for so long after its fault
+	faultMin     = 300 * time.Millisecond
+	faultMax     = 4500 * time.Millisecond // longer than the leases' TTL
+	gapMin       = 400 * time.Millisecond
+	gapMax       = 1800 * time.Millisecond
+	recoveryTime = 3 * time.Second // without another fault of the same subject
 )
 
-// drawTries bounds how often a fault is drawn again that would come too close to another.
-const drawTries = 8
+// maxDraws bounds how often a fault that is too close to another one is drawn again.
+const maxDraws = 8
 
-// planFaults draws faults: the same for the same seed, span and bound on how many are on at once.
-func planFaults(seed uint64, span time.Duration, atOnce int) []fault {
+// planFaults draws the faults of a run, the same for equal arguments, with at most atOnce active at any time.
+func planFaults(seed uint64, span time.Duration, maxFaults int) []fault {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []fault
-	for at := gapMin; at < span; at += gapMin + upTo(rng, gapMax-gapMin) {
-		for range drawTries {
+	for at := gapMin; at < span; at += gapMin + randDuration(rng, gapMax-gapMin) {
+		for range maxDraws {
 			f := drawFault(rng)
-			f.at, f.span = at, faultMin+upTo(rng, faultMax-faultMin)
-			if f.at+f.span < span && fits(out, f, atOnce) {
-				f.pair = len(overlapping(out, f)) > 0
+			f.at, f.span = at, faultMin+randDuration(rng, faultMax-faultMin)
+			if f.at+f.span < span && allowed(out, f, maxFaults) {
+				f.pair = len(active(out, f)) > 0
 				out = append(out, f)
 				break
 			}
@@ -167,46 +167,52 @@
 	return out
 }
 
-func upTo(rng *rand.Rand, d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
+func randDuration(rng *rand.Rand, d time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(d)))
+}
 
-func overlapping(all []fault, f fault) []fault {
-	var on []fault
+func active(all []fault, f fault) []fault {
+	var out []fault
 	for _, o := range all {
 		if o.at+o.span > f.at {
-			on = append(on, o)
+			out = append(out, o)
 		}
 	}
-	return on
+	return out
 }
 
-// clashes tells whether two faults of one subject would come too close.
-func clashes(o, f fault) bool { return o.subject == f.subject && o.at+o.span+recovery > f.at }
+// tooClose reports whether f would start before the subject of o has recovered.
+func tooClose(earlier, f fault) bool {
+	return earlier.subject == f.subject && earlier.at+earlier.span+recoveryTime > f.at
+}
 
-// entryOf tells whether callers of an entry feel a fault of the subject.
-func entryOf(subject string) bool { return class(subject) == "entry" || class(subject) == "callers" }
+// affectsEntry reports whether faults of the subject affect the callers of an entry.
+func affectsEntry(subject string) bool {
+	return subjectKind(subject) == "entry" || subjectKind(subject) == "callers"
+}
 
-// fits tells whether a fault may come: at most atOnce are on, and one fewer of them on entries, so that a caller always
-// finds one.
-func fits(all []fault, f fault, atOnce int) bool {
+// allowed reports whether a fault may be added: at most atOnce faults are active, and at most one fewer affect entries, so that
+// callers always have an entry that works.
+func allowed(all []fault, f fault, maxFaults int) bool {
 	entries := 0
 	for _, o := range all {
-		if clashes(o, f) {
+		if tooClose(o, f) {
 			return false
 		}
-		if entryOf(o.subject) && o.at+o.span+recovery > f.at {
+		if affectsEntry(o.subject) && o.at+o.span+recoveryTime > f.at {
 			entries++
 		}
 	}
-	if entryOf(f.subject) && entries >= min(atOnce, siteEntries)-1 {
+	if affectsEntry(f.subject) && entries >= min(maxFaults, siteEntries)-1 {
 		return false
 	}
-	return len(overlapping(all, f)) < atOnce
+	return len(active(all, f)) < maxFaults
 }
 
 var (
-	platformOrders = []string{"outage", "slow", "lose_answer", "stale_reads", "list_lag"}
-	engineOrders   = []string{"stall", "cut", "repeat", "slow", "freeze"}
-	plainOrders    = []string{"cut_before", "cut_after", "cut_body", "hang", "delay", "error"}
+	platformFaults = []string{"outage", "slow", "lose_answer", "stale_reads", "list_lag"}
+	engineFaults   = []string{"stall", "cut", "repeat", "slow", "freeze"}
+	plainFaults    = []string{"cut_before", "cut_after", "cut_body", "hang", "delay", "error"}
 )
 
 func drawFault(rng *rand.Rand) fault {
@@ -238,9 +244,9 @@
 	case 11:
 		return fault{kind: faultStall, subject: pick(links)}
 	case 12, 13:
-		return fault{kind: faultPlatform, order: pick(platformOrders), subject: "platform"}
+		return fault{kind: faultPlatform, standinKind: pick(platformFaults), subject: "platform"}
 	case 14:
-		return fault{kind: faultEngine, order: pick(engineOrders), subject: engine}
+		return fault{kind: faultEngine, standinKind: pick(engineFaults), subject: engine}
 	}
-	return fault{kind: faultPlain, order: pick(plainOrders), subject: plain}
+	return fault{kind: faultPlain, standinKind: pick(plainFaults), subject: plain}
 }
--- a/lib/prove/plan_test.go
+++ b/lib/prove/plan_test.go
@@ -7,14 +7,14 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestSeedFixesThePlan(t *testing.T) {
+func TestSameSeedGivesSamePlan(t *testing.T) {
 	const span = time.Minute
 	must.Eq(t, planFaults(7, span, 2), planFaults(7, span, 2))
 	must.Eq(t, planOperations(7, span, 10), planOperations(7, span, 10))
 	must.NotEq(t, planFaults(7, span, 2), planFaults(8, span, 2))
 }
 
-func TestFaultsLeaveOneEntryAlone(t *testing.T) {
+func TestFaultsNeverAffectAllEntries(t *testing.T) {
 	for _, atOnce := range []int{2, 3} {
 		kinds, pairs := map[string]int{}, 0
 		for seed := range uint64(20) {
@@ -24,17 +24,17 @@
 				if f.pair {
 					pairs++
 				}
-				on := overlapping(plan[:i], f)
-				must.Less(t, atOnce, len(on))
+				concurrent := active(plan[:i], f)
+				must.Less(t, atOnce, len(concurrent))
 				entries := map[string]bool{}
-				for _, o := range append(on, f) {
-					if entryOf(o.subject) {
+				for _, o := range append(concurrent, f) {
+					if affectsEntry(o.subject) {
 						entries[o.subject] = true
 					}
 				}
 				must.Less(t, atOnce, len(entries)) // one fewer than faults
 				for _, o := range plan[:i] {
-					must.False(t, clashes(o, f), must.Sprintf("%v and %v", o, f))
+					must.False(t, tooClose(o, f), must.Sprintf("%v and %v", o, f))
 				}
 			}
 		}
--- a/lib/prove/report.go
+++ b/lib/prove/report.go
@@ -13,43 +13,44 @@
 	"anvilwick.example/anvilwick/lib/history"
 )
 
-// ErrViolated is returned when a promise was broken.
-var ErrViolated = errors.New("a promise was broken")
+// ErrViolated is returned when a run or a stored history violates a guarantee.
+var ErrViolated = errors.New("guarantee violated")
 
-// checkLimit bounds the search for an order of one object's operations.
+// checkLimit bounds the search for a valid order of one object's operations.
 const checkLimit = 20 * time.Second
 
-// Verify checks a history object by object and returns one line for each that breaks its promise or can't be decided.
+// Verify checks a history object by object and returns one line for each object that violates its model or whose check
+// did not finish within checkLimit.
 func Verify(ops []history.Op) []string {
 	byObject := map[string][]history.Op{}
 	for _, op := range ops {
 		key := op.Model + " " + op.Object
 		byObject[key] = append(byObject[key], op)
 	}
-	var broken []string
+	var violations []string
 	for _, key := range slices.Sorted(maps.Keys(byObject)) {
 		if err := history.Check(byObject[key], checkLimit); err != nil {
-			broken = append(broken, err.Error())
+			violations = append(violations, err.Error())
 		}
 	}
-	return broken
+	return violations
 }
 
-// report checks the history, writes it to a file and prints the figures.
+// report checks the history, writes it to a file and prints the results.
 func (r *run) report() error {
-	ops := r.log.Ops()
+	ops := r.history.Ops()
 	for _, v := range Verify(ops) {
-		r.violated("%s", v)
+		r.addViolation("%s", v)
 	}
-	file, err := r.store(ops)
+	file, err := r.writeHistory(ops)
 	if err != nil {
 		return err
 	}
-	printCounts(r.out, "operations", r.kinds)
-	printCounts(r.out, "outcome", r.outcomes)
-	printCounts(r.out, "faults", r.faults)
+	printCounts(r.out, "operations", r.opCounts)
+	printCounts(r.out, "outcome", r.outcomeCounts)
+	printCounts(r.out, "faults", r.faultCounts)
 	fmt.Fprintf(r.out, "prove: seed=%d operations=%d faults=%d pairs=%d checked=%d seconds=%.0f history=%s violations=%d\n",
-		r.cfg.Seed, sum(r.kinds), sum(r.faults)-r.faults["pairs"], r.faults["pairs"], len(ops), r.cfg.Span.Seconds(), file, len(r.violations))
+		r.cfg.Seed, sum(r.opCounts), sum(r.faultCounts)-r.faultCounts["pairs"], r.faultCounts["pairs"], len(ops), r.cfg.Span.Seconds(), file, len(r.violations))
 	if len(r.violations) > 0 {
 		return ErrViolated
 	}
@@ -70,8 +71,8 @@
 	return n
 }
 
-// store writes the history and returns the file's name.
-func (r *run) store(ops []history.Op) (string, error) {
+// writeHistory writes the history to its file and returns the file's name.
+func (r *run) writeHistory(ops []history.Op) (string, error) {
 	f, err := r.historyFile()
 	if err != nil {
 		return "", err
@@ -89,8 +90,9 @@
 	return os.CreateTemp("", fmt.Sprintf("anvilwick-prove-%d-*.jsonl", r.cfg.Seed))
 }
 
-// recheck checks a stored history. What only a live run can see, such as a request without an answer, is not in it.
-func recheck(path string, out io.Writer) error {
+// checkFile checks a stored history. Violations that only a live run can detect, such as a request without an answer, are not
+// in it.
+func checkFile(path string, out io.Writer) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -100,12 +102,12 @@
 	if err != nil {
 		return err
 	}
-	broken := Verify(ops)
-	for _, v := range broken {
+	violations := Verify(ops)
+	for _, v := range violations {
 		fmt.Fprintln(out, "violation", strings.TrimSpace(v))
 	}
-	fmt.Fprintf(out, "prove: history=%s checked=%d violations=%d\n", path, len(ops), len(broken))
-	if len(broken) > 0 {
+	fmt.Fprintf(out, "prove: history=%s checked=%d violations=%d\n", path, len(ops), len(violations))
+	if len(violations) > 0 {
 		return ErrViolated
 	}
 	return nil
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -25,44 +25,44 @@
 	route       = "/ledger"
 	classOfAll  = "standard"
 	maxWait     = 8 * time.Second  // of a request in a queue
-	deadline    = 20 * time.Second // of a request: a call that may not be repeated waits so long for a silent target
+	deadline    = 20 * time.Second // of a request: a call that must not be retried waits this long for a silent target
 	startLimit  = 40 * time.Second
 	settleLimit = 45 * time.Second // after the last fault ended, for every request to end
 )
 
-// run is one run.
+// run is the state of one run: the site, its clients, and what they observed.
 type run struct {
-	cfg    Config
-	site   *localsite.Site
-	relays relay.Set
-	client *caller.Client
-	began  time.Time
-	log    history.Log
-	down   disturb.Log
-	faults map[string]int
-	kinds  map[string]int
-	out    io.Writer
+	cfg         Config
+	site        *localsite.Site
+	relays      relay.Set
+	client      *caller.Client
+	began       time.Time
+	history     history.Log
+	faultLog    disturb.Log
+	faultCounts map[string]int
+	opCounts    map[string]int
+	out         io.Writer
 
-	mu         sync.Mutex
-	violations []string
-	outcomes   map[string]int
-	accepted   []acceptance
-	seen       []sighting
-	watcher    *proc.OutputScanner
+	mu            sync.Mutex
+	violations    []string
+	outcomeCounts map[string]int
+	accepted      []acceptedRevision
+	observed      []observation
+	watcher       *proc.OutputScanner
 }
 
-// Run does what cfg says and writes a report to out. The error is not nil when a promise was broken.
+// Run executes the mode that cfg selects and writes a report to out. It returns ErrViolated if a guarantee was violated.
 func Run(ctx context.Context, cfg Config, out io.Writer) error {
 	switch {
-	case cfg.Recheck != "":
-		return recheck(cfg.Recheck, out)
+	case cfg.CheckFile != "":
+		return checkFile(cfg.CheckFile, out)
 	case cfg.Measure == MeasureRecovery:
 		return measureRecovery(ctx, cfg, out)
 	case cfg.Measure == MeasureSettings:
 		return measureSettings(ctx, cfg, out)
 	}
-	r := &run{cfg: cfg, out: out, faults: map[string]int{}, kinds: map[string]int{}, outcomes: map[string]int{}}
-	if err := r.open(ctx); err != nil {
+	r := &run{cfg: cfg, out: out, faultCounts: map[string]int{}, opCounts: map[string]int{}, outcomeCounts: map[string]int{}}
+	if err := r.startSite(ctx); err != nil {
 		return err
 	}
 	defer r.close()
@@ -70,12 +70,12 @@
 	return r.report()
 }
 
-// open starts the site, with a relay in each link.
-func (r *run) open(ctx context.Context) error {
+// startSite starts the site, with a relay in every link so that links can be cut and stalled.
+func (r *run) startSite(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
-	r.watcher = &proc.OutputScanner{Patterns: breachMarks}
-	r.down.Slack = slack
+	r.watcher = &proc.OutputScanner{Patterns: failurePatterns}
+	r.faultLog.Slack = slack
 	var tee io.Writer = r.watcher
 	if r.cfg.Logs != "" {
 		f, err := os.Create(r.cfg.Logs)
@@ -117,17 +117,17 @@
 	r.relays.Close()
 }
 
-// drive runs the plan and then waits until the site is whole again and every request has ended.
+// drive runs the plan and then waits until the site has recovered and every request has ended.
 func (r *run) drive(ctx context.Context) {
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	var watching, working sync.WaitGroup
 	watching.Go(func() { r.watchSettings(watchCtx) })
 	if r.cfg.Faults {
-		working.Go(func() { r.injectAll(ctx, planFaults(r.cfg.Seed, r.cfg.Span, r.cfg.AtOnce)) })
+		working.Go(func() { r.injectAll(ctx, planFaults(r.cfg.Seed, r.cfg.Span, r.cfg.MaxFaults)) })
 	}
-	working.Go(func() { r.operateAll(ctx, planOperations(r.cfg.Seed, r.cfg.Span, r.cfg.Rate)) })
+	working.Go(func() { r.runOperations(ctx, planOperations(r.cfg.Seed, r.cfg.Span, r.cfg.Rate)) })
 	working.Wait()
-	r.settle(ctx)
+	r.checkRecovered(ctx)
 	stopWatch()
 	watching.Wait()
 	r.collect(ctx)
@@ -142,8 +142,8 @@
 	}
 }
 
-// violated records a broken promise.
-func (r *run) violated(format string, args ...any) {
+// addViolation records and prints a violated guarantee.
+func (r *run) addViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	at := time.Since(r.began).Round(time.Millisecond)
 	r.mu.Lock()
@@ -155,8 +155,8 @@
 func (r *run) count(kind, outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outcomes[kind+" "+outcome]++
+	r.outcomeCounts[kind+" "+outcome]++
 }
 
-// breachMarks begin the lines of broken invariants and panics in the processes' output.
-var breachMarks = append([]string{"event=invariant_broken"}, proc.PanicPrefixes...)
+// failurePatterns match log lines of violated invariants, and panics, in the processes' output.
+var failurePatterns = append([]string{"event=invariant_broken"}, proc.PanicPrefixes...)
--- a/lib/prove/run_test.go
+++ b/lib/prove/run_test.go
@@ -18,14 +18,14 @@
 	os.Exit(code)
 }
 
-// A short run with real processes and without faults: the tool itself must find nothing where nothing is wrong, and must
-// have done something.
+// Guards against false violations: a short run with real processes and no faults must report none. It must also have
+// completed operations, so that an idle run does not pass.
 func TestRunWithoutFaults(t *testing.T) {
 	bin, err := proc.Binaries(t.Context())
 	must.NoError(t, err)
 	var out bytes.Buffer
 	cfg := Config{
-		Seed: 1, Span: 4 * time.Second, Rate: 20, Binaries: bin, AtOnce: 2,
+		Seed: 1, Span: 4 * time.Second, Rate: 20, Binaries: bin, MaxFaults: 2,
 		History: filepath.Join(t.TempDir(), "history.jsonl"),
 	}
 	must.NoError(t, Run(t.Context(), cfg, &out), must.Sprint(out.String()))
--- a/lib/prove/settle.go
+++ b/lib/prove/settle.go
@@ -17,14 +17,14 @@
 
 const (
 	probeTokens = 20
-	probeLimit  = 15 * time.Second // for each entry to serve again after the last fault
+	probeLimit  = 15 * time.Second // for each entry to complete a request after the last fault
 )
 
 func isUnknown(err error) bool { return errorx.IsOfType(err, settingsync.Unknown) }
 
-// settle checks that the site is whole again: each entry gives a whole answer, and no engine still runs an attempt that
-// nobody waits for.
-func (r *run) settle(ctx context.Context) {
+// checkRecovered checks that the site has recovered: every entry completes a request, and no engine still runs an attempt whose
+// caller is gone.
+func (r *run) checkRecovered(ctx context.Context) {
 	for i, e := range r.site.Entries {
 		limit, cancel := context.WithTimeout(ctx, probeLimit)
 		err := proc.Until(limit, e.Name, func(ctx context.Context) error {
@@ -35,7 +35,7 @@
 		})
 		cancel()
 		if err != nil {
-			r.violated("no service at %s after all faults ended: %v", e.Name, err)
+			r.addViolation("no service at %s after all faults ended: %v", e.Name, err)
 		}
 	}
 	limit, cancel := context.WithTimeout(ctx, settleLimit)
@@ -48,51 +48,52 @@
 		return err
 	})
 	if err != nil {
-		r.violated("%v", err)
+		r.addViolation("%v", err)
 	}
 }
 
-// collect adds to the history what only the services and the table know.
+// collect adds to the history what only the services and the platform's table record.
 func (r *run) collect(ctx context.Context) {
 	r.collectExecutions(ctx)
 	r.collectDigests(ctx)
 	r.checkInForce()
 	for _, line := range r.watcher.Lines() {
-		r.violated("process says: %s", line)
+		r.addViolation("process logged: %s", line)
 	}
 }
 
-// collectExecutions records every run of a booking. When it ran is not known, only that it was within the run.
+// collectExecutions records every execution of a booking. The services keep no times, so each spans the whole run.
 func (r *run) collectExecutions(ctx context.Context) {
 	for _, n := range r.site.Plains {
 		counts, err := localsite.Executions(ctx, n)
 		if err != nil {
-			r.violated("the tool: executions of %s: %v", n.Name, err)
+			r.addViolation("prove itself: read executions of %s: %v", n.Name, err)
 			continue
 		}
 		for id, count := range counts {
-			r.executed(id, count)
+			r.addExecutions(id, count)
 		}
 	}
 }
 
-func (r *run) executed(id string, count int) {
-	var op, try int
-	if _, err := fmt.Sscanf(id, "book-%d.%d", &op, &try); err != nil {
+func (r *run) addExecutions(id string, count int) {
+	var op, attempt int
+	if _, err := fmt.Sscanf(id, "book-%d.%d", &op, &attempt); err != nil {
 		return // a status call
 	}
 	for i := range count {
-		r.log.Add(history.Op{
+		r.history.Add(history.Op{
 			Model: history.ModelClaim, Object: fmt.Sprintf("book-%d", op), Action: history.Execute, Client: -1 - i,
 			Request: id, Value: id, Call: r.began.UnixNano(), Return: history.Now(),
 		})
 	}
 }
 
-// collectDigests fills in the digest of each revision seen, from the table, and compares what was accepted.
+// collectDigests fills in the digest of each revision observed, read from the table, so that the history check can compare
+// it with what was accepted.
 func (r *run) collectDigests(ctx context.Context) {
 	digests := map[uint64]string{}
-	ops := r.log.Ops()
+	ops := r.history.Ops()
 	for i, op := range ops {
 		if op.Model != history.ModelSettings || op.Action != history.See {
 			continue
@@ -100,21 +101,21 @@
 		if _, ok := digests[op.Number]; !ok {
 			rec, err := settingsync.ReadRecord(ctx, r.site.Store, op.Number)
 			if err != nil {
-				r.violated("revision %d was in force at %s and is not in the table: %v", op.Number, op.Request, err)
+				r.addViolation("revision %d was in force at %s but is missing from the table: %v", op.Number, op.Request, err)
 				continue
 			}
 			digests[op.Number] = rec.Digest
 		}
 		ops[i].Value = digests[op.Number]
 	}
-	r.log.Replace(append(ops, r.firstRevision(ctx)...))
+	r.history.Replace(append(ops, r.firstRevision(ctx)...))
 }
 
-// firstRevision is the one that the site started with.
+// firstRevision returns the operation that committed the revision with which the site started.
 func (r *run) firstRevision(ctx context.Context) []history.Op {
 	rec, err := settingsync.ReadRecord(ctx, r.site.Store, localsite.Revision)
 	if err != nil {
-		r.violated("the tool: first revision: %v", err)
+		r.addViolation("prove itself: read the first revision: %v", err)
 		return nil
 	}
 	return []history.Op{{
@@ -123,33 +124,33 @@
 	}}
 }
 
-// checkInForce checks that each accepted revision was in force at each entry within the limit, where no fault kept the
-// news away.
+// checkInForce checks that each accepted revision was in force at each entry within inForceLimit, except where a fault
+// delayed the update.
 func (r *run) checkInForce() {
 	r.mu.Lock()
-	accepted, seen := r.accepted, r.seen
+	accepted, seen := r.accepted, r.observed
 	r.mu.Unlock()
 	for _, a := range accepted {
 		for _, e := range r.site.Entries {
 			due := a.at.Add(inForceLimit)
-			if r.down.During(a.at, due.Add(time.Second), delaysNews(e.Name)) {
+			if r.faultLog.During(a.at, due.Add(time.Second), delaysSettings(e.Name)) {
 				continue
 			}
-			if err := behind(seen, e.Name, a.revision, due); err != nil {
-				r.violated("revision %d accepted: %v", a.revision, err)
+			if err := checkRevision(seen, e.Name, a.revision, due); err != nil {
+				r.addViolation("revision %d accepted: %v", a.revision, err)
 			}
 		}
 	}
 }
 
-var errBehind = errors.New("not in force in time")
+var errNotInForce = errors.New("not in force in time")
 
-// behind returns an error when the first look after due found an older revision.
-func behind(seen []sighting, node string, revision uint64, due time.Time) error {
+// checkRevision returns an error if the first observation after due shows an older revision.
+func checkRevision(seen []observation, node string, revision uint64, due time.Time) error {
 	for _, s := range seen {
 		if s.node == node && s.at.After(due) {
 			if s.revision < revision {
-				return fmt.Errorf("%w: %s had %d in force %v after the limit", errBehind, node, s.revision, s.at.Sub(due).Round(time.Millisecond))
+				return fmt.Errorf("%w: %s had %d in force %v after the limit", errNotInForce, node, s.revision, s.at.Sub(due).Round(time.Millisecond))
 			}
 			return nil
 		}
--- a/lib/prove/verify_test.go
+++ b/lib/prove/verify_test.go
@@ -16,10 +16,10 @@
 	"anvilwick.example/anvilwick/lib/standin/engine"
 )
 
-// sound is what a short run leaves behind: a stream, a keyed call sent twice, settings committed and seen.
-func sound() []history.Op {
+// validHistory returns a valid history of a short run: a stream, a keyed call sent twice, settings committed and observed.
+func validHistory() []history.Op {
 	prompt := "operation 0 of seed 1 [len=3]"
-	rec := newStreamRecord(operation{n: 0}, 0, prompt)
+	rec := newStreamRecord(operation{index: 0}, 0, prompt)
 	for i := range 3 {
 		rec.token(caller.Token{Index: i, Text: engine.TokenText(prompt, "generation", i)})
 	}
@@ -47,55 +47,55 @@
 	)
 }
 
-// A checker that can't fail proves nothing. Each case spoils one thing in a sound history and takes the way that a run
-// takes at its end, and the way of its file.
-func TestEachBrokenPromiseIsFound(t *testing.T) {
+// Guards against a checker that accepts everything: each case corrupts one thing in a valid history, which then passes
+// through the report of a run and through the check of its history file.
+func TestEachViolationIsDetected(t *testing.T) {
 	cases := map[string]func([]history.Op) []history.Op{
-		"doubled run": func(ops []history.Op) []history.Op {
+		"executed twice": func(ops []history.Op) []history.Op {
 			again := ops[find(ops, history.Execute)]
 			again.Client = -2
 			return append(ops, again)
 		},
-		"run under another's key": func(ops []history.Op) []history.Op {
+		"executed under another request's name": func(ops []history.Op) []history.Op {
 			again := ops[find(ops, history.Execute)]
 			again.Request, again.Value = "book-1.1000", "book-1.1000"
 			return append(ops, again)
 		},
-		"not-run lie": func(ops []history.Op) []history.Op {
+		"reported not run but executed": func(ops []history.Op) []history.Op {
 			i := find(ops, history.Reply)
 			ops[i].Outcome, ops[i].Value = history.NotRun, ""
 			return ops
 		},
-		"completed without a run": func(ops []history.Op) []history.Op {
+		"reported completed without an execution": func(ops []history.Op) []history.Op {
 			i := find(ops, history.Execute)
 			return slices.Delete(ops, i, i+1)
 		},
-		"swapped token": func(ops []history.Op) []history.Op {
+		"tokens swapped": func(ops []history.Op) []history.Op {
 			ops[0].Number, ops[1].Number = ops[1].Number, ops[0].Number
 			return ops
 		},
-		"token twice":   func(ops []history.Op) []history.Op { ops[1].Number = 0; return ops },
-		"missing token": func(ops []history.Op) []history.Op { ops[3].Number = 4; return ops },
-		"foreign token": func(ops []history.Op) []history.Op { ops[1].Value = "of another"; return ops },
-		"reverted setting": func(ops []history.Op) []history.Op {
+		"token repeated":          func(ops []history.Op) []history.Op { ops[1].Number = 0; return ops },
+		"token missing":           func(ops []history.Op) []history.Op { ops[3].Number = 4; return ops },
+		"token of another prompt": func(ops []history.Op) []history.Op { ops[1].Value = "of another"; return ops },
+		"settings reverted": func(ops []history.Op) []history.Op {
 			old := ops[len(ops)-1]
 			old.Number, old.Value, old.Call, old.Return = 1, "d1", 30, 31
 			return append(ops, old)
 		},
-		"accepted setting lost": func(ops []history.Op) []history.Op {
+		"accepted settings lost": func(ops []history.Op) []history.Op {
 			other := ops[len(ops)-2]
 			other.Value, other.Call, other.Return = "e2", 14, 15
 			return append(ops, other)
 		},
-		"uncommitted setting in force": func(ops []history.Op) []history.Op {
+		"uncommitted settings in force": func(ops []history.Op) []history.Op {
 			ops[len(ops)-1].Number = 3
 			return ops
 		},
 	}
-	must.NoError(t, check(t, sound()))
-	for name, spoil := range cases {
+	must.NoError(t, check(t, validHistory()))
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
-			must.ErrorIs(t, check(t, spoil(sound())), ErrViolated)
+			must.ErrorIs(t, check(t, corrupt(validHistory())), ErrViolated)
 		})
 	}
 }
@@ -104,19 +104,19 @@
 	return slices.IndexFunc(ops, func(op history.Op) bool { return op.Action == action })
 }
 
-// check ends a run that recorded ops, as prove does, and checks the file that it wrote once more.
+// check reports a run that recorded ops, as Run does, and then checks the history file that it wrote.
 func check(t *testing.T, ops []history.Op) error {
 	t.Helper()
 	var out bytes.Buffer
 	r := &run{cfg: Config{History: filepath.Join(t.TempDir(), "history.jsonl"), Span: time.Second}, out: &out}
-	r.log.AddAll(ops)
+	r.history.AddAll(ops)
 	err := r.report()
 	must.Eq(t, err == nil, strings.HasSuffix(out.String(), "violations=0\n"), must.Sprint(out.String()))
-	must.Eq(t, err == nil, recheck(r.cfg.History, &out) == nil)
+	must.Eq(t, err == nil, checkFile(r.cfg.History, &out) == nil)
 	return err
 }
 
-func TestTokensAreJudgedByTheirText(t *testing.T) {
+func TestTokenOrderIsReadFromText(t *testing.T) {
 	prompt := "p [len=2]"
 	cases := map[string][]string{
 		"of another prompt":     {engine.TokenText(prompt, "g", 0), engine.TokenText("q", "g", 1)},
@@ -128,23 +128,23 @@
 		t.Run(name, func(t *testing.T) {
 			rec := newStreamRecord(operation{}, 0, prompt)
 			for i, text := range texts {
-				rec.token(caller.Token{Index: i, Text: text}) // the index outside the text claims that all is well
+				rec.token(caller.Token{Index: i, Text: text}) // the index beside the text is always correct
 			}
 			must.SliceNotEmpty(t, Verify(rec.ops))
 		})
 	}
 }
 
-func TestOldRevisionAfterTheLimitIsFound(t *testing.T) {
+func TestStaleRevisionAfterLimitIsDetected(t *testing.T) {
 	due := time.Unix(100, 0)
-	seen := []sighting{{"entry-1", 1, due.Add(-time.Second)}, {"entry-1", 1, due.Add(time.Millisecond)}}
-	must.ErrorIs(t, behind(seen, "entry-1", 2, due), errBehind)
+	seen := []observation{{"entry-1", 1, due.Add(-time.Second)}, {"entry-1", 1, due.Add(time.Millisecond)}}
+	must.ErrorIs(t, checkRevision(seen, "entry-1", 2, due), errNotInForce)
 	seen[1].revision = 2
-	must.NoError(t, behind(seen, "entry-1", 2, due))
+	must.NoError(t, checkRevision(seen, "entry-1", 2, due))
 }
 
-func TestBrokenInvariantInALogIsFound(t *testing.T) {
-	b := &proc.OutputScanner{Patterns: breachMarks}
+func TestInvariantViolationInLogIsDetected(t *testing.T) {
+	b := &proc.OutputScanner{Patterns: failurePatterns}
 	_, _ = b.Write([]byte("time=x level=info event=listening\n"))
 	must.SliceEmpty(t, b.Lines())
 	_, _ = b.Write([]byte("time=x level=error event=invariant_broken name=claim_ended_twice\n"))
