--- a/lib/bench/giveup_test.go
+++ b/lib/bench/giveup_test.go
@@ -18,8 +18,8 @@
 	patient := RunPolicy(cfg, PolicyLeastLoaded)
 	cfg.StallTimeout = 2 * time.Second
 	hasty := RunPolicy(cfg, PolicyLeastLoaded)
-	must.Zero(t, patient.GivenUp)
-	must.Positive(t, hasty.GivenUp)
+	must.Zero(t, patient.Aborted)
+	must.Positive(t, hasty.Aborted)
 	must.Greater(t, patient.StallS, hasty.StallS)
 	must.Zero(t, patient.Lost)
 }
