--- a/lib/baseline/balancer.go
+++ b/lib/baseline/balancer.go
@@ -1,5 +1,5 @@
-// Package baseline holds ordinary load balancers behind sched.Policy, to compare the scheduler with: in virtual time by
-// lib/bench, and in real processes for experiments.
+// Package baseline implements conventional load balancers as sched.Policy. The scheduler is compared with them in virtual
+// time by lib/bench, and in real processes for experiments.
 package baseline
 
 import (
@@ -12,31 +12,31 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// choose picks one of the backends that have room; it is what tells the baselines apart.
-type choose func(b *balancer) *backend
+// selectFunc returns a backend with free capacity, or nil. It is the only difference between the baselines.
+type selectFunc func(b *balancer) *backend
 
-// balancer is what an ordinary load balancer does before engines: one queue by class priority and arrival, a bound on
-// the requests in progress at each engine, and a rule to choose an engine. It obeys the same limits as any policy:
-// bounded queues and waits, and a bound in progress that keeps all engines together under the power cap. Like an
-// ordinary balancer it knows nothing of lengths, memory to come or cached prefixes, and moves nothing that runs.
+// balancer is a conventional load balancer for engines: one queue ordered by class priority and arrival, a bound on the
+// requests in progress at each engine, and a rule to select an engine. It obeys the same limits as every policy: bounded
+// queues and waits, and a bound on requests in progress that keeps all engines together under the power cap. Like a
+// conventional balancer it ignores lengths, future memory use and cached prefixes, and never moves running requests.
 type balancer struct {
-	choose   choose
-	rng      *rand.Rand
-	policy   sched.PolicyFunc
-	backends []backend
-	byName   map[string]int
-	queue    []*pending // resumes first, then by priority, then by arrival
-	places   map[ids.Generation]place
-	watts    float64
-	next     int // of round-robin
+	selectBackend selectFunc
+	rng           *rand.Rand
+	policy        sched.PolicyFunc
+	backends      []backend
+	byName        map[string]int
+	queue         []*pending // resumes first, then by priority, then by arrival
+	placements    map[ids.Generation]placement
+	watts         float64
+	next          int // next backend of round-robin
 }
 
-// backend is one engine as the balancer sees it.
+// backend is the balancer's state of one engine.
 type backend struct {
-	spec     sched.TargetSpec
-	inflight int
-	gone     bool
-	report   sched.Report
+	spec        sched.TargetSpec
+	inflight    int
+	unavailable bool
+	report      sched.Report
 }
 
 type pending struct {
@@ -45,61 +45,61 @@
 	since  sched.Time
 }
 
-type place struct {
+type placement struct {
 	attempt uint32
 	backend int
 }
 
-// retryAfter is what the baselines tell callers that they refuse.
+// retryAfter is the retry delay returned with refusals.
 const retryAfter = 10 * time.Second
 
-// NewRoundRobin returns the baseline that gives work to engines in turn.
-func NewRoundRobin() sched.Policy { return newBalancer(chooseInTurn) }
+// NewRoundRobin returns the baseline that assigns requests to engines in turn.
+func NewRoundRobin() sched.Policy { return newBalancer(selectRoundRobin) }
 
-// NewLeastLoaded returns the baseline that gives work to the engine whose lagging report shows the least load.
-func NewLeastLoaded() sched.Policy { return newBalancer(chooseLeastLoaded) }
+// NewLeastLoaded returns the baseline that assigns requests to the engine whose latest, delayed report shows the least load.
+func NewLeastLoaded() sched.Policy { return newBalancer(selectLeastLoaded) }
 
-func newBalancer(c choose) *balancer {
+func newBalancer(selectBackend selectFunc) *balancer {
 	return &balancer{
-		choose: c,
-		rng:    rand.New(rand.NewPCG(1, 2)),
-		byName: make(map[string]int),
-		places: make(map[ids.Generation]place),
+		selectBackend: selectBackend,
+		rng:           rand.New(rand.NewPCG(1, 2)),
+		byName:        make(map[string]int),
+		placements:    make(map[ids.Generation]placement),
 	}
 }
 
-func chooseInTurn(b *balancer) *backend {
+func selectRoundRobin(b *balancer) *backend {
 	for range b.backends {
 		t := &b.backends[b.next%len(b.backends)]
 		b.next++
-		if b.hasRoom(t) {
+		if b.hasCapacity(t) {
 			return t
 		}
 	}
 	return nil
 }
 
-// chooseLeastLoaded compares two engines drawn at random. Reports are up to a second old: to take the least loaded of
-// all would send everything that arrives between two reports to one engine.
-func chooseLeastLoaded(b *balancer) *backend {
-	var free []*backend
+// selectLeastLoaded compares two engines drawn at random. Reports are up to a second old: selecting the least loaded of all
+// engines would send every request that arrives between two reports to the same engine.
+func selectLeastLoaded(b *balancer) *backend {
+	var candidates []*backend
 	for i := range b.backends {
-		if b.hasRoom(&b.backends[i]) {
-			free = append(free, &b.backends[i])
+		if b.hasCapacity(&b.backends[i]) {
+			candidates = append(candidates, &b.backends[i])
 		}
 	}
-	if len(free) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	one := free[b.rng.IntN(len(free))]
-	two := free[b.rng.IntN(len(free))]
-	if two.load() < one.load() {
-		return two
+	first := candidates[b.rng.IntN(len(candidates))]
+	second := candidates[b.rng.IntN(len(candidates))]
+	if second.load() < first.load() {
+		return second
 	}
-	return one
+	return first
 }
 
-// load is the part of the memory in use; an engine where requests wait counts as full.
+// load returns the fraction of memory in use plus the number of waiting requests, so an engine with a queue counts as full.
 func (t *backend) load() float64 {
 	if t.report.KVTotal == 0 {
 		return 0
@@ -107,7 +107,7 @@
 	return float64(t.report.KVUsed)/float64(t.report.KVTotal) + float64(t.report.Waiting)
 }
 
-// batch is the engine's bound on sequences: of the settings, else of its reports.
+// batch returns the engine's maximum batch size, from settings or else from its reports.
 func (t *backend) batch() int {
 	if t.spec.MaxBatch > 0 {
 		return t.spec.MaxBatch
@@ -115,20 +115,20 @@
 	return max(t.report.MaxBatch, 1)
 }
 
-// hasRoom bounds the requests in progress by the batch and by the engine's share of the power cap.
-func (b *balancer) hasRoom(t *backend) bool {
+// hasCapacity bounds the requests in progress by the batch size and by the engine's share of the power cap.
+func (b *balancer) hasCapacity(t *backend) bool {
 	bound := float64(t.batch())
 	if t.spec.SeqWatts > 0 && b.watts > 0 {
 		share := b.watts/float64(len(b.backends)) - t.spec.IdleWatts
 		bound = min(bound, math.Floor(share/t.spec.SeqWatts))
 	}
-	return !t.gone && float64(t.inflight) < bound
+	return !t.unavailable && float64(t.inflight) < bound
 }
 
-// SetTargets implements sched.Policy. A target that is no longer named gets no new work.
+// SetTargets implements sched.Policy. Targets that are no longer listed get no new requests.
 func (b *balancer) SetTargets(_ sched.Time, specs []sched.TargetSpec) {
 	for i := range b.backends {
-		b.backends[i].gone = true
+		b.backends[i].unavailable = true
 	}
 	for _, s := range specs {
 		i, ok := b.byName[s.Name]
@@ -138,7 +138,7 @@
 			b.backends = append(b.backends, backend{})
 		}
 		b.backends[i].spec = s
-		b.backends[i].gone = false
+		b.backends[i].unavailable = false
 	}
 }
 
@@ -151,13 +151,13 @@
 // Submit implements sched.Policy.
 func (b *balancer) Submit(now sched.Time, r sched.Request) {
 	p := &pending{req: r, policy: b.policy(r.Workspace, r.Class), since: now}
-	at := len(b.queue)
-	for at > 0 && p.before(b.queue[at-1]) {
-		at--
+	pos := len(b.queue)
+	for pos > 0 && p.before(b.queue[pos-1]) {
+		pos--
 	}
 	b.queue = append(b.queue, nil)
-	copy(b.queue[at+1:], b.queue[at:])
-	b.queue[at] = p
+	copy(b.queue[pos+1:], b.queue[pos:])
+	b.queue[pos] = p
 }
 
 func (p *pending) before(q *pending) bool {
@@ -172,19 +172,19 @@
 
 // End implements sched.Policy.
 func (b *balancer) End(_ sched.Time, g ids.Generation, attempt uint32, _ int, reason sched.EndReason) {
-	p, ok := b.places[g]
+	p, ok := b.placements[g]
 	if !ok || p.attempt != attempt {
 		return
 	}
-	delete(b.places, g)
+	delete(b.placements, g)
 	t := &b.backends[p.backend]
 	t.inflight--
 	if reason == sched.EndStalled {
-		t.gone = true
+		t.unavailable = true
 	}
 }
 
-// Report implements sched.Policy. A report shows that the engine can be reached again.
+// Report implements sched.Policy. A report shows that the engine is reachable again.
 func (b *balancer) Report(_ sched.Time, r sched.Report) {
 	i, ok := b.byName[r.Target]
 	if !ok {
@@ -192,7 +192,7 @@
 	}
 	t := &b.backends[i]
 	t.report = r
-	t.gone = r.Leaving
+	t.unavailable = r.Leaving
 }
 
 // CacheSnapshot implements sched.Policy.
@@ -204,7 +204,7 @@
 // TargetGone implements sched.Policy.
 func (b *balancer) TargetGone(_ sched.Time, target string) {
 	if i, ok := b.byName[target]; ok {
-		b.backends[i].gone = true
+		b.backends[i].unavailable = true
 	}
 }
 
@@ -213,13 +213,13 @@
 	acts = b.expire(now, acts)
 	n := 0
 	for _, p := range b.queue {
-		t := b.choose(b)
+		t := b.selectBackend(b)
 		if t == nil {
 			break
 		}
 		n++
 		t.inflight++
-		b.places[p.req.Gen] = place{p.req.Attempt, b.byName[t.spec.Name]}
+		b.placements[p.req.Gen] = placement{p.req.Attempt, b.byName[t.spec.Name]}
 		acts = append(acts, sched.Action{
 			Kind:     sched.ActGrant,
 			Gen:      p.req.Gen,
@@ -232,15 +232,15 @@
 	return acts
 }
 
-// expire refuses what waited too long, and what stands beyond the bound of its class's queue.
+// expire refuses requests that exceed the maximum wait or the bound of their class's queue.
 func (b *balancer) expire(now sched.Time, acts []sched.Action) []sched.Action {
 	kept := b.queue[:0]
 	length := make(map[[2]string]int)
 	for _, p := range b.queue {
 		key := [2]string{p.req.Workspace, p.req.Class}
 		length[key]++
-		over := now.Sub(p.since) > p.policy.MaxWait || length[key] > p.policy.QueueBound
-		if !over || p.req.Emitted > 0 {
+		expired := now.Sub(p.since) > p.policy.MaxWait || length[key] > p.policy.QueueBound
+		if !expired || p.req.Emitted > 0 {
 			kept = append(kept, p)
 			continue
 		}
--- a/lib/baseline/balancer_test.go
+++ b/lib/baseline/balancer_test.go
@@ -13,7 +13,8 @@
 
 func targetName(i int) string { return fmt.Sprintf("engine-%02d", i) }
 
-// twoEngines returns a baseline before two engines of 1000 W: 100 idle and 100 for each sequence.
+// twoEngines configures a policy with two engines that draw 100 W idle and 100 W per sequence, under a
+// common power cap.
 func twoEngines(p sched.Policy, watts float64) sched.Policy {
 	var specs []sched.TargetSpec
 	for i := range 2 {
@@ -35,7 +36,7 @@
 	p.Submit(0, sched.Request{Gen: ids.From(0, n), Class: class, Attempt: 1})
 }
 
-func TestBaselineKeepsToPowerShare(t *testing.T) {
+func TestBaselineKeepsEnginesUnderPowerShare(t *testing.T) {
 	p := twoEngines(NewRoundRobin(), 600)
 	for i := range uint64(9) {
 		submit(p, i, "long")
@@ -80,8 +81,8 @@
 	must.Positive(t, acts[0].RetryAfter)
 }
 
-// An engine died. It gets nothing until a report shows that it is back.
-func TestBaselineLeavesOutDeadEngines(t *testing.T) {
+// A dead engine must get no requests until a report shows that it is back.
+func TestBaselineSkipsDeadEngines(t *testing.T) {
 	p := twoEngines(NewRoundRobin(), 1000)
 	p.TargetGone(0, targetName(0))
 	submit(p, 1, "long")
@@ -95,8 +96,8 @@
 	must.SliceContainsFunc(t, p.Tick(0, nil), targetName(0), func(a sched.Action, name string) bool { return a.Target == name })
 }
 
-// Settings come again with each revision, and an engine's batch may be known from its reports alone.
-func TestBaselineTakesTargetsAgain(t *testing.T) {
+// Settings are applied again with each revision, and an engine's batch size may be known from its reports only.
+func TestBaselineAcceptsRepeatedTargets(t *testing.T) {
 	p := NewRoundRobin()
 	p.SetPolicy(func(string, string) sched.ClassPolicy { return sched.ClassPolicy{MaxWait: time.Second, QueueBound: 9} })
 	for range 2 {
--- a/lib/bench/bench_test.go
+++ b/lib/bench/bench_test.go
@@ -14,7 +14,7 @@
 
 const shortWindow = 20 * time.Second
 
-// smallMix is Kelburn's with seven engines, the most that the faults name.
+// smallMix is the Kelburn mix with seven engines, as many as the faults refer to.
 func smallMix() workload.Mix {
 	m := workload.Kelburn()
 	m.Engines = 7
@@ -25,7 +25,7 @@
 	return m
 }
 
-// shortRun makes one run of the small mix.
+// shortRun simulates the small mix.
 func shortRun(policy, fault string, window time.Duration) Result {
 	m := smallMix()
 	c := Config{
@@ -54,9 +54,9 @@
 	must.Eq(t, lines(1), lines(3))
 }
 
-// Whatever fails, each request ends as completed or refused: the entry asks for another place with the tokens it has, so
-// a death, a stalled link or a cut of power may cost time but never an answer.
-func TestNothingIsLostUnderFaults(t *testing.T) {
+// Under every fault each request must end as completed or refused: the entry requests another placement and passes on the
+// tokens emitted so far, so an engine's death, a stalled link or a power cut delays answers but must not lose them.
+func TestNoRequestIsLostUnderFaults(t *testing.T) {
 	const window = 125 * time.Second // beyond the second fault
 	m := smallMix()
 	base := Config{Mix: &m, Arrivals: m.Arrivals(1, window), Window: window}
@@ -76,9 +76,9 @@
 	}
 }
 
-// The site's cap drops while the engines are full. An ordinary balancer only stops giving new work, and the draw stays
-// over the cap until enough answers end; the ticks over the cap must show it, or the figure would mean nothing.
-func TestOverCapIsSeen(t *testing.T) {
+// The power cap drops while the engines are full. A conventional balancer only stops assigning new requests, so the draw stays
+// above the cap until enough answers end. The ticks over the cap must show that; otherwise the figure would be meaningless.
+func TestTicksOverPowerCapAreCounted(t *testing.T) {
 	must.Positive(t, shortRun(PolicyLeastLoaded, FaultDip, 90*time.Second).OverCapTicks)
 	must.Eq(t, 0, shortRun(PolicyLeastLoaded, FaultNone, 90*time.Second).OverCapTicks)
 }
@@ -87,7 +87,7 @@
 	must.Positive(t, shortRun(PolicyRoundRobin, FaultNone, 60*time.Second).Preemptions)
 }
 
-func TestMetricsCountStallBeyondTheFloor(t *testing.T) {
+func TestStallCountsTimeBeyondFloor(t *testing.T) {
 	m := workload.Kelburn()
 	var figures metrics
 	figures.init(&Config{Mix: &m, Window: time.Minute})
@@ -98,7 +98,7 @@
 	must.Eq(t, int64(3), figures.gaps.TotalCount())
 }
 
-func TestTimelineKeepsOrderOfEqualTimes(t *testing.T) {
+func TestTimelineIsStableForEqualTimes(t *testing.T) {
 	var line timeline
 	for i := range 50 {
 		line.add(event{at: time.Duration(i % 3), n: i})
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestAblateNamesEachSwitch(t *testing.T) {
+func TestAblateDisablesEachPart(t *testing.T) {
 	must.SliceNotEmpty(t, Ablations())
 	for _, part := range Ablations() {
 		opt, err := Ablate(sched.Options{}, part)
@@ -122,7 +122,7 @@
 	must.Error(t, err)
 }
 
-func TestRatiosNameWhatFallsShort(t *testing.T) {
+func TestRatiosListMissedObjectives(t *testing.T) {
 	r := Ratios{Stall: 0.3, Oracle: 1.2, Preemptions: 0.1, ITL: 0.8, Tokens: 0.99, Urgent: 0.2, Lost: 1}
 	must.Eq(t, []string{"stall_oracle", "itl_p99", "lost"}, r.Missed())
 }
@@ -135,22 +135,22 @@
 	must.Eq(t, "1,2,3", m.Seeds)
 }
 
-// A small workspace floods the engines. Served in order of arrival it gets far more than its share, at the cost of the
-// others; the index must tell this from weighted shares.
-func TestFairnessTellsFloodFromShares(t *testing.T) {
+// A small workspace floods the engines. In order of arrival it would get far more than its share at the cost of the others;
+// the fairness index must distinguish this from weighted shares.
+func TestFairnessDistinguishesFloodFromShares(t *testing.T) {
 	ws := []workload.Workspace{{Name: "large", Weight: 8}, {Name: "small", Weight: 1}, {Name: "idle", Weight: 1}}
-	asked := map[string]int{"large": 800, "small": 800, "idle": 50}
+	requested := map[string]int{"large": 800, "small": 800, "idle": 50}
 	must.MapEq(t, map[string]float64{"large": 400, "small": 50, "idle": 50},
-		entitled(ws, map[string]int{"large": 300, "small": 150, "idle": 50}, asked))
-	fair := fairness(ws, map[string]int{"large": 400, "small": 50, "idle": 50}, asked)
-	flooded := fairness(ws, map[string]int{"large": 225, "small": 225, "idle": 50}, asked)
+		entitlements(ws, map[string]int{"large": 300, "small": 150, "idle": 50}, requested))
+	fair := fairness(ws, map[string]int{"large": 400, "small": 50, "idle": 50}, requested)
+	flooded := fairness(ws, map[string]int{"large": 225, "small": 225, "idle": 50}, requested)
 	must.Eq(t, 1.0, fair)
 	must.Less(t, 0.7, flooded)
 }
 
-// However decisions are divided, each request has one owner, which hears of its end: nothing is lost, and no owner
-// believes that it holds work when all is done.
-func TestDivisionsLoseNothing(t *testing.T) {
+// However decisions are divided, each request has one owner that receives its end: no request may be lost, and no owner may
+// still count requests after all have ended.
+func TestDivisionsLoseNoRequest(t *testing.T) {
 	m := smallMix()
 	arrivals := m.Arrivals(1, shortWindow)
 	for _, policy := range Divisions[1:] {
@@ -166,7 +166,7 @@
 		must.Eq(t, 0, r.Lost)
 		must.Len(t, ownersOf(policy, &m), d.owners)
 		for _, load := range d.load {
-			test.LessEq(t, 1, load, test.Sprint(policy)) // the last End may still be on its way
+			test.LessEq(t, 1, load, test.Sprint(policy)) // the last End may still be in transit
 		}
 	}
 }
--- a/lib/bench/plant.go
+++ b/lib/bench/cluster.go
@@ -9,14 +9,14 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// plant is what the policy runs: engines and their power.
-type plant struct {
+// cluster describes the engines under the policy's control and their power cap.
+type cluster struct {
 	engine   enginemodel.Config
 	capWatts float64
 }
 
-// Memory, not the batch, is what fills first on these engines.
-func plantOf(cfg *Config) plant {
+// clusterOf sizes the engines of a deployment so that their memory, not the batch, is exhausted first.
+func clusterOf(cfg *Config) cluster {
 	m := cfg.Mix
 	c := enginemodel.Default()
 	c.MaxBatch = 64
@@ -27,24 +27,24 @@
 	if cfg.KVTokens > 0 {
 		c.KVTokens = cfg.KVTokens
 	}
-	perEngine := c.IdleWatts + wattsSeqs*c.SeqWatts
-	return plant{engine: c, capWatts: float64(m.Engines) * perEngine}
+	perEngine := c.IdleWatts + poweredSeqs*c.SeqWatts
+	return cluster{engine: c, capWatts: float64(m.Engines) * perEngine}
 }
 
-// EngineConfig returns the engines of a run.
-func EngineConfig(cfg Config) enginemodel.Config { return plantOf(&cfg).engine }
+// EngineConfig returns the configuration of the engines of a run.
+func EngineConfig(cfg Config) enginemodel.Config { return clusterOf(&cfg).engine }
 
 const (
-	wattsSeqs   = 32              // sequences on each engine that the cap has power for
-	dipFactor   = 0.55            // of the cap, while it is cut
-	powerNotice = 1 * time.Second // before a cut of the cap
-	powerValid  = 3 * time.Second // a power share without news
+	poweredSeqs   = 32              // sequences per engine that the cap has power for
+	dipFactor     = 0.55            // factor on the cap while it is reduced
+	powerNotice   = 1 * time.Second // notice before a reduction of the cap
+	powerValidity = 3 * time.Second // validity of a power share without renewal
 )
 
 func targetName(i int) string { return fmt.Sprintf("engine-%02d", i) }
 
-// targets gives the engines as settings would.
-func (p *plant) targets(m *workload.Mix) []sched.TargetSpec {
+// targets describes the engines as settings would.
+func (p *cluster) targets(m *workload.Mix) []sched.TargetSpec {
 	out := make([]sched.TargetSpec, m.Engines)
 	for i := range out {
 		out[i] = sched.TargetSpec{
--- a/lib/bench/division.go
+++ b/lib/bench/division.go
@@ -9,35 +9,35 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// Ways to divide the decisions, beside one owner for all targets of the service (PolicyAnvilwick).
+// Ways to divide the decisions, besides one owner for all targets of the service (PolicyAnvilwick).
 const (
-	PolicyPerEntry  = "entries-alone"    // each entry decides for its own requests, over all targets, from lagging reports
+	PolicyPerEntry  = "entries-alone"    // each entry decides for its own requests, over all targets, from delayed reports
 	PolicySplit2    = "owners-2"         // two owners, each with half of the targets
 	PolicySplit5    = "owners-5"         // five owners
 	PolicyPerTarget = "owner-per-target" // one owner for each target
 )
 
-// Divisions lists them.
+// Divisions lists the ways to divide the decisions.
 var Divisions = []string{PolicyAnvilwick, PolicySplit2, PolicySplit5, PolicyPerTarget, PolicyPerEntry}
 
-// digestEvery is how old an entry's knowledge of an owner's load may be.
+// digestEvery is the maximum age of an entry's digest of the owners' loads.
 const digestEvery = 500 * time.Millisecond
 
-// division runs several owners as one policy. Entries choose the owner of a request by two random choices over
-// digests of the owners' loads, unless each entry has its own owner.
+// division runs several owners as one policy. Entries select the owner of a request as the less loaded of two random ones
+// according to digests of the owners' loads, unless each entry has its own owner.
 type division struct {
-	owners []sched.Policy
-	alone  bool // every owner has every target, and serves one entry
-	home   map[string]int
-	specs  int // targets
-	byGen  map[ids.Generation]int
-	load   []int // requests at each owner now
-	digest []int // the same, as the entries know it
-	known  sched.Time
-	rng    *rand.Rand
-}
-
-// ownersOf returns how many owners a division has.
+	owners   []sched.Policy
+	perEntry bool // every owner has every target and serves one entry
+	ownerOf  map[string]int
+	targets  int // number of targets
+	byGen    map[ids.Generation]int
+	load     []int // requests at each owner now
+	digest   []int // copy of load as known to the entries
+	digestAt sched.Time
+	rng      *rand.Rand
+}
+
+// ownersOf returns the number of owners of a policy.
 func ownersOf(policy string, m *workload.Mix) int {
 	switch policy {
 	case PolicySplit2:
@@ -52,16 +52,16 @@
 	return 1
 }
 
-func newDivision(n int, alone bool, newOwner func() sched.Policy) *division {
+func newDivision(owners int, perEntry bool, newOwner func() sched.Policy) *division {
 	d := &division{
-		alone:  alone,
-		home:   make(map[string]int),
-		byGen:  make(map[ids.Generation]int),
-		load:   make([]int, n),
-		digest: make([]int, n),
-		rng:    rand.New(rand.NewPCG(3, 4)),
+		perEntry: perEntry,
+		ownerOf:  make(map[string]int),
+		byGen:    make(map[ids.Generation]int),
+		load:     make([]int, owners),
+		digest:   make([]int, owners),
+		rng:      rand.New(rand.NewPCG(3, 4)),
 	}
-	for range n {
+	for range owners {
 		d.owners = append(d.owners, newOwner())
 	}
 	return d
@@ -69,15 +69,15 @@
 
 // SetTargets implements sched.Policy.
 func (d *division) SetTargets(now sched.Time, specs []sched.TargetSpec) {
-	d.specs = len(specs)
+	d.targets = len(specs)
 	parts := make([][]sched.TargetSpec, len(d.owners))
 	for i, s := range specs {
 		k := i % len(d.owners)
-		d.home[s.Name] = k
+		d.ownerOf[s.Name] = k
 		parts[k] = append(parts[k], s)
 	}
 	for k, o := range d.owners {
-		if d.alone {
+		if d.perEntry {
 			o.SetTargets(now, specs)
 		} else {
 			o.SetTargets(now, parts[k])
@@ -92,22 +92,22 @@
 	}
 }
 
-// SetPower implements sched.Policy. Owners with targets of their own share the cap; entries that decide alone all work
-// against the whole cap, for each models the draw of every target.
+// SetPower implements sched.Policy. Owners of disjoint targets share the cap; entries that decide independently all use the
+// whole cap, because each of them models the draw of every target.
 func (d *division) SetPower(now sched.Time, watts float64, until sched.Time, fallback float64) {
 	for k, o := range d.owners {
-		part := 1.0
-		if !d.alone {
-			part = float64(d.targetsOf(k)) / float64(d.specs)
+		share := 1.0
+		if !d.perEntry {
+			share = float64(d.targetCount(k)) / float64(d.targets)
 		}
-		o.SetPower(now, watts*part, until, fallback*part)
+		o.SetPower(now, watts*share, until, fallback*share)
 	}
 }
 
-func (d *division) targetsOf(k int) int {
+func (d *division) targetCount(k int) int {
 	n := 0
-	for _, home := range d.home {
-		if home == k {
+	for _, owner := range d.ownerOf {
+		if owner == k {
 			n++
 		}
 	}
@@ -116,25 +116,25 @@
 
 // Submit implements sched.Policy.
 func (d *division) Submit(now sched.Time, r sched.Request) {
-	k := d.route(now, r.Gen)
+	k := d.selectOwner(now, r.Gen)
 	d.byGen[r.Gen] = k
 	d.load[k]++
 	d.owners[k].Submit(now, r)
 }
 
-func (d *division) route(now sched.Time, g ids.Generation) int {
-	if d.alone {
+func (d *division) selectOwner(now sched.Time, g ids.Generation) int {
+	if d.perEntry {
 		return flowOf(g) % len(d.owners)
 	}
-	if now.Sub(d.known) >= digestEvery {
+	if now.Sub(d.digestAt) >= digestEvery {
 		copy(d.digest, d.load)
-		d.known = now
+		d.digestAt = now
 	}
-	one, two := d.rng.IntN(len(d.owners)), d.rng.IntN(len(d.owners))
-	if d.digest[two] < d.digest[one] {
-		return two
+	first, second := d.rng.IntN(len(d.owners)), d.rng.IntN(len(d.owners))
+	if d.digest[second] < d.digest[first] {
+		return second
 	}
-	return one
+	return first
 }
 
 // Progress implements sched.Policy.
@@ -153,10 +153,10 @@
 	}
 }
 
-// concerned calls f for the owners that have a target.
-func (d *division) concerned(target string, f func(sched.Policy)) {
+// forOwnersOf calls f for each owner that manages the target.
+func (d *division) forOwnersOf(target string, f func(sched.Policy)) {
 	for k, o := range d.owners {
-		if d.alone || d.home[target] == k {
+		if d.perEntry || d.ownerOf[target] == k {
 			f(o)
 		}
 	}
@@ -164,22 +164,22 @@
 
 // Report implements sched.Policy.
 func (d *division) Report(now sched.Time, r sched.Report) {
-	d.concerned(r.Target, func(o sched.Policy) { o.Report(now, r) })
+	d.forOwnersOf(r.Target, func(o sched.Policy) { o.Report(now, r) })
 }
 
 // CacheSnapshot implements sched.Policy.
 func (d *division) CacheSnapshot(now sched.Time, target string, prefixes []uint64) {
-	d.concerned(target, func(o sched.Policy) { o.CacheSnapshot(now, target, prefixes) })
+	d.forOwnersOf(target, func(o sched.Policy) { o.CacheSnapshot(now, target, prefixes) })
 }
 
 // CacheStored implements sched.Policy.
 func (d *division) CacheStored(now sched.Time, target string, prefix uint64, stored bool) {
-	d.concerned(target, func(o sched.Policy) { o.CacheStored(now, target, prefix, stored) })
+	d.forOwnersOf(target, func(o sched.Policy) { o.CacheStored(now, target, prefix, stored) })
 }
 
 // TargetGone implements sched.Policy.
 func (d *division) TargetGone(now sched.Time, target string) {
-	d.concerned(target, func(o sched.Policy) { o.TargetGone(now, target) })
+	d.forOwnersOf(target, func(o sched.Policy) { o.TargetGone(now, target) })
 }
 
 // Tick implements sched.Policy.
--- a/lib/bench/engine.go
+++ b/lib/bench/engine.go
@@ -9,17 +9,17 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// engine is one engine with its link.
+// engine is one engine model with its network link.
 type engine struct {
-	model     *enginemodel.Engine
-	born      time.Duration // the model's time 0
-	life      int           // grows when the engine is replaced
-	dead      bool
-	scheduled time.Duration // end of the step that is in the timeline
-	stalled   time.Duration // the link carries nothing before this time
-	heard     time.Duration // last tokens at an entry
-	cacheSeq  uint64        // cache events read so far
-	lost      uint64        // preemptions of earlier lives
+	model              *enginemodel.Engine
+	startedAt          time.Duration // time 0 of the model
+	incarnation        int           // incarnation, increased when the engine is replaced
+	dead               bool
+	scheduledStep      time.Duration // end of the step that is in the timeline
+	stalledUntil       time.Duration // the link delivers nothing before this time
+	lastTokens         time.Duration // when an entry last received tokens
+	cacheSeq           uint64        // sequence number of the last cache event read
+	earlierPreemptions uint64        // preemptions of earlier incarnations
 }
 
 func engineIndex(target string) int {
@@ -33,41 +33,41 @@
 func (s *sim) startEngines() {
 	s.engines = make([]engine, s.cfg.Mix.Engines)
 	for i := range s.engines {
-		s.bear(i)
+		s.startEngine(i)
 		phase := pollEvery * time.Duration(i) / time.Duration(len(s.engines))
-		s.line.add(event{at: phase, kind: atEnginePoll, engine: int32(i)})
+		s.timeline.add(event{at: phase, kind: atEnginePoll, engine: int32(i)})
 	}
 }
 
-// bear starts an empty engine.
-func (s *sim) bear(i int) {
+// startEngine starts an empty engine.
+func (s *sim) startEngine(i int) {
 	e := &s.engines[i]
 	if e.model != nil {
-		e.lost += e.model.Preemptions()
+		e.earlierPreemptions += e.model.Preemptions()
 	}
-	cfg := s.plant.engine
+	cfg := s.cluster.engine
 	cfg.Seed = uint64(i + 1)
 	e.model = enginemodel.New(cfg)
-	e.model.FreezeReports(s.frozen)
-	e.born = s.now
-	e.life++
+	e.model.FreezeReports(s.reportsFrozen)
+	e.startedAt = s.now
+	e.incarnation++
 	e.dead = false
-	e.scheduled = 0
+	e.scheduledStep = 0
 	e.cacheSeq = 0
 }
 
-// arrives is when a message between an engine and an entry gets there.
-func (s *sim) arrives(e *engine) time.Duration { return max(s.now, e.stalled) + s.delay }
+// arrivalTime returns when a message sent now between an engine and an entry arrives.
+func (s *sim) arrivalTime(e *engine) time.Duration { return max(s.now, e.stalledUntil) + s.delay }
 
 func (s *sim) engineAdd(ev *event) {
 	e := &s.engines[ev.engine]
-	if s.heldBack(e, ev) {
+	if s.postpone(e, ev) {
 		return
 	}
 	f := &s.flows[ev.flow]
 	err := enginemodel.ErrLeaving
 	if !e.dead {
-		err = e.model.Add(s.now-e.born, enginemodel.Seq{
+		err = e.model.Add(s.now-e.startedAt, enginemodel.Seq{
 			Gen:      genID(int(ev.flow)),
 			Attempt:  ev.attempt,
 			Priority: ev.n,
@@ -78,8 +78,8 @@
 		})
 	}
 	if err != nil {
-		s.line.add(event{
-			at: s.arrives(e), kind: atEntryRefused,
+		s.timeline.add(event{
+			at: s.arrivalTime(e), kind: atEntryRefused,
 			flow: ev.flow, attempt: ev.attempt, engine: ev.engine,
 		})
 		return
@@ -87,59 +87,59 @@
 	s.scheduleStep(int(ev.engine))
 }
 
-// heldBack puts a message to an engine off until its link carries again. A grant whose attempt is over by then must not
-// run: its cancel follows it on the same link.
-func (s *sim) heldBack(e *engine, ev *event) bool {
-	if s.now >= e.stalled {
+// postpone delays a message to an engine until its link works again. If the attempt of a delayed grant has ended by then, its
+// cancel follows it on the same link, so the engine does not run it.
+func (s *sim) postpone(e *engine, ev *event) bool {
+	if s.now >= e.stalledUntil {
 		return false
 	}
-	later := *ev
-	later.at = e.stalled
-	s.line.add(later)
+	postponed := *ev
+	postponed.at = e.stalledUntil
+	s.timeline.add(postponed)
 	return true
 }
 
 func (s *sim) engineCancel(ev *event) {
 	e := &s.engines[ev.engine]
-	if s.heldBack(e, ev) || e.dead {
+	if s.postpone(e, ev) || e.dead {
 		return
 	}
-	e.model.Cancel(s.now-e.born, genID(int(ev.flow)), ev.attempt)
+	e.model.Cancel(s.now-e.startedAt, genID(int(ev.flow)), ev.attempt)
 }
 
-// scheduleStep puts the end of the engine's step into the timeline, once.
+// scheduleStep adds the end of the engine's current step to the timeline, once.
 func (s *sim) scheduleStep(i int) {
 	e := &s.engines[i]
 	at, busy := e.model.Next()
-	if !busy || at == e.scheduled {
+	if !busy || at == e.scheduledStep {
 		return
 	}
-	e.scheduled = at
-	s.line.add(event{at: e.born + at, kind: atEngineStep, engine: int32(i), n: e.life})
+	e.scheduledStep = at
+	s.timeline.add(event{at: e.startedAt + at, kind: atEngineStep, engine: int32(i), n: e.incarnation})
 }
 
 func (s *sim) engineStep(ev *event) {
 	e := &s.engines[ev.engine]
-	if e.dead || ev.n != e.life {
+	if e.dead || ev.n != e.incarnation {
 		return
 	}
-	evs := e.model.Step(s.now-e.born, nil)
+	evs := e.model.Step(s.now-e.startedAt, nil)
 	if len(evs) > 0 {
-		s.line.add(event{at: s.arrives(e), kind: atEntryTokens, engine: ev.engine, tokens: evs})
+		s.timeline.add(event{at: s.arrivalTime(e), kind: atEntryTokens, engine: ev.engine, tokens: evs})
 	}
 	s.scheduleStep(int(ev.engine))
 }
 
-// enginePoll reads load and cache events, as an entry does; a dead or stalled engine gives none.
+// enginePoll reads load and cache events as an entry does; a dead or stalled engine returns nothing.
 func (s *sim) enginePoll(i int) {
 	e := &s.engines[i]
-	s.line.add(event{at: s.now + pollEvery, kind: atEnginePoll, engine: int32(i)})
-	if e.dead || s.now < e.stalled {
+	s.timeline.add(event{at: s.now + pollEvery, kind: atEnginePoll, engine: int32(i)})
+	if e.dead || s.now < e.stalledUntil {
 		return
 	}
-	now := s.now - e.born
+	now := s.now - e.startedAt
 	r := e.model.Report(now)
-	s.line.add(event{at: s.now + s.delay, kind: atOwnerReport, report: sched.Report{
+	s.timeline.add(event{at: s.now + s.delay, kind: atOwnerReport, report: sched.Report{
 		Target:      targetName(i),
 		Age:         now - r.At + s.delay,
 		Running:     r.Running,
@@ -149,19 +149,19 @@
 		MaxBatch:    r.MaxBatch,
 		Watts:       r.Watts,
 		Leaving:     r.Leaving,
-		Incarnation: uint64(e.life),
+		Incarnation: uint64(e.incarnation),
 	}})
 	s.pollCache(i, now)
 }
 
-// pollCache sends new cache events, or a snapshot when one is missing.
+// pollCache sends new cache events, or a snapshot if events were lost.
 func (s *sim) pollCache(i int, now time.Duration) {
 	e := &s.engines[i]
 	evs := e.model.CacheEvents(now, e.cacheSeq)
 	if len(evs) == 0 {
 		return
 	}
-	page := &cachePage{}
+	page := &cacheUpdate{}
 	if last := evs[len(evs)-1].Seq; last-e.cacheSeq == uint64(len(evs)) {
 		e.cacheSeq = last
 		page.events = append(page.events, evs...)
@@ -173,10 +173,10 @@
 			page.prefixes = append(page.prefixes, p.Hash)
 		}
 	}
-	s.line.add(event{at: s.now + s.delay, kind: atOwnerCache, engine: int32(i), cache: page})
+	s.timeline.add(event{at: s.now + s.delay, kind: atOwnerCache, engine: int32(i), cache: page})
 }
 
-func (s *sim) tellCache(now sched.Time, ev *event) {
+func (s *sim) updateCache(now sched.Time, ev *event) {
 	name := targetName(int(ev.engine))
 	if ev.cache.snapshot {
 		s.policy.CacheSnapshot(now, name, ev.cache.prefixes)
@@ -187,8 +187,8 @@
 	}
 }
 
-// draw is the true power of all engines.
-func (s *sim) draw() float64 {
+// totalWatts returns the actual power draw of all engines.
+func (s *sim) totalWatts() float64 {
 	sum := 0.0
 	for i := range s.engines {
 		if !s.engines[i].dead {
@@ -198,11 +198,11 @@
 	return sum
 }
 
-// preemptions sums up what the engines did.
+// preemptions returns the number of preemptions by all engines.
 func (s *sim) preemptions() uint64 {
 	var sum uint64
 	for i := range s.engines {
-		sum += s.engines[i].lost + s.engines[i].model.Preemptions()
+		sum += s.engines[i].earlierPreemptions + s.engines[i].model.Preemptions()
 	}
 	return sum
 }
--- a/lib/bench/entry.go
+++ b/lib/bench/entry.go
@@ -16,27 +16,27 @@
 	flowGranted
 	flowCompleted
 	flowRefused
-	flowFailed // given up after tokens were delivered; counts as lost
+	flowFailed // aborted after tokens were delivered; counts as lost
 )
 
-// noEngine marks a flow without a place.
+// noEngine marks a flow that is not placed on an engine.
 const noEngine = -1
 
-// flow is one generation at its entry.
+// flow is the state of one generation at its entry.
 type flow struct {
-	req       *workload.Request
-	prefixes  []enginemodel.Prefix
-	hashes    []uint64
-	state     flowState
-	attempt   uint32
-	engine    int
-	tokens    int // delivered to the caller
-	told      int // tokens of the last progress sent
-	moves     int
-	fruitless int // attempts in a row that were given up without a token
-	avoid     []string
-	last      time.Duration // of the last token
-	grantedAt time.Duration
+	req                  *workload.Request
+	prefixes             []enginemodel.Prefix
+	hashes               []uint64
+	state                flowState
+	attempt              uint32
+	engine               int
+	tokens               int // delivered to the caller
+	reported             int // tokens in the last progress message
+	moves                int
+	attemptsWithoutToken int // consecutive attempts that were aborted without a token
+	avoid                []string
+	lastToken            time.Duration // time of the last token
+	grantedAt            time.Duration
 }
 
 func (s *sim) startFlow(i int) {
@@ -48,17 +48,17 @@
 	for k, h := range f.hashes {
 		f.prefixes = append(f.prefixes, enginemodel.Prefix{Hash: h, Tokens: engineapi.PrefixTokens(k)})
 	}
-	s.line.add(event{at: f.req.At, kind: atEntryArrive, flow: int32(i)})
+	s.timeline.add(event{at: f.req.At, kind: atEntryArrive, flow: int32(i)})
 }
 
-// submit asks the owner for a place for the current attempt.
+// submit requests a placement of the current attempt from the owner.
 func (s *sim) submit(i int) {
 	s.metrics.messages++
-	s.line.add(event{at: s.now + s.delay, kind: atOwnerSubmit, flow: int32(i), attempt: s.flows[i].attempt})
+	s.timeline.add(event{at: s.now + s.delay, kind: atOwnerSubmit, flow: int32(i), attempt: s.flows[i].attempt})
 }
 
-// request builds what the owner is told.
-func (s *sim) request(i int, attempt uint32) sched.Request {
+// placementRequest builds the placement request sent to the owner.
+func (s *sim) placementRequest(i int, attempt uint32) sched.Request {
 	f := &s.flows[i]
 	r := sched.Request{
 		Gen:          genID(i),
@@ -82,8 +82,8 @@
 	return r
 }
 
-// carryOut obeys the owner, unless the action is about an attempt that is over.
-func (s *sim) carryOut(a *sched.Action) {
+// apply applies an action of the owner, unless the action is about an attempt that has ended.
+func (s *sim) apply(a *sched.Action) {
 	i := flowOf(a.Gen)
 	f := &s.flows[i]
 	if a.Attempt != f.attempt {
@@ -91,69 +91,69 @@
 	}
 	switch {
 	case a.Kind == sched.ActGrant && f.state == flowQueued:
-		s.granted(i, a)
+		s.applyGrant(i, a)
 	case a.Kind == sched.ActPreempt && f.state == flowGranted:
 		f.moves++
 		s.metrics.moves++
 		s.leaveEngine(i, sched.EndMoved)
 	case a.Kind == sched.ActRefuse && f.state == flowQueued && f.tokens > 0:
-		s.over(i, flowFailed)
+		s.finish(i, flowFailed)
 	case a.Kind == sched.ActRefuse && f.state == flowQueued:
-		s.over(i, flowRefused)
+		s.finish(i, flowRefused)
 	}
 }
 
-func (s *sim) granted(i int, a *sched.Action) {
+func (s *sim) applyGrant(i int, a *sched.Action) {
 	f := &s.flows[i]
 	f.state = flowGranted
 	f.engine = engineIndex(a.Target)
-	f.told = f.tokens
+	f.reported = f.tokens
 	f.grantedAt = s.now
-	s.line.add(event{
+	s.timeline.add(event{
 		at: s.now + s.delay, kind: atEngineAdd,
 		flow: int32(i), attempt: a.Attempt, engine: int32(f.engine), n: a.Priority,
 	})
 }
 
-// over ends a flow for good.
-func (s *sim) over(i int, state flowState) {
+// finish ends a flow permanently.
+func (s *sim) finish(i int, state flowState) {
 	s.flows[i].state = state
-	s.open--
+	s.openFlows--
 }
 
-// end tells the owner that the current attempt is over.
-func (s *sim) end(i int, reason sched.EndReason) {
+// endAttempt notifies the owner that the current attempt has ended.
+func (s *sim) endAttempt(i int, reason sched.EndReason) {
 	s.metrics.messages++
 	f := &s.flows[i]
-	s.line.add(event{
+	s.timeline.add(event{
 		at: s.now + s.delay, kind: atOwnerEnd,
 		flow: int32(i), attempt: f.attempt, n: f.tokens, reason: reason,
 	})
 }
 
-// leaveEngine cancels the current attempt and asks for a place for the rest.
+// leaveEngine cancels the current attempt and requests a placement for the remaining tokens.
 func (s *sim) leaveEngine(i int, reason sched.EndReason) {
 	f := &s.flows[i]
-	s.line.add(event{
+	s.timeline.add(event{
 		at: s.now + s.delay, kind: atEngineCancel,
 		flow: int32(i), attempt: f.attempt, engine: int32(f.engine),
 	})
-	s.again(i, reason)
+	s.resubmit(i, reason)
 }
 
-// again ends the attempt and submits the next.
-func (s *sim) again(i int, reason sched.EndReason) {
+// resubmit ends the attempt and submits the next.
+func (s *sim) resubmit(i int, reason sched.EndReason) {
 	f := &s.flows[i]
-	s.end(i, reason)
+	s.endAttempt(i, reason)
 	f.state = flowQueued
 	f.engine = noEngine
 	f.attempt++
 	s.submit(i)
 }
 
-// receive takes the tokens of one step. Frames of an older attempt are dropped, as the entry does.
-func (s *sim) receive(ev *event) {
-	s.engines[ev.engine].heard = s.now
+// receiveTokens processes the tokens of one step. Tokens of earlier attempts are dropped, as by the real entry.
+func (s *sim) receiveTokens(ev *event) {
+	s.engines[ev.engine].lastTokens = s.now
 	for _, t := range ev.tokens {
 		i := flowOf(t.Gen)
 		f := &s.flows[i]
@@ -162,49 +162,49 @@
 		}
 		switch t.Kind {
 		case enginemodel.EvToken:
-			s.token(f, t.Index)
+			s.deliverToken(f, t.Index)
 		case enginemodel.EvFinished:
-			s.end(i, sched.EndCompleted)
-			s.over(i, flowCompleted)
+			s.endAttempt(i, sched.EndCompleted)
+			s.finish(i, flowCompleted)
 		case enginemodel.EvDropped:
-			s.again(i, sched.EndPreempted)
+			s.resubmit(i, sched.EndPreempted)
 		}
 	}
 }
 
-func (s *sim) token(f *flow, index int) {
+func (s *sim) deliverToken(f *flow, index int) {
 	if index != f.tokens {
 		return
 	}
 	if index == 0 {
-		s.metrics.first(f, s.now)
+		s.metrics.firstToken(f, s.now)
 	} else {
-		s.metrics.gap(s.now - f.last)
+		s.metrics.gap(s.now - f.lastToken)
 	}
-	f.last = s.now
+	f.lastToken = s.now
 	f.tokens++
 	s.metrics.token(f, s.now)
 }
 
-// refusedByEngine asks for another place: the engine ran nothing of the attempt.
-func (s *sim) refusedByEngine(ev *event) {
+// engineRefused requests another placement; the engine ran no part of the attempt.
+func (s *sim) engineRefused(ev *event) {
 	i := int(ev.flow)
 	f := &s.flows[i]
 	if f.state != flowGranted || f.attempt != ev.attempt {
 		return
 	}
 	f.avoid = []string{targetName(int(ev.engine))}
-	s.again(i, sched.EndTargetRefused)
+	s.resubmit(i, sched.EndTargetRefused)
 }
 
-// broken handles the death of an engine: each stream on it breaks, and a connection attempt tells that it is gone.
-func (s *sim) broken(engine int) {
-	s.line.add(event{at: s.now + s.delay, kind: atOwnerGone, engine: int32(engine)})
-	s.leaveAll(engine, sched.EndTargetDied, false)
+// engineDied handles the death of an engine: all its streams break, and a failed connection attempt reports it to the owner.
+func (s *sim) engineDied(engine int) {
+	s.timeline.add(event{at: s.now + s.delay, kind: atOwnerGone, engine: int32(engine)})
+	s.evacuate(engine, sched.EndTargetDied, false)
 }
 
-// leaveAll moves every flow away from an engine.
-func (s *sim) leaveAll(engine int, reason sched.EndReason, cancel bool) {
+// evacuate moves all flows away from an engine.
+func (s *sim) evacuate(engine int, reason sched.EndReason, cancel bool) {
 	for i := range s.flows {
 		f := &s.flows[i]
 		if f.state != flowGranted || f.engine != engine {
@@ -214,26 +214,26 @@
 		if cancel {
 			s.leaveEngine(i, reason)
 		} else {
-			s.again(i, reason)
+			s.resubmit(i, reason)
 		}
 	}
 }
 
-// flush sends the progress of one entry's flows, and looks for engines that fell silent.
-func (s *sim) flush(entry int) {
+// flushProgress sends the progress of one entry's flows and aborts stalled streams.
+func (s *sim) flushProgress(entry int) {
 	var items []progressItem
 	for i := entry; i < len(s.flows); i += entries {
 		f := &s.flows[i]
-		s.giveUp(i)
-		if f.state == flowGranted && f.tokens > f.told {
-			f.told = f.tokens
+		s.abortStalled(i)
+		if f.state == flowGranted && f.tokens > f.reported {
+			f.reported = f.tokens
 			items = append(items, progressItem{int32(i), f.attempt, f.tokens})
 		}
 	}
 	if len(items) > 0 {
 		s.metrics.messages += min(len(items), s.owners)
 		s.metrics.items += len(items)
-		s.line.add(event{at: s.now + s.delay, kind: atOwnerProgress, progress: items})
+		s.timeline.add(event{at: s.now + s.delay, kind: atOwnerProgress, progress: items})
 	}
-	s.line.add(event{at: s.now + progressEvery, kind: atEntryFlush, n: entry})
+	s.timeline.add(event{at: s.now + progressEvery, kind: atEntryFlush, n: entry})
 }
--- a/lib/bench/events.go
+++ b/lib/bench/events.go
@@ -8,15 +8,15 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// eventKind says where an event happens and what it is.
+// eventKind identifies an event and the component at which it happens.
 type eventKind uint8
 
 const (
 	atEntryArrive   eventKind = iota + 1 // flow
 	atEntryAction                        // action
 	atEntryTokens                        // engine, tokens
-	atEntryRefused                       // flow, attempt, engine: the engine ran nothing
-	atEntryBroken                        // engine, n = its life: connections broke
+	atEntryRefused                       // flow, attempt, engine: the engine ran no part of the attempt
+	atEntryBroken                        // engine, n = its incarnation: connections broke
 	atEntryFlush                         // entry
 	atOwnerSubmit                        // flow, attempt
 	atOwnerProgress                      // progress
@@ -28,15 +28,15 @@
 	atOwnerTick
 	atEngineAdd    // flow, attempt, engine, n = priority
 	atEngineCancel // flow, attempt, engine
-	atEngineStep   // engine, n = its life
+	atEngineStep   // engine, n = its incarnation
 	atEnginePoll   // engine
 	atFault        // fault
 )
 
-// event is one entry of the timeline; which fields are used depends on kind.
+// event is one entry of the timeline; the fields in use depend on kind.
 type event struct {
 	at       time.Duration
-	order    uint64 // breaks ties by order of making
+	seq      uint64 // creation order, breaks ties
 	kind     eventKind
 	flow     int32
 	engine   int32
@@ -47,7 +47,7 @@
 	report   sched.Report
 	tokens   []enginemodel.Event
 	progress []progressItem
-	cache    *cachePage
+	cache    *cacheUpdate
 	fault    func()
 }
 
@@ -57,17 +57,17 @@
 	tokens  int
 }
 
-type cachePage struct {
+type cacheUpdate struct {
 	snapshot bool
 	prefixes []uint64
 	events   []enginemodel.CacheEvent
 }
 
-// timeline is a queue of events by time.
+// timeline is a priority queue of events ordered by time.
 type timeline struct {
-	items []*event
-	made  uint64
-	spare []*event
+	items   []*event
+	created uint64
+	free    []*event
 }
 
 // Len implements heap.Interface.
@@ -79,7 +79,7 @@
 	if a.at != b.at {
 		return a.at < b.at
 	}
-	return a.order < b.order
+	return a.seq < b.seq
 }
 
 // Swap implements heap.Interface.
@@ -96,14 +96,14 @@
 	return e
 }
 
-// add queues e.
+// add inserts e.
 func (t *timeline) add(e event) {
-	t.made++
-	e.order = t.made
+	t.created++
+	e.seq = t.created
 	var p *event
-	if n := len(t.spare); n > 0 {
-		p = t.spare[n-1]
-		t.spare = t.spare[:n-1]
+	if n := len(t.free); n > 0 {
+		p = t.free[n-1]
+		t.free = t.free[:n-1]
 	} else {
 		p = new(event)
 	}
@@ -111,11 +111,11 @@
 	heap.Push(t, p)
 }
 
-// next takes the earliest event out.
+// next removes and returns the earliest event.
 func (t *timeline) next() event {
 	p := heap.Pop(t).(*event)
 	e := *p
 	*p = event{}
-	t.spare = append(t.spare, p)
+	t.free = append(t.free, p)
 	return e
 }
--- a/lib/bench/examples_test.go
+++ b/lib/bench/examples_test.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// The examples recommend what was measured: long work has the bench's accepted memory risk and bound on moves.
-func TestExamplesHaveTheMeasuredPolicy(t *testing.T) {
+// The example settings must use the bench's accepted memory risk and bound on moves for long requests.
+func TestExamplesUseBenchClassPolicy(t *testing.T) {
 	for _, c := range []struct{ deployment, workspace, class string }{
 		{"kelburn", "glasgow-planning", "narrative"},
 		{"kivu", "treaty-desk", "bordereau"},
--- a/lib/bench/fairness.go
+++ b/lib/bench/fairness.go
@@ -2,15 +2,15 @@
 
 import "anvilwick.example/anvilwick/lib/workload"
 
-// fairness is Jain's index over workspaces of tokens served relative to the tokens each was entitled to.
-func fairness(workspaces []workload.Workspace, served, asked map[string]int) float64 {
-	due := entitled(workspaces, served, asked)
+// fairness returns Jain's index over workspaces of tokens served relative to each workspace's entitlement.
+func fairness(workspaces []workload.Workspace, served, requested map[string]int) float64 {
+	entitled := entitlements(workspaces, served, requested)
 	var sum, squares, n float64
 	for _, w := range workspaces {
-		if due[w.Name] <= 0 {
+		if entitled[w.Name] <= 0 {
 			continue
 		}
-		x := float64(served[w.Name]) / due[w.Name]
+		x := float64(served[w.Name]) / entitled[w.Name]
 		sum += x
 		squares += x * x
 		n++
@@ -21,45 +21,47 @@
 	return sum * sum / (n * squares)
 }
 
-// entitled shares all tokens served out by weight. What a workspace did not ask for goes to the others (max-min).
-func entitled(workspaces []workload.Workspace, served, asked map[string]int) map[string]float64 {
+// entitlements divides all tokens served by weight. Shares that a workspace did not request go to the others (max-min fairness).
+func entitlements(workspaces []workload.Workspace, served, requested map[string]int) map[string]float64 {
 	left := 0.0
 	for _, n := range served {
 		left += float64(n)
 	}
-	due := make(map[string]float64, len(workspaces))
+	entitled := make(map[string]float64, len(workspaces))
 	open := workspaces
 	for len(open) > 0 {
-		next, spent := satisfied(open, asked, left, due)
+		next, spent := grantSatisfied(open, requested, left, entitled)
 		if len(next) == len(open) {
-			shareOut(open, left, due)
-			return due
+			distribute(open, left, entitled)
+			return entitled
 		}
 		left -= spent
 		open = next
 	}
-	return due
+	return entitled
 }
 
-// satisfied gives what they asked for to the workspaces whose share covers it, and returns the others.
-func satisfied(open []workload.Workspace, asked map[string]int, left float64, due map[string]float64) (rest []workload.Workspace, spent float64) {
+// grantSatisfied grants full requests to the workspaces whose share covers them, and returns the others and the tokens granted.
+func grantSatisfied(
+	open []workload.Workspace, requested map[string]int, left float64, entitled map[string]float64,
+) (rest []workload.Workspace, spent float64) {
 	weights := totalWeight(open)
 	for _, w := range open {
-		want := float64(asked[w.Name])
-		if want > left*w.Weight/weights {
+		request := float64(requested[w.Name])
+		if request > left*w.Weight/weights {
 			rest = append(rest, w)
 			continue
 		}
-		due[w.Name] = want
-		spent += want
+		entitled[w.Name] = request
+		spent += request
 	}
 	return rest, spent
 }
 
-func shareOut(open []workload.Workspace, left float64, due map[string]float64) {
+func distribute(open []workload.Workspace, left float64, entitled map[string]float64) {
 	weights := totalWeight(open)
 	for _, w := range open {
-		due[w.Name] = left * w.Weight / weights
+		entitled[w.Name] = left * w.Weight / weights
 	}
 }
 
--- a/lib/bench/faults.go
+++ b/lib/bench/faults.go
@@ -6,7 +6,7 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// The faults of a run.
+// Faults that can be injected into a run.
 const (
 	FaultNone   = ""
 	FaultDeath  = "engine-death"
@@ -15,90 +15,90 @@
 	FaultFreeze = "report-freeze"
 )
 
-// Faults lists those that the bench reports on.
+// Faults lists the faults that the bench reports on.
 var Faults = []string{FaultDeath, FaultStall, FaultDip, FaultFreeze}
 
-// When and how long faults are in force.
+// Start and duration of faults.
 const (
-	faultAt      = 80 * time.Second
-	faultAgainAt = 120 * time.Second
-	faultLasts   = 40 * time.Second
-	stallLasts   = 15 * time.Second
-	stallBound   = 2 * time.Second // an engine that gives no token for so long is left by all its streams
-	stallLook    = 100 * time.Millisecond
+	faultAt            = 80 * time.Second
+	secondFaultAt      = 120 * time.Second
+	faultDuration      = 40 * time.Second
+	stallDuration      = 15 * time.Second
+	engineStallTimeout = 2 * time.Second // all streams leave an engine that has produced no token for this long
+	stallCheckEvery    = 100 * time.Millisecond
 )
 
 func (s *sim) scheduleFaults() {
 	switch s.cfg.Fault {
 	case FaultDeath:
-		s.at(faultAt, func() { s.kill(2) })
-		s.at(faultAgainAt, func() { s.kill(5) })
+		s.schedule(faultAt, func() { s.kill(2) })
+		s.schedule(secondFaultAt, func() { s.kill(5) })
 	case FaultStall:
-		s.at(faultAt, func() { s.stall(3) })
-		s.at(faultAgainAt, func() { s.stall(6) })
+		s.schedule(faultAt, func() { s.stall(3) })
+		s.schedule(secondFaultAt, func() { s.stall(6) })
 	case FaultDip:
-		s.at(faultAt-powerNotice, func() {
-			s.at(faultAt-powerNotice, s.grantPower)
+		s.schedule(faultAt-powerNotice, func() {
+			s.schedule(faultAt-powerNotice, s.grantPower)
 		})
-		s.at(faultAt, func() { s.capWatts = s.plant.capWatts * dipFactor })
-		s.at(faultAt+faultLasts, func() { s.capWatts = s.plant.capWatts })
+		s.schedule(faultAt, func() { s.capWatts = s.cluster.capWatts * dipFactor })
+		s.schedule(faultAt+faultDuration, func() { s.capWatts = s.cluster.capWatts })
 	case FaultFreeze:
-		s.at(faultAt, func() { s.freeze(true) })
-		s.at(faultAt+faultLasts, func() { s.freeze(false) })
+		s.schedule(faultAt, func() { s.freezeReports(true) })
+		s.schedule(faultAt+faultDuration, func() { s.freezeReports(false) })
 	}
-	s.at(stallLook, s.lookForStalls)
+	s.schedule(stallCheckEvery, s.detectStalls)
 }
 
-func (s *sim) at(when time.Duration, do func()) {
-	s.line.add(event{at: when, kind: atFault, fault: do})
+func (s *sim) schedule(at time.Duration, f func()) {
+	s.timeline.add(event{at: at, kind: atFault, fault: f})
 }
 
-// announced is the cap that the holder of the budget may hand out now.
-func (s *sim) announced() float64 {
-	if s.cfg.Fault == FaultDip && s.now >= faultAt-powerNotice && s.now < faultAt+faultLasts {
-		return s.plant.capWatts * dipFactor
+// announcedCap returns the cap that the budget holder may distribute now.
+func (s *sim) announcedCap() float64 {
+	if s.cfg.Fault == FaultDip && s.now >= faultAt-powerNotice && s.now < faultAt+faultDuration {
+		return s.cluster.capWatts * dipFactor
 	}
-	return s.plant.capWatts
+	return s.cluster.capWatts
 }
 
-// kill ends an engine with all that it ran; an empty one takes its place later.
+// kill stops an engine with all its sequences; an empty one replaces it after faultDuration.
 func (s *sim) kill(i int) {
 	e := &s.engines[i]
 	e.dead = true
-	s.line.add(event{at: s.now + s.delay, kind: atEntryBroken, engine: int32(i)})
-	s.at(s.now+faultLasts, func() { s.bear(i) })
+	s.timeline.add(event{at: s.now + s.delay, kind: atEntryBroken, engine: int32(i)})
+	s.schedule(s.now+faultDuration, func() { s.startEngine(i) })
 }
 
-// stall makes the link of an engine carry nothing for a while; what it held is delivered late.
+// stall makes the link of an engine deliver nothing for stallDuration; messages are delivered late.
 func (s *sim) stall(i int) {
-	s.engines[i].stalled = s.now + stallLasts
+	s.engines[i].stalledUntil = s.now + stallDuration
 }
 
-func (s *sim) freeze(v bool) {
-	s.frozen = v
+func (s *sim) freezeReports(v bool) {
+	s.reportsFrozen = v
 	for i := range s.engines {
 		s.engines[i].model.FreezeReports(v)
 	}
 }
 
-// lookForStalls is the entries' own detection, the same for every policy: an engine that runs streams and gives no
-// token to any of them within stallBound is left by all.
-func (s *sim) lookForStalls() {
+// detectStalls implements stall detection by the entries, which is the same for every policy: all streams leave an engine
+// that has started streams and has produced no token within engineStallTimeout.
+func (s *sim) detectStalls() {
 	for i := range s.engines {
 		e := &s.engines[i]
-		if e.dead || s.now-e.heard <= stallBound || !s.anyOlder(i, s.now-stallBound) {
+		if e.dead || s.now-e.lastTokens <= engineStallTimeout || !s.hasStalledFlow(i, s.now-engineStallTimeout) {
 			continue
 		}
-		s.leaveAll(i, sched.EndStalled, true)
+		s.evacuate(i, sched.EndStalled, true)
 	}
-	s.at(s.now+stallLook, s.lookForStalls)
+	s.schedule(s.now+stallCheckEvery, s.detectStalls)
 }
 
-// anyOlder reports whether a started flow on an engine got its last token before a time.
-func (s *sim) anyOlder(engine int, before time.Duration) bool {
+// hasStalledFlow reports whether a started flow on an engine received its last token before the given time.
+func (s *sim) hasStalledFlow(engine int, before time.Duration) bool {
 	for i := range s.flows {
 		f := &s.flows[i]
-		if f.state == flowGranted && f.engine == engine && f.tokens > 0 && f.last < before && f.grantedAt < before {
+		if f.state == flowGranted && f.engine == engine && f.tokens > 0 && f.lastToken < before && f.grantedAt < before {
 			return true
 		}
 	}
--- a/lib/bench/metrics.go
+++ b/lib/bench/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// stallFloor is the gap up to which a pause between tokens is no stall.
+// stallFloor is the longest gap between tokens that does not count as a stall.
 const stallFloor = 250 * time.Millisecond
 
 // Range of the histograms, in microseconds.
@@ -15,7 +15,7 @@
 	histDigits = 3
 )
 
-// metrics gathers a run's figures.
+// metrics accumulates a run's figures.
 type metrics struct {
 	window  time.Duration
 	gaps    *hdrhistogram.Histogram
@@ -25,13 +25,13 @@
 	wait    time.Duration
 	tokens  int // within the window
 	moves   int
-	givenUp int // attempts, by Config.GiveUp
+	aborted int // attempts aborted by Config.StallTimeout
 	overCap int
-	// What entries and owners told each other, if every owner were another process.
-	messages int
-	items    int            // generations named in progress messages
-	served   map[string]int // tokens within the window by workspace
-	asked    map[string]int
+	// Messages between entries and owners as if every owner were a separate process.
+	messages  int
+	items     int            // generations named in progress messages
+	served    map[string]int // tokens within the window by workspace
+	requested map[string]int
 }
 
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, histMax, histDigits) }
@@ -40,19 +40,19 @@
 	m.window = cfg.Window
 	m.gaps, m.ttft, m.urgent = newHist(), newHist(), newHist()
 	m.served = make(map[string]int)
-	m.asked = make(map[string]int)
+	m.requested = make(map[string]int)
 	for i := range cfg.Arrivals {
 		r := &cfg.Arrivals[i]
-		m.asked[r.Workspace] += r.Length
+		m.requested[r.Workspace] += r.Length
 	}
 }
 
-// record clamps v into the histogram's range, so that recording can't fail.
+// record clamps d to the histogram's range, so recording can't fail.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histMax))
 }
 
-func (m *metrics) first(f *flow, now time.Duration) {
+func (m *metrics) firstToken(f *flow, now time.Duration) {
 	d := now - f.req.At
 	m.wait += d
 	record(m.ttft, d)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Result holds a run's figures, as the package comment defines them.
+// Result holds a run's figures as defined in the package comment.
 type Result struct {
 	Deployment   string
 	Policy       string
@@ -95,7 +95,7 @@
 	EndS         float64 // virtual time of the last event
 	Messages     int     // between entries and owners
 	Items        int     // generations named in progress messages
-	GivenUp      int     // attempts that entries gave up as stalled, with Config.GiveUp
+	GivenUp      int     // attempts aborted by entries as stalled, with Config.StallTimeout
 }
 
 func (s *sim) result() Result {
@@ -111,13 +111,13 @@
 		TTFTP95MS:    percentile(s.metrics.ttft, 95),
 		UrgentP95MS:  percentile(s.metrics.urgent, 95),
 		TokensPerS:   float64(s.metrics.tokens) / s.cfg.Window.Seconds(),
-		Fairness:     fairness(s.cfg.Mix.Workspaces, s.metrics.served, s.metrics.asked),
+		Fairness:     fairness(s.cfg.Mix.Workspaces, s.metrics.served, s.metrics.requested),
 		WaitS:        s.metrics.wait.Seconds(),
 		OverCapTicks: s.metrics.overCap,
 		EndS:         s.now.Seconds(),
 		Messages:     s.metrics.messages,
 		Items:        s.metrics.items,
-		GivenUp:      s.metrics.givenUp,
+		GivenUp:      s.metrics.aborted,
 	}
 	for i := range s.flows {
 		switch s.flows[i].state {
--- a/lib/bench/observed.go
+++ b/lib/bench/observed.go
@@ -6,25 +6,26 @@
 	"anvilwick.example/anvilwick/lib/sched"
 )
 
-// ObservedRequest is one request of Config.Arrivals as its caller saw it in real time. Times count from the start of the run.
+// ObservedRequest is one request of Config.Arrivals as observed by its caller in real time. Times count from the start of the
+// run.
 type ObservedRequest struct {
-	Tokens    []time.Duration // when each token came
+	Tokens    []time.Duration // arrival time of each token
 	Completed bool
-	Refused   bool // neither: lost
+	Refused   bool // if neither is set, the request was lost
 }
 
-// ResultFromObserved returns the figures that a run in real time has in common with the bench's: the same columns by the same
-// definitions. seen holds one element for each of cfg.Arrivals. Ticks over the power cap are not observed.
-func ResultFromObserved(cfg Config, seen []ObservedRequest, preemptions int) Result {
-	s := &sim{cfg: &cfg, flows: make([]flow, len(seen))}
+// ResultFromObserved returns those figures of a run in real time that the bench reports, too, by the same definitions. seen
+// holds one element for each of cfg.Arrivals. Ticks over the power cap are not observed.
+func ResultFromObserved(cfg Config, observed []ObservedRequest, preemptions int) Result {
+	s := &sim{cfg: &cfg, flows: make([]flow, len(observed))}
 	s.metrics.init(&cfg)
 	s.metrics.moves = preemptions
-	for i := range seen {
+	for i := range observed {
 		f := &s.flows[i]
 		f.req = &cfg.Arrivals[i]
-		f.state = seen[i].state()
-		s.metrics.replay(f, seen[i].Tokens)
-		s.now = max(s.now, f.last)
+		f.state = observed[i].state()
+		s.metrics.recordTokens(f, observed[i].Tokens)
+		s.now = max(s.now, f.lastToken)
 	}
 	return s.result()
 }
@@ -39,20 +40,20 @@
 	return flowFailed
 }
 
-// replay counts tokens that came at the given times.
-func (m *metrics) replay(f *flow, tokens []time.Duration) {
+// recordTokens records tokens that arrived at the given times.
+func (m *metrics) recordTokens(f *flow, tokens []time.Duration) {
 	for k, at := range tokens {
 		if k == 0 {
-			m.first(f, at)
+			m.firstToken(f, at)
 		} else {
-			m.gap(at - f.last)
+			m.gap(at - f.lastToken)
 		}
-		f.last = at
+		f.lastToken = at
 		m.token(f, at)
 	}
 }
 
-// RunPolicy runs one of Policies over the arrivals of cfg in virtual time.
+// RunPolicy runs the named policy over the arrivals of cfg in virtual time.
 func RunPolicy(cfg Config, policy string) Result {
 	cfg.Policy = policy
 	cfg.Oracle = policy == PolicyOracle
--- a/lib/bench/observed_test.go
+++ b/lib/bench/observed_test.go
@@ -9,9 +9,9 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// Columns of a run in real time mean what the bench's own mean: a stall is what lies beyond its floor, and an answer that
-// was cut is lost.
-func TestResultOfObserved(t *testing.T) {
+// The figures of a run in real time must follow the definitions of the bench: a stall is the time beyond the floor, and a
+// truncated answer is lost.
+func TestResultFromObserved(t *testing.T) {
 	m := workload.Kelburn()
 	urgent, _ := m.Class("depot")
 	cfg := Config{Mix: &m, Window: 2 * time.Second, Arrivals: []workload.Request{
@@ -26,7 +26,7 @@
 	}, 4)
 	must.Eq(t, []int{3, 1, 1, 1, 4}, []int{r.Offered, r.Completed, r.Refused, r.Lost, r.Preemptions})
 	must.Eq(t, 0.75, r.StallS)
-	must.Eq(t, 1.5, r.TokensPerS) // the last token came after the window
+	must.Eq(t, 1.5, r.TokensPerS) // the last token arrived after the window
 	must.Eq(t, 0.6, r.WaitS)
 	must.InDelta(t, 500, r.UrgentP95MS, 1)
 }
--- a/lib/bench/policies.go
+++ b/lib/bench/policies.go
@@ -14,13 +14,13 @@
 	PolicyRoundRobin  = "round-robin"
 	PolicyLeastLoaded = "least-loaded"
 	PolicyAnvilwick   = "anvilwick"
-	PolicyOracle      = "oracle" // anvilwick, told every length
+	PolicyOracle      = "oracle" // anvilwick with every output length known
 )
 
-// Policies lists them in the order of the report.
+// Policies lists the policies in report order.
 var Policies = []string{PolicyRoundRobin, PolicyLeastLoaded, PolicyAnvilwick, PolicyOracle}
 
-// makePolicy returns the maker of a policy by name.
+// makePolicy returns the constructor of the named policy.
 func makePolicy(name string, opt sched.Options) func(*Config) sched.Policy {
 	switch name {
 	case PolicyRoundRobin:
@@ -37,10 +37,10 @@
 	}
 }
 
-// ablationPrefix marks the switches of sched.Options that take a part of the policy out.
+// ablationPrefix marks the fields of sched.Options that disable a part of the policy.
 const ablationPrefix = "Disable"
 
-// Ablations lists the parts that can be taken out, in the order of sched.Options.
+// Ablations lists the parts that can be disabled, in the order of sched.Options.
 func Ablations() []string {
 	var out []string
 	t := reflect.TypeFor[sched.Options]()
@@ -52,7 +52,7 @@
 	return out
 }
 
-// Ablate returns options without one part.
+// Ablate returns opt with one part disabled.
 func Ablate(opt sched.Options, part string) (sched.Options, error) {
 	v := reflect.ValueOf(&opt).Elem()
 	for i := range v.NumField() {
@@ -62,5 +62,5 @@
 			return opt, nil
 		}
 	}
-	return opt, fmt.Errorf("no part %q to take out; want one of %s", part, strings.Join(Ablations(), ", "))
+	return opt, fmt.Errorf("bench: unknown part %q to disable; want one of %s", part, strings.Join(Ablations(), ", "))
 }
--- a/lib/bench/report.go
+++ b/lib/bench/report.go
@@ -23,8 +23,8 @@
 	return b.String()
 }
 
-// DivisionLine adds what dividing the decisions costs: messages between entries and owners and, in them, generations named
-// by progress, each a second of the run.
+// DivisionLine formats a result with the cost of dividing the decisions: messages between entries and owners, and the
+// generations listed in progress messages, both per second of the run.
 func (r *Result) DivisionLine() string {
 	messages, items := float64(r.Messages), float64(r.Items)
 	if r.Policy == PolicyPerEntry {
--- a/lib/bench/sim.go
+++ b/lib/bench/sim.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// Periods of the parts around the policy.
+// Intervals of the components around the policy.
 const (
 	entries       = 8
 	tickEvery     = 10 * time.Millisecond
@@ -18,45 +18,45 @@
 	drainBound    = 40 * time.Minute // after the window, virtual time
 )
 
-// Config is one run.
+// Config describes one run.
 type Config struct {
 	Mix       *workload.Mix
 	Arrivals  []workload.Request
 	Window    time.Duration
 	Policy    string // name for the report
 	Fault     string // one of the Fault constants, or none
-	Oracle    bool   // tell the policy each length
-	Without   string // the part taken out of anvilwick, or none
+	Oracle    bool   // the policy knows each output length
+	Without   string // the part of anvilwick that is disabled, or none
 	NewPolicy func(c *Config) sched.Policy
 
 	KVTokens     int           // memory of each engine; 0: the deployment's
-	StallTimeout time.Duration // entries leave an engine when one stream is silent for so long, as the real ones do; 0: never
+	StallTimeout time.Duration // silence of a stream after which entries abort its attempt, as real ones do; 0: never
 }
 
-// sim is one run in progress.
+// sim is the state of one run.
 type sim struct {
-	cfg      *Config
-	plant    plant
-	policy   sched.Policy
-	now      time.Duration
-	delay    time.Duration
-	line     timeline
-	flows    []flow
-	engines  []engine
-	acts     []sched.Action
-	open     int     // flows that are not over
-	capWatts float64 // in force now
-	owners   int
-	frozen   bool
-	metrics  metrics
+	cfg           *Config
+	cluster       cluster
+	policy        sched.Policy
+	now           time.Duration
+	delay         time.Duration
+	timeline      timeline
+	flows         []flow
+	engines       []engine
+	acts          []sched.Action
+	openFlows     int     // flows that have not ended
+	capWatts      float64 // power cap in force
+	owners        int
+	reportsFrozen bool
+	metrics       metrics
 }
 
-// Run carries out one run and returns its figures.
+// Run simulates one run and returns its figures.
 func Run(cfg Config) Result {
 	s := newSim(&cfg)
 	limit := cfg.Window + drainBound
-	for s.open > 0 && s.line.Len() > 0 {
-		ev := s.line.next()
+	for s.openFlows > 0 && s.timeline.Len() > 0 {
+		ev := s.timeline.next()
 		if ev.at > limit {
 			break
 		}
@@ -68,17 +68,17 @@
 
 func newSim(cfg *Config) *sim {
 	s := &sim{
-		cfg:   cfg,
-		plant: plantOf(cfg),
-		delay: cfg.Mix.Delay,
-		flows: make([]flow, len(cfg.Arrivals)),
-		open:  len(cfg.Arrivals),
+		cfg:       cfg,
+		cluster:   clusterOf(cfg),
+		delay:     cfg.Mix.Delay,
+		flows:     make([]flow, len(cfg.Arrivals)),
+		openFlows: len(cfg.Arrivals),
 	}
 	s.owners = ownersOf(cfg.Policy, cfg.Mix)
-	s.capWatts = s.plant.capWatts
+	s.capWatts = s.cluster.capWatts
 	s.metrics.init(cfg)
 	s.policy = cfg.NewPolicy(cfg)
-	s.policy.SetTargets(0, s.plant.targets(cfg.Mix))
+	s.policy.SetTargets(0, s.cluster.targets(cfg.Mix))
 	s.policy.SetPolicy(classPolicies(cfg.Mix))
 	s.startEngines()
 	for i := range s.flows {
@@ -86,10 +86,10 @@
 	}
 	for e := range entries {
 		phase := progressEvery * time.Duration(e) / entries
-		s.line.add(event{at: phase, kind: atEntryFlush, n: e})
+		s.timeline.add(event{at: phase, kind: atEntryFlush, n: e})
 	}
-	s.line.add(event{kind: atOwnerTick})
-	s.line.add(event{kind: atOwnerPower})
+	s.timeline.add(event{kind: atOwnerTick})
+	s.timeline.add(event{kind: atOwnerPower})
 	s.scheduleFaults()
 	return s
 }
@@ -100,17 +100,17 @@
 	case atEntryArrive:
 		s.submit(int(ev.flow))
 	case atEntryAction:
-		s.carryOut(&ev.action)
+		s.apply(&ev.action)
 	case atEntryTokens:
-		s.receive(ev)
+		s.receiveTokens(ev)
 	case atEntryRefused:
-		s.refusedByEngine(ev)
+		s.engineRefused(ev)
 	case atEntryBroken:
-		s.broken(int(ev.engine))
+		s.engineDied(int(ev.engine))
 	case atEntryFlush:
-		s.flush(ev.n)
+		s.flushProgress(ev.n)
 	case atOwnerSubmit:
-		s.policy.Submit(now, s.request(int(ev.flow), ev.attempt))
+		s.policy.Submit(now, s.placementRequest(int(ev.flow), ev.attempt))
 	case atOwnerProgress:
 		for _, p := range ev.progress {
 			s.policy.Progress(now, genID(int(p.flow)), p.attempt, p.tokens)
@@ -120,11 +120,11 @@
 	case atOwnerReport:
 		s.policy.Report(now, ev.report)
 	case atOwnerCache:
-		s.tellCache(now, ev)
+		s.updateCache(now, ev)
 	case atOwnerGone:
 		s.policy.TargetGone(now, targetName(int(ev.engine)))
 	case atOwnerPower:
-		s.tellPower()
+		s.renewPower()
 	case atOwnerTick:
 		s.tick(now)
 	case atEngineAdd:
@@ -140,30 +140,30 @@
 	}
 }
 
-// tick runs the policy and sends its actions to the entries; it also samples the true draw.
+// tick runs the policy, sends its actions to the entries and samples the actual power draw.
 func (s *sim) tick(now sched.Time) {
 	s.acts = s.policy.Tick(now, s.acts[:0])
 	s.metrics.messages += len(s.acts)
 	for _, a := range s.acts {
-		s.line.add(event{at: s.now + s.delay, kind: atEntryAction, action: a})
+		s.timeline.add(event{at: s.now + s.delay, kind: atEntryAction, action: a})
 	}
-	if s.draw() > s.capWatts {
+	if s.totalWatts() > s.capWatts {
 		s.metrics.overCap++
 	}
-	s.line.add(event{at: s.now + tickEvery, kind: atOwnerTick})
+	s.timeline.add(event{at: s.now + tickEvery, kind: atOwnerTick})
 }
 
-// tellPower renews the policy's share each powerEvery.
-func (s *sim) tellPower() {
+// renewPower renews the policy's power share every powerEvery.
+func (s *sim) renewPower() {
 	s.grantPower()
-	s.line.add(event{at: s.now + powerEvery, kind: atOwnerPower})
+	s.timeline.add(event{at: s.now + powerEvery, kind: atOwnerPower})
 }
 
-// grantPower tells the policy its share: it holds all targets, so the whole cap, and the fallback is the same.
+// grantPower grants the policy its power share: the whole cap, since it has all targets, and the same as fallback.
 func (s *sim) grantPower() {
 	now := sched.Time(s.now)
-	watts := s.announced()
-	s.policy.SetPower(now, watts, now.Add(powerValid), watts)
+	watts := s.announcedCap()
+	s.policy.SetPower(now, watts, now.Add(powerValidity), watts)
 }
 
 func genID(flow int) ids.Generation { return ids.From(0x616e76696c, uint64(flow)) }
--- a/lib/bench/suite.go
+++ b/lib/bench/suite.go
@@ -8,23 +8,23 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// DefaultWindow is how long requests arrive.
+// DefaultWindow is the time during which requests arrive.
 const DefaultWindow = 300 * time.Second
 
-// Suite says which runs to make. All runs of a deployment see the same arrivals.
+// Suite selects the runs to make. All runs of a deployment get the same arrivals.
 type Suite struct {
 	Seed       uint64
 	Window     time.Duration
 	Policies   []string
 	Faults     bool     // also run least-loaded and anvilwick under each fault
-	Scale      int      // engines, entries' load and batches times so many; 0: as they are
-	Ablate     []string // parts to take out of anvilwick, one run each
-	MemoryRisk float64  // accepted memory risk of every class; 0: the mix's
-	Workers    int      // runs at once
+	Scale      int      // factor on engines, load of entries and batches; 0: 1
+	Ablate     []string // parts of anvilwick to disable, one run each
+	MemoryRisk float64  // accepted memory risk of every class; 0: that of the mix
+	Workers    int      // maximum concurrent runs
 	Options    sched.Options
 }
 
-// Run makes all runs and returns their results in a fixed order.
+// Run executes all runs and returns their results in a fixed order.
 func (s *Suite) Run() ([]Result, error) {
 	var configs []Config
 	for _, mix := range workload.Deployments() {
@@ -44,7 +44,7 @@
 	return runAll(configs, s.Workers), nil
 }
 
-// configs lists the runs of one deployment.
+// configs returns the runs of one deployment.
 func (s *Suite) configs(base Config) ([]Config, error) {
 	var out []Config
 	add := func(policy, fault string, opt sched.Options) *Config {
@@ -79,13 +79,13 @@
 	return out, nil
 }
 
-// ablationFault is the fault under which a part has work to do, where it has none without a fault.
+// ablationFault is the fault to inject for parts that have no effect without one.
 var ablationFault = map[string]string{
 	"silence": FaultStall,
 	"power":   FaultDip,
 }
 
-// runAll makes the runs, some at once; each is alone with its state, so the order of ending does not matter.
+// runAll executes the runs concurrently. They share no state, so the results do not depend on the order of completion.
 func runAll(configs []Config, workers int) []Result {
 	out := make([]Result, len(configs))
 	jobs := make(chan int)
--- a/lib/enginemodel/cache.go
+++ b/lib/enginemodel/cache.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxCacheEvents bounds the log of cache events; a reader further behind needs a snapshot.
+// maxCacheEvents bounds the log of cache events; a reader that is further behind needs a snapshot.
 const maxCacheEvents = 4096
 
-// CacheEvent tells that a prefix was stored or evicted. A missing Seq is a gap.
+// CacheEvent reports that a prefix was stored or evicted. A gap in Seq means that events were lost.
 type CacheEvent struct {
 	Seq    uint64
 	Stored bool
@@ -17,13 +17,13 @@
 	At     time.Duration
 }
 
-// cached is a prefix held, and the tokens it added to the shorter one before it.
+// cached is a stored prefix and its cost: the tokens beyond the next shorter prefix.
 type cached struct {
 	Prefix
 	cost int
 }
 
-// prefixCache keeps the prefixes used last, up to a number of tokens.
+// prefixCache keeps the most recently used prefixes within a token budget.
 type prefixCache struct {
 	budget int
 	used   int
@@ -42,7 +42,7 @@
 	c.rng = rng
 }
 
-// match returns the tokens of the longest prefix held and marks it used.
+// match returns the token count of the longest cached prefix and marks it as used.
 func (c *prefixCache) match(ps []Prefix) int {
 	for _, p := range slices.Backward(ps) {
 		if c.touch(p) {
@@ -52,7 +52,7 @@
 	return 0
 }
 
-// touch moves p to the end of the list if it is held.
+// touch marks p as most recently used and reports whether it is cached.
 func (c *prefixCache) touch(p Prefix) bool {
 	i := slices.IndexFunc(c.lru, func(q cached) bool { return q.Hash == p.Hash })
 	if i < 0 {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// store keeps the prefixes of a prompt and evicts the least recently used.
-// A prefix costs only the tokens beyond the shorter one before it.
+// store caches the prefixes of a prompt and evicts the least recently used ones. Each prefix costs only the tokens beyond
+// the next shorter one.
 func (c *prefixCache) store(now time.Duration, ps []Prefix) {
 	before := 0
 	for _, p := range ps {
@@ -82,14 +82,14 @@
 
 func (c *prefixCache) evict(now time.Duration) {
 	for c.used > c.budget && len(c.lru) > 0 {
-		old := c.lru[0]
+		oldest := c.lru[0]
 		c.lru = slices.Delete(c.lru, 0, 1)
-		c.used -= old.cost
-		c.emit(now, false, old.Prefix)
+		c.used -= oldest.cost
+		c.emit(now, false, oldest.Prefix)
 	}
 }
 
-// emit logs an event, or uses up its number without logging it.
+// emit logs an event. To simulate lost events it sometimes only consumes the sequence number.
 func (c *prefixCache) emit(now time.Duration, stored bool, p Prefix) {
 	c.seq++
 	if c.gap > 0 && c.rng.IntN(c.gap) == 0 {
@@ -114,7 +114,7 @@
 	return c.log[from:to]
 }
 
-// CacheSnapshot returns all prefixes held and the sequence number they stand at.
+// CacheSnapshot returns the sequence number of the last event and all cached prefixes.
 func (e *Engine) CacheSnapshot() (uint64, []Prefix) {
 	ps := make([]Prefix, 0, len(e.cache.lru))
 	for _, c := range e.cache.lru {
--- a/lib/enginemodel/config.go
+++ b/lib/enginemodel/config.go
@@ -1,16 +1,16 @@
-// Package enginemodel is a small, pure model of a model engine that batches continuously.
+// Package enginemodel simulates an inference engine with continuous batching.
 //
-// Time is virtual: callers pass it, and ask Next when the step in progress ends. The stand-in engine runs the model in
-// real time, the decision bench in virtual time; both see the same batching, the same growing key-value memory, the same
-// preemptions and the same lagging reports. The same calls at the same times give the same results.
+// Time is virtual: callers pass it in, and Next returns when the step in progress ends. The stand-in engine runs the model in
+// real time, the bench of decisions in virtual time; both get the same batching, growth of key-value memory, preemptions and
+// delayed reports. The same calls at the same times give the same results.
 //
 // A step decodes one token for each sequence in the batch and prefills up to PrefillChunk prompt tokens. It lasts
 //
 //	StepBase + StepPerSeq*decoding + StepPerContext*context tokens + StepPerPrefill*prefilled tokens
 //
-// Memory is counted in tokens: a sequence holds its prompt and every token emitted. When the next step would not fit,
-// the engine preempts the sequence of lowest priority that arrived last; it goes back to the waiting queue and must
-// prefill its prompt and its tokens again.
+// Memory is counted in tokens: a sequence holds its prompt and all emitted tokens. If the next step would exceed the memory,
+// the engine preempts, among the sequences of lowest priority, the one that arrived last; it returns to the waiting queue and
+// its prompt and emitted tokens are prefilled again.
 package enginemodel
 
 import (
@@ -25,20 +25,20 @@
 	StepPerSeq     time.Duration // added for each decoding sequence
 	StepPerContext time.Duration // added for each token of context that a step reads
 	StepPerPrefill time.Duration // added for each prompt token prefilled
-	PrefillChunk   int           // prompt tokens prefilled in one step at most
-	MaxBatch       int           // sequences in a batch at most
-	QueueBound     int           // waiting sequences at most
+	PrefillChunk   int           // maximum prompt tokens prefilled per step
+	MaxBatch       int           // maximum sequences in the batch
+	QueueBound     int           // maximum waiting sequences
 	KVTokens       int           // key-value memory in tokens
 	CacheTokens    int           // prefix cache in tokens; 0: none
-	ReportLag      time.Duration // load reports are between half of it and all of it old
-	CacheEventLag  time.Duration // cache events are published so late
-	CacheEventGap  int           // one cache event in so many is never published; 0: none is lost
+	ReportLag      time.Duration // load reports are between half and all of this old
+	CacheEventLag  time.Duration // delay before cache events are published
+	CacheEventGap  int           // on average one of this many cache events is lost; 0: none
 	IdleWatts      float64
 	SeqWatts       float64 // added for each sequence in the batch
 	DropPreempted  bool    // preempted sequences leave the engine instead of waiting in its queue
 }
 
-// Default returns a middle-sized engine: about 30 ms a step when its batch is full.
+// Default returns a medium-sized engine whose steps take about 30 ms when the batch is full.
 func Default() Config {
 	return Config{
 		StepBase:       14 * time.Millisecond,
@@ -58,7 +58,7 @@
 	}
 }
 
-// Refusals of Add. Nothing of the sequence was run.
+// Errors returned by Add. No part of the sequence was run.
 var (
 	ErrQueueFull = errors.New("the engine's waiting queue is full")
 	ErrTooLarge  = errors.New("the sequence can never fit the engine's memory")
--- a/lib/enginemodel/engine.go
+++ b/lib/enginemodel/engine.go
@@ -14,29 +14,29 @@
 	Tokens int
 }
 
-// Seq is one attempt of a generation, as it is handed to the engine.
+// Seq is one attempt of a generation, as submitted to the engine.
 type Seq struct {
 	Gen      ids.Generation
 	Attempt  uint32
-	Priority int // higher leaves the waiting queue first
+	Priority int // higher priorities leave the waiting queue first
 	Prompt   int // tokens
-	Emitted  int // tokens of earlier attempts; the first token sent has this index
-	Length   int // tokens of the whole answer; the engine alone knows it
+	Emitted  int // tokens emitted by earlier attempts; the first token sent has this index
+	Length   int // tokens of the complete answer, known only to the engine
 	Prefixes []Prefix
 }
 
-// EventKind tells what happened to a sequence.
+// EventKind is the type of an Event.
 type EventKind uint8
 
 // Values of EventKind.
 const (
 	EvToken     EventKind = iota + 1 // token Index was decoded
 	EvFinished                       // the answer is complete; Index is its count of tokens
-	EvPreempted                      // the sequence lost its memory and waits again
-	EvDropped                        // the sequence lost its memory and left the engine
+	EvPreempted                      // the sequence lost its memory and is waiting again
+	EvDropped                        // the sequence lost its memory and was removed from the engine
 )
 
-// Event is one change of one sequence, dated with the end of the step.
+// Event is a state change of one sequence at the end of a step.
 type Event struct {
 	Kind    EventKind
 	Gen     ids.Generation
@@ -46,7 +46,7 @@
 
 type seq struct {
 	Seq
-	arrived uint64 // order of arrival
+	arrival uint64 // order of arrival
 	held    int    // tokens of memory held; 0 while it waits
 	prefill int    // tokens still to prefill
 }
@@ -63,7 +63,7 @@
 	busy        bool // a step is in progress
 	stepEnd     time.Duration
 	prefilled   map[*seq]int // prompt tokens that the step in progress prefills
-	slow        float64      // factor on the time of a step
+	stepFactor  float64      // factor on the duration of steps
 	leaving     bool
 	reports     reports
 	cache       prefixCache
@@ -72,16 +72,16 @@
 // New returns an idle engine at time 0.
 func New(cfg Config) *Engine {
 	e := &Engine{
-		cfg:       cfg,
-		rng:       rand.New(rand.NewPCG(cfg.Seed, 0x656e67696e65)),
-		prefilled: make(map[*seq]int),
-		slow:      1,
+		cfg:        cfg,
+		rng:        rand.New(rand.NewPCG(cfg.Seed, 0x656e67696e65)),
+		prefilled:  make(map[*seq]int),
+		stepFactor: 1,
 	}
 	e.cache.init(cfg, e.rng)
 	return e
 }
 
-// Add puts s into the waiting queue and starts a step if the engine was idle.
+// Add queues s and starts a step if the engine was idle.
 func (e *Engine) Add(now time.Duration, s Seq) error {
 	switch {
 	case e.leaving:
@@ -92,7 +92,7 @@
 		return ErrTooLarge
 	}
 	e.arrivals++
-	e.enqueue(&seq{Seq: s, arrived: e.arrivals})
+	e.enqueue(&seq{Seq: s, arrival: e.arrivals})
 	e.sample(now)
 	if !e.busy {
 		e.begin(now, nil)
@@ -100,27 +100,27 @@
 	return nil
 }
 
-// enqueue keeps the waiting queue sorted; a preempted sequence keeps its order of arrival.
+// enqueue inserts s by priority and arrival; a preempted sequence keeps its arrival number.
 func (e *Engine) enqueue(s *seq) {
 	at, _ := slices.BinarySearchFunc(e.waiting, s, func(a, b *seq) int {
 		if a.Priority != b.Priority {
 			return b.Priority - a.Priority
 		}
-		return int(int64(a.arrived) - int64(b.arrived))
+		return int(int64(a.arrival) - int64(b.arrival))
 	})
 	e.waiting = slices.Insert(e.waiting, at, s)
 }
 
-// Cancel takes a sequence out at once and reports whether it was there and whether any of it had run.
+// Cancel removes a sequence immediately and reports whether it was known and whether any part of it had run.
 func (e *Engine) Cancel(now time.Duration, g ids.Generation, attempt uint32) (known, ran bool) {
-	is := func(s *seq) bool { return s.Gen == g && s.Attempt == attempt }
-	if i := slices.IndexFunc(e.running, is); i >= 0 {
+	matches := func(s *seq) bool { return s.Gen == g && s.Attempt == attempt }
+	if i := slices.IndexFunc(e.running, matches); i >= 0 {
 		e.release(e.running[i])
 		e.running = slices.Delete(e.running, i, i+1)
 		e.sample(now)
 		return true, true
 	}
-	if i := slices.IndexFunc(e.waiting, is); i >= 0 {
+	if i := slices.IndexFunc(e.waiting, matches); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 		e.sample(now)
 		return true, false
@@ -128,7 +128,7 @@
 	return false, false
 }
 
-// release gives back the memory of s.
+// release frees the memory of s.
 func (e *Engine) release(s *seq) {
 	e.kvUsed -= s.held
 	s.held = 0
@@ -138,7 +138,7 @@
 // Next returns when the step in progress ends; ok is false while the engine is idle.
 func (e *Engine) Next() (at time.Duration, ok bool) { return e.stepEnd, e.busy }
 
-// Step ends the step that is due at now, appends what happened to evs, and starts the next step.
+// Step completes the step due at now, appends its events to evs, and starts the next step.
 func (e *Engine) Step(now time.Duration, evs []Event) []Event {
 	if !e.busy || now < e.stepEnd {
 		return evs
@@ -150,7 +150,7 @@
 	return evs
 }
 
-// finishStep books the prefill and one token for each decoding sequence.
+// finishStep applies the prefill and emits one token for each decoding sequence.
 func (e *Engine) finishStep(now time.Duration, evs []Event) []Event {
 	kept := e.running[:0]
 	for _, s := range e.running {
@@ -175,7 +175,7 @@
 	return evs
 }
 
-// advance books the prefill of s and reports whether s decoded a token in this step.
+// advance applies the prefill of s and reports whether s decoded a token in this step.
 func (e *Engine) advance(now time.Duration, s *seq) bool {
 	if s.prefill == 0 {
 		return true
@@ -189,9 +189,10 @@
 	return true
 }
 
-// begin makes room, admits what fits and starts a step. It leaves the engine idle when nothing runs.
+// begin preempts if memory is short, admits waiting sequences and starts a step. Without running sequences the engine stays
+// idle.
 func (e *Engine) begin(now time.Duration, evs []Event) []Event {
-	evs = e.makeRoom(evs)
+	evs = e.preemptUntilFit(evs)
 	e.admit()
 	if len(e.running) == 0 {
 		return evs
@@ -201,8 +202,8 @@
 	return evs
 }
 
-// makeRoom preempts until each sequence in the batch can grow by one token.
-func (e *Engine) makeRoom(evs []Event) []Event {
+// preemptUntilFit preempts sequences until each one left in the batch can grow by one token.
+func (e *Engine) preemptUntilFit(evs []Event) []Event {
 	for e.kvUsed+len(e.running) > e.cfg.KVTokens {
 		i := e.victim()
 		s := e.running[i]
@@ -220,25 +221,25 @@
 	return evs
 }
 
-// victim picks the lowest priority, and of these the latest arrival.
+// victim selects the sequence of lowest priority and, among equals, of latest arrival.
 func (e *Engine) victim() int {
-	best := 0
+	victim := 0
 	for i, s := range e.running {
-		b := e.running[best]
-		if s.Priority < b.Priority || s.Priority == b.Priority && s.arrived > b.arrived {
-			best = i
+		b := e.running[victim]
+		if s.Priority < b.Priority || s.Priority == b.Priority && s.arrival > b.arrival {
+			victim = i
 		}
 	}
-	return best
+	return victim
 }
 
-// admit moves waiting sequences into the batch, in order, until one does not fit.
+// admit moves waiting sequences into the batch in queue order until one does not fit.
 func (e *Engine) admit() {
 	n := 0
 	for _, s := range e.waiting {
 		need := s.Prompt + s.Emitted
-		room := e.cfg.KVTokens - e.kvUsed - len(e.running) - 1
-		if len(e.running) >= e.cfg.MaxBatch || need > room {
+		free := e.cfg.KVTokens - e.kvUsed - len(e.running) - 1
+		if len(e.running) >= e.cfg.MaxBatch || need > free {
 			break
 		}
 		s.held = need
@@ -250,7 +251,7 @@
 	e.waiting = slices.Delete(e.waiting, 0, n)
 }
 
-// plan shares the prefill chunk out and returns how long the step lasts.
+// plan distributes the prefill chunk and returns the duration of the step.
 func (e *Engine) plan() time.Duration {
 	left := e.cfg.PrefillChunk
 	decoding, context, prefilled := 0, 0, 0
@@ -272,16 +273,16 @@
 		time.Duration(decoding)*e.cfg.StepPerSeq +
 		time.Duration(context)*e.cfg.StepPerContext +
 		time.Duration(prefilled)*e.cfg.StepPerPrefill
-	return time.Duration(float64(d) * e.slow)
+	return time.Duration(float64(d) * e.stepFactor)
 }
 
-// SetStepFactor multiplies the time of later steps; 1 is the usual speed.
-func (e *Engine) SetStepFactor(factor float64) { e.slow = factor }
+// SetStepFactor multiplies the duration of later steps; 1 is normal speed.
+func (e *Engine) SetStepFactor(factor float64) { e.stepFactor = factor }
 
-// SetLeaving makes Add refuse; what runs goes on.
+// SetLeaving makes Add refuse new sequences; running ones continue.
 func (e *Engine) SetLeaving(v bool) { e.leaving = v }
 
-// Watts is the true power drawn now.
+// Watts returns the actual power draw.
 func (e *Engine) Watts() float64 {
 	return e.cfg.IdleWatts + e.cfg.SeqWatts*float64(len(e.running))
 }
@@ -289,5 +290,5 @@
 // Active returns the sizes of the batch and of the waiting queue.
 func (e *Engine) Active() (running, waiting int) { return len(e.running), len(e.waiting) }
 
-// Preemptions counts preemptions since the start.
+// Preemptions returns the number of preemptions since the start.
 func (e *Engine) Preemptions() uint64 { return e.preemptions }
--- a/lib/enginemodel/engine_test.go
+++ b/lib/enginemodel/engine_test.go
@@ -11,7 +11,7 @@
 	"anvilwick.example/anvilwick/lib/ids"
 )
 
-// small is an engine whose memory three sequences can fill.
+// small returns an engine whose memory is exhausted by three sequences.
 func small() Config {
 	c := Default()
 	c.KVTokens = 300
@@ -67,21 +67,21 @@
 	must.Eq(t, 3, len(evs))
 }
 
-func TestStepGrowsWithBatchAndContext(t *testing.T) {
+func TestStepTimeGrowsWithBatchAndContext(t *testing.T) {
 	one, many := New(Default()), New(Default())
 	must.NoError(t, one.Add(0, Seq{Gen: gen(1), Prompt: 100, Length: 100}))
 	for i := range uint64(20) {
 		must.NoError(t, many.Add(0, Seq{Gen: gen(i), Prompt: 100, Length: 100}))
 	}
 	_, single := drain(t, one)
-	_, crowd := drain(t, many)
-	must.Greater(t, single, crowd)
+	_, full := drain(t, many)
+	must.Greater(t, single, full)
 }
 
-// The caller of the later, less urgent sequence sees its stream pause while the others go on. Three sequences fill the
-// memory as they decode; at the step that would not fit the engine takes the lowest priority that arrived last, and it
-// decodes on from the same index once memory is free, because the engine keeps its tokens and prefills them again.
-func TestFullMemoryPreemptsLowestLatest(t *testing.T) {
+// Three sequences exhaust the memory while they decode. At the step that would not fit, the engine must preempt, among those
+// of lowest priority, the latest arrival; its stream pauses and resumes at the same index once memory is free, because the
+// engine keeps the emitted tokens and prefills them again.
+func TestFullMemoryPreemptsLatestOfLowestPriority(t *testing.T) {
 	e := New(small())
 	must.NoError(t, e.Add(0, Seq{Gen: gen(1), Priority: 1, Prompt: 80, Length: 60}))
 	must.NoError(t, e.Add(0, Seq{Gen: gen(2), Priority: 0, Prompt: 80, Length: 60}))
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestDropPreemptedLeavesTheEngine(t *testing.T) {
+func TestDropPreemptedRemovesSequence(t *testing.T) {
 	c := small()
 	c.DropPreempted = true
 	e := New(c)
@@ -109,7 +109,7 @@
 	must.Eq(t, 2, count(evs, EvFinished))
 }
 
-func TestWaitingQueueHonoursPriority(t *testing.T) {
+func TestWaitingQueueIsOrderedByPriority(t *testing.T) {
 	c := small()
 	c.MaxBatch = 1
 	e := New(c)
@@ -126,7 +126,7 @@
 	must.Eq(t, []ids.Generation{gen(1), gen(3), gen(2)}, order)
 }
 
-func TestAddRefusesWhatCannotRun(t *testing.T) {
+func TestAddRefusesOversizedOrWhenLeaving(t *testing.T) {
 	e := New(small())
 	must.ErrorIs(t, e.Add(0, Seq{Prompt: 200, Length: 200}), ErrTooLarge)
 	e.SetLeaving(true)
@@ -158,7 +158,7 @@
 	must.Eq(t, second, e.Report(9*c.ReportLag))
 }
 
-func TestCacheSparesPrefillAndLosesEvents(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	c := Default()
 	c.CacheTokens = 600
 	c.CacheEventGap = 3
@@ -177,8 +177,8 @@
 	must.LessEq(t, c.CacheTokens, e.cache.used)
 }
 
-// Whatever is added and cancelled, memory is never oversubscribed, each token comes once and in order, and everything
-// that was not cancelled finishes.
+// With arbitrary additions and cancellations, memory is never oversubscribed, each token is emitted once and in order, and
+// every sequence that was not cancelled finishes.
 func TestEngineInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := small()
--- a/lib/enginemodel/report.go
+++ b/lib/enginemodel/report.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Report is the engine's own view at time At. Seq grows with each new view.
+// Report is a snapshot of the engine's state at time At. Seq increases with each snapshot.
 type Report struct {
 	Seq         uint64
 	At          time.Duration
@@ -16,38 +16,38 @@
 	Leaving     bool
 }
 
-// reports holds the view that is published and the one that will follow it.
+// reports holds the published snapshot and the next one to publish.
 type reports struct {
 	published Report
 	pending   Report
 	frozen    bool
 }
 
-// Report returns the lagging view: between half of ReportLag and all of it old.
+// Report returns a delayed snapshot, between half of ReportLag and all of it old.
 func (e *Engine) Report(now time.Duration) Report {
 	e.sample(now)
 	return e.reports.published
 }
 
-// FreezeReports stops new views from being published, or lets them go on.
+// FreezeReports stops or resumes the publication of new snapshots.
 func (e *Engine) FreezeReports(v bool) { e.reports.frozen = v }
 
-// sample takes a new view twice in each ReportLag and publishes the one before.
+// sample takes a new snapshot twice per ReportLag and publishes the previous one.
 func (e *Engine) sample(now time.Duration) {
 	r := &e.reports
 	if r.frozen || r.pending.Seq > 0 && now-r.pending.At < e.cfg.ReportLag/2 {
 		return
 	}
 	seq := r.pending.Seq + 1
-	view := e.view(now, seq)
+	next := e.snapshot(now, seq)
 	r.published = r.pending
 	if seq == 1 {
-		r.published = view
+		r.published = next
 	}
-	r.pending = view
+	r.pending = next
 }
 
-func (e *Engine) view(now time.Duration, seq uint64) Report {
+func (e *Engine) snapshot(now time.Duration, seq uint64) Report {
 	return Report{
 		Seq:         seq,
 		At:          now,
--- a/lib/enginemodel/seed_test.go
+++ b/lib/enginemodel/seed_test.go
@@ -1,3 +1,3 @@
 package enginemodel
 
-import _ "anvilwick.example/anvilwick/lib/testseed" // fixed seeds
+import _ "anvilwick.example/anvilwick/lib/testseed" // sets a fixed seed for rapid
--- a/lib/history/history.go
+++ b/lib/history/history.go
@@ -1,5 +1,5 @@
-// Package history records what clients and targets saw in a concurrent run, and checks it with porcupine against
-// models of what the system promises: registers, leases, claims, settings and token streams.
+// Package history records the operations that clients and targets observe in a concurrent run, and checks with porcupine
+// that they satisfy models of the system's guarantees: registers, leases, claims, settings and token streams.
 package history
 
 import (
@@ -18,20 +18,20 @@
 const (
 	Yes       = "yes"       // it took effect
 	No        = "no"        // it was refused and had no effect
-	Unknown   = "unknown"   // its caller can't tell
-	Completed = "completed" // a whole answer, Op.Value
+	Unknown   = "unknown"   // the caller doesn't know whether it took effect
+	Completed = "completed" // a complete answer, Op.Value
 	NotRun    = "not_run"
 	FailedRan = "failed_ran"
 )
 
-// Op is one operation as its client saw it. Which fields count depends on Model and Action; see the models.
+// Op is one operation as observed by its client. The fields used depend on Model and Action; see the models.
 type Op struct {
 	Model   string `json:"model"`
-	Object  string `json:"object"` // key, lease, settings line or generation: each is checked by itself
+	Object  string `json:"object"` // key, lease, settings line or generation; each object is checked separately
 	Action  string `json:"action"`
 	Client  int    `json:"client"`
 	Call    int64  `json:"call"`             // nanoseconds, one clock for the whole history
-	Return  int64  `json:"return,omitempty"` // 0: no answer came
+	Return  int64  `json:"return,omitempty"` // 0: no answer was received
 	Outcome string `json:"outcome,omitempty"`
 	Request string `json:"request,omitempty"`
 	From    string `json:"from,omitempty"`
@@ -45,38 +45,38 @@
 	ops []Op
 }
 
-// Now is the time to put into Op.Call and Op.Return. It is the same for all processes of one machine.
+// Now returns the time for Op.Call and Op.Return. All processes of one machine share this clock.
 func Now() int64 { return time.Now().UnixNano() }
 
-// Add records an operation that has ended.
+// Add records a completed operation.
 func (l *Log) Add(op Op) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ops = append(l.ops, op)
 }
 
-// AddAll records operations that have ended, in their order.
+// AddAll records completed operations in order.
 func (l *Log) AddAll(ops []Op) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ops = append(l.ops, ops...)
 }
 
-// Replace puts ops in the place of all that was recorded.
+// Replace replaces all recorded operations by ops.
 func (l *Log) Replace(ops []Op) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ops = ops
 }
 
-// Ops returns a copy of what was recorded.
+// Ops returns a copy of the recorded operations.
 func (l *Log) Ops() []Op {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Op(nil), l.ops...)
 }
 
-// Write stores operations, one JSON object a line.
+// Write encodes operations as one JSON object per line.
 func Write(w io.Writer, ops []Op) error {
 	enc := json.NewEncoder(w)
 	for _, op := range ops {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// Read reads what Write stored. A last line cut short, by a process that was killed, is left out.
+// Read decodes the output of Write. An incomplete last line, left by a killed process, is ignored.
 func Read(r io.Reader) ([]Op, error) {
 	var ops []Op
 	in := bufio.NewReader(r)
@@ -107,8 +107,8 @@
 	}
 }
 
-// Check returns an error for the first model and object that the history breaks, or that can't be decided within
-// the timeout. An undecided history is no proof.
+// Check returns an error for the first model and object whose history is not linearizable, or can't be decided within the
+// timeout. An undecided history proves nothing.
 func Check(ops []Op, timeout time.Duration) error {
 	for key, part := range partition(ops) {
 		m, ok := models[key.model]
@@ -123,16 +123,16 @@
 	return nil
 }
 
-type objectKey struct{ model, object string }
+type partitionKey struct{ model, object string }
 
-func partition(ops []Op) map[objectKey][]porcupine.Operation {
-	out := map[objectKey][]porcupine.Operation{}
+func partition(ops []Op) map[partitionKey][]porcupine.Operation {
+	out := map[partitionKey][]porcupine.Operation{}
 	for _, op := range ops {
 		end := op.Return
 		if end == 0 {
-			end = math.MaxInt64 // it may take effect at any later moment, or never
+			end = math.MaxInt64 // the operation may take effect at any later time, or never
 		}
-		k := objectKey{op.Model, op.Object}
+		k := partitionKey{op.Model, op.Object}
 		out[k] = append(out[k], porcupine.Operation{ClientId: op.Client, Input: op, Call: op.Call, Return: end})
 	}
 	return out
--- a/lib/history/history_test.go
+++ b/lib/history/history_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// seq gives operations times that follow one another.
+// seq sets the model and object of operations and gives them consecutive times.
 func seq(model, object string, ops ...Op) []Op {
 	for i := range ops {
 		ops[i].Model, ops[i].Object = model, object
@@ -17,8 +17,8 @@
 	return ops
 }
 
-// A checker that can't fail proves nothing: each history here breaks one promise, next to one that keeps it.
-func TestCheckRefusesBrokenHistories(t *testing.T) {
+// Guards against a checker that accepts everything: each invalid history violates one guarantee, next to a valid one.
+func TestCheckRejectsInvalidHistories(t *testing.T) {
 	cases := []struct {
 		name string
 		ops  []Op
@@ -61,7 +61,7 @@
 			Op{Action: Apply, Number: 1, Value: "e1", Outcome: Yes}), false},
 		{"uncommitted in force", seq(ModelSettings, "s",
 			Op{Action: See, Request: "i1", Number: 1, Value: "d1"}), false},
-		{"whole stream", seq(ModelStream, "g",
+		{"complete stream", seq(ModelStream, "g",
 			Op{Action: Token, Number: 0, Value: "g"}, Op{Action: Token, Number: 1, Value: "g"},
 			Op{Action: End, Number: 2}), true},
 		{"swapped token", seq(ModelStream, "g",
@@ -90,7 +90,7 @@
 	must.NoError(t, Check(ops, time.Second))
 }
 
-func TestReadLeavesOutACutLine(t *testing.T) {
+func TestReadIgnoresTruncatedLastLine(t *testing.T) {
 	var buf bytes.Buffer
 	ops := seq(ModelStream, "g", Op{Action: Token, Value: "g"}, Op{Action: End, Number: 1})
 	must.NoError(t, Write(&buf, ops))
--- a/lib/history/models.go
+++ b/lib/history/models.go
@@ -18,14 +18,14 @@
 
 // Values of Op.Action.
 const (
-	Get     = "get"     // register: saw Value
-	Swap    = "swap"    // register: From to Value, by compare-and-set; Values are unique
-	Use     = "use"     // lease: an order under fencing number Number
+	Get     = "get"     // register: read Value
+	Swap    = "swap"    // register: compare-and-set of From to Value; Values are unique
+	Use     = "use"     // lease: an order with fencing number Number
 	Execute = "execute" // claim: a target ran Request and produced Value
-	Reply   = "reply"   // claim: the caller of Request was told Outcome, with Value
-	Apply   = "apply"   // settings: revision Number with digest Value
-	See     = "see"     // settings: instance Request has revision Number with digest Value in force
-	Token   = "token"   // stream: token index Number, made for generation Value
+	Reply   = "reply"   // claim: the caller of Request received Outcome, with Value
+	Apply   = "apply"   // settings: commit of revision Number with digest Value
+	See     = "see"     // settings: revision Number with digest Value is in force on instance Request
+	Token   = "token"   // stream: token index Number, produced for generation Value
 	End     = "end"     // stream: the end mark, after Number tokens
 )
 
@@ -37,7 +37,7 @@
 	ModelStream:   model(streamState{}, stepStream),
 }
 
-// model builds a porcupine model from a typed step. Step must not change the state it is given.
+// model builds a porcupine model from a typed step function, which must not modify the state passed to it.
 func model[S any](start S, step func(S, Op) (bool, S)) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return start },
@@ -48,7 +48,8 @@
 	}
 }
 
-// stepRegister: the state is the value. A swap with an unknown outcome takes effect if it still can.
+// stepRegister models a compare-and-set register; the state is its value. A swap with an unknown outcome takes effect if it
+// still can.
 func stepRegister(value string, op Op) (bool, string) {
 	matches := value == op.From
 	switch {
@@ -62,8 +63,8 @@
 	return op.Outcome == Unknown, value
 }
 
-// stepLease: the state is the highest fencing number used. Nothing is done under a number once a higher one was
-// used, and an order is refused only for a higher one.
+// stepLease models fencing; the state is the highest fencing number used. Once a higher number was used, nothing is executed
+// under a lower one, and an order is refused only because of a higher number.
 func stepLease(highest uint64, op Op) (bool, uint64) {
 	if op.Outcome == No {
 		return op.Number < highest, highest
@@ -74,15 +75,15 @@
 	return op.Outcome == Unknown, highest
 }
 
-// claimState tells which request ran under the key, and which callers were promised that theirs did not.
+// claimState holds the request that ran under a key, and the requests whose callers were told that theirs did not run.
 type claimState struct {
 	RanBy  string
 	Result string
 	Denied map[string]bool
 }
 
-// stepClaim: at most one request of a key runs; a caller told "not run" is right for ever; a completed answer is the
-// one that was produced.
+// stepClaim checks that at most one request of a key runs, that a caller who received "not run" stays right, and that a
+// completed answer is the one that was produced.
 func stepClaim(s claimState, op Op) (bool, claimState) {
 	if op.Action == Execute {
 		if s.RanBy != "" || s.Denied[op.Request] {
@@ -107,21 +108,21 @@
 	return op.Outcome == Unknown, s
 }
 
-// settingsState is the line of committed revisions and what each instance has in force.
+// settingsState holds the committed revisions and the revision in force on each instance.
 type settingsState struct {
 	Head    uint64
 	Digests map[uint64]string
 	Seen    map[string]uint64
 }
 
-// stepSettings: each accepted revision follows the one before; an instance has only committed ones in force, and
-// never goes back.
+// stepSettings checks that each accepted revision follows the previous one, and that an instance has only committed revisions
+// in force and never reverts to an older one.
 func stepSettings(s settingsState, op Op) (bool, settingsState) {
 	if op.Action == See {
 		if op.Number > s.Head || op.Number < s.Seen[op.Request] || s.Digests[op.Number] != op.Value {
 			return false, s
 		}
-		s.Seen = with(s.Seen, op.Request, op.Number)
+		s.Seen = withEntry(s.Seen, op.Request, op.Number)
 		return true, s
 	}
 	follows := op.Number == s.Head+1
@@ -129,12 +130,12 @@
 	case op.Outcome == No:
 		return true, s
 	case follows:
-		return true, settingsState{op.Number, with(s.Digests, op.Number, op.Value), s.Seen}
+		return true, settingsState{op.Number, withEntry(s.Digests, op.Number, op.Value), s.Seen}
 	}
 	return op.Outcome == Unknown, s
 }
 
-func with[K comparable, V any](m map[K]V, k K, v V) map[K]V {
+func withEntry[K comparable, V any](m map[K]V, k K, v V) map[K]V {
 	out := maps.Clone(m)
 	if out == nil {
 		out = map[K]V{}
@@ -148,7 +149,8 @@
 	Ended bool
 }
 
-// stepStream: each token arrives once, in order, from its own generation, and the end mark counts them.
+// stepStream checks that each token arrives once, in order and from its own generation, and that the end mark matches their
+// count.
 func stepStream(s streamState, op Op) (bool, streamState) {
 	if s.Ended || op.Number != s.Next {
 		return false, s
--- a/lib/ids/ids.go
+++ b/lib/ids/ids.go
@@ -13,15 +13,15 @@
 // ErrBadGeneration is returned by Parse for anything but 32 hexadecimal digits.
 var ErrBadGeneration = errors.New("generation id must be 32 hexadecimal digits")
 
-// Generation names one logical answer for its whole life, across attempts, targets and entries.
+// Generation identifies one logical answer for its lifetime, across attempts, targets and entries.
 type Generation [Size]byte
 
-// New draws a Generation from the process-wide generator. Uniqueness is all that is asked of it; it is not a secret.
+// New returns a random Generation from the process-wide generator. It only has to be unique; it is not a secret.
 func New() Generation {
 	return From(rand.Uint64(), rand.Uint64())
 }
 
-// From builds a Generation from two words, for seeded tests.
+// From builds a Generation from two 64-bit words, for seeded tests.
 func From(hi, lo uint64) Generation {
 	var g Generation
 	for i := range 8 {
@@ -31,7 +31,7 @@
 	return g
 }
 
-// Parse reads the form written by String.
+// Parse decodes the form that String returns.
 func Parse(s string) (Generation, error) {
 	var g Generation
 	if len(s) != hex.EncodedLen(Size) {
@@ -53,7 +53,7 @@
 	return g, nil
 }
 
-// String returns 32 lower-case hexadecimal digits.
+// String returns the identifier as 32 lower-case hexadecimal digits.
 func (g Generation) String() string { return hex.EncodeToString(g[:]) }
 
 // IsZero reports whether g was never set.
--- a/lib/invariant/invariant_test.go
+++ b/lib/invariant/invariant_test.go
@@ -6,15 +6,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// A breach is counted, told to the hook and returned, so that the one request concerned can be stopped.
-func TestBreach(t *testing.T) {
-	var told []string
-	SetHook(func(name, detail string) { told = append(told, name+": "+detail) })
+// A violation is counted, passed to the hook and returned, so that the affected request can be stopped.
+func TestViolationIsCountedAndReported(t *testing.T) {
+	var reported []string
+	SetHook(func(name, detail string) { reported = append(reported, name+": "+detail) })
 	t.Cleanup(func() { SetHook(nil) })
 	must.NoError(t, Check(true, "test_rule", "never %d", 1))
 	err := Check(false, "test_rule", "index %d after %d", 7, 5)
 	must.ErrorIs(t, err, ErrBroken)
 	must.ErrorContains(t, err, "index 7 after 5")
-	must.Eq(t, []string{"test_rule: index 7 after 5"}, told)
+	must.Eq(t, []string{"test_rule: index 7 after 5"}, reported)
 	must.Eq(t, 1, Count("test_rule"))
 }
--- a/lib/replay/compare.go
+++ b/lib/replay/compare.go
@@ -8,36 +8,36 @@
 	"text/tabwriter"
 )
 
-// Measure is a figure of a play.
+// Measure is a named figure computed from a simulation's Tally.
 type Measure struct {
 	Name  string
 	Value func(Tally) float64
 }
 
-// Measures are the figures that Compare gives, in order.
+// Measures are the figures that Compare reports, in column order.
 var Measures = []Measure{
 	{"in time", Tally.Share},
 	{"work in time", Tally.WorkShare},
 	{"large in time", Tally.LargeShare},
-	{"late", func(t Tally) float64 { return part(t.Late, t.Streams) }},
-	{"sent away", func(t Tally) float64 { return part(t.Away, t.Streams) }},
-	{"lost", func(t Tally) float64 { return part(t.Lost, t.Streams) }},
-	{"preempted", func(t Tally) float64 { return part(t.Preempted, t.Streams) }},
-	{"messages a stream", func(t Tally) float64 { return part(t.Messages, t.Streams) }},
+	{"late", func(t Tally) float64 { return ratio(t.Late, t.Streams) }},
+	{"sent away", func(t Tally) float64 { return ratio(t.Refused, t.Streams) }},
+	{"lost", func(t Tally) float64 { return ratio(t.Lost, t.Streams) }},
+	{"preempted", func(t Tally) float64 { return ratio(t.Preempted, t.Streams) }},
+	{"messages a stream", func(t Tally) float64 { return ratio(t.Messages, t.Streams) }},
 }
 
 // Estimate is a mean over seeds with its standard error.
 type Estimate struct{ Mean, Err float64 }
 
-// Row is how a policy fared on a load.
+// Row holds the results of one policy under one load pattern.
 type Row struct {
 	Policy string
-	Means  []Estimate // by Measures
-	Diffs  []Estimate // to the first policy, seed by seed; zero for the first itself
+	Means  []Estimate // in the order of Measures
+	Diffs  []Estimate // paired by seed with the first policy; zero for the first policy itself
 }
 
-// Compare plays a load under policies, named as in Policies, with the same seeds. workers bounds the plays at a time; the
-// figures don't depend on it.
+// Compare simulates a load pattern under the named Policies with the same seeds. workers bounds the concurrent simulations;
+// the figures don't depend on it.
 func Compare(l Pattern, policies []string, seeds []uint64, workers int) ([]Row, error) {
 	tallies := make([][]Tally, len(policies))
 	var work sync.WaitGroup
@@ -45,7 +45,7 @@
 	for i, name := range policies {
 		p, ok := Policies[name]
 		if !ok {
-			return nil, fmt.Errorf("replay: no policy %q", name)
+			return nil, fmt.Errorf("replay: unknown policy %q", name)
 		}
 		tallies[i] = make([]Tally, len(seeds))
 		for j, seed := range seeds {
@@ -64,12 +64,12 @@
 	return rows, nil
 }
 
-func row(name string, own, first []Tally) Row {
+func row(name string, tallies, first []Tally) Row {
 	r := Row{Policy: name}
 	for _, m := range Measures {
-		values, diffs := make([]float64, len(own)), make([]float64, len(own))
-		for i := range own {
-			values[i] = m.Value(own[i])
+		values, diffs := make([]float64, len(tallies)), make([]float64, len(tallies))
+		for i := range tallies {
+			values[i] = m.Value(tallies[i])
 			diffs[i] = values[i] - m.Value(first[i])
 		}
 		r.Means = append(r.Means, estimate(values))
@@ -78,7 +78,7 @@
 	return r
 }
 
-// estimate is the mean of values and its standard error; 0 for a single value.
+// estimate returns the mean of values and its standard error, which is 0 for a single value.
 func estimate(values []float64) Estimate {
 	n := float64(len(values))
 	if n == 0 {
@@ -100,7 +100,7 @@
 	return e
 }
 
-// WriteTable writes rows as a table: each measure's mean, and its difference to the first policy with the standard error.
+// WriteTable writes rows as a table: the mean of each measure, and its difference to the first policy with the standard error.
 func WriteTable(w io.Writer, rows []Row) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(tw, "policy")
--- a/lib/replay/compare_test.go
+++ b/lib/replay/compare_test.go
@@ -8,26 +8,26 @@
 	"github.com/shoenig/test/must"
 )
 
-func short() Pattern {
+func shortPattern() Pattern {
 	l := Saturated()
 	l.Duration = 3 * time.Second
 	return l
 }
 
-// The same seed brings the same figures, whatever else runs beside: a difference of two policies is theirs.
+// Figures depend on the seed alone, not on concurrent simulations; otherwise differences between policies could be noise.
 func TestSameSeedSameFigures(t *testing.T) {
 	for name, p := range Policies {
-		must.Eq(t, Simulate(short(), p, 3), Simulate(short(), p, 3), must.Sprint(name))
+		must.Eq(t, Simulate(shortPattern(), p, 3), Simulate(shortPattern(), p, 3), must.Sprint(name))
 	}
-	one, err := Compare(short(), []string{"owners", "news"}, []uint64{1, 2}, 1)
+	one, err := Compare(shortPattern(), []string{"owners", "news"}, []uint64{1, 2}, 1)
 	must.NoError(t, err)
-	many, err := Compare(short(), []string{"owners", "news"}, []uint64{1, 2}, 4)
+	many, err := Compare(shortPattern(), []string{"owners", "news"}, []uint64{1, 2}, 4)
 	must.NoError(t, err)
 	must.Eq(t, one, many)
 }
 
 func TestDifferencesArePaired(t *testing.T) {
-	rows, err := Compare(short(), []string{"owners", "force"}, []uint64{1, 2, 3}, 3)
+	rows, err := Compare(shortPattern(), []string{"owners", "force"}, []uint64{1, 2, 3}, 3)
 	must.NoError(t, err)
 	for i := range Measures {
 		must.Eq(t, Estimate{}, rows[0].Diffs[i])
@@ -38,6 +38,6 @@
 	var b strings.Builder
 	must.NoError(t, WriteTable(&b, rows))
 	must.Eq(t, 3, strings.Count(b.String(), "\n"))
-	_, err = Compare(short(), []string{"nobody"}, []uint64{1}, 1)
+	_, err = Compare(shortPattern(), []string{"nobody"}, []uint64{1}, 1)
 	must.Error(t, err)
 }
--- a/lib/replay/load.go
+++ b/lib/replay/load.go
@@ -1,32 +1,32 @@
-// Package replay plays load patterns in virtual time on a model of a site: instances that decide by the product's own code,
-// engines of lib/enginemodel, and messages that take their time. It tells in seconds, without a site, what a change of a
-// decision does at the worst load.
+// Package replay simulates load patterns in virtual time on a model of a site: instances that decide with the product's own
+// code, engines of lib/enginemodel, and messages with a delay. It shows within seconds, without a real site, how a change to
+// placement decisions behaves under heavy load.
 //
-// The same seed brings the same streams under each policy, so that policies are compared in pairs. The model has no moves of
-// runs, no store and no workspaces, and says nothing of those.
+// A seed yields the same streams under every policy, so policies are compared in pairs. The model has no migration of runs,
+// no store and no workspaces; its results say nothing about those.
 package replay
 
 import "time"
 
-// Pattern is a pattern of traffic and of what befalls engines and instances.
+// Pattern describes the traffic of a simulation and the failures of its engines and instances.
 type Pattern struct {
 	Engines, Instances  int
-	Domains             int                            // failure domains, over which both are spread; 0: one
-	LongRate, ShortRate float64                        // streams a second
-	RateFactor          func(at time.Duration) float64 // factor on both; nil: 1
-	ShortRateFactor     func(at time.Duration) float64 // factor on shorts alone; nil: 1
-	LeaveEvery          time.Duration                  // a sixth of the engines leaves; 0: none does
-	ReplaceAfter        time.Duration                  // as many come, empty
-	LeaveByDomain       bool                           // those that leave together are of one failure domain
-	HalfInstancesFailAt time.Duration                  // half of the instances end with what they serve; 0: none does
-	OwnersFailAt        time.Duration                  // the first in rank for each shard ends with what it serves; 0: none does
-	FaultyEngines       int                            // engines that fail half of what they are sent
-	ShortTimeout        time.Duration                  // after which callers of shorts leave; 0: as those of longs
+	Domains             int                            // failure domains over which engines and instances are spread; 0: one
+	LongRate, ShortRate float64                        // streams per second
+	RateFactor          func(at time.Duration) float64 // factor on both rates; nil: 1
+	ShortRateFactor     func(at time.Duration) float64 // additional factor on ShortRate; nil: 1
+	LeaveEvery          time.Duration                  // interval at which a sixth of the engines leaves; 0: never
+	ReplaceAfter        time.Duration                  // delay until as many empty engines join
+	LeaveByDomain       bool                           // engines that leave together share a failure domain
+	HalfInstancesFailAt time.Duration                  // half of the instances fail with their streams; 0: never
+	OwnersFailAt        time.Duration                  // the first-ranked instance of each shard fails with its streams; 0: never
+	FaultyEngines       int                            // engines that fail half of their streams
+	ShortTimeout        time.Duration                  // after which callers of short streams give up; 0: as callers of long ones
 	Duration            time.Duration
 }
 
-// Saturated is the load that the decisions are for: a sixth of the engines leaves every 3.3 s and as many come back empty 6 s
-// later, and for seconds at a time those that are there have less memory than streams ask for.
+// Saturated is the overload that placement is designed for: a sixth of the engines leaves every 3.3 s and as many join empty
+// 6 s later, so that for seconds at a time the engines have less memory than the streams need.
 func Saturated() Pattern {
 	return Pattern{
 		Engines: 18, Instances: 24, LongRate: 13.6, ShortRate: 15.6,
@@ -34,25 +34,25 @@
 	}
 }
 
-// SaturatedSite is Crowded on a site of some instances, with engines and streams in proportion.
+// SaturatedSite is Saturated on a site with the given number of instances and with engines and streams in proportion.
 func SaturatedSite(instances int) Pattern {
 	l := Saturated().Resized(instances)
 	l.Domains = 5
 	return l
 }
 
-// Resized is the load on a site of some instances, with engines and streams in proportion.
+// Resized returns the pattern for the given number of instances, with engines and streams in proportion.
 func (l Pattern) Resized(instances int) Pattern {
-	times := float64(instances) / float64(l.Instances)
-	l.Engines = max(6, int(float64(l.Engines)*times))
-	l.FaultyEngines = int(float64(l.FaultyEngines) * times)
-	l.LongRate *= times
-	l.ShortRate *= times
+	factor := float64(instances) / float64(l.Instances)
+	l.Engines = max(6, int(float64(l.Engines)*factor))
+	l.FaultyEngines = int(float64(l.FaultyEngines) * factor)
+	l.LongRate *= factor
+	l.ShortRate *= factor
 	l.Instances = instances
 	return l
 }
 
-// Bursts is calm engines, and short streams that come three times as many for 3 s in each 10.
+// Bursts has no engines leaving, and three times as many short streams during 3 s of every 10 s.
 func Bursts() Pattern {
 	l := Saturated()
 	l.LeaveEvery = 0
@@ -65,15 +65,15 @@
 	return l
 }
 
-// ShortTimeouts is Crowded with callers of short streams that leave after 6 s. They are told to come back within a third of
-// what they have left.
+// ShortTimeouts is Saturated with callers of short streams that give up after 6 s. They accept a retry delay of at most a
+// third of their remaining time.
 func ShortTimeouts() Pattern {
 	l := Saturated()
 	l.ShortTimeout = 6 * time.Second
 	return l
 }
 
-// ArrivalSpikes is all of two seconds' streams within 0.2 s.
+// ArrivalSpikes delivers all streams of every two seconds within 0.2 s.
 func ArrivalSpikes() Pattern {
 	l := Saturated()
 	l.LeaveEvery, l.LongRate, l.ShortRate = 0, 12, 14
@@ -86,7 +86,7 @@
 	return l
 }
 
-// HalfInstancesFail is half of the instances ending at once.
+// HalfInstancesFail is a load under which half of the instances fail at once.
 func HalfInstancesFail() Pattern {
 	l := Saturated()
 	l.LeaveEvery, l.LongRate, l.ShortRate = 0, 10, 12
@@ -94,7 +94,7 @@
 	return l
 }
 
-// TransientOverload is traffic over what the engines carry for ten seconds, and under it then.
+// TransientOverload exceeds the engines' capacity for ten seconds and stays below it afterwards.
 func TransientOverload() Pattern {
 	l := Saturated()
 	l.Duration = 35 * time.Second
@@ -107,14 +107,14 @@
 	return l
 }
 
-// OwnersFail is Crowded with the instances gone, at 10 s, that rank first to decide for others.
+// OwnersFail is Saturated with the first-ranked owner of every shard failing at 10 s.
 func OwnersFail() Pattern {
 	l := SaturatedSite(72)
 	l.OwnersFailAt = 10 * time.Second
 	return l
 }
 
-// DomainsLeaveInTurn is Crowded on a larger site whose engines leave a failure domain at a time.
+// DomainsLeaveInTurn is Saturated on a larger site whose engines leave one failure domain at a time.
 func DomainsLeaveInTurn() Pattern {
 	l := SaturatedSite(192)
 	l.LeaveByDomain = true
@@ -122,7 +122,7 @@
 	return l
 }
 
-// FaultyEngines is calm engines of which a sixth fail half of what they are sent, before many instances.
+// FaultyEngines is a moderate load on a larger site where a sixth of the engines fails half of its streams.
 func FaultyEngines() Pattern {
 	l := SaturatedSite(72)
 	l.LeaveEvery = 0
@@ -131,8 +131,9 @@
 	return l
 }
 
-// Patterns are the loads by name.
+// Patterns maps the names used on command lines to load patterns.
 var Patterns = map[string]func() Pattern{
-	"crowded": Saturated, "hurried": ShortTimeouts, "bursts": Bursts, "bunches": ArrivalSpikes, "half-gone": HalfInstancesFail, "come-back": TransientOverload,
+	"crowded": Saturated, "hurried": ShortTimeouts, "bursts": Bursts, "bunches": ArrivalSpikes,
+	"half-gone": HalfInstancesFail, "come-back": TransientOverload,
 	"owners-gone": OwnersFail, "faulty": FaultyEngines, "domains-leave": DomainsLeaveInTurn,
 }
--- a/lib/replay/policy.go
+++ b/lib/replay/policy.go
@@ -2,71 +2,73 @@
 
 import "time"
 
-// Way is how instances come to know of each other's streams.
-type Way uint8
+// Strategy is the way in which instances coordinate their placement decisions.
+type Strategy uint8
 
-// Values of Way.
+// Values of Strategy.
 const (
-	Owners  Way = iota // one decides for a shard of engines; the others ask it
-	News               // each decides and is told by all others, at once and four times a second
-	Sampled            // as News, but each tells 128 others, drawn anew each time
-	Slices             // as News, among the instances and engines of one failure domain
-	Reports            // each decides by what engines report of themselves, 0.3 s late
+	Owners           Strategy = iota // one instance decides for a shard of engines; the others send it requests
+	Broadcast                        // each instance decides; it sends its loads to all others on each placement and four times a second
+	SampledBroadcast                 // as Broadcast, but to 128 other instances drawn anew each time
+	DomainBroadcast                  // as Broadcast, limited to the instances and engines of one failure domain
+	EngineReports                    // each instance decides from the engines' own load reports, 0.3 s late
 )
 
-var wayNames = [...]string{"owners", "news", "sampled", "slices", "reports"}
+// strategyNames are the names used on command lines.
+var strategyNames = [...]string{"owners", "news", "sampled", "slices", "reports"}
 
 // String returns the name used on command lines.
-func (w Way) String() string { return wayNames[w] }
+func (w Strategy) String() string { return strategyNames[w] }
 
-// Policy is what the instances do; the zero value is what the product does.
+// Policy selects the instances' behavior; the zero value is that of the product.
 type Policy struct {
-	Way       Way
-	SlowNews  bool // with News: placements are told after 60 ms in place of 3
-	NoReading bool // prompts that wait on an engine don't count
-	Force     bool // what finds no room is sent to the best engine
-	Forget    bool // with Owners: the second in rank is told nothing before it takes over
-	Stay      bool // with Owners: streams stay with the shard that they came to
+	Strategy      Strategy
+	SlowUpdates   bool // with Broadcast: updates take 60 ms instead of 3
+	IgnorePrefill bool // prompts waiting for prefill on an engine are not counted
+	ForceAdmit    bool // streams without a free target are sent to the best engine instead of being refused
+	ColdStandby   bool // with Owners: the second-ranked instance receives no reports until it takes over
+	NoForwarding  bool // with Owners: streams are not forwarded to other shards
 }
 
-// Policies are the policies by name.
+// Policies maps the names used on command lines to policies.
 var Policies = map[string]Policy{
-	"owners": {}, "news": {Way: News}, "sampled": {Way: Sampled}, "slices": {Way: Slices}, "reports": {Way: Reports},
-	"force": {Force: true}, "no-reading": {NoReading: true}, "slow-news": {Way: News, SlowNews: true},
-	"forget": {Forget: true}, "stay": {Stay: true},
+	"owners": {}, "news": {Strategy: Broadcast}, "sampled": {Strategy: SampledBroadcast},
+	"slices": {Strategy: DomainBroadcast}, "reports": {Strategy: EngineReports},
+	"force": {ForceAdmit: true}, "no-reading": {IgnorePrefill: true}, "slow-news": {Strategy: Broadcast, SlowUpdates: true},
+	"forget": {ColdStandby: true}, "stay": {NoForwarding: true},
 }
 
-// Times of messages.
+// Delays and intervals of messages.
 const (
-	tick        = time.Millisecond
-	hop         = 3 * time.Millisecond // a datagram between instances, with its handling at both ends
-	lateNews    = 60 * time.Millisecond
-	newsEvery   = 250 * time.Millisecond
-	reportsLate = 300 * time.Millisecond
-	changeGap   = 15 * time.Millisecond // from a change until it is told
-	fanout      = 128
+	tick            = time.Millisecond
+	messageDelay    = 3 * time.Millisecond // a datagram between instances, including its handling at both ends
+	slowUpdateDelay = 60 * time.Millisecond
+	updateInterval  = 250 * time.Millisecond
+	reportDelay     = 300 * time.Millisecond
+	updateDelay     = 15 * time.Millisecond // from a change until it is sent, so that changes are batched
+	fanout          = 128                   // receivers of an update with SampledBroadcast
 )
 
-// Tally is how the streams of a play fared.
+// Tally counts the outcomes of the streams of a simulation.
 type Tally struct {
-	Streams, InTime, Late, Away, Lost int
-	CameBack, ServedBack              int // callers that came back, and of these those whose stream began
-	Longs, LongsInTime                int
-	Large, LargeInTime                int // streams with the largest tenth of prompts
-	Preempted                         int
-	Work, WorkInTime                  int // tokens: of prompts, and ten times those of answers
-	Messages                          int // between instances
+	Streams, InTime, Late, Refused, Lost int
+	Retried, RetriedServed               int // callers that retried after a refusal, and those of them whose stream started
+	Longs, LongsInTime                   int
+	Large, LargeInTime                   int // streams whose prompt is among the largest tenth
+	Preempted                            int
+	Work, WorkInTime                     int // in tokens: prompt tokens plus ten times the output tokens
+	Messages                             int // between instances
 }
 
-// Add adds another play's tally.
+// Add adds the counts of another simulation.
 func (t *Tally) Add(o Tally) {
 	t.Streams += o.Streams
 	t.InTime += o.InTime
 	t.Late += o.Late
-	t.Away += o.Away
+	t.Refused += o.Refused
 	t.Lost += o.Lost
-	t.CameBack += o.CameBack
-	t.ServedBack += o.ServedBack
+	t.Retried += o.Retried
+	t.RetriedServed += o.RetriedServed
 	t.Longs += o.Longs
 	t.LongsInTime += o.LongsInTime
 	t.Large += o.Large
@@ -77,13 +79,13 @@
 	t.Messages += o.Messages
 }
 
-// Share is the part of the streams that began in time.
-func (t Tally) Share() float64 { return part(t.InTime, t.Streams) }
+// Share returns the fraction of streams whose first token met its latency objective.
+func (t Tally) Share() float64 { return ratio(t.InTime, t.Streams) }
 
-// WorkShare is the part of the work that began in time.
-func (t Tally) WorkShare() float64 { return part(t.WorkInTime, t.Work) }
+// WorkShare returns the fraction of the work that belongs to streams that met their objective.
+func (t Tally) WorkShare() float64 { return ratio(t.WorkInTime, t.Work) }
 
-// LargeShare is the part of the largest tenth of prompts that began in time.
-func (t Tally) LargeShare() float64 { return part(t.LargeInTime, t.Large) }
+// LargeShare returns the fraction of the streams with the largest prompts that met their objective.
+func (t Tally) LargeShare() float64 { return ratio(t.LargeInTime, t.Large) }
 
-func part(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+func ratio(n, total int) float64 { return float64(n) / float64(max(1, total)) }
--- a/lib/replay/site.go
+++ b/lib/replay/site.go
@@ -17,11 +17,11 @@
 
 const service = "engine"
 
-// keeps is the longest time to stay away that callers keep to: a third of the users' 39 s.
-const keeps = 12 * time.Second
+// maxRetryAfter is the longest retry delay that callers accept: a third of their 39 s timeout.
+const maxRetryAfter = 12 * time.Second
 
-// kv is an engine's memory in tokens: some six long streams.
-const kv = 22_000
+// kvTokens is the KV memory of an engine in tokens, enough for about six long streams.
+const kvTokens = 22_000
 
 type engine struct {
 	fleet.Info
@@ -34,58 +34,58 @@
 type instance struct {
 	name, domain string
 	fleet        *fleet.Fleet
-	reading      *admit.PrefillRates
+	prefillRates *admit.PrefillRates
 	runs         map[uint64]*stream
 	waiting      []*stream
-	changed      time.Duration // when it next tells what it has
-	gone         bool
-	desk         *desk // with Owners
+	nextUpdate   time.Duration // when it sends its next update
+	failed       bool
+	coordinator  *coordinator // with Owners
 }
 
-// site plays a load.
+// site is the state of a simulation.
 type site struct {
-	load      Pattern
-	pol       Policy
-	rng       *rand.Rand // of the load: the same streams come under each policy
-	chance    *rand.Rand // of the instances' decisions
-	now       time.Duration
-	engines   []*engine
-	instances []*instance
-	mail      mailbox
-	serial    uint64
-	made      int // engines made so far
-	tally     Tally
-	way       way
+	pattern     Pattern
+	policy      Policy
+	loadRNG     *rand.Rand // for the load, so that each policy gets the same streams
+	decisionRNG *rand.Rand // for the decisions of instances
+	now         time.Duration
+	engines     []*engine
+	instances   []*instance
+	events      eventQueue
+	serial      uint64
+	engineCount int // engines created so far
+	tally       Tally
+	decider     decider
 }
 
-// way is a mechanism by which instances know of each other's streams.
-type way interface {
-	// listed says that the list of engines has changed.
-	listed()
-	// decide makes a step of a stream and reports whether it waits no longer.
+// decider places streams according to a Strategy and keeps the state shared by instances up to date.
+type decider interface {
+	// engineListChanged is called after engines have joined or left.
+	engineListChanged()
+	// decide tries to place a stream and reports whether it has stopped waiting.
 	decide(r *stream) bool
-	// sent says that a stream was sent to its engine.
-	sent(r *stream)
-	// step does what is due at each tick.
+	// streamSent is called after a stream was sent to its engine.
+	streamSent(r *stream)
+	// step does the periodic work due at a tick.
 	step()
-	// read says that the first event of a stream has come.
-	read(r *stream)
-	// ended says how a stream ended at its engine.
-	ended(r *stream, o fleet.Outcome)
+	// firstEvent is called when a stream produces its first event.
+	firstEvent(r *stream)
+	// streamEnded is called with the outcome of a stream at its engine.
+	streamEnded(r *stream, o fleet.Outcome)
 }
 
 var start = time.Unix(1_000_000, 0)
 
 func (s *site) clock() time.Time { return start.Add(s.now) }
 
-// Simulate plays a load under a policy.
+// Simulate runs a load pattern under a policy.
 func Simulate(l Pattern, pol Policy, seed uint64) Tally {
 	l.Domains = max(1, l.Domains)
-	s := &site{load: l, pol: pol, rng: rand.New(rand.NewPCG(seed, 7)), chance: rand.New(rand.NewPCG(seed, 8))}
-	if pol.Way == Owners {
-		s.way = newOwned(s)
+	s := &site{pattern: l, policy: pol, loadRNG: rand.New(rand.NewPCG(seed, 7)), decisionRNG: rand.New(rand.NewPCG(seed, 8))}
+	if pol.Strategy == Owners {
+		s.decider = newOwnerDecider(s)
 	} else {
-		s.way = &apart{s: s}
+		s.decider = &localDecider{s: s}
 	}
 	for i := range l.Instances {
 		s.addInstance(i)
@@ -99,14 +99,14 @@
 	return s.tally
 }
 
-func (s *site) domain(i int) string { return fmt.Sprint("z", i%s.load.Domains) }
+func (s *site) domain(i int) string { return fmt.Sprint("z", i%s.pattern.Domains) }
 
 func (s *site) addInstance(i int) {
-	in := &instance{name: fmt.Sprint("i", i), domain: s.domain(i), runs: make(map[uint64]*stream), reading: new(admit.PrefillRates)}
+	in := &instance{name: fmt.Sprint("i", i), domain: s.domain(i), runs: make(map[uint64]*stream), prefillRates: new(admit.PrefillRates)}
 	f := fleet.New(in.domain)
-	f.SetSpecs(map[string]fleet.Spec{service: {KVTokens: kv}})
+	f.SetSpecs(map[string]fleet.Spec{service: {KVTokens: kvTokens}})
 	f.SetSizes(in.sizesOn)
-	f.SetRandom(s.chance.Float64)
+	f.SetRandom(s.decisionRNG.Float64)
 	in.fleet = f
 	s.instances = append(s.instances, in)
 }
@@ -122,23 +122,26 @@
 }
 
 func (s *site) addEngine() {
-	s.made++
-	info := fleet.Info{ID: fmt.Sprint("e", s.made), Service: service, Domain: s.domain(s.made), Slots: 24}
-	e := &engine{Info: info, runs: make(map[uint64]*stream), byGen: make(map[ids.Generation]*stream), faulty: s.made <= s.load.FaultyEngines}
+	s.engineCount++
+	info := fleet.Info{ID: fmt.Sprint("e", s.engineCount), Service: service, Domain: s.domain(s.engineCount), Slots: 24}
+	e := &engine{
+		Info: info, runs: make(map[uint64]*stream), byGen: make(map[ids.Generation]*stream),
+		faulty: s.engineCount <= s.pattern.FaultyEngines,
+	}
 	e.model = enginemodel.New(enginemodel.Config{
-		Seed: uint64(s.made), StepBase: 7 * time.Millisecond, StepPerSeq: 120 * time.Microsecond, StepPerContext: 4 * time.Nanosecond,
-		StepPerPrefill: time.Millisecond / 14, PrefillChunk: 112, MaxBatch: 24, QueueBound: 72, KVTokens: kv,
+		Seed: uint64(s.engineCount), StepBase: 7 * time.Millisecond, StepPerSeq: 120 * time.Microsecond, StepPerContext: 4 * time.Nanosecond,
+		StepPerPrefill: time.Millisecond / 14, PrefillChunk: 112, MaxBatch: 24, QueueBound: 72, KVTokens: kvTokens,
 	})
 	s.engines = append(s.engines, e)
 	for _, in := range s.instances {
 		in.fleet.Apply(s.clock(), []fleet.Info{info}, nil, 0)
 	}
-	s.way.listed()
+	s.decider.engineListChanged()
 }
 
 func (s *site) step() {
-	s.leaving()
-	s.instancesGone()
+	s.replaceEngines()
+	s.failInstances()
 	if s.now%(200*time.Millisecond) == 0 {
 		for _, in := range s.instances {
 			in.fleet.Tick(s.clock())
@@ -146,74 +149,74 @@
 	}
 	s.deliver()
 	factor, short := 1.0, 1.0
-	if s.load.RateFactor != nil {
-		factor = s.load.RateFactor(s.now)
+	if s.pattern.RateFactor != nil {
+		factor = s.pattern.RateFactor(s.now)
 	}
-	if s.load.ShortRateFactor != nil {
-		short = s.load.ShortRateFactor(s.now)
+	if s.pattern.ShortRateFactor != nil {
+		short = s.pattern.ShortRateFactor(s.now)
 	}
-	s.arrivals(true, s.load.LongRate*factor)
-	s.arrivals(false, s.load.ShortRate*factor*short)
+	s.arrivals(true, s.pattern.LongRate*factor)
+	s.arrivals(false, s.pattern.ShortRate*factor*short)
 	for _, in := range s.instances {
-		in.waiting = slices.DeleteFunc(in.waiting, func(r *stream) bool { return s.now >= r.next && s.way.decide(r) })
+		in.waiting = slices.DeleteFunc(in.waiting, func(r *stream) bool { return s.now >= r.next && s.decider.decide(r) })
 	}
-	s.way.step()
+	s.decider.step()
 	for _, e := range s.engines {
-		s.run(e)
+		s.runEngine(e)
 	}
 }
 
-// message is something that happens later.
-type message struct {
+// event is a callback due at a virtual time.
+type event struct {
 	at    time.Duration
 	order uint64
 	apply func()
 }
 
-// mailbox is a heap of messages by time, then by when they were sent.
-type mailbox []message
+// eventQueue is a heap of events ordered by due time, then by creation.
+type eventQueue []event
 
-func (m mailbox) Len() int { return len(m) }
-func (m mailbox) Less(i, j int) bool {
+func (m eventQueue) Len() int { return len(m) }
+func (m eventQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(m[i].at, m[j].at), cmp.Compare(m[i].order, m[j].order)) < 0
 }
-func (m mailbox) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
 
 // Push implements heap.Interface.
-func (m *mailbox) Push(x any) { *m = append(*m, x.(message)) }
+func (m *eventQueue) Push(x any) { *m = append(*m, x.(event)) }
 
 // Pop implements heap.Interface.
-func (m *mailbox) Pop() any {
+func (m *eventQueue) Pop() any {
 	last := len(*m) - 1
 	x := (*m)[last]
 	*m = (*m)[:last]
 	return x
 }
 
-// after does something later.
+// after schedules a callback after a delay.
 func (s *site) after(d time.Duration, apply func()) {
 	s.serial++
-	heap.Push(&s.mail, message{at: s.now + d, order: s.serial, apply: apply})
+	heap.Push(&s.events, event{at: s.now + d, order: s.serial, apply: apply})
 }
 
-// tell is after for a message between instances.
-func (s *site) tell(d time.Duration, apply func()) {
+// send schedules the delivery of a message between instances and counts it.
+func (s *site) sendMessage(d time.Duration, apply func()) {
 	s.tally.Messages++
 	s.after(d, apply)
 }
 
 func (s *site) deliver() {
-	for len(s.mail) > 0 && s.mail[0].at <= s.now {
-		heap.Pop(&s.mail).(message).apply()
+	for len(s.events) > 0 && s.events[0].at <= s.now {
+		heap.Pop(&s.events).(event).apply()
 	}
 }
 
-// leaving takes a sixth of the engines away with what runs there, and brings as many back, empty.
-func (s *site) leaving() {
-	if s.load.LeaveEvery == 0 || s.now == 0 || s.now%s.load.LeaveEvery != 0 {
+// replaceEngines removes a sixth of the engines with their runs when due, and schedules as many empty ones to join.
+func (s *site) replaceEngines() {
+	if s.pattern.LeaveEvery == 0 || s.now == 0 || s.now%s.pattern.LeaveEvery != 0 {
 		return
 	}
-	for range s.load.Engines / 6 {
+	for range s.pattern.Engines / 6 {
 		i := s.nextToLeave()
 		e := s.engines[i]
 		s.engines = slices.Delete(s.engines, i, i+1)
@@ -224,17 +227,17 @@
 			s.end(r, fleet.Abandoned)
 			s.tally.Lost++
 		}
-		s.after(s.load.ReplaceAfter, s.addEngine)
+		s.after(s.pattern.ReplaceAfter, s.addEngine)
 	}
-	s.way.listed()
+	s.decider.engineListChanged()
 }
 
-// nextToLeave is the oldest engine, or the oldest of the failure domain whose turn it is.
+// nextToLeave returns the index of the oldest engine, or of the oldest one in the failure domain whose turn it is.
 func (s *site) nextToLeave() int {
-	if !s.load.LeaveByDomain {
+	if !s.pattern.LeaveByDomain {
 		return 0
 	}
-	domain := s.domain(int(s.now / s.load.LeaveEvery))
+	domain := s.domain(int(s.now / s.pattern.LeaveEvery))
 	return max(0, slices.IndexFunc(s.engines, func(e *engine) bool { return e.Domain == domain }))
 }
 
@@ -242,24 +245,24 @@
 	return slices.SortedFunc(maps.Values(runs), func(a, b *stream) int { return cmp.Compare(a.id, b.id) })
 }
 
-// instancesGone ends instances with what they serve. The others learn of it by silence only.
-func (s *site) instancesGone() {
+// failInstances removes failing instances with their streams. The others are not notified and detect it by missing messages.
+func (s *site) failInstances() {
 	switch {
 	case s.now == 0:
-	case s.now == s.load.HalfInstancesFailAt:
+	case s.now == s.pattern.HalfInstancesFailAt:
 		for _, in := range s.instances[len(s.instances)/2:] {
-			s.endInstance(in)
+			s.failInstance(in)
 		}
-	case s.now == s.load.OwnersFailAt:
-		for _, in := range s.firstInRank() {
-			s.endInstance(in)
+	case s.now == s.pattern.OwnersFailAt:
+		for _, in := range s.firstRanked() {
+			s.failInstance(in)
 		}
 	}
-	s.instances = slices.DeleteFunc(s.instances, func(in *instance) bool { return in.gone })
+	s.instances = slices.DeleteFunc(s.instances, func(in *instance) bool { return in.failed })
 }
 
-func (s *site) endInstance(in *instance) {
-	in.gone = true
+func (s *site) failInstance(in *instance) {
+	in.failed = true
 	for _, r := range sorted(in.runs) {
 		r.engine.model.Cancel(s.now, gen(r.id), 0)
 		s.end(r, fleet.Abandoned)
@@ -267,20 +270,20 @@
 	}
 }
 
-// run lets an engine make its steps.
-func (s *site) run(e *engine) {
+// runEngine executes the engine's steps that are due.
+func (s *site) runEngine(e *engine) {
 	for {
 		at, busy := e.model.Next()
 		if !busy || at > s.now {
 			return
 		}
 		for _, ev := range e.model.Step(at, nil) {
-			s.happened(e, ev)
+			s.handleEvent(e, ev)
 		}
 	}
 }
 
-func (s *site) happened(e *engine, ev enginemodel.Event) {
+func (s *site) handleEvent(e *engine, ev enginemodel.Event) {
 	r := e.byGen[ev.Gen]
 	if r == nil {
 		return
--- a/lib/replay/stream.go
+++ b/lib/replay/stream.go
@@ -9,48 +9,48 @@
 )
 
 type stream struct {
-	id       uint64
-	inst     *instance
-	long     bool
-	first    time.Duration // when its caller first came
-	arrived  time.Duration // when it last came
-	prompt   int
-	length   int
-	guess    int
-	returned bool
-	budget   time.Duration // after which its caller leaves, from when it first came; 0: no such time
-	next     time.Duration // of its next step while it waits
-	asked    *asking       // with Owners
-
-	engine *engine
-	sent   time.Duration
-	unread int
-	made   int
-	load   fleet.Load
+	id             uint64
+	instance       *instance
+	long           bool
+	first          time.Duration // time of the caller's first request
+	arrived        time.Duration // time of the caller's latest request
+	prompt         int
+	length         int
+	expectedLength int
+	retried        bool
+	timeout        time.Duration   // the caller's timeout, counted from first; 0: none
+	next           time.Duration   // time of the next decision while it waits
+	request        *pendingRequest // with Owners
+
+	engine  *engine
+	sent    time.Duration
+	unread  int
+	emitted int
+	load    fleet.Load
 }
 
 func (s *site) arrivals(long bool, rate float64) {
 	for p := rate * tick.Seconds(); p > 0; p-- {
-		if s.rng.Float64() < p {
+		if s.loadRNG.Float64() < p {
 			s.arrive(s.draw(long))
 		}
 	}
 }
 
-// draw makes a stream like the users': long ones of some 3,000 and 600 tokens, short ones of some 2,500 and 10, with
-// guesses of their length that are right at the median and off by a factor of three.
+// draw creates a stream like those of users: long ones have about 3,000 prompt and 600 output tokens, short ones about 2,500
+// and 10. The length estimate is right at the median and typically off by a factor of three.
 func (s *site) draw(long bool) *stream {
 	s.tally.Streams++
 	r := &stream{
-		id: uint64(s.tally.Streams), long: long, first: s.now, prompt: 1500 + s.rng.IntN(3000), length: 60 + int(s.rng.ExpFloat64()*540),
+		id: uint64(s.tally.Streams), long: long, first: s.now, prompt: 1500 + s.loadRNG.IntN(3000), length: 60 + int(s.loadRNG.ExpFloat64()*540),
 	}
 	if !long {
-		r.prompt, r.length = 800+s.rng.IntN(3400), 4+s.rng.IntN(12)
-		r.budget = s.load.ShortTimeout
+		r.prompt, r.length = 800+s.loadRNG.IntN(3400), 4+s.loadRNG.IntN(12)
+		r.timeout = s.pattern.ShortTimeout
 	}
 	r.length = min(r.length, 1500)
-	off := s.rng.NormFloat64()
-	r.guess = max(1, int(float64(r.length)*pow3(off)))
+	deviation := s.loadRNG.NormFloat64()
+	r.expectedLength = max(1, int(float64(r.length)*pow3(deviation)))
 	s.tally.Work += r.work()
 	if r.prompt > largePrompt {
 		s.tally.Large++
@@ -61,15 +61,15 @@
 	return r
 }
 
-// largePrompt is passed by about a tenth of the prompts.
+// largePrompt is exceeded by about a tenth of the prompts.
 const largePrompt = 4100
 
-// answerWork is what a token of an answer costs, against one of a prompt.
+// answerWork is the cost of an output token relative to a prompt token.
 const answerWork = 10
 
 func (r *stream) work() int { return r.prompt + answerWork*r.length }
 
-// pow3 is roughly 3 to the power of x.
+// pow3 is a rough approximation of 3 to the power of x.
 func pow3(x float64) float64 {
 	if x < 0 {
 		return 1 / (1 - 2*x)
@@ -77,49 +77,49 @@
 	return 1 + 2*x
 }
 
-func (r *stream) aim() time.Duration {
+func (r *stream) objective() time.Duration {
 	if r.long {
 		return 1800 * time.Millisecond
 	}
 	return 1500 * time.Millisecond
 }
 
-// keeps is the longest time to stay away that its caller keeps to.
-func (r *stream) keeps() time.Duration {
-	if r.budget == 0 {
-		return keeps
+// maxRetryAfter returns the longest retry delay that the stream's caller accepts.
+func (r *stream) maxRetryAfter() time.Duration {
+	if r.timeout == 0 {
+		return maxRetryAfter
 	}
-	return max(0, (r.budget-(r.arrived-r.first))/3)
+	return max(0, (r.timeout-(r.arrived-r.first))/3)
 }
 
 func (r *stream) size() fleet.Size {
-	return fleet.Size{Held: r.prompt + r.made, Remaining: max(0, r.guess-r.made)}
+	return fleet.Size{Held: r.prompt + r.emitted, Remaining: max(0, r.expectedLength-r.emitted)}
 }
 
 func (r *stream) need() fleet.Need {
-	return fleet.Need{Service: service, Tokens: r.prompt + r.guess/2, Unread: r.prompt, Peak: r.size()}
+	return fleet.Need{Service: service, Tokens: r.prompt + r.expectedLength/2, Unread: r.prompt, Peak: r.size()}
 }
 
-// asked is the stream as lib/admit sees it.
+// admitted converts the stream for lib/admit.
 func (r *stream) admitted() admit.Stream {
-	return admit.Stream{Arrived: start.Add(r.arrived), Objective: r.aim(), MaxRetryAfter: r.keeps(), Need: r.need()}
+	return admit.Stream{Arrived: start.Add(r.arrived), Objective: r.objective(), MaxRetryAfter: r.maxRetryAfter(), Need: r.need()}
 }
 
 func (s *site) arrive(r *stream) {
-	r.inst = s.instances[r.id%uint64(len(s.instances))]
+	r.instance = s.instances[r.id%uint64(len(s.instances))]
 	r.arrived = s.now
 	r.next = s.now
-	r.asked = nil
-	if !s.way.decide(r) {
-		r.inst.waiting = append(r.inst.waiting, r)
+	r.request = nil
+	if !s.decider.decide(r) {
+		r.instance.waiting = append(r.instance.waiting, r)
 	}
 }
 
-// settle carries a decision out and reports whether the stream waits no longer.
-func (s *site) settle(r *stream, d admit.Decision) bool {
+// apply carries out a decision and reports whether the stream has stopped waiting.
+func (s *site) apply(r *stream, d admit.Decision) bool {
 	need := r.need()
-	if d.Action == admit.RetryLater && s.pol.Force {
-		if target, ok := r.inst.fleet.Choose(s.clock(), need); ok {
+	if d.Action == admit.RetryLater && s.policy.ForceAdmit {
+		if target, ok := r.instance.fleet.Choose(s.clock(), need); ok {
 			d = admit.Decision{Action: admit.Admit, Target: target}
 		}
 	}
@@ -130,27 +130,27 @@
 	case admit.Admit:
 		s.send(r, d.Target.ID, fleet.Load{Tokens: need.Tokens, Unread: need.Unread})
 	default:
-		s.turnAway(r, d.RetryAfter)
+		s.refuse(r, d.RetryAfter)
 	}
 	return true
 }
 
-// turnAway lets the caller come back once.
-func (s *site) turnAway(r *stream, after time.Duration) {
-	if r.returned || after == 0 {
-		s.tally.Away++
+// refuse lets the caller retry once after a delay.
+func (s *site) refuse(r *stream, after time.Duration) {
+	if r.retried || after == 0 {
+		s.tally.Refused++
 		return
 	}
-	r.returned = true
-	s.tally.CameBack++
+	r.retried = true
+	s.tally.Retried++
 	s.after(after, func() { s.arrive(r) })
 }
 
-// send hands a stream to an engine, which its instance counts.
+// send starts a stream on an engine and reserves its load at the instance.
 func (s *site) send(r *stream, id string, l fleet.Load) {
-	f := r.inst.fleet
+	f := r.instance.fleet
 	if _, ok := f.AcquireAt(s.clock(), id, fleet.Need{Service: service, Tokens: l.Tokens, Unread: l.Unread}); !ok {
-		s.tally.Lost++ // it left a moment ago
+		s.tally.Lost++ // the engine has just left
 		return
 	}
 	for _, e := range s.engines {
@@ -161,14 +161,14 @@
 		r.unread = f.KnownState(s.clock(), id).Load.Unread
 		e.runs[r.id] = r
 		e.byGen[gen(r.id)] = r
-		r.inst.runs[r.id] = r
-		faulty := e.faulty && s.chance.IntN(2) == 0
+		r.instance.runs[r.id] = r
+		faulty := e.faulty && s.decisionRNG.IntN(2) == 0
 		if faulty || e.model.Add(s.now, enginemodel.Seq{Gen: gen(r.id), Prompt: r.prompt, Length: r.length}) != nil {
 			s.end(r, fleet.Failed)
 			s.tally.Lost++
 			return
 		}
-		s.way.sent(r)
+		s.decider.streamSent(r)
 		return
 	}
 	f.Release(s.clock(), id, l, fleet.Refused)
@@ -176,28 +176,28 @@
 }
 
 func (s *site) token(r *stream) {
-	r.made++
-	if r.made > 1 {
+	r.emitted++
+	if r.emitted > 1 {
 		return
 	}
-	if r.returned {
-		s.tally.ServedBack++
+	if r.retried {
+		s.tally.RetriedServed++
 	}
 	switch took := s.now - r.first; {
-	case took <= r.aim():
+	case took <= r.objective():
 		s.inTime(r)
-	case r.budget > 0 && took > r.budget:
-		s.tally.Away++ // its caller has left
+	case r.timeout > 0 && took > r.timeout:
+		s.tally.Refused++ // its caller has timed out
 	default:
 		s.tally.Late++
 	}
-	r.inst.fleet.AddLoad(r.engine.ID, fleet.Load{Unread: -r.load.Unread})
+	r.instance.fleet.AddLoad(r.engine.ID, fleet.Load{Unread: -r.load.Unread})
 	r.load.Unread = 0
-	if !s.pol.NoReading {
-		r.inst.reading.Observe(service, r.unread, s.now-r.sent)
-		s.way.read(r)
+	if !s.policy.IgnorePrefill {
+		r.instance.prefillRates.Observe(service, r.unread, s.now-r.sent)
+		s.decider.firstEvent(r)
 	}
-	s.changed(r.inst)
+	s.scheduleUpdate(r.instance)
 }
 
 func (s *site) inTime(r *stream) {
@@ -211,14 +211,14 @@
 	}
 }
 
-// changed lets an instance tell soon what it has.
-func (s *site) changed(in *instance) { in.changed = min(in.changed, s.now+changeGap) }
+// scheduleUpdate makes an instance send its loads soon.
+func (s *site) scheduleUpdate(in *instance) { in.nextUpdate = min(in.nextUpdate, s.now+updateDelay) }
 
 func (s *site) end(r *stream, o fleet.Outcome) {
 	delete(r.engine.runs, r.id)
 	delete(r.engine.byGen, gen(r.id))
-	delete(r.inst.runs, r.id)
-	r.inst.fleet.Release(s.clock(), r.engine.ID, r.load, o)
-	s.way.ended(r, o)
-	s.changed(r.inst)
+	delete(r.instance.runs, r.id)
+	r.instance.fleet.Release(s.clock(), r.engine.ID, r.load, o)
+	s.decider.streamEnded(r, o)
+	s.scheduleUpdate(r.instance)
 }
--- a/lib/replaypage/page_test.go
+++ b/lib/replaypage/page_test.go
@@ -11,8 +11,8 @@
 	"anvilwick.example/anvilwick/lib/replay"
 )
 
-// The page holds a plot of each measure for each load, and names nothing outside itself.
-func TestPageHoldsItsPlots(t *testing.T) {
+// The page contains a plot of each measure for each load pattern and references no external resource.
+func TestPageIsSelfContained(t *testing.T) {
 	l := replay.Saturated()
 	l.Duration = time.Second
 	rows, err := replay.Compare(l, []string{"owners", "news"}, []uint64{1, 2}, 2)
--- a/lib/workload/mix.go
+++ b/lib/workload/mix.go
@@ -1,8 +1,8 @@
-// Package workload describes the request mixes of the two deployments and draws seeded arrivals from them.
+// Package workload describes the request mixes of the two deployments and generates seeded arrivals from them.
 //
-// Arrivals are open-loop: they do not wait for answers. Output lengths are heavy-tailed and known to nobody but the
-// engine: a lognormal body whose median differs by workspace, and a Pareto tail. Long work comes in batches of one
-// workspace; urgent questions come in bursts. The same seed gives the same requests to every policy.
+// Arrivals are open-loop: they do not wait for answers. Output lengths are heavy-tailed, with a lognormal body whose median
+// differs by workspace and a Pareto tail; only the engine knows them. Long requests arrive in batches of one workspace,
+// urgent ones in bursts. The same seed gives the same requests under every policy.
 package workload
 
 import (
@@ -15,17 +15,17 @@
 	Name           string
 	Priority       int
 	Urgent         bool
-	Rate           float64 // requests a second over all workspaces, before Mix.Load
-	Batch          float64 // mean size of a batch of requests that come together; 1: single requests
-	BurstFactor    float64 // rate in a burst, relative to Rate; 1: no bursts
-	Backlog        int     // requests that wait when the run begins
+	Rate           float64 // requests per second over all workspaces, before Mix.Load
+	Batch          float64 // mean number of requests that arrive together; 1: single requests
+	BurstFactor    float64 // rate during a burst, relative to Rate; 1: no bursts
+	Backlog        int     // requests waiting at the start of the run
 	Flood          int     // requests that one small workspace sends at once, well before the window ends
-	Template       int     // tokens of the prompt that a workspace's requests of the class share
-	Prompt         float64 // median of the prompt's own tokens
+	Template       int     // prompt tokens shared by all requests of a workspace in this class
+	Prompt         float64 // median of the prompt tokens that are not shared
 	PromptSigma    float64
 	Median         float64 // median output, tokens
 	Sigma          float64
-	TailShare      float64 // part of the outputs drawn from the tail
+	TailShare      float64 // fraction of outputs drawn from the tail
 	MaxWait        time.Duration
 	QueueBound     int
 	MaxPreemptions int
@@ -33,11 +33,11 @@
 	Deadline       time.Duration // from arrival; 0: none
 }
 
-// Workspace is one customer.
+// Workspace is one tenant of a deployment.
 type Workspace struct {
 	Name   string
 	Weight float64 // share of the load, and fair share
-	Length float64 // factor on the median of its outputs
+	Length float64 // factor on the median length of its outputs
 }
 
 // Mix is a deployment's workload.
@@ -46,17 +46,17 @@
 	Service    string
 	Domains    []string // failure domains
 	Engines    int
-	Delay      time.Duration // one way, between any two of entry, owner and engine
+	Delay      time.Duration // one-way network delay between any two of entry, owner and engine
 	Load       float64       // factor on every rate
 	MaxTokens  int           // bound on an output
 	Workspaces []Workspace
 	Classes    []Class
 }
 
-// Deployments returns the mixes of both users.
+// Deployments returns the mixes of both deployments.
 func Deployments() []Mix { return []Mix{Kelburn(), Kivu()} }
 
-// Kelburn plans sweeping routes: very long narratives overnight, brief questions from depots.
+// Kelburn is the mix of a planner of street sweeping routes: very long narratives overnight, brief questions from depots.
 func Kelburn() Mix {
 	return Mix{
 		Deployment: "kelburn",
@@ -87,7 +87,8 @@
 	}
 }
 
-// Kivu reads cedant bordereaux: very long extractions, claims summaries of middle length, brief clause checks.
+// Kivu is the mix of a reinsurer that reads cedant bordereaux: very long extractions, claims summaries of medium length, brief
+// clause checks.
 func Kivu() Mix {
 	return Mix{
 		Deployment: "kivu",
@@ -135,7 +136,7 @@
 	return m
 }
 
-// Class returns the class of a name; ok is false when the mix has none.
+// Class returns the class with the given name; ok is false if the mix has none.
 func (m *Mix) Class(name string) (c *Class, ok bool) {
 	for i := range m.Classes {
 		if m.Classes[i].Name == name {
--- a/lib/workload/text.go
+++ b/lib/workload/text.go
@@ -7,8 +7,8 @@
 	"anvilwick.example/anvilwick/lib/engineapi"
 )
 
-// Text builds the prompt of r: the shared template of its workspace and class, then what is its own, then the mark that
-// tells a stand-in engine how long its answer is. engineapi.CountTokens of it is r.Prompt.
+// Text builds the prompt of r: the shared template of its workspace and class, then text of its own, then the mark that
+// tells a stand-in engine the length of its answer. engineapi.CountTokens of the text is r.Prompt.
 func (r *Request) Text() string {
 	var b strings.Builder
 	fill(&b, r.Class.Template, fmt.Sprintf("%s/%s ", r.Workspace, r.Class.Name))
@@ -21,7 +21,7 @@
 	return b.String()
 }
 
-// fill writes a repeated phrase of exactly so many tokens.
+// fill writes a repeated phrase, cut to exactly the given number of tokens.
 func fill(b *strings.Builder, tokens int, phrase string) {
 	n := tokens * engineapi.BytesPerToken
 	text := strings.Repeat(phrase, n/len(phrase)+1)
--- a/lib/workload/workload_test.go
+++ b/lib/workload/workload_test.go
@@ -40,7 +40,7 @@
 	test.LessEq(t, m.MaxTokens, lengths[len(lengths)-1])
 }
 
-func TestTextMatchesCountsAndSharesItsTemplate(t *testing.T) {
+func TestTextMatchesTokenCountAndSharesTemplate(t *testing.T) {
 	m := Kelburn()
 	byKey := map[string]uint64{}
 	for _, r := range m.Arrivals(1, 10*time.Second) {
