--- a/app/anvilwick-control/main.go
+++ b/app/anvilwick-control/main.go
@@ -36,11 +36,11 @@
 
 func run(ctx context.Context, cfg controlproc.Config) error {
 	if err := logline.Setup(os.Stderr, cfg.LogLevel); err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	p, err := controlproc.Start(cfg)
 	if err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	return p.Run(ctx)
 }
--- a/app/anvilwick-entry/main.go
+++ b/app/anvilwick-entry/main.go
@@ -35,11 +35,11 @@
 
 func run(ctx context.Context, cfg entryproc.Config) error {
 	if err := logline.Setup(os.Stderr, cfg.LogLevel); err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	p, err := entryproc.Start(cfg)
 	if err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	select {
 	case <-ctx.Done():
--- a/app/anvilwick-gateway/main.go
+++ b/app/anvilwick-gateway/main.go
@@ -58,11 +58,11 @@
 	out := logline.NewBounded(os.Stdout)
 	defer out.Flush(flushTime)
 	if err := logline.Setup(out, o.level); err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	s, err := platform.LoadSettings()
 	if err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	if o.metricsPort != 0 {
 		s.Process.Metrics = net.JoinHostPort(s.IP, strconv.Itoa(o.metricsPort))
--- a/app/anvilwick-load/main.go
+++ b/app/anvilwick-load/main.go
@@ -36,7 +36,7 @@
 
 func run(ctx context.Context, cfg loadrun.Config) error {
 	if err := cfg.Check(); err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	return loadrun.Run(ctx, cfg, os.Stdout, nil)
 }
--- a/examples/load/main.go
+++ b/examples/load/main.go
@@ -35,7 +35,7 @@
 
 func run(ctx context.Context, cfg siterun.Config) error {
 	if err := cfg.Check(); err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	return siterun.Run(ctx, cfg, os.Stdout)
 }
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -37,7 +37,7 @@
 
 func run(ctx context.Context, cfg soak.Config) error {
 	if err := cfg.Check(); err != nil {
-		return cmdline.Usage(err)
+		return cmdline.UsageError(err)
 	}
 	return soak.Run(ctx, cfg, os.Stdout)
 }
--- a/lib/cmdline/cmdline.go
+++ b/lib/cmdline/cmdline.go
@@ -38,8 +38,8 @@
 
 func (e usageError) Unwrap() error { return e.error }
 
-// Usage marks an error found before anything was started. It returns nil for nil.
-func Usage(err error) error {
+// UsageError marks an error found before anything was started. It returns nil for nil.
+func UsageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -55,7 +55,7 @@
 	case errors.Is(err, flag.ErrHelp):
 		return ExitOK
 	case err != nil:
-		return p.fail(errs, Usage(err))
+		return p.fail(errs, UsageError(err))
 	case showVersion:
 		fmt.Fprintln(out, p.Name, p.Version)
 		return ExitOK
--- a/lib/cmdline/cmdline_test.go
+++ b/lib/cmdline/cmdline_test.go
@@ -56,10 +56,10 @@
 	}
 	must.Eq(t, ExitOK, runIt(t, nil).code)
 	must.Eq(t, ExitFailed, runIt(t, errors.New("it broke")).code)
-	g := runIt(t, Usage(errors.New("-addr: bad")))
+	g := runIt(t, UsageError(errors.New("-addr: bad")))
 	must.Eq(t, ExitUsage, g.code)
 	must.Eq(t, "some-tool: -addr: bad\n", g.errs)
-	must.NoError(t, Usage(nil))
+	must.NoError(t, UsageError(nil))
 }
 
 func TestHelpAndVersionRunNothing(t *testing.T) {
--- a/lib/controlproc/config.go
+++ b/lib/controlproc/config.go
@@ -18,7 +18,7 @@
 	EntryAddr   string // mesh address of the entry beside it, IP:port
 	Platform    string // IP:port
 	OpsAddr     string // IP:port
-	Operators   procflags.Operators
+	Operators   procflags.OperatorTokens
 	Links       procflags.Links
 	LeaseTTL    time.Duration
 	LogLevel    string
--- a/lib/entryproc/config.go
+++ b/lib/entryproc/config.go
@@ -22,7 +22,7 @@
 	MeshAddr     string // port for the other entries and the control process, IP:port; empty: none
 	MeshListen   string // where to listen when others reach it at MeshAddr by way of something between; empty: MeshAddr
 	Links        procflags.Links
-	Operators    procflags.Operators
+	Operators    procflags.OperatorTokens
 	StopNotice   time.Duration // between the end of readiness and the first refusal
 	StopLimit    time.Duration // bound on waiting for requests in progress; 0: none
 	MaxStreams   int
--- a/lib/localsite/site.go
+++ b/lib/localsite/site.go
@@ -277,7 +277,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	if err := proc.Until(ctx, n.Name, proc.Answers(url)); err != nil {
+	if err := proc.Until(ctx, n.Name, proc.RespondsOK(url)); err != nil {
 		return fmt.Errorf("%w\nlast words of %s:\n%s", err, n.Name, n.Output())
 	}
 	return nil
--- a/lib/proc/wait.go
+++ b/lib/proc/wait.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Answers is a condition for Until: GET url gives 200.
-func Answers(url string) func(ctx context.Context) error {
+// RespondsOK is a condition for Until: GET url gives 200.
+func RespondsOK(url string) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
--- a/lib/procflags/procflags.go
+++ b/lib/procflags/procflags.go
@@ -41,18 +41,18 @@
 	return mesh.Options{TLS: cfg}, err
 }
 
-// Operators holds the hashes of operators' tokens as one flag gives them.
-type Operators struct {
+// OperatorTokens holds the hashes of operators' tokens as one flag gives them.
+type OperatorTokens struct {
 	list string
 }
 
 // Register adds the flag to fs.
-func (o *Operators) Register(fs *flag.FlagSet) {
+func (o *OperatorTokens) Register(fs *flag.FlagSet) {
 	fs.StringVar(&o.list, "operator-token-sha256", "", "SHA-256 of operators' tokens, hexadecimal, separated by commas; empty: no operator is let in")
 }
 
 // Hashes reads the flag.
-func (o *Operators) Hashes() ([]opsapi.Hash, error) {
+func (o *OperatorTokens) Hashes() ([]opsapi.Hash, error) {
 	var hashes []opsapi.Hash
 	for s := range strings.SplitSeq(o.list, ",") {
 		if s = strings.TrimSpace(s); s == "" {
--- a/lib/procflags/procflags_test.go
+++ b/lib/procflags/procflags_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func parse(t *testing.T, args ...string) (Links, Operators) {
+func parse(t *testing.T, args ...string) (Links, OperatorTokens) {
 	t.Helper()
 	var l Links
-	var o Operators
+	var o OperatorTokens
 	fs := flag.NewFlagSet("t", flag.ContinueOnError)
 	l.Register(fs)
 	o.Register(fs)
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -48,7 +48,7 @@
 	outcomes   map[string]int
 	accepted   []acceptance
 	seen       []sighting
-	watcher    *proc.Marks
+	watcher    *proc.OutputScanner
 }
 
 // Run does what cfg says and writes a report to out. The error is not nil when a promise was broken.
@@ -74,7 +74,7 @@
 func (r *run) open(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
-	r.watcher = &proc.Marks{Texts: breachMarks}
+	r.watcher = &proc.OutputScanner{Patterns: breachMarks}
 	r.down.Slack = slack
 	var tee io.Writer = r.watcher
 	if r.cfg.Logs != "" {
@@ -159,4 +159,4 @@
 }
 
 // breachMarks begin the lines of broken invariants and panics in the processes' output.
-var breachMarks = append([]string{"event=invariant_broken"}, proc.PanicMarks...)
+var breachMarks = append([]string{"event=invariant_broken"}, proc.PanicPrefixes...)
--- a/lib/prove/verify_test.go
+++ b/lib/prove/verify_test.go
@@ -144,7 +144,7 @@
 }
 
 func TestBrokenInvariantInALogIsFound(t *testing.T) {
-	b := &proc.Marks{Texts: breachMarks}
+	b := &proc.OutputScanner{Patterns: breachMarks}
 	_, _ = b.Write([]byte("time=x level=info event=listening\n"))
 	must.SliceEmpty(t, b.Lines())
 	_, _ = b.Write([]byte("time=x level=error event=invariant_broken name=claim_ended_twice\n"))
