--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -53,7 +53,7 @@
 
 	Network Network // connects to other instances
 
-	// All instances together may retry RepeatRatio of a service's requests, plus RepeatFloor, in each RepeatWindow.
+	// All instances together may retry RetryRatio of a service's requests, plus RetryFloor, in each RetryWindow.
 	RetryRatio  float64
 	RetryFloor  float64
 	RetryWindow time.Duration
@@ -76,7 +76,7 @@
 
 	Settings       feed.Source
 	DecodeSettings func([]feed.Row) (*routes.Revision, error)
-	// SettingsWriteSeq and CountTarget return the writer's own sequence number of a row, which continues when the store is restored from
+	// SettingsWriteSeq and TargetWriteSeq return the writer's own sequence number of a row, which continues when the store is restored from
 	// a backup.
 	SettingsWriteSeq, TargetWriteSeq func(feed.Row) (feed.WriteSeq, bool)
 	// Evacuated returns the failure domain that a row of the settings table evacuates as long as it exists.
@@ -202,7 +202,7 @@
 		return err
 	}
 	p.startFeeds(work)
-	p.start(func() { p.reloadOnHangup(work) })
+	p.goWork(func() { p.reloadOnHangup(work) })
 	failed := make(chan error, 1)
 	go func() { failed <- p.serveFront(ln) }()
 	select {
@@ -304,7 +304,7 @@
 	p.gate.Stop(start.Add(p.cfg.Grace - abortMargin))
 	// Other instances switch to another owner and another reader now, while this one still answers.
 	p.link.Coordinator.Leave()
-	p.start(func() { p.unregister(context.Background()) })
+	p.goWork(func() { p.unregister(context.Background()) })
 	time.Sleep(min(outOfRotation, p.cfg.Grace/2))
 	abort := time.AfterFunc(p.cfg.Grace-time.Since(start)-abortMargin, p.gate.AbortOpen)
 	defer abort.Stop()
