--- a/lib/bench/abort_test.go
+++ b/lib/bench/abort_test.go
@@ -18,8 +18,8 @@
 	waiting := RunPolicy(cfg, PolicyLeastLoaded)
 	cfg.StallTimeout = 2 * time.Second
 	aborting := RunPolicy(cfg, PolicyLeastLoaded)
-	must.Zero(t, waiting.GivenUp)
-	must.Positive(t, aborting.GivenUp)
+	must.Zero(t, waiting.Aborted)
+	must.Positive(t, aborting.Aborted)
 	must.Greater(t, waiting.StallS, aborting.StallS)
 	must.Zero(t, waiting.Lost)
 }
--- a/lib/bench/metrics.go
+++ b/lib/bench/metrics.go
@@ -95,7 +95,7 @@
 	EndS         float64 // virtual time of the last event
 	Messages     int     // between entries and owners
 	Items        int     // generations named in progress messages
-	GivenUp      int     // attempts aborted by entries as stalled, with Config.StallTimeout
+	Aborted      int     // attempts aborted by entries as stalled, with Config.StallTimeout
 }
 
 func (s *sim) result() Result {
@@ -117,7 +117,7 @@
 		EndS:         s.now.Seconds(),
 		Messages:     s.metrics.messages,
 		Items:        s.metrics.items,
-		GivenUp:      s.metrics.aborted,
+		Aborted:      s.metrics.aborted,
 	}
 	for i := range s.flows {
 		switch s.flows[i].state {
--- a/lib/siterun/policies.go
+++ b/lib/siterun/policies.go
@@ -90,7 +90,7 @@
 		}
 		fmt.Fprintf(w, "load time=real seed=%d %s %s\n", c.Load.Seed, columns(r), more)
 		v := bench.RunPolicy(run, name)
-		fmt.Fprintf(w, "load time=virtual seed=%d %s given_up_stalled=%d\n", c.Load.Seed, columns(v), v.GivenUp)
+		fmt.Fprintf(w, "load time=virtual seed=%d %s given_up_stalled=%d\n", c.Load.Seed, columns(v), v.Aborted)
 	}
 	return nil
 }
