--- a/lib/standin/engine/server_test.go
+++ b/lib/standin/engine/server_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// readFrames reads up to most frames, until [DONE] or the end of the stream; done reports whether [DONE] came.
+// readFrames reads up to limit frames, until [DONE] or the end of the stream; done reports whether [DONE] came.
 func readFrames(r io.Reader, limit int) (frames []engineapi.Frame, done bool) {
 	sc := bufio.NewScanner(r)
 	for len(frames) < limit && sc.Scan() {
