--- a/app/anvilwick-bench/main.go
+++ b/app/anvilwick-bench/main.go
@@ -1,8 +1,9 @@
-// Command anvilwick-bench compares scheduling policies on crowded engines in virtual time, and with the argument "site" what
-// many instances decide before the same engines (lib/replay).
+// Command anvilwick-bench compares scheduling policies on saturated engines in virtual time. With the argument "site" it
+// compares the decisions of many instances in front of the same engines (lib/replay).
 //
-// It prints one "bench" line a run and one "ratios" line a deployment against the project's aims. Equal seeds print equal
-// lines. Exit codes: 0 after the runs, also when an aim is missed; 1 when a request was lost; 2 for bad flags.
+// It prints one "bench" line for each run and one "ratios" line for each deployment, which compares it with the project's
+// objectives. Equal seeds print equal lines. Exit codes: 0 after the runs, even if an objective is missed; 1 if a request was
+// lost; 2 for invalid flags.
 package main
 
 import (
@@ -42,21 +43,21 @@
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == siteCommand {
 		opt, err := parseSite(os.Args[2:])
-		exitOn(err)
-		exitOn(compareSite(opt))
+		exitOnError(err)
+		exitOnError(compareSite(opt))
 		return
 	}
 	opt, err := parse(os.Args[1:])
-	exitOn(err)
+	exitOnError(err)
 	lost, err := run(opt)
-	exitOn(err)
+	exitOnError(err)
 	if lost > 0 {
 		os.Exit(exitLost)
 	}
 }
 
-// exitOn ends the process with an error; a call for help is none.
-func exitOn(err error) {
+// exitOnError ends the process if err is not nil: with exit code 0 for a request for help, else with exitUsage.
+func exitOnError(err error) {
 	if errors.Is(err, flag.ErrHelp) {
 		os.Exit(0)
 	}
@@ -69,15 +70,15 @@
 func parse(args []string) (options, error) {
 	fs := flag.NewFlagSet("anvilwick-bench", flag.ContinueOnError)
 	var opt options
-	seeds := fs.String("seed", "1", "seeds of the arrivals: one, a list 1,2,3 or a range 1-5; several add a line of medians")
+	seeds := fs.String("seed", "1", "seeds of the arrivals: one, a list 1,2,3 or a range 1-5; several add a line with medians")
 	policies := fs.String("policies", all, "policies to run: "+strings.Join(bench.Policies, ", ")+", or all")
-	ablate := fs.String("ablate", "", "parts to take out of anvilwick, one run each: "+strings.Join(bench.Ablations(), ", ")+", or all")
+	ablate := fs.String("ablate", "", "parts to disable in anvilwick, one run each: "+strings.Join(bench.Ablations(), ", ")+", or all")
 	fs.BoolVar(&opt.faults, "faults", true, "run least-loaded and anvilwick under each fault too")
 	fs.DurationVar(&opt.window, "window", bench.DefaultWindow, "virtual time in which requests arrive")
-	fs.IntVar(&opt.scale, "scale", 1, "times the engines and the load")
-	fs.Float64Var(&opt.risk, "memory-risk", 0, "accepted memory risk of every class; 0: the mix's own")
+	fs.IntVar(&opt.scale, "scale", 1, "factor for the number of engines and the load")
+	fs.Float64Var(&opt.risk, "memory-risk", 0, "accepted memory risk of every class; 0: the one of the mix")
 	fs.BoolVar(&opt.division, "division", false, "compare ways to divide the decisions: "+strings.Join(bench.Divisions, ", "))
-	fs.IntVar(&opt.workers, "workers", 4, "runs at once; the figures do not depend on it")
+	fs.IntVar(&opt.workers, "workers", 4, "concurrent runs; results do not depend on it")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("ANVILWICK_BENCH")); err != nil {
 		return opt, err
 	}
@@ -85,8 +86,8 @@
 	if opt.seeds, err = parseSeeds(*seeds); err != nil {
 		return opt, err
 	}
-	opt.policies = names(*policies, bench.Policies)
-	opt.ablate = names(*ablate, bench.Ablations())
+	opt.policies = splitNames(*policies, bench.Policies)
+	opt.ablate = splitNames(*ablate, bench.Ablations())
 	if opt.division {
 		opt.policies = bench.Divisions
 		opt.faults = false
@@ -98,17 +99,17 @@
 		}
 	}
 	if opt.window <= 0 || fs.NArg() > 0 {
-		return opt, errors.New("want a window over 0 and no arguments beside flags")
+		return opt, errors.New("want -window greater than 0 and no arguments besides flags")
 	}
 	return opt, nil
 }
 
-func names(list string, whole []string) []string {
+func splitNames(list string, everything []string) []string {
 	switch list {
 	case "":
 		return nil
 	case all:
-		return whole
+		return everything
 	}
 	return strings.Split(list, ",")
 }
@@ -135,7 +136,7 @@
 	return out, nil
 }
 
-// run prints the lines of all seeds and returns how many requests were lost.
+// run prints the lines of all seeds and returns the number of lost requests.
 func run(opt options) (lost int, err error) {
 	ratios := make(map[string][]bench.Ratios)
 	var worths []bench.AblationEffect
@@ -155,7 +156,7 @@
 			return lost, err
 		}
 		for i := range results {
-			fmt.Println(line(opt, &results[i]))
+			fmt.Println(resultLine(opt, &results[i]))
 			lost += results[i].Lost
 		}
 		worths = append(worths, bench.AblationEffects(results)...)
@@ -173,7 +174,7 @@
 	return lost, nil
 }
 
-func line(opt options, r *bench.Result) string {
+func resultLine(opt options, r *bench.Result) string {
 	if opt.division {
 		return r.DivisionLine()
 	}
--- a/app/anvilwick-bench/site.go
+++ b/app/anvilwick-bench/site.go
@@ -15,7 +15,7 @@
 	"anvilwick.example/anvilwick/lib/replaypage"
 )
 
-// siteCommand is the first argument that compares decisions on a whole site in place of scheduling policies.
+// siteCommand as the first argument compares how a whole site makes decisions, instead of scheduling policies.
 const siteCommand = "site"
 
 type siteOptions struct {
@@ -38,19 +38,19 @@
 		fs.PrintDefaults()
 	}
 	var opt siteOptions
-	policies := fs.String("policies", "owners,news", "policies to compare, the first with each other one: "+strings.Join(policyNames(), ", ")+", or all")
+	policies := fs.String("policies", "owners,news", "policies to compare, each with the first: "+strings.Join(policyNames(), ", ")+", or all")
 	seeds := fs.String("seeds", "1-4", "seeds of the streams: one, a list 1,2,3 or a range 1-5")
 	fs.IntVar(&opt.instances, "instances", 0, "size of the site, with engines and streams in proportion; 0: the pattern's own")
-	fs.IntVar(&opt.workers, "workers", 4, "plays at once; the figures do not depend on it")
-	fs.StringVar(&opt.page, "page", "", "file to write a page of plots to")
+	fs.IntVar(&opt.workers, "workers", 4, "concurrent runs; results do not depend on it")
+	fs.StringVar(&opt.page, "page", "", "file to write a page with plots to")
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
 		args = append([]string{""}, args...)
 	}
 	if err := ff.Parse(fs, args[1:], ff.WithEnvVarPrefix("ANVILWICK_BENCH")); err != nil {
 		return opt, err
 	}
-	opt.patterns = names(args[0], patternNames())
-	opt.policies = names(*policies, policyNames())
+	opt.patterns = splitNames(args[0], patternNames())
+	opt.policies = splitNames(*policies, policyNames())
 	if len(opt.patterns) == 0 || fs.NArg() > 0 {
 		return opt, fmt.Errorf("want one argument before the flags, patterns of: %s, or all", strings.Join(patternNames(), ", "))
 	}
@@ -62,7 +62,7 @@
 	return opt, err
 }
 
-// compareSite prints a table for each pattern, and writes the page if one is asked for.
+// compareSite prints a table for each pattern and, with -page, writes the page.
 func compareSite(opt siteOptions) error {
 	var sections []replaypage.Section
 	for _, name := range opt.patterns {
--- a/app/anvilwick-control/main.go
+++ b/app/anvilwick-control/main.go
@@ -1,7 +1,7 @@
 // Command anvilwick-control runs beside an entry: it watches settings, the instance list and drains, holds leases for
-// power, model placement and weight transfers, and keeps its entry told.
+// power, model placement and weight transfers, and passes updates to its entry.
 //
-// Exit codes: 0 after a graceful stop, 1 when it failed while running, 2 for bad flags, with nothing started.
+// Exit codes: 0 after a graceful stop, 1 if it failed while running, 2 for invalid flags, with nothing started.
 package main
 
 import (
@@ -17,9 +17,9 @@
 var version = "dev"
 
 const help = `anvilwick-control runs beside an entry: it watches settings, the instance list and operators' drains, holds leases
-for power, model placement and weight transfers, and keeps its entry told. Killing it cuts no stream.
+for power, model placement and weight transfers, and passes updates to its entry. Killing it cuts no stream.
 
-Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 when it failed while running, 2 for bad flags.
+Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 if it failed while running, 2 for invalid flags.
 `
 
 func main() {
--- a/app/anvilwick-entry/main.go
+++ b/app/anvilwick-entry/main.go
@@ -1,7 +1,7 @@
-// Command anvilwick-entry serves callers: it takes their requests, places them on targets and streams the answers.
+// Command anvilwick-entry serves callers: it accepts their requests, places them on targets and streams the answers.
 //
-// Exit codes: 0 after a graceful stop, 1 when it failed while running or requests were cut at the stop limit, 2 for bad
-// flags or settings, with nothing started.
+// Exit codes: 0 after a graceful stop; 1 if it failed while running or cut requests at the stop limit; 2 for invalid flags
+// or settings, with nothing started.
 package main
 
 import (
@@ -16,9 +16,9 @@
 // version is set by the build.
 var version = "dev"
 
-const help = `anvilwick-entry serves callers: it takes their requests, places them on targets and streams the answers.
+const help = `anvilwick-entry serves callers: it accepts their requests, places them on targets and streams the answers.
 
-Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 when it failed while running, 2 for bad flags or settings.
+Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 if it failed while running, 2 for invalid flags or settings.
 `
 
 func main() {
--- a/app/anvilwick-gateway/main.go
+++ b/app/anvilwick-gateway/main.go
@@ -1,7 +1,7 @@
-// Command anvilwick-gateway passes callers' requests through to the targets of a site whose platform keeps settings and
-// the list of targets. It needs no disk and no other process of ours.
+// Command anvilwick-gateway forwards callers' requests to the targets of a site whose platform provides the settings and the
+// list of targets. It needs no disk and no other anvilwick process.
 //
-// Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 when it failed while running, 2 for bad flags or settings.
+// Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 if it failed while running, 2 for invalid flags or settings.
 package main
 
 import (
@@ -21,11 +21,11 @@
 // version is set by the build.
 var version = "dev"
 
-const help = `anvilwick-gateway passes callers' requests through to the targets of a platform's site.
+const help = `anvilwick-gateway forwards callers' requests to the targets of a platform's site.
 
 The environment variable ` + platform.SettingsEnv + ` names the instance's settings file (TOML), which the platform writes.
 
-Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 when it failed while running, 2 for bad flags or settings.
+Exit codes: 0 after a graceful stop (SIGTERM or SIGINT), 1 if it failed while running, 2 for invalid flags or settings.
 `
 
 func main() {
@@ -40,18 +40,18 @@
 	p.Main()
 }
 
-// flushTime bounds writing the last lines of the log.
+// flushTime bounds the time to write the remaining log lines at exit.
 const flushTime = 200 * time.Millisecond
 
-// options are the flags.
+// options holds the values of the flags.
 type options struct {
 	level       string
 	metricsPort int
 }
 
 func (o *options) register(fs *flag.FlagSet) {
-	fs.StringVar(&o.level, "log-level", "info", "lowest level logged: "+logline.Levels)
-	fs.IntVar(&o.metricsPort, "metrics-port", 0, "port on the instance's address at which /metrics is served; 0: none")
+	fs.StringVar(&o.level, "log-level", "info", "lowest level that is logged: "+logline.Levels)
+	fs.IntVar(&o.metricsPort, "metrics-port", 0, "port on the instance's address that serves /metrics; 0: none")
 }
 
 func run(ctx context.Context, o options) error {
--- a/app/anvilwick-load/main.go
+++ b/app/anvilwick-load/main.go
@@ -1,7 +1,8 @@
-// Command anvilwick-load sends a seeded, open-loop mix of requests to entries, measures what callers see by workspace
+// Command anvilwick-load sends a seeded, open-loop mix of requests to entries, measures latencies and outcomes by workspace
 // and class, and checks every answer.
 //
-// Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for bad flags. Refusals are no breach.
+// Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for invalid flags. Refused requests violate
+// none.
 package main
 
 import (
@@ -15,11 +16,11 @@
 // version is set by the build.
 var version = "dev"
 
-const help = `anvilwick-load sends a seeded, open-loop mix of requests to entries, measures what callers see by workspace and class,
+const help = `anvilwick-load sends a seeded, open-loop mix of requests to entries, measures latencies and outcomes by workspace and class,
 and checks every answer against the stand-in engines' text.
 
-The last line is key=value pairs. Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for
-bad flags.
+The last line is key=value pairs. Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for
+invalid flags.
 `
 
 func main() {
--- a/app/anvilwick-standin/main.go
+++ b/app/anvilwick-standin/main.go
@@ -1,7 +1,7 @@
-// Command anvilwick-standin runs one small stand-in for a part that is not anvilwick's: a model engine, a plain service
-// or the platform.
+// Command anvilwick-standin runs one stand-in for a system that anvilwick works with: a model engine, a plain service or the
+// platform.
 //
-// Exit codes: 0 after a graceful stop, 1 when the stand-in failed or was ordered to die, 2 for bad flags.
+// Exit codes: 0 after a graceful stop; 1 if the stand-in failed or was told to crash; 2 for invalid flags.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	stopDeadline = 10 * time.Second
 )
 
-// server is what every stand-in offers once it runs.
+// server is the interface of a running stand-in.
 type server interface {
 	Addr() string
 	Close(ctx context.Context) error
@@ -44,7 +44,7 @@
 	os.Exit(exitCode(root, ctx))
 }
 
-// subcommands lists the stand-ins.
+// subcommands returns one command for each kind of stand-in.
 func subcommands() []*ffcli.Command {
 	return []*ffcli.Command{engineCommand(), plainCommand(), platformCommand()}
 }
@@ -68,8 +68,8 @@
 	return exitFailed
 }
 
-// command builds a subcommand whose flags can also come from the environment.
-func command(fs *flag.FlagSet, help string, start func() (server, error)) *ffcli.Command {
+// newCommand builds a subcommand whose flags can also be set in the environment.
+func newCommand(fs *flag.FlagSet, help string, start func() (server, error)) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       fs.Name(),
 		ShortUsage: "anvilwick-standin " + fs.Name() + " [flags]",
@@ -80,7 +80,7 @@
 	}
 }
 
-// serve runs a stand-in until a signal asks it to stop.
+// serve runs a stand-in until a signal stops it.
 func serve(ctx context.Context, kind string, start func() (server, error)) error {
 	srv, err := start()
 	if err != nil {
--- a/examples/capacity/main.go
+++ b/examples/capacity/main.go
@@ -1,8 +1,8 @@
-// Command capacity measures the slopes behind docs/CAPACITY.md on one machine and prints them as key=value lines: points,
-// and for each series the least-squares line with the standard error of its slope. It counts processor time, not wall
-// time. Some probes start the programs as processes of a small site on loopback; the programs themselves start none.
+// Command capacity measures the costs behind docs/CAPACITY.md on one machine and prints them as key=value lines: points, and
+// for each series the least-squares line with the standard error of its slope. It measures processor time, not wall-clock
+// time. Some probes start a small site as processes on loopback; anvilwick's daemons start no other processes.
 //
-// Exit codes: 0 when every probe ran, 1 when one failed, 2 for bad flags.
+// Exit codes: 0 if every probe ran, 1 if one failed, 2 for invalid flags.
 package main
 
 import (
--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -1,10 +1,10 @@
-// Command demo shows anvilwick at work on one machine, as separate processes on loopback: the platform's stand-in, three
-// model engines, two plain services, and three entries in three failure domains, each with its control process. It
-// streams a generation, calls a plain service, kills the engine in the middle of a stream, shows that the answer still
-// arrives whole, and stops everything gracefully. With -stay it starts the same site, prints commands to try, and stops
-// it on SIGINT or SIGTERM.
+// Command demo shows anvilwick on one machine, as separate processes on loopback: the platform's stand-in, three model
+// engines, two plain services, and three entries in three failure domains, each with its control process. It streams a
+// generation, calls a plain service, kills the engine in the middle of a stream, shows that the answer still arrives
+// complete, and stops everything gracefully. With -stay it starts the same site, prints commands to try, and stops the site
+// on SIGINT or SIGTERM.
 //
-// It exits with 0 after its last line "demo: ok …", and with 1 on anything unexpected.
+// It exits with 0 after its last line "demo: ok …", and with 1 after any failure.
 package main
 
 import (
@@ -37,7 +37,7 @@
 
 func main() {
 	bin := flag.String("bin", "bin", "directory of the programs")
-	keep := flag.Bool("stay", false, "start the site, print commands to try, and wait to be interrupted")
+	keepRunning := flag.Bool("stay", false, "start the site, print commands to try, and wait to be interrupted")
 	verbose := flag.Bool("v", false, "show the logs of all processes")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -47,8 +47,8 @@
 		logs = os.Stderr
 	}
 	work := run
-	if *keep {
-		work = stay
+	if *keepRunning {
+		work = runUntilInterrupted
 	}
 	if err := work(ctx, *bin, logs); err != nil {
 		fmt.Fprintln(os.Stderr, "demo: failed:", err)
@@ -97,8 +97,8 @@
 	killed string
 }
 
-// generate streams an answer of n tokens and checks all of it; at is called after each token.
-func (d *demo) generate(ctx context.Context, question string, n, entry int, at func(caller.Token)) error {
+// generate streams an answer of n tokens and checks that it is complete; at is called after each token.
+func (d *demo) generate(ctx context.Context, question string, n, entry int, onToken func(caller.Token)) error {
 	prompt := fmt.Sprintf("%s [len=%d]", question, n)
 	var text strings.Builder
 	began := time.Now()
@@ -107,7 +107,7 @@
 		if t.Index == 0 {
 			fmt.Printf("demo:   first token after %d ms\n", time.Since(began).Milliseconds())
 		}
-		at(t)
+		onToken(t)
 	})
 	if err != nil {
 		return fmt.Errorf("%q: %w", question, err)
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// kill streams a long answer and kills the engine that runs it.
+// kill streams a long answer and kills the engine that runs it midway.
 func (d *demo) kill(ctx context.Context) error {
 	fmt.Printf("demo: a route narrative of %d tokens; its engine is killed after %d\n", longAnswer, killAt)
 	var killErr error
@@ -166,7 +166,7 @@
 		return err
 	}
 	if n == nil {
-		return errors.New("no engine runs the narrative")
+		return errors.New("no engine runs the long answer")
 	}
 	fmt.Printf("demo:   SIGKILL to %s, process %d\n", n.Name, n.PID())
 	d.killed = n.Name
@@ -175,13 +175,13 @@
 
 func (d *demo) stop(ctx context.Context) error {
 	fmt.Println("demo: stopping all processes by SIGTERM")
-	if dead := d.dead(); len(dead) != 1 {
-		return fmt.Errorf("processes that ended before: %v, want %s alone", dead, d.killed)
+	if exited := d.exited(); len(exited) != 1 {
+		return fmt.Errorf("processes that exited early: %v, want only %s", exited, d.killed)
 	}
 	return d.site.Stop(ctx)
 }
 
-func (d *demo) dead() []string {
+func (d *demo) exited() []string {
 	var names []string
 	for _, n := range d.site.Nodes() {
 		if !n.Running() {
--- a/examples/demo/stay.go
+++ b/examples/demo/stay.go
@@ -15,8 +15,8 @@
 	stopLimit  = 30 * time.Second
 )
 
-// stay keeps the site until ctx is done.
-func stay(ctx context.Context, bin string, logs io.Writer) error {
+// runUntilInterrupted starts the site and runs it until ctx is done.
+func runUntilInterrupted(ctx context.Context, bin string, logs io.Writer) error {
 	sctx, cancel := context.WithTimeout(ctx, startLimit)
 	site, err := startSite(sctx, bin, logs)
 	cancel()
@@ -32,7 +32,7 @@
 	return site.Stop(tctx)
 }
 
-// printCommands shows what to type; [len=60] makes the stand-in engine answer with 60 tokens.
+// printCommands prints commands to try; [len=60] makes the stand-in engine answer with 60 tokens.
 func printCommands(site *localsite.Site, bin string) {
 	entry := site.Entries[0]
 	key := localsite.WorkspaceKey(workspace)
@@ -54,11 +54,11 @@
   %s/anvilwick-ctl settings show
 
 Stop it with Ctrl-C.
-`, entry.Addr, key, model, entry.Addr, key, localsite.OperatorToken, site.Platform.Addr, ops(site.Controls), bin, ops(site.Entries), bin, bin, bin)
+`, entry.Addr, key, model, entry.Addr, key, localsite.OperatorToken, site.Platform.Addr, opsAddrs(site.Controls), bin, opsAddrs(site.Entries), bin, bin, bin)
 }
 
-// ops lists operators' ports.
-func ops(nodes []*localsite.Node) string {
+// opsAddrs returns the operators' addresses of the nodes, separated by commas.
+func opsAddrs(nodes []*localsite.Node) string {
 	var addrs []string
 	for _, n := range nodes {
 		addrs = append(addrs, n.OpsAddr)
--- a/examples/load/main.go
+++ b/examples/load/main.go
@@ -1,8 +1,8 @@
-// Command load runs trials on a small site that it starts for itself as separate processes on loopback: the load tool's mix,
-// a comparison with direct streams (-compare), or kills of each role (-recover). The programs themselves start no other
-// process; this one does, for trials only.
+// Command load runs trials on a small site that it starts as separate processes on loopback: the load tool's mix, a
+// comparison with direct streams (-compare), or kills of each role (-recover). Anvilwick's daemons start no other processes;
+// this command does, for trials only.
 //
-// Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for bad flags.
+// Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for invalid flags.
 package main
 
 import (
@@ -16,9 +16,9 @@
 // version is set by the build.
 var version = "dev"
 
-const help = `load runs trials on a small site that it starts for itself as separate processes on loopback.
+const help = `load runs trials on a small site that it starts as separate processes on loopback.
 
-Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for bad flags.
+Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for invalid flags.
 `
 
 func main() {
--- a/examples/prove/main.go
+++ b/examples/prove/main.go
@@ -1,7 +1,8 @@
-// Command prove starts a small site of separate processes, runs clients against it under seeded faults, and
-// checks what they saw. It also measures recovery after kills, and how soon settings are in force.
+// Command prove starts a small site of separate processes, runs clients against it under seeded faults, and checks what
+// they observed. It also measures recovery after kills, and the time until settings are in force.
 //
-// Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for bad flags. Refusals are no breach.
+// Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for invalid flags. Refused requests violate
+// none.
 package main
 
 import (
@@ -16,11 +17,11 @@
 var version = "dev"
 
 const help = `prove starts a small site of separate processes on loopback, runs clients against it under seeded faults, and
-checks what they saw: histories by porcupine, and plain invariants. The same seed gives the same operations and faults
+checks what they observed: histories by porcupine, and plain invariants. The same seed gives the same operations and faults
 at the same times; outcomes may differ with the timing of the processes.
 
-The last line is key=value pairs. Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for
-bad flags.
+The last line is key=value pairs. Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for
+invalid flags.
 `
 
 func main() {
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -1,6 +1,7 @@
-// Command soak runs real gateway processes on loopback under seeded faults and checks what their callers and targets see.
+// Command soak runs real gateway processes on loopback under seeded faults and checks what their callers and targets observe.
 //
-// Exit codes: 0 when no promise was broken, 1 when one was or the run failed, 2 for bad flags. Refusals are no breach.
+// Exit codes: 0 if no guarantee was violated, 1 if one was or the run failed, 2 for invalid flags. Refused requests violate
+// none.
 package main
 
 import (
@@ -15,12 +16,12 @@
 var version = "dev"
 
 const help = `soak runs real gateway processes on loopback, with stand-ins of the platform's store and targets, under seeded faults
-from outside them: signals, links that are delayed, reset, cut or silent one way, a store and targets that misbehave,
-settings that change. It checks while it runs what callers and targets see.
+injected from outside: signals, links that are delayed, reset, cut or silent in one direction, a store and targets that
+misbehave, and settings that change. While it runs, it checks what callers and targets observe.
 
 The same seed gives the same faults and requests at the same times; outcomes may differ with the timing of the
-processes. The last line is key=value pairs. Exit codes: 0 when no promise was broken, 1 when one was or the run
-failed, 2 for bad flags.
+processes. The last line is key=value pairs. Exit codes: 0 if no guarantee was violated, 1 if one was or the run
+failed, 2 for invalid flags.
 `
 
 func main() {
--- a/lib/cmdline/cmdline.go
+++ b/lib/cmdline/cmdline.go
@@ -1,5 +1,5 @@
-// Package cmdline is what the mains of our programs share: flags from the command line, the environment and a file, help,
-// version, signals and exit codes.
+// Package cmdline holds what the main functions of the programs share: flags from the command line, the environment and a
+// file, help, version, signals and exit codes.
 package cmdline
 
 import (
@@ -19,8 +19,8 @@
 // Exit codes of every program.
 const (
 	ExitOK     = 0
-	ExitFailed = 1 // it failed while running
-	ExitUsage  = 2 // bad flags or settings; nothing was started
+	ExitFailed = 1 // failure while running
+	ExitUsage  = 2 // invalid flags or settings; nothing was started
 )
 
 // Program is one command.
@@ -29,11 +29,11 @@
 	Version  string
 	Help     string // printed before the flags
 	Register func(*flag.FlagSet)
-	// Run works until it is done or ctx is, which SIGTERM and SIGINT end. An error made by Usage ends with ExitUsage.
+	// Run returns when its work is done or ctx is cancelled, by SIGTERM or SIGINT. An error made by UsageError leads to ExitUsage.
 	Run func(ctx context.Context) error
 }
 
-// usageError is an error of the one who started the program.
+// usageError is an error in the flags or settings that the user gave.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
@@ -60,18 +60,18 @@
 		fmt.Fprintln(out, p.Name, p.Version)
 		return ExitOK
 	}
-	// Signals are caught before anything starts: one that came in between would end the process without a graceful stop.
+	// Signals are caught before anything starts; otherwise one that arrives early would end the process without a graceful stop.
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	return p.fail(errs, p.Run(ctx))
 }
 
-// parse reads the flags. Help goes to out, and faults are left to the caller, as one line.
+// parse reads the flags. Help goes to out; errors are returned, so that the caller prints them as one line.
 func (p *Program) parse(args []string, out io.Writer) (showVersion bool, err error) {
 	fs := flag.NewFlagSet(p.Name, flag.ContinueOnError)
 	p.Register(fs)
 	fs.BoolVar(&showVersion, "version", false, "print the version and exit")
-	_ = fs.String("config", "", "file of flags, one \"name value\" a line")
+	_ = fs.String("config", "", "file of flags, one \"name value\" per line")
 	fs.SetOutput(io.Discard)
 	fs.Usage = func() {}
 	err = ff.Parse(fs, args, ff.WithEnvVarPrefix(p.envPrefix()), ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(ff.PlainParser))
@@ -86,20 +86,20 @@
 
 func (p *Program) envPrefix() string { return strings.ToUpper(strings.ReplaceAll(p.Name, "-", "_")) }
 
-const sources = `
-Every flag can also be given by the environment (%s_ and the name in capitals, "-" as "_") or by the file
-that -config names. The command line comes first, then the environment, then the file.
+const sourcesHelp = `
+Every flag can also be set in the environment (%s_ and the name in capitals, "-" as "_") or in the file
+that -config names. The command line takes precedence over the environment, and the environment over the file.
 
 `
 
 func (p *Program) help(fs *flag.FlagSet, out io.Writer) {
 	fmt.Fprint(out, p.Help)
-	fmt.Fprintf(out, sources, p.envPrefix())
+	fmt.Fprintf(out, sourcesHelp, p.envPrefix())
 	fs.SetOutput(out)
 	fs.PrintDefaults()
 }
 
-// fail prints err as one line and returns the exit code for it.
+// fail prints err as one line and returns its exit code.
 func (p *Program) fail(errs io.Writer, err error) int {
 	if err == nil {
 		return ExitOK
--- a/lib/cmdline/cmdline_test.go
+++ b/lib/cmdline/cmdline_test.go
@@ -12,16 +12,16 @@
 	"github.com/shoenig/test/must"
 )
 
-type got struct {
+type outcome struct {
 	code      int
 	out, errs string
 	addr      string
 	ran       bool
 }
 
-func runIt(t *testing.T, result error, args ...string) got {
+func runProgram(t *testing.T, result error, args ...string) outcome {
 	t.Helper()
-	var g got
+	var g outcome
 	p := &Program{
 		Name: "some-tool", Version: "v1", Help: "some-tool does things.\n",
 		Register: func(fs *flag.FlagSet) { fs.StringVar(&g.addr, "addr", "d", "an address") },
@@ -36,40 +36,40 @@
 	return g
 }
 
-func TestFlagBeatsEnvironmentBeatsFile(t *testing.T) {
+func TestPrecedenceOfFlagEnvironmentFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "flags")
 	must.NoError(t, os.WriteFile(file, []byte("addr f\n"), 0o600))
-	must.Eq(t, "d", runIt(t, nil).addr)
-	must.Eq(t, "f", runIt(t, nil, "-config", file).addr)
+	must.Eq(t, "d", runProgram(t, nil).addr)
+	must.Eq(t, "f", runProgram(t, nil, "-config", file).addr)
 	t.Setenv("SOME_TOOL_ADDR", "e")
-	must.Eq(t, "e", runIt(t, nil, "-config", file).addr)
-	must.Eq(t, "c", runIt(t, nil, "-config", file, "-addr", "c").addr)
+	must.Eq(t, "e", runProgram(t, nil, "-config", file).addr)
+	must.Eq(t, "c", runProgram(t, nil, "-config", file, "-addr", "c").addr)
 }
 
-// A bad flag must start nothing, say so in one line, and end with another code than a failure while running.
+// An invalid flag must start nothing, print one line, and exit with another code than a failure at run time.
 func TestExitCodes(t *testing.T) {
 	for _, args := range [][]string{{"-nonsense"}, {"left over"}, {"-config", "no/such/file"}} {
-		g := runIt(t, nil, args...)
+		g := runProgram(t, nil, args...)
 		must.Eq(t, ExitUsage, g.code)
 		must.False(t, g.ran)
 		must.Eq(t, 1, bytes.Count([]byte(g.errs), []byte("\n")))
 	}
-	must.Eq(t, ExitOK, runIt(t, nil).code)
-	must.Eq(t, ExitFailed, runIt(t, errors.New("it broke")).code)
-	g := runIt(t, UsageError(errors.New("-addr: bad")))
+	must.Eq(t, ExitOK, runProgram(t, nil).code)
+	must.Eq(t, ExitFailed, runProgram(t, errors.New("failed while running")).code)
+	g := runProgram(t, UsageError(errors.New("-addr: bad")))
 	must.Eq(t, ExitUsage, g.code)
 	must.Eq(t, "some-tool: -addr: bad\n", g.errs)
 	must.NoError(t, UsageError(nil))
 }
 
 func TestHelpAndVersionRunNothing(t *testing.T) {
-	g := runIt(t, nil, "-h")
+	g := runProgram(t, nil, "-h")
 	must.Eq(t, ExitOK, g.code)
 	must.StrContains(t, g.out, "some-tool does things.")
 	must.StrContains(t, g.out, "SOME_TOOL_")
 	must.StrContains(t, g.out, "-addr")
 	must.False(t, g.ran)
-	g = runIt(t, nil, "-version")
+	g = runProgram(t, nil, "-version")
 	must.Eq(t, "some-tool v1\n", g.out)
 	must.False(t, g.ran)
 }
--- a/lib/proc/build.go
+++ b/lib/proc/build.go
@@ -15,8 +15,8 @@
 	errBuild  error
 )
 
-// Binaries builds every program under app/ once for each test process and returns the directory that holds them.
-// BIN_DIR in the environment names a directory of programs already built.
+// Binaries builds all programs under app/ once per test process and returns the directory that holds them. The environment
+// variable BIN_DIR names a directory of programs that are already built.
 func Binaries(ctx context.Context) (string, error) {
 	buildOnce.Do(func() { buildDir, errBuild = build(ctx) })
 	return buildDir, errBuild
--- a/lib/proc/marks.go
+++ b/lib/proc/marks.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// OutputScanner is a writer that looks for texts in the output of processes, such as a panic's first words, and keeps the lines
-// from there on. Each process must write whole lines.
+// OutputScanner is a writer that searches the output of processes for patterns, such as the start of a panic message, and
+// keeps the rest of each matching line. Each process must write whole lines.
 type OutputScanner struct {
 	Patterns []string
 
@@ -15,7 +15,7 @@
 	lines []string
 }
 
-// PanicPrefixes begin what the Go runtime writes when a process fails.
+// PanicPrefixes are the starts of what the Go runtime prints when a process crashes.
 var PanicPrefixes = []string{"panic:", "fatal error:"}
 
 // Write implements io.Writer and never fails.
@@ -31,7 +31,7 @@
 	return len(p), nil
 }
 
-// Lines returns what was found.
+// Lines returns the matches so far.
 func (m *OutputScanner) Lines() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/lib/proc/proc.go
+++ b/lib/proc/proc.go
@@ -1,6 +1,6 @@
-// Package proc starts the project's binaries for multi-process tests and for the demo, and sends them signals by id.
+// Package proc starts the project's binaries for multi-process tests and demos, and sends signals to them by process ID.
 //
-// No daemon of the project imports it: a process of the system starts no other.
+// No daemon imports it, since daemons start no other processes.
 package proc
 
 import (
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// keptOutput bounds the output kept of one process, so that a chatty process can't fill the test's memory.
-const keptOutput = 1 << 20
+// maxOutput bounds the output kept for each process, so that one that logs a lot can't fill the test's memory.
+const maxOutput = 1 << 20
 
 // ErrStillRunning is returned by Wait when the context ends first.
 var ErrStillRunning = errors.New("process is still running")
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
 	Name string    // unique among the processes of a run; used in messages
 	Path string    // binary
-	Args []string  // arguments without the program's name
-	Env  []string  // whole environment; nil: inherit
-	Tee  io.Writer // also gets the output; nil: none
+	Args []string  // arguments without the program name
+	Env  []string  // complete environment; nil: inherit
+	Tee  io.Writer // receives the output too; nil: none
 }
 
 // Proc is one started process.
@@ -39,16 +39,16 @@
 	done chan struct{}
 }
 
-// Start starts s with standard output and standard error kept for Output.
+// Start starts a process and keeps its standard output and standard error for Output.
 func Start(s Spec) (*Proc, error) {
 	out := &tail{tee: s.Tee}
 	cmd := exec.Command(s.Path, s.Args...)
 	cmd.Env = s.Env
 	cmd.Stdout = out
 	cmd.Stderr = out
-	forking.Lock()
+	forkMu.Lock()
 	err := cmd.Start()
-	forking.Unlock()
+	forkMu.Unlock()
 	if err != nil {
 		return nil, fmt.Errorf("start %s: %w", s.Name, err)
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-// Output returns what the process wrote lately.
+// Output returns the most recent output of the process, up to maxOutput bytes.
 func (p *Proc) Output() string { return p.out.String() }
 
 // Kill sends SIGKILL and waits until the process is reaped, so that its ports are free again on return.
@@ -90,19 +90,19 @@
 	return nil
 }
 
-// Freeze sends SIGSTOP: the process keeps its connections and answers nothing.
+// Freeze sends SIGSTOP: the process keeps its connections but does not respond.
 func (p *Proc) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
 // Thaw sends SIGCONT.
 func (p *Proc) Thaw() error { return p.signal(syscall.SIGCONT) }
 
-// Hangup sends SIGHUP, which asks for the settings to be read again.
+// Hangup sends SIGHUP, which makes the process read its settings again.
 func (p *Proc) Hangup() error { return p.signal(syscall.SIGHUP) }
 
-// Terminate sends SIGTERM, which asks for a graceful stop, and returns at once.
+// Terminate sends SIGTERM, which requests a graceful stop, and returns at once.
 func (p *Proc) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// Wait returns the exit code. A process ended by a signal has code -1.
+// Wait returns the exit code, which is -1 for a process ended by a signal.
 func (p *Proc) Wait(ctx context.Context) (int, error) {
 	select {
 	case <-p.done:
@@ -112,7 +112,7 @@
 	}
 }
 
-// CPU returns user plus system time; it is known only once the process has ended.
+// CPU returns user plus system time once the process has ended, and 0 before.
 func (p *Proc) CPU() time.Duration {
 	select {
 	case <-p.done:
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// tail keeps the last keptOutput bytes written to it.
+// tail keeps the last maxOutput bytes written to it.
 type tail struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -144,7 +144,7 @@
 func (t *tail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if over := t.buf.Len() + len(b) - keptOutput; over > 0 {
+	if over := t.buf.Len() + len(b) - maxOutput; over > 0 {
 		t.buf.Next(over)
 	}
 	t.buf.Write(b)
@@ -154,7 +154,7 @@
 	return len(b), nil
 }
 
-// String returns what is kept.
+// String returns the bytes kept.
 func (t *tail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lib/proc/proc_test.go
+++ b/lib/proc/proc_test.go
@@ -40,7 +40,7 @@
 	return ctx
 }
 
-func TestKillReapsAndKeepsOutput(t *testing.T) {
+func TestKillReapsProcessAndKeepsOutput(t *testing.T) {
 	p := startChild(t)
 	must.NoError(t, Until(ctxFor(t, 5*time.Second), "output", func(context.Context) error {
 		if !strings.Contains(p.Output(), "child up") {
@@ -55,7 +55,7 @@
 	must.Eq(t, -1, code)
 }
 
-func TestFrozenProcessIsStillKilled(t *testing.T) {
+func TestKillEndsFrozenProcess(t *testing.T) {
 	p := startChild(t)
 	must.NoError(t, p.Freeze())
 	must.True(t, p.Running())
@@ -63,15 +63,15 @@
 	must.False(t, p.Running())
 }
 
-func TestTerminateReportsAnExitCode(t *testing.T) {
+func TestTerminateReportsExitCode(t *testing.T) {
 	p := startChild(t)
-	// The child has no handler for SIGTERM, so the signal itself ends it: not a graceful stop.
+	// The child has no handler for SIGTERM, so the signal itself ends it, which is not a graceful stop.
 	must.ErrorContains(t, Terminate(ctxFor(t, 5*time.Second), p), "exit code")
 }
 
-func TestUntilGivesTheLastAnswer(t *testing.T) {
-	err := Until(ctxFor(t, 30*time.Millisecond), "rain", func(context.Context) error { return errors.New("dry") })
-	must.ErrorContains(t, err, "waited for rain: dry")
+func TestUntilReturnsLastError(t *testing.T) {
+	err := Until(ctxFor(t, 30*time.Millisecond), "the server", func(context.Context) error { return errors.New("not ready") })
+	must.ErrorContains(t, err, "waited for the server: not ready")
 }
 
 func TestAddrsAreDistinctAndFree(t *testing.T) {
@@ -93,5 +93,5 @@
 	for range 40 {
 		_, _ = out.Write(block)
 	}
-	must.LessEq(t, keptOutput, len(out.String()))
+	must.LessEq(t, maxOutput, len(out.String()))
 }
--- a/lib/proc/set.go
+++ b/lib/proc/set.go
@@ -8,16 +8,16 @@
 	"sync"
 )
 
-// Set holds the processes of one run, so that none of them outlives it.
+// Set holds the processes of one run, so that none of them outlives the run.
 type Set struct {
-	Dir string    // where the binaries are
-	Tee io.Writer // gets every process's output; nil: none
+	Dir string    // directory of the binaries
+	Tee io.Writer // receives the output of every process; nil: none
 
 	mu    sync.Mutex
 	procs []*Proc
 }
 
-// Start starts Dir/binary under name.
+// Start starts the program Dir/binary as a process called name.
 func (s *Set) Start(name, binary string, args ...string) (*Proc, error) {
 	p, err := Start(Spec{Name: name, Path: s.Dir + "/" + binary, Args: args, Tee: s.Tee})
 	if err != nil {
@@ -29,15 +29,15 @@
 	return p, nil
 }
 
-// All returns the processes in the order in which they were started.
+// All returns the processes in the order of their start.
 func (s *Set) All() []*Proc {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Proc(nil), s.procs...)
 }
 
-// Dead returns the names of processes that have ended.
-func (s *Set) Dead() []string {
+// Exited returns the names of processes that have ended.
+func (s *Set) Exited() []string {
 	var names []string
 	for _, p := range s.All() {
 		if !p.Running() {
@@ -47,19 +47,19 @@
 	return names
 }
 
-// Terminate asks the running ones among procs for a graceful stop, all at once, and waits for them. It reports every
-// process that is still running when ctx ends or that ended with a code other than 0.
+// Terminate sends SIGTERM to those of procs that are running, all at once, and waits for them. It returns an error for each
+// process that is still running when ctx ends or that exited with a code other than 0.
 func Terminate(ctx context.Context, procs ...*Proc) error {
-	var asked []*Proc
+	var signalled []*Proc
 	var errs []error
 	for _, p := range procs {
 		if !p.Running() {
 			continue
 		}
-		asked = append(asked, p)
+		signalled = append(signalled, p)
 		errs = append(errs, p.Terminate())
 	}
-	for _, p := range asked {
+	for _, p := range signalled {
 		code, err := p.Wait(ctx)
 		errs = append(errs, err)
 		if err == nil && code != 0 {
@@ -69,7 +69,7 @@
 	return errors.Join(errs...)
 }
 
-// Close kills whatever still runs. A frozen process ends too: SIGKILL needs no SIGCONT.
+// Close kills all processes that still run. It ends frozen ones too, since SIGKILL needs no SIGCONT.
 func (s *Set) Close() {
 	for _, p := range s.All() {
 		_ = p.Kill()
--- a/lib/proc/wait.go
+++ b/lib/proc/wait.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// pollInterval is how often Until asks; short, since the runs are counted in tenths of a second.
+// pollInterval is how often Until calls its condition. It is short, since test runs take tenths of a second.
 const pollInterval = 10 * time.Millisecond
 
-// Until calls cond until it returns nil. When ctx ends first it returns the last answer of cond.
+// Until calls cond until it returns nil. If ctx ends first, it returns the last error of cond.
 func Until(ctx context.Context, what string, cond func(ctx context.Context) error) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -28,7 +28,7 @@
 	}
 }
 
-// RespondsOK is a condition for Until: GET url gives 200.
+// RespondsOK returns a condition for Until that is met once GET url returns status 200.
 func RespondsOK(url string) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/lib/procflags/procflags.go
+++ b/lib/procflags/procflags.go
@@ -1,4 +1,4 @@
-// Package procflags holds the flags that the daemons share: links between processes, and operators' tokens.
+// Package procflags holds the flags that several daemons share: links between processes, and operators' tokens.
 package procflags
 
 import (
@@ -12,7 +12,7 @@
 	"anvilwick.example/anvilwick/lib/opsapi"
 )
 
-// Links says how links between our processes are authenticated.
+// Links configures the authentication of links between anvilwick processes.
 type Links struct {
 	Files mesh.TLSFiles
 	Plain bool
@@ -20,17 +20,17 @@
 
 // Register adds the flags to fs.
 func (l *Links) Register(fs *flag.FlagSet) {
-	fs.StringVar(&l.Files.CA, "link-ca", "", "PEM file of the authority of links between our processes")
+	fs.StringVar(&l.Files.CA, "link-ca", "", "PEM file of the certificate authority for links between anvilwick processes")
 	fs.StringVar(&l.Files.Cert, "link-cert", "", "PEM file of this process's certificate")
-	fs.StringVar(&l.Files.Key, "link-key", "", "PEM file of its key")
-	fs.BoolVar(&l.Plain, "plain-links", false, "links without TLS; only where nobody else can reach the network")
+	fs.StringVar(&l.Files.Key, "link-key", "", "PEM file of the certificate's private key")
+	fs.BoolVar(&l.Plain, "plain-links", false, "links without TLS; only for networks that nobody else can reach")
 }
 
-// Options checks the flags and reads the files.
+// Options validates the flags and loads the certificate files.
 func (l *Links) Options() (mesh.Options, error) {
-	any := l.Files.CA != "" || l.Files.Cert != "" || l.Files.Key != ""
+	files := l.Files.CA != "" || l.Files.Cert != "" || l.Files.Key != ""
 	switch {
-	case l.Plain && any:
+	case l.Plain && files:
 		return mesh.Options{}, errors.New("-plain-links: not together with -link-ca, -link-cert or -link-key")
 	case l.Plain:
 		return mesh.Options{Plaintext: true}, nil
@@ -41,20 +41,20 @@
 	return mesh.Options{TLS: cfg}, err
 }
 
-// OperatorTokens holds the hashes of operators' tokens as one flag gives them.
+// OperatorTokens holds the hashes of operators' tokens, given as one flag.
 type OperatorTokens struct {
-	list string
+	hashList string
 }
 
 // Register adds the flag to fs.
 func (o *OperatorTokens) Register(fs *flag.FlagSet) {
-	fs.StringVar(&o.list, "operator-token-sha256", "", "SHA-256 of operators' tokens, hexadecimal, separated by commas; empty: no operator is let in")
+	fs.StringVar(&o.hashList, "operator-token-sha256", "", "SHA-256 of operators' tokens, hexadecimal, separated by commas; empty: no operator access")
 }
 
-// Hashes reads the flag.
+// Hashes parses the flag.
 func (o *OperatorTokens) Hashes() ([]opsapi.Hash, error) {
 	var hashes []opsapi.Hash
-	for s := range strings.SplitSeq(o.list, ",") {
+	for s := range strings.SplitSeq(o.hashList, ",") {
 		if s = strings.TrimSpace(s); s == "" {
 			continue
 		}
@@ -67,11 +67,11 @@
 	return hashes, nil
 }
 
-// CheckAddr returns an error that names the flag unless value is an IP:port. Names are refused: a process must not
-// depend on a resolver.
+// CheckAddr returns an error with the flag's name unless value is an IP:port. Host names are rejected, since a process must
+// not depend on a resolver.
 func CheckAddr(name, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fmt.Errorf("-%s: %q is no IP:port", name, value)
+		return fmt.Errorf("-%s: %q is not an IP:port", name, value)
 	}
 	return nil
 }
--- a/lib/procflags/procflags_test.go
+++ b/lib/procflags/procflags_test.go
@@ -19,7 +19,7 @@
 	return l, o
 }
 
-func TestLinksNeedTLSOrThePlainModeByName(t *testing.T) {
+func TestLinksRequireTLSUnlessPlaintextIsExplicit(t *testing.T) {
 	for _, args := range [][]string{{}, {"-link-ca", "x"}, {"-plain-links", "-link-ca", "x"}} {
 		l, _ := parse(t, args...)
 		_, err := l.Options()
@@ -31,7 +31,7 @@
 	must.True(t, opts.Plaintext)
 }
 
-func TestOperators(t *testing.T) {
+func TestOperatorTokenHashes(t *testing.T) {
 	_, o := parse(t, "-operator-token-sha256", strings.Repeat("ab", 32)+", "+strings.Repeat("cd", 32))
 	hashes, err := o.Hashes()
 	must.NoError(t, err)
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -36,7 +36,7 @@
 	site        *localsite.Site
 	relays      relay.Set
 	client      *caller.Client
-	began       time.Time
+	startedAt   time.Time
 	history     history.Log
 	faultLog    disturb.Log
 	faultCounts map[string]int
@@ -90,7 +90,7 @@
 		return err
 	}
 	r.client = clientOf(r.site)
-	r.began = time.Now()
+	r.startedAt = time.Now()
 	return nil
 }
 
@@ -137,7 +137,7 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(time.Until(r.began.Add(at))):
+	case <-time.After(time.Until(r.startedAt.Add(at))):
 		return true
 	}
 }
@@ -145,7 +145,7 @@
 // addViolation records and prints a violated guarantee.
 func (r *run) addViolation(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	at := time.Since(r.began).Round(time.Millisecond)
+	at := time.Since(r.startedAt).Round(time.Millisecond)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf("at=%v %s", at, text))
--- a/lib/prove/settle.go
+++ b/lib/prove/settle.go
@@ -84,7 +84,7 @@
 	for i := range count {
 		r.history.Add(history.Op{
 			Model: history.ModelClaim, Object: fmt.Sprintf("book-%d", op), Action: history.Execute, Client: -1 - i,
-			Request: id, Value: id, Call: r.began.UnixNano(), Return: history.Now(),
+			Request: id, Value: id, Call: r.startedAt.UnixNano(), Return: history.Now(),
 		})
 	}
 }
--- a/lib/siterun/policies.go
+++ b/lib/siterun/policies.go
@@ -21,16 +21,16 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Policies says how to compare schedulers over real processes. The same mix runs in virtual time beside it.
+// Policies configures a comparison of schedulers over real processes. The same mix also runs in virtual time.
 type Policies struct {
-	Names      string // of the bench, separated by commas; empty: no comparison
+	Names      string // policies of the bench, separated by commas; empty: no comparison
 	Engines    int
 	KVTokens   int
-	StallFloor time.Duration // silence after which entries give a stream up
-	Drain      time.Duration // after the last arrival, bound on waiting
+	StallFloor time.Duration // silence after which an entry gives up a stream
+	Drain      time.Duration // after the last arrival, bound on the wait for running requests
 }
 
-// schedulers gives the entries' name of a policy of the bench.
+// schedulers maps policies of the bench to the names of the entries' schedulers.
 var schedulers = map[string]string{
 	bench.PolicyAnvilwick:   entryproc.SchedulerOwner,
 	bench.PolicyLeastLoaded: entryproc.SchedulerLeastLoaded,
@@ -38,21 +38,21 @@
 }
 
 func (p *Policies) register(fs *flag.FlagSet) {
-	fs.StringVar(&p.Names, "policy", "", "in place of the mix, compare policies on one entry and crowded engines, in real and in virtual time: round-robin, least-loaded, anvilwick, separated by commas, or all")
+	fs.StringVar(&p.Names, "policy", "", "instead of the mix, compare policies on one entry and saturated engines, in real and in virtual time: round-robin, least-loaded, anvilwick, separated by commas, or all")
 	fs.IntVar(&p.Engines, "policy-engines", 4, "engines of the comparison")
-	fs.IntVar(&p.KVTokens, "policy-kv-tokens", 16000, "memory of each of its engines, in tokens")
-	fs.DurationVar(&p.StallFloor, "policy-stall-floor", 2*time.Second, "silence after which its entry may give a stream up")
-	fs.DurationVar(&p.Drain, "policy-drain", 3*time.Minute, "after its last arrival, longest wait for what still runs")
+	fs.IntVar(&p.KVTokens, "policy-kv-tokens", 16000, "key-value memory of each of its engines, in tokens")
+	fs.DurationVar(&p.StallFloor, "policy-stall-floor", 2*time.Second, "silence after which its entry may give up a stream")
+	fs.DurationVar(&p.Drain, "policy-drain", 3*time.Minute, "after its last arrival, longest wait for running requests")
 }
 
 func (p *Policies) check() error {
 	for _, name := range p.names() {
 		if schedulers[name] == "" {
-			return fmt.Errorf("-policy: %q is none of round-robin, least-loaded, anvilwick, all", name)
+			return fmt.Errorf("-policy: %q is not one of round-robin, least-loaded, anvilwick, all", name)
 		}
 	}
 	if p.Engines < 0 || p.KVTokens < 0 || p.StallFloor < 0 || p.Drain < 0 {
-		return errors.New("-policy-engines, -policy-kv-tokens, -policy-stall-floor, -policy-drain: can't be negative")
+		return errors.New("-policy-engines, -policy-kv-tokens, -policy-stall-floor, -policy-drain: must not be negative")
 	}
 	return nil
 }
@@ -67,8 +67,8 @@
 	return strings.Split(p.Names, ",")
 }
 
-// ComparePolicies runs the same arrivals under each policy, first over real processes, then in virtual time, and prints
-// the bench's columns for both.
+// ComparePolicies runs the same arrivals under each policy, first over real processes, then in virtual time, and prints the
+// bench's columns for both.
 func ComparePolicies(ctx context.Context, c Config, w io.Writer) error {
 	m, err := c.Load.Mix()
 	if err != nil {
@@ -84,35 +84,35 @@
 		StallTimeout: c.Policies.StallFloor,
 	}
 	for _, name := range c.Policies.names() {
-		r, more, err := c.real(ctx, run, name)
+		r, extra, err := c.runReal(ctx, run, name)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "load time=real seed=%d %s %s\n", c.Load.Seed, columns(r), more)
+		fmt.Fprintf(w, "load time=real seed=%d %s %s\n", c.Load.Seed, columns(r), extra)
 		v := bench.RunPolicy(run, name)
 		fmt.Fprintf(w, "load time=virtual seed=%d %s given_up_stalled=%d\n", c.Load.Seed, columns(v), v.Aborted)
 	}
 	return nil
 }
 
-// columns are those of the bench's line; power is not at work in either run.
+// columns returns the columns of the bench's line without those of power, which neither run models.
 func columns(r bench.Result) string {
 	line, _, _ := strings.Cut(strings.TrimPrefix(r.Line(), "bench "), " over_cap_ticks")
 	return line
 }
 
-// observer notes outcomes by their place in the plan.
+// observer records outcomes by the index of their arrival in the plan.
 type observer struct {
-	mu    sync.Mutex
-	start time.Time
-	seen  []bench.ObservedRequest
-	codes map[result.Code]int // of answers that are not whole
+	mu       sync.Mutex
+	start    time.Time
+	observed []bench.ObservedRequest
+	codes    map[result.Code]int // of incomplete answers
 }
 
-func (o *observer) note(n int, out loadgen.Outcome) {
+func (o *observer) record(n int, out loadgen.Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	s := &o.seen[n]
+	s := &o.observed[n]
 	s.Completed = out.Whole
 	if !out.Whole {
 		o.codes[out.Code]++
@@ -123,8 +123,8 @@
 	}
 }
 
-// failures names the codes, lowest first.
-func (o *observer) failures() string {
+// failureCodes lists the codes of incomplete answers with their counts, lowest code first.
+func (o *observer) failureCodes() string {
 	var names []string
 	for _, code := range slices.Sorted(maps.Keys(o.codes)) {
 		names = append(names, fmt.Sprintf("%d:%d", code, o.codes[code]))
@@ -132,15 +132,15 @@
 	return strings.Join(names, ",")
 }
 
-// real runs the plan over processes of its own. It also returns what the bench has no column for: the attempts that the
-// entry gave up as stalled, and the codes of answers that are not whole.
-func (c Config) real(ctx context.Context, run bench.Config, policy string) (bench.Result, string, error) {
-	site, err := c.policySite(ctx, run, policy)
+// runReal runs the arrivals over real processes. Its second result holds what the bench has no columns for: the number of
+// attempts that the entry gave up as stalled, and the codes of incomplete answers.
+func (c Config) runReal(ctx context.Context, run bench.Config, policy string) (bench.Result, string, error) {
+	site, err := c.startPolicySite(ctx, run, policy)
 	if err != nil {
 		return bench.Result{}, "", err
 	}
 	defer site.Close()
-	obs, err := c.send(ctx, run, site)
+	obs, err := c.sendArrivals(ctx, run, site)
 	if err != nil {
 		return bench.Result{}, "", err
 	}
@@ -153,16 +153,16 @@
 		return bench.Result{}, "", err
 	}
 	run.Policy = policy
-	more := fmt.Sprintf("given_up_stalled=%.0f failure_codes=%s", u.stalled, obs.failures())
-	return bench.ResultFromObserved(run, obs.seen, byEngines+int(u.moved)), more, stop(ctx, site)
+	extra := fmt.Sprintf("given_up_stalled=%.0f failure_codes=%s", u.stalled, obs.failureCodes())
+	return bench.ResultFromObserved(run, obs.observed, byEngines+int(u.moved)), extra, stop(ctx, site)
 }
 
-// send sends the plan and returns what callers saw.
-func (c Config) send(ctx context.Context, run bench.Config, site *localsite.Site) (*observer, error) {
+// sendArrivals sends the arrivals and returns what callers observed.
+func (c Config) sendArrivals(ctx context.Context, run bench.Config, site *localsite.Site) (*observer, error) {
 	obs := &observer{
-		start: time.Now(),
-		seen:  make([]bench.ObservedRequest, len(run.Arrivals)),
-		codes: make(map[result.Code]int),
+		start:    time.Now(),
+		observed: make([]bench.ObservedRequest, len(run.Arrivals)),
+		codes:    make(map[result.Code]int),
 	}
 	r := loadgen.Runner{
 		Mix:         loadgen.Mix{Workload: *run.Mix, Span: run.Window, Entries: 1, Seed: c.Load.Seed},
@@ -172,11 +172,11 @@
 		MaxInFlight: len(run.Arrivals),
 		Patience:    run.Window + c.Policies.Drain,
 		Figures:     loadgen.NewFigures(c.Load.StallFloor),
-		Observe:     obs.note,
+		Observe:     obs.record,
 	}
 	r.Run(ctx)
 	if wrong := r.Figures.Wrong(); len(wrong) > 0 {
-		return nil, fmt.Errorf("%d broken promises, the first: %s", len(wrong), wrong[0])
+		return nil, fmt.Errorf("%d guarantees violated, the first: %s", len(wrong), wrong[0])
 	}
 	return obs, nil
 }
@@ -188,7 +188,7 @@
 	}
 }
 
-func (c Config) policySite(ctx context.Context, run bench.Config, policy string) (*localsite.Site, error) {
+func (c Config) startPolicySite(ctx context.Context, run bench.Config, policy string) (*localsite.Site, error) {
 	set := localsite.WorkloadSettings(*run.Mix)
 	set.StallFloor = c.Policies.StallFloor
 	return start(ctx, localsite.Config{
@@ -199,7 +199,7 @@
 	})
 }
 
-// preemptions adds those of all engines.
+// preemptions returns the sum over all engines.
 func preemptions(ctx context.Context, site *localsite.Site) (int, error) {
 	sum := 0
 	for _, n := range site.Engines {
--- a/lib/siterun/policies_test.go
+++ b/lib/siterun/policies_test.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/entryproc"
 )
 
-func TestPolicyFlagNamesWhatEntriesKnow(t *testing.T) {
+func TestPolicyNamesMatchEntrySchedulers(t *testing.T) {
 	var entry entryproc.Config
 	entry.Register(flag.NewFlagSet("", flag.ContinueOnError))
 	entry.Instance, entry.SettingsFile = "a", "settings.yaml"
--- a/lib/siterun/recover.go
+++ b/lib/siterun/recover.go
@@ -18,25 +18,25 @@
 )
 
 const (
-	recoverModel     = "recover"
-	recoverWorkspace = "recover"
-	recoverTokens    = 250
-	recoverKillAt    = 120 // tokens; over a second into the stream, so that a resume record was left
-	recoverRound     = time.Minute
-	recoverLease     = "power"
+	recoverModel        = "recover"
+	recoverWorkspace    = "recover"
+	recoverTokens       = 250
+	recoverKillAt       = 120 // tokens; over a second into the stream, so that a resume record has been written
+	recoverRoundTimeout = time.Minute
+	recoverLease        = "power"
 )
 
-var errNobody = errors.New("nobody to kill was found")
+var errNoProcess = errors.New("no process to kill was found")
 
-// recovery is a site whose processes are killed one after the other.
+// recovery is a site whose processes are killed in turn.
 type recovery struct {
 	site *localsite.Site
 }
 
-// Recover kills one process of each role c.Recover times and prints how long it takes until service goes on: from
-// SIGKILL to the next token that the caller sees, or to the next holder of the lease.
+// Recover kills one process of each role c.Recover times and prints the time until service resumes: from SIGKILL to the next
+// token that the caller receives, or to the next holder of the lease.
 func Recover(ctx context.Context, c Config, w io.Writer) error {
-	site, err := c.recoverSite(ctx)
+	site, err := c.startRecoverSite(ctx)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	return stop(ctx, site)
 }
 
-func (c Config) recoverSite(ctx context.Context) (*localsite.Site, error) {
+func (c Config) startRecoverSite(ctx context.Context) (*localsite.Site, error) {
 	return start(ctx, localsite.Config{
 		Binaries: c.Binaries, Engines: 3, Plains: 1, Entries: 3,
 		Settings: localsite.Settings{
@@ -71,11 +71,11 @@
 	})
 }
 
-// rounds returns the times in ascending order.
+// rounds runs n rounds and returns their times in ascending order.
 func rounds(ctx context.Context, n int, round func(context.Context, int) (time.Duration, error)) ([]time.Duration, error) {
 	var times []time.Duration
 	for i := range n {
-		rctx, cancel := context.WithTimeout(ctx, recoverRound)
+		rctx, cancel := context.WithTimeout(ctx, recoverRoundTimeout)
 		d, err := round(rctx, i)
 		cancel()
 		if err != nil {
@@ -87,9 +87,9 @@
 	return times, nil
 }
 
-// killed runs a stream through an entry, calls kill in the middle, and returns the time from there to the next token. The
-// answer must come whole.
-func (r *recovery) killed(ctx context.Context, call caller.Call, kill func() error) (time.Duration, error) {
+// resumeTime runs a stream through an entry, calls kill midway, and returns the time from there to the next token. The answer
+// must be complete.
+func (r *recovery) resumeTime(ctx context.Context, call caller.Call, kill func() error) (time.Duration, error) {
 	c := &caller.Client{Entries: r.site.CallerAddrs(), Token: localsite.WorkspaceKey(recoverWorkspace), HTTP: &http.Client{Transport: &http.Transport{}}}
 	call.Model, call.Class = recoverModel, "standard"
 	call.Prompt = fmt.Sprintf("%d [len=%d]", time.Now().UnixNano(), recoverTokens)
@@ -113,46 +113,47 @@
 }
 
 func (r *recovery) engine(ctx context.Context, i int) (time.Duration, error) {
-	var dead *localsite.Node
-	d, err := r.killed(ctx, caller.Call{Entry: i}, func() (err error) {
-		if dead, err = r.site.StreamingEngine(ctx); err != nil {
+	var killed *localsite.Node
+	d, err := r.resumeTime(ctx, caller.Call{Entry: i}, func() (err error) {
+		if killed, err = r.site.StreamingEngine(ctx); err != nil {
 			return err
 		}
-		if dead == nil {
-			return errNobody
+		if killed == nil {
+			return errNoProcess
 		}
-		return dead.Kill()
+		return killed.Kill()
 	})
 	if err != nil {
 		return 0, err
 	}
-	return d, errors.Join(r.site.Restart(dead), r.site.AwaitTargets(ctx))
+	return d, errors.Join(r.site.Restart(killed), r.site.AwaitTargets(ctx))
 }
 
 func (r *recovery) entry(ctx context.Context, i int) (time.Duration, error) {
-	dead := r.site.Entries[i%len(r.site.Entries)]
+	killed := r.site.Entries[i%len(r.site.Entries)]
 	call := caller.Call{Entry: i, Key: fmt.Sprint("recover-", i), Resumes: 1000}
-	d, err := r.killed(ctx, call, dead.Kill)
+	d, err := r.resumeTime(ctx, call, killed.Kill)
 	if err != nil {
 		return 0, err
 	}
-	return d, r.back(ctx, dead)
+	return d, r.restart(ctx, killed)
 }
 
-// owner kills the entry that owns the engines' shard, and asks another entry for a new answer.
+// owner kills the entry that owns the engines' shard, sends a new request to another entry, and returns the time to its
+// first token.
 func (r *recovery) owner(ctx context.Context, _ int) (time.Duration, error) {
-	at, err := r.ownerAt(ctx)
+	index, err := r.findOwner(ctx)
 	if err != nil {
 		return 0, err
 	}
-	dead := r.site.Entries[at]
-	if err := dead.Kill(); err != nil {
+	killed := r.site.Entries[index]
+	if err := killed.Kill(); err != nil {
 		return 0, err
 	}
 	from := time.Now()
 	var first time.Time
 	c := &caller.Client{Entries: r.site.CallerAddrs(), Token: localsite.WorkspaceKey(recoverWorkspace), HTTP: &http.Client{Transport: &http.Transport{}}}
-	call := caller.Call{Model: recoverModel, Class: "standard", Prompt: "new [len=5]", Entry: at + 1}
+	call := caller.Call{Model: recoverModel, Class: "standard", Prompt: "new [len=5]", Entry: index + 1}
 	_, err = c.Stream(ctx, call, func(t caller.Token) {
 		if first.IsZero() {
 			first = t.At
@@ -161,11 +162,12 @@
 	if err != nil {
 		return 0, err
 	}
-	return first.Sub(from), r.back(ctx, dead)
+	return first.Sub(from), r.restart(ctx, killed)
 }
 
-func (r *recovery) ownerAt(ctx context.Context) (int, error) {
-	at := -1
+// findOwner waits until an entry owns the shard and returns its index.
+func (r *recovery) findOwner(ctx context.Context) (int, error) {
+	index := -1
 	err := proc.Until(ctx, "an owner", func(ctx context.Context) error {
 		for i, n := range r.site.Entries {
 			qs, err := localsite.Operator(n).Queues(ctx)
@@ -173,36 +175,37 @@
 				return err
 			}
 			if len(qs) > 0 {
-				at = i
+				index = i
 				return nil
 			}
 		}
-		return errNobody
+		return errNoProcess
 	})
-	return at, err
+	return index, err
 }
 
-// holder kills the control process that holds the lease and waits until another one does.
+// holder kills the control process that holds the lease and waits until another one holds it.
 func (r *recovery) holder(ctx context.Context, _ int) (time.Duration, error) {
-	dead, err := r.leaseholder(ctx, nil)
+	killed, err := r.findLeaseHolder(ctx, nil)
 	if err != nil {
 		return 0, err
 	}
-	if err := dead.Kill(); err != nil {
+	if err := killed.Kill(); err != nil {
 		return 0, err
 	}
 	from := time.Now()
-	if _, err := r.leaseholder(ctx, dead); err != nil {
+	if _, err := r.findLeaseHolder(ctx, killed); err != nil {
 		return 0, err
 	}
 	d := time.Since(from)
-	return d, r.back(ctx, dead)
+	return d, r.restart(ctx, killed)
 }
 
-func (r *recovery) leaseholder(ctx context.Context, but *localsite.Node) (holder *localsite.Node, err error) {
+// findLeaseHolder waits until a control process other than but holds the lease.
+func (r *recovery) findLeaseHolder(ctx context.Context, exclude *localsite.Node) (holder *localsite.Node, err error) {
 	err = proc.Until(ctx, "a holder", func(ctx context.Context) error {
 		for _, n := range r.site.Controls {
-			if n == but {
+			if n == exclude {
 				continue
 			}
 			st, err := localsite.Operator(n).Status(ctx)
@@ -216,13 +219,13 @@
 				}
 			}
 		}
-		return errNobody
+		return errNoProcess
 	})
 	return holder, err
 }
 
-// back restarts a process and waits until all are ready, so that each round starts from a whole site.
-func (r *recovery) back(ctx context.Context, n *localsite.Node) error {
+// restart restarts a process and waits until all are ready, so that each round starts from a site at full strength.
+func (r *recovery) restart(ctx context.Context, n *localsite.Node) error {
 	if err := r.site.Restart(n); err != nil {
 		return err
 	}
@@ -232,7 +235,7 @@
 	return proc.Until(ctx, "members", r.allLive)
 }
 
-// allLive waits until every entry sees every other one live.
+// allLive returns an error unless every entry lists all entries as live.
 func (r *recovery) allLive(ctx context.Context) error {
 	for _, n := range r.site.Entries {
 		st, err := localsite.Operator(n).Status(ctx)
@@ -246,7 +249,7 @@
 			}
 		}
 		if live != len(r.site.Entries) {
-			return fmt.Errorf("%s sees %d live", n.Name, live)
+			return fmt.Errorf("%s lists %d live members", n.Name, live)
 		}
 	}
 	return nil
--- a/lib/siterun/siterun.go
+++ b/lib/siterun/siterun.go
@@ -1,5 +1,5 @@
-// Package siterun runs trials on a small site of its own, started for the trial as separate processes on loopback: the load
-// tool's mix, a comparison with direct streams, and kills of each role.
+// Package siterun runs trials on a small site that it starts for the trial, as separate processes on loopback: the mix of the
+// load tool, a comparison with direct streams or of schedulers, and kills of each role.
 package siterun
 
 import (
@@ -16,17 +16,17 @@
 )
 
 const (
-	startLimit   = 30 * time.Second
-	stopLimit    = 30 * time.Second
-	ownEngines   = 4
-	ownPlains    = 2
-	ownEntries   = 3
-	killPollTime = 20 * time.Millisecond
+	startLimit       = 30 * time.Second
+	stopLimit        = 30 * time.Second
+	mixEngines       = 4
+	mixPlains        = 2
+	mixEntries       = 3
+	killPollInterval = 20 * time.Millisecond
 )
 
-// Config says which trial to run.
+// Config selects the trial to run.
 type Config struct {
-	Load       loadrun.Config // its entries are those of the site
+	Load       loadrun.Config // its entries are those of the started site
 	Binaries   string
 	KillEngine time.Duration
 	Compare    int // pairs of streams; 0: the mix
@@ -39,28 +39,28 @@
 	c.Load.Register(fs)
 	fs.StringVar(&c.Binaries, "bin", "bin", "directory of the programs")
 	fs.DurationVar(&c.KillEngine, "kill-engine", 0, "kill a busy engine after this time; 0: none")
-	fs.IntVar(&c.Compare, "compare", 0, "in place of the mix, run so many pairs of streams, straight to an engine and through an entry, and print what the entry adds")
-	fs.IntVar(&c.Recover, "recover", 0, "in place of the mix, kill one process of each role so many times, and print how long service takes to go on")
+	fs.IntVar(&c.Compare, "compare", 0, "instead of the mix, run this many pairs of streams, directly to an engine and through an entry, and print what the entry adds")
+	fs.IntVar(&c.Recover, "recover", 0, "instead of the mix, kill one process of each role this many times, and print how long service takes to resume")
 	c.Policies.register(fs)
 }
 
-// Check returns an error that names the first bad flag.
+// Check returns an error for the first invalid flag.
 func (c *Config) Check() error {
 	switch {
 	case c.Load.Entries != "":
-		return errors.New("-entries: this tool starts entries of its own")
+		return errors.New("-entries: not allowed, since this tool starts its own entries")
 	case c.Compare < 0 || c.Recover < 0 || c.KillEngine < 0:
-		return errors.New("-compare, -recover and -kill-engine: can't be negative")
+		return errors.New("-compare, -recover and -kill-engine: must not be negative")
 	}
 	if err := c.Policies.check(); err != nil {
 		return err
 	}
 	load := c.Load
-	load.Entries = "127.0.0.1:1" // known only once the site runs
+	load.Entries = "127.0.0.1:1" // placeholder: the addresses are known only once the site runs
 	return load.Check()
 }
 
-// Run runs the trial and prints its figures to w.
+// Run runs the trial and prints its results to w.
 func Run(ctx context.Context, c Config, w io.Writer) error {
 	switch {
 	case c.Compare > 0:
@@ -70,12 +70,12 @@
 	case c.Policies.Names != "":
 		return ComparePolicies(ctx, c, w)
 	}
-	return mix(ctx, c, w)
+	return runMix(ctx, c, w)
 }
 
-// mix sends the load tool's mix and prints what entries and control processes used, before the load's own figures.
-func mix(ctx context.Context, c Config, w io.Writer) error {
-	site, err := c.mixSite(ctx)
+// runMix runs the load tool's mix. It prints the usage of entries and control processes, then the load tool's results.
+func runMix(ctx context.Context, c Config, w io.Writer) error {
+	site, err := c.startMixSite(ctx)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	return errors.Join(err, stop(ctx, site))
 }
 
-// stop stops the site gracefully, also when ctx is done.
+// stop stops the site gracefully, even if ctx is done.
 func stop(ctx context.Context, site *localsite.Site) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
 	defer cancel()
@@ -103,18 +103,18 @@
 	return localsite.Start(ctx, cfg)
 }
 
-func (c Config) mixSite(ctx context.Context) (*localsite.Site, error) {
+func (c Config) startMixSite(ctx context.Context) (*localsite.Site, error) {
 	m, err := c.Load.Mix()
 	if err != nil {
 		return nil, err
 	}
 	return start(ctx, localsite.Config{
-		Binaries: c.Binaries, Engines: ownEngines, Plains: ownPlains, Entries: ownEntries,
+		Binaries: c.Binaries, Engines: mixEngines, Plains: mixPlains, Entries: mixEntries,
 		Settings: localsite.WorkloadSettings(m),
 	})
 }
 
-// killBusy ends an engine that has a stream, some time into the run.
+// killBusy waits and then kills an engine that runs a stream.
 func killBusy(ctx context.Context, site *localsite.Site, after time.Duration) {
 	time.Sleep(after)
 	for ctx.Err() == nil {
@@ -126,6 +126,6 @@
 			_ = n.Kill()
 			return
 		}
-		time.Sleep(killPollTime)
+		time.Sleep(killPollInterval)
 	}
 }
--- a/lib/siterun/usage.go
+++ b/lib/siterun/usage.go
@@ -11,7 +11,7 @@
 	"anvilwick.example/anvilwick/lib/opsapi"
 )
 
-// Names of metrics that every daemon exports.
+// Metrics of a process that are read here. Every daemon exports the first two.
 const (
 	metricCPU    = "process_cpu_seconds_total"
 	metricMemory = "process_resident_memory_bytes"
@@ -20,30 +20,30 @@
 	metricStalled = `anvilwick_attempts_total{reason="stalled"}`
 )
 
-// byteMetrics sum up what a control process sends and receives: platform, targets, and the link to its entry.
+// byteMetrics add up to the bytes that a control process sends and receives: platform, targets, and the link to its entry.
 var byteMetrics = []string{
 	"anvilwick_control_sent_bytes_total", "anvilwick_control_received_bytes_total",
 	"anvilwick_mesh_sent_bytes_total", "anvilwick_mesh_received_bytes_total",
 }
 
-// usage is what a process has used so far.
+// usage is the cumulative resource usage of a process.
 type usage struct {
 	at     time.Time
 	cpu    float64 // seconds
 	memory float64 // resident bytes
-	bytes  float64 // sent and received on links of control
+	bytes  float64 // sent and received on the links of a control process
 
 	moved   float64 // attempts of an entry that its scheduler moved
 	stalled float64 // attempts of an entry that it gave up as stalled
 }
 
-// usageOf reads a process's own metrics.
+// usageOf reads the metrics of a process.
 func usageOf(ctx context.Context, n *localsite.Node) (usage, error) {
 	u := usage{at: time.Now()}
-	return u, opsapi.Scrape(ctx, n.OpsAddr, u.add)
+	return u, opsapi.Scrape(ctx, n.OpsAddr, u.addMetric)
 }
 
-func (u *usage) add(name string, v float64) {
+func (u *usage) addMetric(name string, v float64) {
 	bare, _, _ := strings.Cut(name, "{")
 	switch bare {
 	case metricCPU:
@@ -64,7 +64,7 @@
 	}
 }
 
-// usages reads a group of processes; those that don't answer are left out.
+// usages reads the metrics of several processes and omits those that don't answer.
 func usages(ctx context.Context, nodes []*localsite.Node) map[*localsite.Node]usage {
 	out := make(map[*localsite.Node]usage, len(nodes))
 	for _, n := range nodes {
@@ -75,7 +75,7 @@
 	return out
 }
 
-// printUsage writes one line for each process that answered before and after.
+// printUsage writes one line for each process whose metrics were read before and after.
 func printUsage(w io.Writer, before, after map[*localsite.Node]usage, nodes []*localsite.Node) {
 	for _, n := range nodes {
 		b, ok1 := before[n]
--- a/lib/siterun/usage_test.go
+++ b/lib/siterun/usage_test.go
@@ -9,7 +9,7 @@
 	"anvilwick.example/anvilwick/lib/opsapi"
 )
 
-func TestReadUsage(t *testing.T) {
+func TestUsageReadsMetrics(t *testing.T) {
 	var u usage
 	err := opsapi.ReadMetrics(strings.NewReader(`# HELP x
 process_cpu_seconds_total 1.5
@@ -21,7 +21,7 @@
 anvilwick_attempts_total{reason="moved"} 4
 anvilwick_attempts_total{reason="stalled"} 5
 anvilwick_tokens_total{workspace="w",class="c"} 9
-`), u.add)
+`), u.addMetric)
 	must.NoError(t, err)
 	must.Eq(t, 1.5, u.cpu)
 	must.Eq(t, 20e6, u.memory)
--- a/lib/testseed/testseed.go
+++ b/lib/testseed/testseed.go
@@ -1,6 +1,6 @@
-// Package testseed fixes the seed of randomised tests, so that CI gives the same verdict on every run.
+// Package testseed fixes the seed of randomised tests, so that CI gives the same result on every run.
 //
-// Tests that use rapid import it for its effect. Another seed is given by the flag -rapid.seed; what fails under it
+// Tests that use rapid import it for its side effect. The flag -rapid.seed sets another seed; a failure found with it
 // becomes a test of its own.
 package testseed
 
@@ -14,12 +14,12 @@
 const seed = "20261202"
 
 func init() {
-	set("rapid.seed", seed)
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.seed", seed)
+	setFlag("rapid.nofailfile", "true")
 }
 
-// set panics for a flag that rapid no longer has: the tests would run unseeded without a word.
-func set(name, value string) {
+// setFlag panics for a flag that rapid no longer has; otherwise the tests would run with random seeds unnoticed.
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic("testseed: " + err.Error())
 	}
