--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -166,7 +166,7 @@
 
 func (b *testbed) entryRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
 	i := b.round % len(b.site.Entries)
-	call := caller.Call{Entry: i, Key: fmt.Sprint("measurement-", b.round), Resumes: maxResumes}
+	call := caller.Call{Entry: i, Key: fmt.Sprint("measurement-", b.round), MaxResumes: maxResumes}
 	return b.timeToResume(ctx, call, func(context.Context) (*localsite.Node, error) { return b.site.Entries[i], nil })
 }
 
--- a/lib/prove/operate.go
+++ b/lib/prove/operate.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	call := caller.Call{Model: model, Prompt: r.prompt(op), Class: classOfAll, Entry: entry}
 	if op.kind == opKeyed {
-		call.Key, call.Resumes, call.Silence = fmt.Sprintf("key-%d", op.index), maxResumes, silenceTimeout
+		call.Key, call.MaxResumes, call.IdleTimeout = fmt.Sprintf("key-%d", op.index), maxResumes, silenceTimeout
 	}
 	from := time.Now()
 	res, err := r.client.Stream(ctx, call, rec.token)
@@ -118,7 +118,7 @@
 func (r *run) checkStreamEnd(op operation, entryIndex int, res caller.Result, err error, from time.Time) {
 	var refused *caller.Refused
 	entry := fmt.Sprintf("entry-%d", entryIndex%siteEntries+1)
-	desc := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.index, entry, res.Tokens, op.tokens, res.Resumed)
+	desc := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.index, entry, res.Tokens, op.tokens, res.Resumes)
 	switch {
 	case err == nil:
 		r.count(op.kind, "completed")
@@ -131,9 +131,9 @@
 		r.addViolation("%s: %v", desc, err)
 	case op.kind == opKeyed:
 		r.addViolation("no final answer for a keyed request: %s: %v", desc, err)
-	case r.faultLog.During(from, time.Now(), cutsConnections(entry)):
+	case r.faultLog.Overlaps(from, time.Now(), cutsConnections(entry)):
 		r.count(op.kind, "cut with its entry")
-	case res.HTTP == 0 && r.faultLog.During(from, time.Now(), stopsEntry(entry)):
+	case res.HTTP == 0 && r.faultLog.Overlaps(from, time.Now(), stopsEntry(entry)):
 		r.count(op.kind, "not connected")
 	default:
 		r.addViolation("stream cut or silent without a fault: %s: %v", desc, err)
@@ -204,11 +204,11 @@
 		r.count(op.kind, fmt.Sprintf("http_%d", res.HTTP))
 	case errors.As(err, &refused):
 		r.count(op.kind, string(refused.Detail.Type))
-	case r.faultLog.During(from, time.Now(), cutsConnections(entry)):
+	case r.faultLog.Overlaps(from, time.Now(), cutsConnections(entry)):
 		r.count(op.kind, "cut with its entry")
-	case res.HTTP == 0 && r.faultLog.During(from, time.Now(), stopsEntry(entry)):
+	case res.HTTP == 0 && r.faultLog.Overlaps(from, time.Now(), stopsEntry(entry)):
 		r.count(op.kind, "not connected")
-	case res.HTTP != 0 && r.faultLog.During(from, time.Now(), cutsPlainBodies):
+	case res.HTTP != 0 && r.faultLog.Overlaps(from, time.Now(), cutsPlainBodies):
 		r.count(op.kind, "cut with its service")
 	default:
 		r.addViolation("call cut or silent without a fault: %s operation %d at %s, HTTP %d after %v: %v",
--- a/lib/prove/operators.go
+++ b/lib/prove/operators.go
@@ -171,7 +171,7 @@
 func (r *run) checkLateAttempts(op operation, target string, drainedAt time.Time, n int) {
 	recent := time.Now().Add(-drainLimit)
 	for _, e := range r.site.Entries {
-		if subject, kind, on := r.faultLog.First(recent, time.Now(), delaysDrains(e.Name)); on {
+		if subject, kind, on := r.faultLog.FirstOverlap(recent, time.Now(), delaysDrains(e.Name)); on {
 			r.count(op.kind, "late work beside "+kind+" of "+subjectKind(subject))
 			return
 		}
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
 	r.watcher = &proc.OutputScanner{Patterns: failurePatterns}
-	r.faultLog.Slack = slack
+	r.faultLog.GracePeriod = slack
 	var tee io.Writer = r.watcher
 	if r.cfg.Logs != "" {
 		f, err := os.Create(r.cfg.Logs)
--- a/lib/prove/settle.go
+++ b/lib/prove/settle.go
@@ -133,7 +133,7 @@
 	for _, a := range accepted {
 		for _, e := range r.site.Entries {
 			due := a.at.Add(inForceLimit)
-			if r.faultLog.During(a.at, due.Add(time.Second), delaysSettings(e.Name)) {
+			if r.faultLog.Overlaps(a.at, due.Add(time.Second), delaysSettings(e.Name)) {
 				continue
 			}
 			if err := checkRevision(seen, e.Name, a.revision, due); err != nil {
