--- a/lib/bench/cluster.go
+++ b/lib/bench/cluster.go
@@ -44,17 +44,17 @@
 func targetName(i int) string { return fmt.Sprintf("engine-%02d", i) }
 
 // targets describes the engines as settings would.
-func (p *cluster) targets(m *workload.Mix) []sched.TargetSpec {
+func (c *cluster) targets(m *workload.Mix) []sched.TargetSpec {
 	out := make([]sched.TargetSpec, m.Engines)
 	for i := range out {
 		out[i] = sched.TargetSpec{
 			Name:          targetName(i),
 			FailureDomain: m.Domains[i%len(m.Domains)],
 			Instance:      fmt.Sprintf("worker-%02d", i),
-			KVTotal:       p.engine.KVTokens,
-			MaxBatch:      p.engine.MaxBatch,
-			IdleWatts:     p.engine.IdleWatts,
-			SeqWatts:      p.engine.SeqWatts,
+			KVTotal:       c.engine.KVTokens,
+			MaxBatch:      c.engine.MaxBatch,
+			IdleWatts:     c.engine.IdleWatts,
+			SeqWatts:      c.engine.SeqWatts,
 			Resumes:       true,
 		}
 	}
--- a/lib/bench/engine.go
+++ b/lib/bench/engine.go
@@ -87,8 +87,8 @@
 	s.scheduleStep(int(ev.engine))
 }
 
-// postpone delays a message to an engine until its link works again. If the attempt of a delayed grant has ended by then, its
-// cancel follows it on the same link, so the engine does not run it.
+// postpone delays a message to an engine until its link works again, and reports whether it did. If the attempt of a delayed
+// grant has ended by then, its cancel follows it on the same link, so the engine must not run it.
 func (s *sim) postpone(e *engine, ev *event) bool {
 	if s.now >= e.stalledUntil {
 		return false
--- a/lib/bench/metrics.go
+++ b/lib/bench/metrics.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// record clamps d to the histogram's range, so recording can't fail.
+// record adds d to h, clamped to the histogram's range so that recording can't fail.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histMax))
 }
--- a/lib/replay/compare.go
+++ b/lib/replay/compare.go
@@ -38,12 +38,12 @@
 
 // Compare simulates a load pattern under the named Policies with the same seeds. workers bounds the concurrent simulations;
 // the figures don't depend on it.
-func Compare(l Pattern, policies []string, seeds []uint64, workers int) ([]Row, error) {
+func Compare(pattern Pattern, policies []string, seeds []uint64, workers int) ([]Row, error) {
 	tallies := make([][]Tally, len(policies))
 	var work sync.WaitGroup
 	slots := make(chan struct{}, max(1, workers))
 	for i, name := range policies {
-		p, ok := Policies[name]
+		policy, ok := Policies[name]
 		if !ok {
 			return nil, fmt.Errorf("replay: unknown policy %q", name)
 		}
@@ -52,7 +52,7 @@
 			work.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				tallies[i][j] = Simulate(l, p, seed)
+				tallies[i][j] = Simulate(pattern, policy, seed)
 			})
 		}
 	}
--- a/lib/replay/compare_test.go
+++ b/lib/replay/compare_test.go
@@ -9,9 +9,9 @@
 )
 
 func shortPattern() Pattern {
-	l := Saturated()
-	l.Duration = 3 * time.Second
-	return l
+	p := Saturated()
+	p.Duration = 3 * time.Second
+	return p
 }
 
 // Figures depend on the seed alone, not on concurrent simulations; otherwise differences between policies could be noise.
--- a/lib/replay/load.go
+++ b/lib/replay/load.go
@@ -36,99 +36,99 @@
 
 // SaturatedSite is Saturated on a site with the given number of instances and with engines and streams in proportion.
 func SaturatedSite(instances int) Pattern {
-	l := Saturated().Resized(instances)
-	l.Domains = 5
-	return l
+	p := Saturated().Resized(instances)
+	p.Domains = 5
+	return p
 }
 
 // Resized returns the pattern for the given number of instances, with engines and streams in proportion.
-func (l Pattern) Resized(instances int) Pattern {
-	factor := float64(instances) / float64(l.Instances)
-	l.Engines = max(6, int(float64(l.Engines)*factor))
-	l.FaultyEngines = int(float64(l.FaultyEngines) * factor)
-	l.LongRate *= factor
-	l.ShortRate *= factor
-	l.Instances = instances
-	return l
+func (p Pattern) Resized(instances int) Pattern {
+	factor := float64(instances) / float64(p.Instances)
+	p.Engines = max(6, int(float64(p.Engines)*factor))
+	p.FaultyEngines = int(float64(p.FaultyEngines) * factor)
+	p.LongRate *= factor
+	p.ShortRate *= factor
+	p.Instances = instances
+	return p
 }
 
 // Bursts has no engines leaving, and three times as many short streams during 3 s of every 10 s.
 func Bursts() Pattern {
-	l := Saturated()
-	l.LeaveEvery = 0
-	l.ShortRateFactor = func(at time.Duration) float64 {
+	p := Saturated()
+	p.LeaveEvery = 0
+	p.ShortRateFactor = func(at time.Duration) float64 {
 		if at%(10*time.Second) < 3*time.Second {
 			return 3
 		}
 		return 1
 	}
-	return l
+	return p
 }
 
 // ShortTimeouts is Saturated with callers of short streams that give up after 6 s. They accept a retry delay of at most a
 // third of their remaining time.
 func ShortTimeouts() Pattern {
-	l := Saturated()
-	l.ShortTimeout = 6 * time.Second
-	return l
+	p := Saturated()
+	p.ShortTimeout = 6 * time.Second
+	return p
 }
 
 // ArrivalSpikes delivers all streams of every two seconds within 0.2 s.
 func ArrivalSpikes() Pattern {
-	l := Saturated()
-	l.LeaveEvery, l.LongRate, l.ShortRate = 0, 12, 14
-	l.RateFactor = func(at time.Duration) float64 {
+	p := Saturated()
+	p.LeaveEvery, p.LongRate, p.ShortRate = 0, 12, 14
+	p.RateFactor = func(at time.Duration) float64 {
 		if at%(2*time.Second) < 200*time.Millisecond {
 			return 10
 		}
 		return 0
 	}
-	return l
+	return p
 }
 
 // HalfInstancesFail is a load under which half of the instances fail at once.
 func HalfInstancesFail() Pattern {
-	l := Saturated()
-	l.LeaveEvery, l.LongRate, l.ShortRate = 0, 10, 12
-	l.HalfInstancesFailAt = 8 * time.Second
-	return l
+	p := Saturated()
+	p.LeaveEvery, p.LongRate, p.ShortRate = 0, 10, 12
+	p.HalfInstancesFailAt = 8 * time.Second
+	return p
 }
 
 // TransientOverload exceeds the engines' capacity for ten seconds and stays below it afterwards.
 func TransientOverload() Pattern {
-	l := Saturated()
-	l.Duration = 35 * time.Second
-	l.RateFactor = func(at time.Duration) float64 {
+	p := Saturated()
+	p.Duration = 35 * time.Second
+	p.RateFactor = func(at time.Duration) float64 {
 		if at < 10*time.Second {
 			return 1.2
 		}
 		return 0.8
 	}
-	return l
+	return p
 }
 
 // OwnersFail is Saturated with the first-ranked owner of every shard failing at 10 s.
 func OwnersFail() Pattern {
-	l := SaturatedSite(72)
-	l.OwnersFailAt = 10 * time.Second
-	return l
+	p := SaturatedSite(72)
+	p.OwnersFailAt = 10 * time.Second
+	return p
 }
 
 // DomainsLeaveInTurn is Saturated on a larger site whose engines leave one failure domain at a time.
 func DomainsLeaveInTurn() Pattern {
-	l := SaturatedSite(192)
-	l.LeaveByDomain = true
-	l.Duration = 12 * time.Second
-	return l
+	p := SaturatedSite(192)
+	p.LeaveByDomain = true
+	p.Duration = 12 * time.Second
+	return p
 }
 
 // FaultyEngines is a moderate load on a larger site where a sixth of the engines fails half of its streams.
 func FaultyEngines() Pattern {
-	l := SaturatedSite(72)
-	l.LeaveEvery = 0
-	l.LongRate, l.ShortRate = 0.7*l.LongRate, 0.7*l.ShortRate
-	l.FaultyEngines = l.Engines / 6
-	return l
+	p := SaturatedSite(72)
+	p.LeaveEvery = 0
+	p.LongRate, p.ShortRate = 0.7*p.LongRate, 0.7*p.ShortRate
+	p.FaultyEngines = p.Engines / 6
+	return p
 }
 
 // Patterns maps the names used on command lines to load patterns.
--- a/lib/replay/local.go
+++ b/lib/replay/local.go
@@ -12,26 +12,26 @@
 	s *site
 }
 
-func (a *localDecider) engineListChanged() {}
+func (d *localDecider) engineListChanged() {}
 
-func (a *localDecider) streamEnded(*stream, fleet.Outcome) {}
+func (d *localDecider) streamEnded(*stream, fleet.Outcome) {}
 
-func (a *localDecider) firstEvent(*stream) {}
+func (d *localDecider) firstEvent(*stream) {}
 
-func (a *localDecider) decide(r *stream) bool {
+func (d *localDecider) decide(r *stream) bool {
 	in := r.instance
-	p := admit.Placer{Fleet: in.fleet, Prefill: in.prefillRates, Random: a.s.decisionRNG.Int64N, Acquire: in.fleet.Choose}
+	p := admit.Placer{Fleet: in.fleet, Prefill: in.prefillRates, Random: d.s.decisionRNG.Int64N, Acquire: in.fleet.Choose}
 	st := r.admitted()
-	if a.s.policy.Strategy == DomainBroadcast {
-		st.Need.Among = a.domainEngines(in)
+	if d.s.policy.Strategy == DomainBroadcast {
+		st.Need.Among = d.domainEngines(in)
 	}
-	return a.s.apply(r, p.Step(a.s.clock(), st))
+	return d.s.apply(r, p.Step(d.s.clock(), st))
 }
 
 // domainEngines lists the engines of an instance's failure domain.
-func (a *localDecider) domainEngines(in *instance) []string {
+func (d *localDecider) domainEngines(in *instance) []string {
 	out := []string{}
-	for _, e := range a.s.engines {
+	for _, e := range d.s.engines {
 		if e.Domain == in.domain {
 			out = append(out, e.ID)
 		}
@@ -39,43 +39,43 @@
 	return out
 }
 
-func (a *localDecider) streamSent(r *stream) {
-	if a.s.policy.Strategy != EngineReports {
-		a.sendLoads(r.instance)
+func (d *localDecider) streamSent(r *stream) {
+	if d.s.policy.Strategy != EngineReports {
+		d.sendLoads(r.instance)
 	}
 }
 
-func (a *localDecider) step() {
-	s := a.s
+func (d *localDecider) step() {
+	s := d.s
 	if s.policy.Strategy == EngineReports {
-		a.publishEngineReports()
+		d.publishEngineReports()
 		return
 	}
 	for _, in := range s.instances {
 		if s.now >= in.nextUpdate {
 			in.nextUpdate = s.now + updateInterval
-			a.sendLoads(in)
+			d.sendLoads(in)
 		}
 	}
 }
 
-func (a *localDecider) delayToPeers() time.Duration {
-	if a.s.policy.SlowUpdates {
+func (d *localDecider) delayToPeers() time.Duration {
+	if d.s.policy.SlowUpdates {
 		return slowUpdateDelay
 	}
 	return messageDelay
 }
 
 // sendLoads sends an instance's loads to the peers that its strategy selects.
-func (a *localDecider) sendLoads(in *instance) {
+func (d *localDecider) sendLoads(in *instance) {
 	loads, sizes := in.loads()
-	for _, other := range a.peers(in) {
-		a.s.sendMessage(a.delayToPeers(), func() { other.fleet.SetPeerLoad(a.s.clock(), in.name, loads, sizes) })
+	for _, other := range d.peers(in) {
+		d.s.sendMessage(d.delayToPeers(), func() { other.fleet.SetPeerLoad(d.s.clock(), in.name, loads, sizes) })
 	}
 }
 
-func (a *localDecider) peers(in *instance) []*instance {
-	s := a.s
+func (d *localDecider) peers(in *instance) []*instance {
+	s := d.s
 	var out []*instance
 	for _, other := range s.instances {
 		if other != in && (s.policy.Strategy != DomainBroadcast || other.domain == in.domain) {
@@ -105,8 +105,8 @@
 
 // publishEngineReports sends each engine's load to all instances with a delay of reportDelay. The load includes the receiver's
 // own runs, which it also counts itself, so it equals the load of the others only on average.
-func (a *localDecider) publishEngineReports() {
-	s := a.s
+func (d *localDecider) publishEngineReports() {
+	s := d.s
 	if s.now%reportDelay != 0 {
 		return
 	}
--- a/lib/replay/policy.go
+++ b/lib/replay/policy.go
@@ -51,7 +51,7 @@
 
 // Tally counts the outcomes of the streams of a simulation.
 type Tally struct {
-	Streams, InTime, Late, Refused, Lost int
+	Streams, InTime, Late, Refused, Lost int // Refused: not retried, or the caller timed out
 	Retried, RetriedServed               int // callers that retried after a refusal, and those of them whose stream started
 	Longs, LongsInTime                   int
 	Large, LargeInTime                   int // streams whose prompt is among the largest tenth
--- a/lib/replay/replay_test.go
+++ b/lib/replay/replay_test.go
@@ -8,18 +8,18 @@
 )
 
 // simulate runs a load pattern with several seeds and sums the tallies.
-func simulate(t *testing.T, name string, l Pattern, p Policy) Tally {
+func simulate(t *testing.T, name string, pattern Pattern, p Policy) Tally {
 	t.Helper()
 	seeds := uint64(4)
 	switch {
-	case l.Instances > 150:
+	case pattern.Instances > 150:
 		seeds = 1 // it has eight times the streams
-	case l.Instances > 60:
+	case pattern.Instances > 60:
 		seeds = 2
 	}
 	var sum Tally
 	for seed := range seeds {
-		sum.Add(Simulate(l, p, seed))
+		sum.Add(Simulate(pattern, p, seed))
 	}
 	t.Logf("%-12s %+v: %.3f in time", name, sum, sum.Share())
 	return sum
@@ -82,12 +82,12 @@
 // forwarded there; without forwarding a tenth fewer started in time. Broadcasting all loads must do no better with ten times
 // the messages.
 func TestFullShardForwardsStreams(t *testing.T) {
-	l := DomainsLeaveInTurn()
-	owners := simulate(t, "owners", l, Policy{})
+	pattern := DomainsLeaveInTurn()
+	owners := simulate(t, "owners", pattern, Policy{})
 	for name, p := range map[string]Policy{"stay": {NoForwarding: true}, "slices": {Strategy: DomainBroadcast}} {
-		must.Greater(t, simulate(t, name, l, p).Share()+0.08, owners.Share(), must.Sprint(name))
+		must.Greater(t, simulate(t, name, pattern, p).Share()+0.08, owners.Share(), must.Sprint(name))
 	}
-	broadcast := simulate(t, "news", l, Policy{Strategy: Broadcast})
+	broadcast := simulate(t, "news", pattern, Policy{Strategy: Broadcast})
 	must.Greater(t, broadcast.Share()-0.01, owners.Share())
 	must.Less(t, broadcast.Messages/10, owners.Messages)
 }
@@ -95,9 +95,9 @@
 // Each instance rarely has a stream, and decides from the engines' own reports: for 0.3 s all instances see the same engine as
 // free, and most of the streams that they send there are late.
 func TestEngineReportsAreTooStale(t *testing.T) {
-	l := SaturatedSite(72)
-	l.Duration = 10 * time.Second
-	must.Less(t, simulate(t, "owners", l, Policy{}).Share()-0.2, simulate(t, "reports", l, Policy{Strategy: EngineReports}).Share())
+	p := SaturatedSite(72)
+	p.Duration = 10 * time.Second
+	must.Less(t, simulate(t, "owners", p, Policy{}).Share()-0.2, simulate(t, "reports", p, Policy{Strategy: EngineReports}).Share())
 }
 
 // The owners fail at 10 s with their streams. Each requester times out once, after 0.15 s; the second-ranked instance has
--- a/lib/replay/site.go
+++ b/lib/replay/site.go
@@ -51,7 +51,7 @@
 	now         time.Duration
 	engines     []*engine
 	instances   []*instance
-	events      eventQueue
+	queue       eventQueue
 	serial      uint64
 	engineCount int // engines created so far
 	tally       Tally
@@ -79,21 +79,21 @@
 func (s *site) clock() time.Time { return start.Add(s.now) }
 
 // Simulate runs a load pattern under a policy.
-func Simulate(l Pattern, pol Policy, seed uint64) Tally {
-	l.Domains = max(1, l.Domains)
-	s := &site{pattern: l, policy: pol, loadRNG: rand.New(rand.NewPCG(seed, 7)), decisionRNG: rand.New(rand.NewPCG(seed, 8))}
-	if pol.Strategy == Owners {
+func Simulate(pattern Pattern, policy Policy, seed uint64) Tally {
+	pattern.Domains = max(1, pattern.Domains)
+	s := &site{pattern: pattern, policy: policy, loadRNG: rand.New(rand.NewPCG(seed, 7)), decisionRNG: rand.New(rand.NewPCG(seed, 8))}
+	if policy.Strategy == Owners {
 		s.decider = newOwnerDecider(s)
 	} else {
 		s.decider = &localDecider{s: s}
 	}
-	for i := range l.Instances {
+	for i := range pattern.Instances {
 		s.addInstance(i)
 	}
-	for range l.Engines {
+	for range pattern.Engines {
 		s.addEngine()
 	}
-	for ; s.now < l.Duration; s.now += tick {
+	for ; s.now < pattern.Duration; s.now += tick {
 		s.step()
 	}
 	return s.tally
@@ -176,38 +176,38 @@
 // eventQueue is a heap of events ordered by due time, then by creation.
 type eventQueue []event
 
-func (m eventQueue) Len() int { return len(m) }
-func (m eventQueue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(m[i].at, m[j].at), cmp.Compare(m[i].order, m[j].order)) < 0
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].order, q[j].order)) < 0
 }
-func (m eventQueue) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (m *eventQueue) Push(x any) { *m = append(*m, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop implements heap.Interface.
-func (m *eventQueue) Pop() any {
-	last := len(*m) - 1
-	x := (*m)[last]
-	*m = (*m)[:last]
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
 
 // after schedules a callback after a delay.
 func (s *site) after(d time.Duration, apply func()) {
 	s.serial++
-	heap.Push(&s.events, event{at: s.now + d, order: s.serial, apply: apply})
+	heap.Push(&s.queue, event{at: s.now + d, order: s.serial, apply: apply})
 }
 
-// send schedules the delivery of a message between instances and counts it.
+// sendMessage schedules the delivery of a message between instances and counts it.
 func (s *site) sendMessage(d time.Duration, apply func()) {
 	s.tally.Messages++
 	s.after(d, apply)
 }
 
 func (s *site) deliver() {
-	for len(s.events) > 0 && s.events[0].at <= s.now {
-		heap.Pop(&s.events).(event).apply()
+	for len(s.queue) > 0 && s.queue[0].at <= s.now {
+		heap.Pop(&s.queue).(event).apply()
 	}
 }
 
--- a/lib/replaypage/page_test.go
+++ b/lib/replaypage/page_test.go
@@ -13,9 +13,9 @@
 
 // The page contains a plot of each measure for each load pattern and references no external resource.
 func TestPageIsSelfContained(t *testing.T) {
-	l := replay.Saturated()
-	l.Duration = time.Second
-	rows, err := replay.Compare(l, []string{"owners", "news"}, []uint64{1, 2}, 2)
+	pattern := replay.Saturated()
+	pattern.Duration = time.Second
+	rows, err := replay.Compare(pattern, []string{"owners", "news"}, []uint64{1, 2}, 2)
 	must.NoError(t, err)
 	var b bytes.Buffer
 	must.NoError(t, Write(&b, 2, []Section{{"crowded <>", rows}, {"again", rows}}))
