--- a/app/anvilwick-gateway/main.go
+++ b/app/anvilwick-gateway/main.go
@@ -55,7 +55,7 @@
 }
 
 func run(ctx context.Context, o options) error {
-	out := logline.NewBounded(os.Stdout)
+	out := logline.NewBoundedWriter(os.Stdout)
 	defer out.Flush(flushTime)
 	if err := logline.Setup(out, o.level); err != nil {
 		return cmdline.UsageError(err)
--- a/lib/caller/caller.go
+++ b/lib/caller/caller.go
@@ -29,7 +29,7 @@
 var (
 	ErrOrder      = errors.New("token out of order")
 	ErrGeneration = errors.New("token of another generation")
-	ErrCut        = errors.New("stream cut without end mark")
+	ErrTruncated  = errors.New("stream cut without end mark")
 )
 
 // Client sends requests to any of several entries with one workspace's key.
@@ -41,16 +41,16 @@
 
 // Call is one generation to ask for.
 type Call struct {
-	Model     string
-	Prompt    string
-	Chat      bool
-	MaxTokens int // 0: not given
-	Class     string
-	Key       string        // Idempotency-Key; without one a cut stream can't be gone on with
-	Deadline  time.Duration // 0: not given
-	Entry     int           // index of the entry to ask first
-	Resumes   int           // how often to go on through the next entry after a cut
-	Silence   time.Duration // an entry that sends nothing for so long is given up as if the stream were cut; 0: never
+	Model       string
+	Prompt      string
+	Chat        bool
+	MaxTokens   int // 0: not given
+	Class       string
+	Key         string        // Idempotency-Key; without one a cut stream can't be gone on with
+	Deadline    time.Duration // 0: not given
+	Entry       int           // index of the entry to ask first
+	MaxResumes  int           // how often to go on through the next entry after a cut
+	IdleTimeout time.Duration // an entry that sends nothing for so long is given up as if the stream were cut; 0: never
 }
 
 // Token is one token as the caller saw it.
@@ -62,15 +62,15 @@
 
 // Result is how a call ended.
 type Result struct {
-	Code       result.Code // of the last answer; 0: no entry answered
-	HTTP       int
-	Done       bool // the end mark was seen
-	Tokens     int
-	Generation string
-	Reason     string // finish reason
-	Resumed    int    // how often the stream was gone on with
-	RetryAfter time.Duration
-	Message    string // of an error
+	Code         result.Code // of the last answer; 0: no entry answered
+	HTTP         int
+	Done         bool // the end mark was seen
+	Tokens       int
+	Generation   string
+	FinishReason string // finish reason
+	Resumes      int    // how often the stream was gone on with
+	RetryAfter   time.Duration
+	Message      string // of an error
 }
 
 // Stream runs a call and hands each token to onToken. The error is nil when the whole answer came, a *Refused when the
@@ -109,7 +109,7 @@
 // mayGoOn tells whether the stream can be taken up again: with a key, after a cut, or after a refusal that asks the
 // caller to come back while the stream is under way.
 func (s *streamState) mayGoOn(err error, try int) bool {
-	if s.call.Key == "" || try >= s.call.Resumes {
+	if s.call.Key == "" || try >= s.call.MaxResumes {
 		return false
 	}
 	var refused *Refused
@@ -143,7 +143,7 @@
 		return s.refusal(resp)
 	}
 	if s.res.Tokens > 0 || try > 0 {
-		s.res.Resumed++
+		s.res.Resumes++
 	}
 	return s.read(newEvents(resp.Body), heard)
 }
@@ -157,10 +157,10 @@
 }
 
 func (s *streamState) silence() time.Duration {
-	if s.call.Silence <= 0 {
+	if s.call.IdleTimeout <= 0 {
 		return forever
 	}
-	return s.call.Silence
+	return s.call.IdleTimeout
 }
 
 func (c *Client) request(addr string, s *streamState) (*http.Request, error) {
@@ -213,7 +213,7 @@
 		e, err := ev.next()
 		heard.Reset(s.silence())
 		if err != nil {
-			return fmt.Errorf("%w after %d tokens: %w", ErrCut, s.res.Tokens, err)
+			return fmt.Errorf("%w after %d tokens: %w", ErrTruncated, s.res.Tokens, err)
 		}
 		switch {
 		case e.kind == "error":
@@ -228,8 +228,8 @@
 }
 
 func (s *streamState) done() error {
-	if s.res.Reason == "" {
-		return fmt.Errorf("%w: %s without a finish reason", ErrCut, engineapi.DoneData)
+	if s.res.FinishReason == "" {
+		return fmt.Errorf("%w: %s without a finish reason", ErrTruncated, engineapi.DoneData)
 	}
 	s.res.Done = true
 	s.res.Code = result.OK
@@ -255,7 +255,7 @@
 	}
 	ch := f.Choices[0]
 	if ch.FinishReason != nil {
-		s.res.Reason = *ch.FinishReason
+		s.res.FinishReason = *ch.FinishReason
 		return nil
 	}
 	return s.token(e, ch)
--- a/lib/caller/caller_test.go
+++ b/lib/caller/caller_test.go
@@ -42,10 +42,10 @@
 }
 
 // tokens streams the tokens [from, to) and then end.
-func tokens(g ids.Generation, from, to int, end func(b []byte, sh callerapi.Shape) []byte) http.HandlerFunc {
+func tokens(g ids.Generation, from, to int, end func(b []byte, sh callerapi.ResponseBuilder) []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		callerapi.SetStreamHeaders(w)
-		sh := callerapi.Shape{Generation: g, Model: "m"}
+		sh := callerapi.ResponseBuilder{Generation: g, Model: "m"}
 		var b []byte
 		for i := from; i < to; i++ {
 			b = callerapi.AppendEvent(b, g.String(), uint32(i), 0, sh.Token(uint32(i), fmt.Appendf(nil, " %d", i)))
@@ -54,14 +54,14 @@
 	}
 }
 
-func whole(n int) func([]byte, callerapi.Shape) []byte {
-	return func(b []byte, sh callerapi.Shape) []byte {
+func whole(n int) func([]byte, callerapi.ResponseBuilder) []byte {
+	return func(b []byte, sh callerapi.ResponseBuilder) []byte {
 		b = callerapi.AppendEvent(b, sh.Generation.String(), uint32(n), 0, sh.Finish(uint32(n), "stop"))
-		return append(b, callerapi.Done...)
+		return append(b, callerapi.DoneEvent...)
 	}
 }
 
-func cut(b []byte, _ callerapi.Shape) []byte { return b }
+func cut(b []byte, _ callerapi.ResponseBuilder) []byte { return b }
 
 func refuse(e *result.Error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { callerapi.WriteError(w, e, "r1") }
@@ -90,10 +90,10 @@
 		refuse(result.New(result.AlreadyRunning, "held elsewhere")),
 		tokens(gen, 2, 4, whole(4)),
 	}}
-	text, res, err := run(t, client(t, s), Call{Key: "k1", Resumes: 5})
+	text, res, err := run(t, client(t, s), Call{Key: "k1", MaxResumes: 5})
 	must.NoError(t, err)
 	must.Eq(t, " 0 1 2 3", text)
-	must.Eq(t, 1, res.Resumed)
+	must.Eq(t, 1, res.Resumes)
 	must.Eq(t, []string{"", gen.String() + "-1-0", gen.String() + "-1-0"}, s.last)
 }
 
@@ -108,20 +108,20 @@
 		},
 		tokens(gen, 2, 3, whole(3)),
 	}}
-	text, _, err := run(t, client(t, s), Call{Key: "k1", Resumes: 5, Silence: 100 * time.Millisecond})
+	text, _, err := run(t, client(t, s), Call{Key: "k1", MaxResumes: 5, IdleTimeout: 100 * time.Millisecond})
 	must.NoError(t, err)
 	must.Eq(t, " 0 1 2", text)
 }
 
 func TestCutWithoutAKeyIsAFailure(t *testing.T) {
-	_, res, err := run(t, client(t, &script{steps: []http.HandlerFunc{tokens(gen, 0, 2, cut)}}), Call{Resumes: 5})
-	must.ErrorIs(t, err, ErrCut)
+	_, res, err := run(t, client(t, &script{steps: []http.HandlerFunc{tokens(gen, 0, 2, cut)}}), Call{MaxResumes: 5})
+	must.ErrorIs(t, err, ErrTruncated)
 	must.False(t, res.Done)
 }
 
 func TestFaultsOfTheStreamAreSeen(t *testing.T) {
 	other := ids.From(3, 4)
-	mixed := func(b []byte, sh callerapi.Shape) []byte {
+	mixed := func(b []byte, sh callerapi.ResponseBuilder) []byte {
 		sh.Generation = other
 		return callerapi.AppendEvent(b, other.String(), 2, 0, sh.Token(2, []byte(" x")))
 	}
@@ -132,9 +132,9 @@
 		"gap":              {tokens(gen, 1, 3, whole(3)), ErrOrder},
 		"short count":      {tokens(gen, 0, 3, whole(4)), ErrOrder},
 		"other generation": {tokens(gen, 0, 2, mixed), ErrGeneration},
-		"done alone": {tokens(gen, 0, 2, func(b []byte, _ callerapi.Shape) []byte {
-			return append(b, callerapi.Done...)
-		}), ErrCut},
+		"done alone": {tokens(gen, 0, 2, func(b []byte, _ callerapi.ResponseBuilder) []byte {
+			return append(b, callerapi.DoneEvent...)
+		}), ErrTruncated},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -145,11 +145,11 @@
 }
 
 func TestNumberedErrorEndsTheStream(t *testing.T) {
-	failed := func(b []byte, _ callerapi.Shape) []byte {
+	failed := func(b []byte, _ callerapi.ResponseBuilder) []byte {
 		return callerapi.AppendErrorEvent(b, result.New(result.TargetFailed, "engine"), "r1")
 	}
 	s := &script{steps: []http.HandlerFunc{tokens(gen, 0, 2, failed)}}
-	_, res, err := run(t, client(t, s), Call{Key: "k1", Resumes: 3})
+	_, res, err := run(t, client(t, s), Call{Key: "k1", MaxResumes: 3})
 	var refused *Refused
 	must.True(t, errors.As(err, &refused))
 	must.Eq(t, result.TargetFailed, res.Code)
--- a/lib/callerapi/callerapi_test.go
+++ b/lib/callerapi/callerapi_test.go
@@ -69,8 +69,8 @@
 	c, err := ParseCompletion([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":false,
 		"temperature":0.5,"logit_bias":{"5":1},"max_completion_tokens":90,"ext":{"generation":"forged"}}`), true)
 	must.Nil(t, err)
-	c.Bound(50)
-	body, merr := c.Template().With(&engineapi.Ext{Generation: "g", Attempt: 3, StartIndex: 2, Resume: []string{"a", "\u2028\""}})
+	c.LimitMaxTokens(50)
+	body, merr := c.Template().WithExt(&engineapi.Ext{Generation: "g", Attempt: 3, StartIndex: 2, Resume: []string{"a", "\u2028\""}})
 	must.NoError(t, merr)
 	var got map[string]any
 	must.NoError(t, json.Unmarshal(body, &got))
@@ -119,7 +119,7 @@
 		Type:         "queue_full",
 		Message:      `the queue is at its bound (class "urgent")`,
 		Outcome:      "refused, not run",
-		AskAgain:     "after Retry-After",
+		RetryAdvice:  "after Retry-After",
 		RetryAfterMS: 1200,
 		RequestID:    "req-1",
 	}, body.Error)
@@ -138,7 +138,7 @@
 }
 
 func TestShapeOfReplayedFrames(t *testing.T) {
-	s := Shape{Generation: ids.From(1, 1), Model: "m", Chat: true}
+	s := ResponseBuilder{Generation: ids.From(1, 1), Model: "m", Chat: true}
 	var f engineapi.Frame
 	must.NoError(t, json.Unmarshal(s.Token(4, []byte("a\"b")), &f))
 	must.Eq(t, `a"b`, f.Choices[0].Delta.Content)
--- a/lib/callerapi/completion.go
+++ b/lib/callerapi/completion.go
@@ -123,8 +123,8 @@
 	return result.New(result.BadRequest, "n: only 1 is served")
 }
 
-// Bound lowers MaxTokens to limit; 0 is no limit.
-func (c *Completion) Bound(limit int) {
+// LimitMaxTokens lowers MaxTokens to limit; 0 is no limit.
+func (c *Completion) LimitMaxTokens(limit int) {
 	if limit > 0 && (c.MaxTokens == 0 || c.MaxTokens > limit) {
 		c.MaxTokens = limit
 	}
@@ -181,8 +181,8 @@
 	b.WriteByte(',')
 }
 
-// With returns the whole body for one attempt.
-func (t Template) With(ext *engineapi.Ext) ([]byte, error) {
+// WithExt returns the whole body for one attempt.
+func (t Template) WithExt(ext *engineapi.Ext) ([]byte, error) {
 	raw, err := json.Marshal(ext)
 	if err != nil {
 		return nil, err
--- a/lib/callerapi/errors.go
+++ b/lib/callerapi/errors.go
@@ -23,7 +23,7 @@
 	Type         string      `json:"type"` // name of the code
 	Message      string      `json:"message"`
 	Outcome      string      `json:"outcome"`
-	AskAgain     string      `json:"ask_again"`
+	RetryAdvice  string      `json:"ask_again"`
 	RetryAfterMS int64       `json:"retry_after_ms,omitempty"`
 	RequestID    string      `json:"request_id"`
 }
@@ -49,7 +49,7 @@
 		Type:         in.Name,
 		Message:      msg,
 		Outcome:      in.Outcome.String(),
-		AskAgain:     in.RetryAdvice.String(),
+		RetryAdvice:  in.RetryAdvice.String(),
 		RetryAfterMS: retryAfter(e, in).Milliseconds(),
 		RequestID:    requestID,
 	}}
--- a/lib/callerapi/events.go
+++ b/lib/callerapi/events.go
@@ -10,8 +10,8 @@
 	"anvilwick.example/anvilwick/lib/stream"
 )
 
-// Done is the last event of a whole stream.
-const Done = "data: " + engineapi.DoneData + "\n\n"
+// DoneEvent is the last event of a whole stream.
+const DoneEvent = "data: " + engineapi.DoneData + "\n\n"
 
 // Names of objects in answers.
 const (
@@ -41,33 +41,33 @@
 	return append(dst, "\n\n"...)
 }
 
-// Shape builds events and answers of one generation anew, where the engine's own frames are no longer at hand.
-type Shape struct {
+// ResponseBuilder builds events and answers of one generation anew, where the engine's own frames are no longer at hand.
+type ResponseBuilder struct {
 	Generation ids.Generation
 	Model      string
 	Chat       bool
 }
 
 // Token returns the frame of token index as JSON.
-func (s Shape) Token(index uint32, text []byte) []byte {
+func (s ResponseBuilder) Token(index uint32, text []byte) []byte {
 	return s.frame(index, s.choice(string(text)))
 }
 
 // Finish returns the frame of the end mark as JSON.
-func (s Shape) Finish(count uint32, reason string) []byte {
+func (s ResponseBuilder) Finish(count uint32, reason string) []byte {
 	ch := s.choice("")
 	ch.FinishReason = &reason
 	return s.frame(count, ch)
 }
 
-func (s Shape) choice(text string) engineapi.Choice {
+func (s ResponseBuilder) choice(text string) engineapi.Choice {
 	if s.Chat {
 		return engineapi.Choice{Delta: &engineapi.Delta{Content: text}}
 	}
 	return engineapi.Choice{Text: text}
 }
 
-func (s Shape) frame(index uint32, ch engineapi.Choice) []byte {
+func (s ResponseBuilder) frame(index uint32, ch engineapi.Choice) []byte {
 	f := engineapi.Frame{ID: s.id(), Object: objectCompletion, Model: s.Model, Choices: []engineapi.Choice{ch}}
 	if s.Chat {
 		f.Object = objectChunk
@@ -80,7 +80,7 @@
 	return raw
 }
 
-func (s Shape) id() string { return "gen-" + s.Generation.String() }
+func (s ResponseBuilder) id() string { return "gen-" + s.Generation.String() }
 
 // Answer is the whole answer to an unstreamed request.
 type Answer struct {
@@ -108,7 +108,7 @@
 }
 
 // Answer returns the whole answer.
-func (s Shape) Answer(text, reason string, created int64, u Usage) Answer {
+func (s ResponseBuilder) Answer(text, reason string, created int64, u Usage) Answer {
 	u.TotalTokens = u.PromptTokens + u.CompletionTokens
 	ch := AnswerChoice{FinishReason: reason, Text: &text}
 	object := objectCompletion
--- a/lib/callerapi/fuzz_test.go
+++ b/lib/callerapi/fuzz_test.go
@@ -18,8 +18,8 @@
 		if err != nil {
 			return
 		}
-		c.Bound(10)
-		out, merr := c.Template().With(&engineapi.Ext{Generation: "g", Attempt: 1})
+		c.LimitMaxTokens(10)
+		out, merr := c.Template().WithExt(&engineapi.Ext{Generation: "g", Attempt: 1})
 		if merr != nil {
 			t.Fatal(merr)
 		}
--- a/lib/control/control.go
+++ b/lib/control/control.go
@@ -94,8 +94,8 @@
 		sync:  settingsync.New(settingsync.Config{Table: store, Peers: entryPeer{node, o.EntryAddr}}),
 		state: newSharedState(),
 	}
-	p.link.Up = p.handleEntryMessage
-	p.link.Lost = func(err error) { log.Warn().Str("event", "entry_link_lost").Err(err).Msg("") }
+	p.link.OnReport = p.handleEntryMessage
+	p.link.OnDisconnect = func(err error) { log.Warn().Str("event", "entry_link_lost").Err(err).Msg("") }
 	return p, nil
 }
 
--- a/lib/control/control_test.go
+++ b/lib/control/control_test.go
@@ -64,13 +64,13 @@
 	sync := serveSettings(t, n)
 	srv := &locallink.Server{
 		Instance: instance,
-		Down: func(m *meshpb.LocalDown) {
+		OnMessage: func(m *meshpb.LocalDown) {
 			if m.GetSettings() != nil {
 				sync.Receive(m.GetSettings(), "control")
 			}
 			down <- m
 		},
-		Up:       func() []*meshpb.LocalUp { return reports(sync.Status().InForce) },
+		Reports:  func() []*meshpb.LocalUp { return reports(sync.Status().InForce) },
 		Interval: 20 * time.Millisecond,
 	}
 	n.Handle(meshpb.StreamKind_STREAM_LOCAL, srv.Handle)
--- a/lib/control/status.go
+++ b/lib/control/status.go
@@ -46,7 +46,7 @@
 		Queued:           int(v.entry.GetQueued()),
 		Stopping:         v.entry.GetStopping(),
 		Store:            upOrDown(p.store.Up()),
-		Link:             upOrDown(p.link.Linked()),
+		Link:             upOrDown(p.link.Connected()),
 		Members:          memberList(v),
 	}
 	for _, h := range v.leases {
--- a/lib/disturb/disturb.go
+++ b/lib/disturb/disturb.go
@@ -9,8 +9,8 @@
 
 // Log is a list of disturbances. The zero value is empty and safe for concurrent use.
 type Log struct {
-	// Slack is how long after a fault its traces may still be seen.
-	Slack time.Duration
+	// GracePeriod is how long after a fault its traces may still be seen.
+	GracePeriod time.Duration
 
 	mu  sync.Mutex
 	all []*entry
@@ -39,8 +39,8 @@
 // Match accepts some subjects under some kinds of fault.
 type Match func(subject, kind string) bool
 
-// Of accepts any fault of the subjects.
-func Of(subjects ...string) Match {
+// AnyFaultOf accepts any fault of the subjects.
+func AnyFaultOf(subjects ...string) Match {
 	return func(subject, _ string) bool {
 		for _, s := range subjects {
 			if s == subject {
@@ -51,18 +51,18 @@
 	}
 }
 
-// During tells whether a subject that match accepts was disturbed between from and to.
-func (l *Log) During(from, to time.Time, match Match) bool {
-	_, _, found := l.First(from, to, match)
+// Overlaps tells whether a subject that match accepts was disturbed between from and to.
+func (l *Log) Overlaps(from, to time.Time, match Match) bool {
+	_, _, found := l.FirstOverlap(from, to, match)
 	return found
 }
 
-// First is like During and names the first such disturbance.
-func (l *Log) First(from, to time.Time, match Match) (subject, kind string, found bool) {
+// FirstOverlap is like During and names the first such disturbance.
+func (l *Log) FirstOverlap(from, to time.Time, match Match) (subject, kind string, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, it := range l.all {
-		ended := !it.to.IsZero() && it.to.Add(l.Slack).Before(from)
+		ended := !it.to.IsZero() && it.to.Add(l.GracePeriod).Before(from)
 		if !ended && it.from.Before(to) && match(it.subject, it.kind) {
 			return it.subject, it.kind, true
 		}
--- a/lib/disturb/disturb_test.go
+++ b/lib/disturb/disturb_test.go
@@ -9,14 +9,14 @@
 
 // A fault explains what happens while it lasts and within the slack after it, on its own subject alone.
 func TestDuring(t *testing.T) {
-	l := Log{Slack: time.Hour}
+	l := Log{GracePeriod: time.Hour}
 	before := time.Now()
 	end := l.Begin("a", "kill")
-	must.True(t, l.During(before, time.Now().Add(time.Second), Of("b", "a")))
-	must.False(t, l.During(before, time.Now().Add(time.Second), Of("b")))
-	must.False(t, l.During(before.Add(-2*time.Second), before, Of("a")))
+	must.True(t, l.Overlaps(before, time.Now().Add(time.Second), AnyFaultOf("b", "a")))
+	must.False(t, l.Overlaps(before, time.Now().Add(time.Second), AnyFaultOf("b")))
+	must.False(t, l.Overlaps(before.Add(-2*time.Second), before, AnyFaultOf("a")))
 	end()
-	must.True(t, l.During(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), Of("a")))
-	l.Slack = 0
-	must.False(t, l.During(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), Of("a")))
+	must.True(t, l.Overlaps(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), AnyFaultOf("a")))
+	l.GracePeriod = 0
+	must.False(t, l.Overlaps(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), AnyFaultOf("a")))
 }
--- a/lib/doctest/doctest.go
+++ b/lib/doctest/doctest.go
@@ -7,9 +7,9 @@
 	"os"
 )
 
-// Section replaces the part of a page between its begin and end marks by want. It returns the page as it should be,
+// ReplaceSection replaces the part of a page between its begin and end marks by want. It returns the page as it should be,
 // and whether it is so already.
-func Section(file, name string, want []byte) (page []byte, same bool, err error) {
+func ReplaceSection(file, name string, want []byte) (page []byte, same bool, err error) {
 	page, err = os.ReadFile(file)
 	if err != nil {
 		return nil, false, err
@@ -25,10 +25,10 @@
 	return next, bytes.Equal(page, next), nil
 }
 
-// Keep holds a section of a page to want: it writes the section anew with update, and otherwise returns an error when
+// CheckSection holds a section of a page to want: it writes the section anew with update, and otherwise returns an error when
 // the page differs.
-func Keep(file, name string, want []byte, update bool) error {
-	page, same, err := Section(file, name, want)
+func CheckSection(file, name string, want []byte, update bool) error {
+	page, same, err := ReplaceSection(file, name, want)
 	switch {
 	case err != nil || same:
 		return err
--- a/lib/e2e/entry_test.go
+++ b/lib/e2e/entry_test.go
@@ -20,14 +20,14 @@
 // Idempotency-Key and Last-Event-ID, and gets the rest of the same generation: no token twice, none left out.
 func TestEntryKilledUnderAKeyedStream(t *testing.T) {
 	site, ctx := siteOf(t, 2, 3)
-	s := start(ctx, clientOf(site), "entry killed", 200, caller.Call{Entry: 0, Key: "extraction-1", Resumes: 100})
+	s := start(ctx, clientOf(site), "entry killed", 200, caller.Call{Entry: 0, Key: "extraction-1", MaxResumes: 100})
 	s.reach(t, ctx, 120)
 	killed := time.Now()
 	must.NoError(t, site.Entries[0].Kill())
 	s.reach(t, ctx, 121)
 	t.Logf("stream goes on %v after SIGKILL", time.Since(killed))
 	s.whole(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // The entry that holds a caller's stream is frozen, the caller gives it up and goes on through another, and then the
@@ -35,7 +35,7 @@
 // keep the older one from reaching the caller or from running on beside the newer.
 func TestEntryFrozenUnderAKeyedStream(t *testing.T) {
 	site, ctx := siteOf(t, 2, 3)
-	call := caller.Call{Entry: 0, Key: "extraction-2", Resumes: 100, Silence: time.Second}
+	call := caller.Call{Entry: 0, Key: "extraction-2", MaxResumes: 100, IdleTimeout: time.Second}
 	s := start(ctx, clientOf(site), "entry frozen", 250, call)
 	s.reach(t, ctx, 100)
 	must.NoError(t, site.Entries[0].Freeze())
--- a/lib/e2e/pairs_test.go
+++ b/lib/e2e/pairs_test.go
@@ -23,12 +23,12 @@
 	set := someSettings()
 	set.Idempotent = true
 	site, ctx := siteWith(t, 2, 3, set)
-	s := start(ctx, clientOf(site), "killed in an outage", 400, caller.Call{Entry: 0, Key: "extraction-3", Resumes: 200})
+	s := start(ctx, clientOf(site), "killed in an outage", 400, caller.Call{Entry: 0, Key: "extraction-3", MaxResumes: 200})
 	s.reach(t, ctx, 200)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
 	must.NoError(t, site.Entries[0].Kill())
 	s.whole(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // The same under a keyed stream that may run only once. Two entries could both find the record, and only the table can
@@ -37,7 +37,7 @@
 	site, ctx := siteOf(t, 2, 3)
 	c := clientOf(site)
 	const tokens = 400
-	call := caller.Call{Entry: 0, Key: "extraction-once", Resumes: 500}
+	call := caller.Call{Entry: 0, Key: "extraction-once", MaxResumes: 500}
 	s := start(ctx, c, "once in an outage", tokens, call)
 	s.reach(t, ctx, 200)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultOutage}))
@@ -47,7 +47,7 @@
 	must.Positive(t, refused.res.RetryAfter)
 	must.NoError(t, site.PlatformFault(ctx, platform.Fault{Kind: platform.FaultClear}))
 	s.whole(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // refusal asks once more with the key and returns how it was refused. While another request asks for the key's claim at the
@@ -72,7 +72,7 @@
 // entry, on another engine, from the next token.
 func TestEntryAndEngineKilledTogether(t *testing.T) {
 	site, ctx := siteOf(t, 2, 3)
-	s := start(ctx, clientOf(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", Resumes: 200})
+	s := start(ctx, clientOf(site), "rack killed", 400, caller.Call{Entry: 0, Key: "extraction-4", MaxResumes: 200})
 	s.reach(t, ctx, 200)
 	n, err := site.StreamingEngine(ctx)
 	must.NoError(t, err)
@@ -81,7 +81,7 @@
 	must.NoError(t, site.Entries[0].Kill())
 	must.NoError(t, n.Kill())
 	s.whole(t, ctx)
-	must.Positive(t, s.res.Resumed)
+	must.Positive(t, s.res.Resumes)
 }
 
 // The holder of a lease is frozen for longer than its term and wakes believing that nothing happened. Another holds the
--- a/lib/entry/attempt.go
+++ b/lib/entry/attempt.go
@@ -84,7 +84,7 @@
 	if !g.deadline.IsZero() {
 		ext.DeadlineMS = max(1, time.Until(g.deadline).Milliseconds())
 	}
-	return g.template.With(ext)
+	return g.template.WithExt(ext)
 }
 
 // openEnd classifies a failure before the first frame. The attempt counts as not run only if the error proves it.
@@ -159,7 +159,7 @@
 		case err != nil:
 			return breakEnd(ctx, err)
 		case (f.Err != nil || f.Finish != "") && !g.isCurrent(f):
-			s.metrics.Dropped(stream.Foreign.String())
+			s.metrics.CountDroppedFrame(stream.Foreign.String())
 			continue
 		case f.Err != nil:
 			return errorFrameEnd(f.Err)
@@ -179,7 +179,7 @@
 	now := r.server.now()
 	v, gap := g.acceptToken(now, f)
 	if v != stream.Deliver {
-		r.server.metrics.Dropped(v.String())
+		r.server.metrics.CountDroppedFrame(v.String())
 		return v
 	}
 	r.server.watches.monitor.Token(now, r.watch)
@@ -214,7 +214,7 @@
 	}
 	v := g.acceptFinish(end)
 	if v != stream.End {
-		s.metrics.Dropped(v.String())
+		s.metrics.CountDroppedFrame(v.String())
 		return attemptEnd{reason: sched.EndTargetDied, cause: target.ErrTruncated}
 	}
 	return attemptEnd{reason: sched.EndCompleted, nothingToCancel: true}
--- a/lib/entry/complete.go
+++ b/lib/entry/complete.go
@@ -78,7 +78,7 @@
 	if len(body) > a.policy.MaxBody {
 		return nil, result.New(result.BodyTooLarge, "%d bytes at most", a.policy.MaxBody)
 	}
-	c.Bound(a.policy.MaxTokens)
+	c.LimitMaxTokens(a.policy.MaxTokens)
 	a.subject = Subject{Service: a.service.Name, Workspace: rq.workspace.Name, Class: rq.class, Fingerprint: c.Fingerprint()}
 	return a, nil
 }
@@ -291,7 +291,7 @@
 		completion: c,
 		body:       a.body,
 		template:   c.Template(),
-		shape:      callerapi.Shape{Generation: id, Model: c.Model, Chat: c.Chat},
+		shape:      callerapi.ResponseBuilder{Generation: id, Model: c.Model, Chat: c.Chat},
 		prefixes:   engineapi.PrefixHashes(c.Prompt),
 		accepted:   a.accepted,
 		deadline:   a.deadline(a.policy),
--- a/lib/entry/finish.go
+++ b/lib/entry/finish.go
@@ -58,7 +58,7 @@
 	elapsed := now.Sub(g.accepted)
 	g.metrics.Duration.Update(elapsed.Seconds())
 	g.metrics.Stall.Update(stalled.Seconds())
-	g.metrics.Result(code)
+	g.metrics.CountResult(code)
 	e := g.log(log.Info(), "request_end").Str("workspace", g.subject.Workspace).Str("class", g.subject.Class)
 	e = e.Str("service", g.subject.Service).Uint16("code", uint16(code)).Str("result", result.Lookup(code).Name)
 	e.Uint32("tokens", tokens).Uint32("attempts", attempts).Int64("took_ms", elapsed.Milliseconds()).Int64("stalled_ms", stalled.Milliseconds()).Msg("")
--- a/lib/entry/generation.go
+++ b/lib/entry/generation.go
@@ -43,7 +43,7 @@
 	completion *callerapi.Completion
 	body       []byte
 	template   callerapi.Template
-	shape      callerapi.Shape
+	shape      callerapi.ResponseBuilder
 	prefixes   []uint64
 	accepted   time.Time
 	deadline   time.Time // zero if none
@@ -249,7 +249,7 @@
 	if raw == nil {
 		raw = g.shape.Finish(g.state.Next(), g.finishReason)
 	}
-	return append(callerapi.AppendEvent(nil, g.idText, g.state.Next(), g.text.Digest(), raw), callerapi.Done...)
+	return append(callerapi.AppendEvent(nil, g.idText, g.state.Next(), g.text.Digest(), raw), callerapi.DoneEvent...)
 }
 
 // appendToSink appends the last token to the caller's sink, unless the caller already has it.
--- a/lib/entry/plain.go
+++ b/lib/entry/plain.go
@@ -206,7 +206,7 @@
 	pc.settleClaim(resp, err)
 	elapsed := s.now().Sub(pc.accepted)
 	pc.metrics.Duration.Update(elapsed.Seconds())
-	pc.metrics.Result(code)
+	pc.metrics.CountResult(code)
 	e := log.Info().Str("event", "call_end").Str("request", pc.id).Str("workspace", pc.workspace.Name).Str("class", pc.class)
 	e = e.Str("service", pc.service.Name).Str("target", name).Uint16("code", uint16(code))
 	e.Str("result", result.Lookup(code).Name).Int64("took_ms", elapsed.Milliseconds()).Msg("")
--- a/lib/entry/plainsend.go
+++ b/lib/entry/plainsend.go
@@ -35,7 +35,7 @@
 		sent := !errors.Is(err, target.ErrNotSent)
 		mayHaveRun = mayHaveRun || sent
 		pc.mayHaveSent = mayHaveRun
-		logline.Cause(log.Info().Str("event", "call_failed").Str("request", pc.id).Str("target", name).Bool("sent", sent), err)
+		logline.Send(log.Info().Str("event", "call_failed").Str("request", pc.id).Str("target", name).Bool("sent", sent), err)
 		avoid = append(avoid, name)
 		if final := s.checkRepeat(ctx, pc, try, sent, mayHaveRun, err); final != nil {
 			return nil, name, final
--- a/lib/entry/run.go
+++ b/lib/entry/run.go
@@ -216,9 +216,9 @@
 // the cancel request only frees the engine's memory sooner, so it runs in the background.
 func (s *Server) reportAttemptEnd(g *generation, number uint32, name string, end attemptEnd) {
 	s.opts.Placer.End(g.service.Name, g.id, number, int(g.delivered()), end.reason)
-	s.metrics.AttemptEnded(reasonName(end.reason))
+	s.metrics.CountAttempt(reasonName(end.reason))
 	e := g.log(log.Info(), "attempt_end").Str("target", name).Uint32("attempt", number).Str("reason", reasonName(end.reason))
-	logline.Cause(e.Uint32("tokens", g.delivered()), end.cause)
+	logline.Send(e.Uint32("tokens", g.delivered()), end.cause)
 	if end.nothingToCancel {
 		return
 	}
@@ -234,7 +234,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		if _, err := c.Cancel(ctx, g.id, number); err != nil {
-			logline.Cause(g.log(log.Debug(), "cancel_failed").Str("target", c.Name()), err)
+			logline.Send(g.log(log.Debug(), "cancel_failed").Str("target", c.Name()), err)
 		}
 	}()
 }
--- a/lib/entry/server.go
+++ b/lib/entry/server.go
@@ -213,9 +213,9 @@
 // refuse logs and counts a refused request and writes the error response. rq may lack a workspace.
 func (s *Server) refuse(w http.ResponseWriter, rq *request, err *result.Error) {
 	if rq.workspace == nil {
-		s.metrics.Refused(err.Code)
+		s.metrics.CountEarlyRefusal(err.Code)
 	} else {
-		s.metrics.Pair(rq.workspace.Name, rq.class).Result(err.Code)
+		s.metrics.Pair(rq.workspace.Name, rq.class).CountResult(err.Code)
 	}
 	e := log.Info().Str("event", "refused").Str("request", rq.id).Uint16("code", uint16(err.Code))
 	e.Str("result", result.Lookup(err.Code).Name).Str("detail", err.Detail).Msg("")
--- a/lib/entrylink/entrylink.go
+++ b/lib/entrylink/entrylink.go
@@ -67,7 +67,7 @@
 
 // Server returns the link's server, to be registered as a node's handler.
 func (l *Link) Server() *locallink.Server {
-	return &locallink.Server{Instance: l.opts.Instance, Down: l.HandleDown, Up: l.UpMessages, Interval: l.opts.Interval}
+	return &locallink.Server{Instance: l.opts.Instance, OnMessage: l.HandleDown, Reports: l.UpMessages, Interval: l.opts.Interval}
 }
 
 // HandleDown applies one message from the control process.
--- a/lib/entrymetrics/metrics.go
+++ b/lib/entrymetrics/metrics.go
@@ -93,25 +93,25 @@
 	}
 }
 
-// Result counts one ended request by its code.
-func (p *Pair) Result(c result.Code) {
+// CountResult counts one ended request by its code.
+func (p *Pair) CountResult(c result.Code) {
 	name := fmt.Sprintf("anvilwick_results_total{%s,code=\"%d\",name=%q}", p.labels, c, result.Lookup(c).Name)
 	p.set.GetOrCreateCounter(name).Inc()
 }
 
-// Refused counts a request refused before its workspace was known.
-func (s *Set) Refused(c result.Code) {
+// CountEarlyRefusal counts a request refused before its workspace was known.
+func (s *Set) CountEarlyRefusal(c result.Code) {
 	name := fmt.Sprintf("anvilwick_refused_early_total{code=\"%d\",name=%q}", c, result.Lookup(c).Name)
 	s.set.GetOrCreateCounter(name).Inc()
 }
 
-// Dropped counts a frame that the stream check dropped; verdict is one of stream.Verdict's names.
-func (s *Set) Dropped(verdict string) {
+// CountDroppedFrame counts a frame that the stream check dropped; verdict is one of stream.Verdict's names.
+func (s *Set) CountDroppedFrame(verdict string) {
 	s.set.GetOrCreateCounter(fmt.Sprintf("anvilwick_frames_dropped_total{verdict=%q}", verdict)).Inc()
 }
 
-// AttemptEnded counts an ended attempt; reason is one of a fixed set.
-func (s *Set) AttemptEnded(reason string) {
+// CountAttempt counts an ended attempt; reason is one of a fixed set.
+func (s *Set) CountAttempt(reason string) {
 	s.set.GetOrCreateCounter(fmt.Sprintf("anvilwick_attempts_total{reason=%q}", reason)).Inc()
 }
 
--- a/lib/entrymetrics/metrics_test.go
+++ b/lib/entrymetrics/metrics_test.go
@@ -25,7 +25,7 @@
 	s := New()
 	p := s.Pair("glasgow-planning", "urgent")
 	p.FirstToken.Update(0.02)
-	p.Result(result.QueueFull)
+	p.CountResult(result.QueueFull)
 	var b strings.Builder
 	s.Write(&b)
 	must.StrContains(t, b.String(), `anvilwick_first_token_seconds_count{workspace="glasgow-planning",class="urgent"} 1`)
--- a/lib/entryproc/links.go
+++ b/lib/entryproc/links.go
@@ -187,7 +187,7 @@
 // fillStatus adds the state of the links to an operator's status.
 func (l *links) fillStatus(st *opsapi.Status) {
 	st.Link = "down"
-	if l.local.Linked() {
+	if l.local.Connected() {
 		st.Link = "up"
 	}
 	revisions := l.members.SettingsRevisions()
--- a/lib/entryproc/process.go
+++ b/lib/entryproc/process.go
@@ -174,7 +174,7 @@
 		p.links.close()
 	}
 	p.clients.Close()
-	logline.Cause(log.Info().Str("event", "stopped"), err)
+	logline.Send(log.Info().Str("event", "stopped"), err)
 	return err
 }
 
--- a/lib/explain/explain.go
+++ b/lib/explain/explain.go
@@ -14,8 +14,8 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// ErrNoRequest says that no line tells of the request.
-var ErrNoRequest = errors.New("explain: no line tells of this request")
+// ErrRequestNotFound says that no line tells of the request.
+var ErrRequestNotFound = errors.New("explain: no line tells of this request")
 
 // maxLine bounds a line, in bytes; log lines are far shorter.
 const maxLine = 1 << 20
@@ -171,7 +171,7 @@
 	slices.SortStableFunc(lines, func(a, b line) int { return a.at.Compare(b.at) })
 	s := storyOf(lines, request)
 	if s.first.IsZero() {
-		return ErrNoRequest
+		return ErrRequestNotFound
 	}
 	told := map[string]bool{}
 	for i := range lines {
--- a/lib/explain/explain_test.go
+++ b/lib/explain/explain_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	must.ErrorIs(t, Request(&strings.Builder{}, strings.NewReader(logs), "q9"), ErrNoRequest)
+	must.ErrorIs(t, Request(&strings.Builder{}, strings.NewReader(logs), "q9"), ErrRequestNotFound)
 }
 
 // An instance that was killed tells no end.
--- a/lib/gateway/log.go
+++ b/lib/gateway/log.go
@@ -65,7 +65,7 @@
 	if len(known.Skipped) > 0 {
 		ev = ev.Str("passed_over", passedOver(known.Skipped))
 	}
-	logline.Cause(ev.Int("status", status).Str("outcome", outcome), err)
+	logline.Send(ev.Int("status", status).Str("outcome", outcome), err)
 }
 
 // passedOver formats skipped targets as id, reason, its age in milliseconds and its source, as in w1:limit:120:told.
@@ -125,7 +125,7 @@
 
 // Moved logs how a move of a run ended.
 func (l Log) Moved(e entry, from, to string, took time.Duration, err error) {
-	logline.Cause(l.line(log.Info(), "moved", e).Str("from", from).Str("to", to).Int64("took_ms", took.Milliseconds()), err)
+	logline.Send(l.line(log.Info(), "moved", e).Str("from", from).Str("to", to).Int64("took_ms", took.Milliseconds()), err)
 }
 
 // LimitChanged logs that a target's limit begins, changes or ends.
@@ -142,7 +142,7 @@
 
 // Warn logs an event that belongs to no single request.
 func (l Log) Warn(event, subject string, err error) {
-	logline.Cause(log.Warn().Str("event", event).Str("subject", subject), err)
+	logline.Send(log.Warn().Str("event", event).Str("subject", subject), err)
 }
 
 // String returns the verdict's name in logs.
--- a/lib/gatewayproc/feedlog.go
+++ b/lib/gatewayproc/feedlog.go
@@ -103,6 +103,6 @@
 			return
 		}
 		logged, loggedContact = true, contact
-		logline.Cause(log.Warn().Str("event", "feed_failed").Str("feed", name), err)
+		logline.Send(log.Warn().Str("event", "feed_failed").Str("feed", name), err)
 	}
 }
--- a/lib/gatewayproc/feeds.go
+++ b/lib/gatewayproc/feeds.go
@@ -90,7 +90,7 @@
 	}
 	go func() {
 		if err := node.Serve(ln); err != nil {
-			logline.Cause(log.Info().Str("event", "links_closed"), err)
+			logline.Send(log.Info().Str("event", "links_closed"), err)
 		}
 	}()
 	return nil
@@ -121,7 +121,7 @@
 	p.evacuate(u.Rows)
 	rev, err := p.site.DecodeSettings(u.Rows)
 	if err != nil {
-		logline.Cause(log.Error().Str("event", "settings_refused"), err)
+		logline.Send(log.Error().Str("event", "settings_refused"), err)
 		return
 	}
 	if rev == nil {
@@ -129,7 +129,7 @@
 	}
 	table, err := routes.NewTable(rev)
 	if err != nil {
-		logline.Cause(log.Error().Str("event", "settings_refused").Int64("settings", rev.Version), err)
+		logline.Send(log.Error().Str("event", "settings_refused").Int64("settings", rev.Version), err)
 		return
 	}
 	if !p.gate.Apply(table) {
@@ -169,7 +169,7 @@
 		if err != nil {
 			unreadable = append(unreadable, row.Key)
 			if p.refused.markUnreadable(row.Key) {
-				logline.Cause(log.Error().Str("event", "target_refused").Str("target", row.Key), err)
+				logline.Send(log.Error().Str("event", "target_refused").Str("target", row.Key), err)
 			}
 			continue
 		}
--- a/lib/gatewayproc/listed.go
+++ b/lib/gatewayproc/listed.go
@@ -90,7 +90,7 @@
 	row, err := p.site.EncodeInstance(p.self())
 	switch {
 	case err != nil:
-		logline.Cause(log.Error().Str("event", "register_failed"), err)
+		logline.Send(log.Error().Str("event", "register_failed"), err)
 	case direct:
 		p.writeRows(ctx, []feed.Row{row})
 	default:
@@ -107,7 +107,7 @@
 	if err != nil {
 		ev = log.Warn().Str("event", "register_failed").Int("rows", len(rows))
 	}
-	logline.Cause(ev, err)
+	logline.Send(ev, err)
 }
 
 // anyVersion makes Unregister remove a row at any version.
@@ -125,7 +125,7 @@
 		cancel()
 		ev := log.Info().Str("event", "ghost_removed").Str("instance", row.Key).Int64("version", row.Version)
 		if err != nil {
-			logline.Cause(ev, err)
+			logline.Send(ev, err)
 			continue
 		}
 		ev.Msg("")
@@ -137,6 +137,6 @@
 	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if err := p.site.Unregister(callCtx, p.cfg.Instance, anyVersion); err != nil {
-		logline.Cause(log.Warn().Str("event", "unregister_failed"), err)
+		logline.Send(log.Warn().Str("event", "unregister_failed"), err)
 	}
 }
--- a/lib/gatewayproc/peers.go
+++ b/lib/gatewayproc/peers.go
@@ -31,7 +31,7 @@
 		}
 		in, err := p.site.DecodeInstance(row)
 		if err != nil {
-			logline.Cause(log.Error().Str("event", "instance_refused").Str("instance", row.Key), err)
+			logline.Send(log.Error().Str("event", "instance_refused").Str("instance", row.Key), err)
 			continue
 		}
 		p.instances[row.Key] = in
@@ -68,7 +68,7 @@
 		instances = append(instances, p.self())
 	}
 	if err := p.link.SetPeers(instances); err != nil {
-		logline.Cause(log.Error().Str("event", "instance_refused"), err)
+		logline.Send(log.Error().Str("event", "instance_refused"), err)
 	}
 	p.shards.setInstances(instances)
 }
@@ -100,7 +100,7 @@
 			log.Warn().Str("event", "target_suspected").Str("target", target).Uint32("failing_permille", permille).Msg("")
 		},
 		OnBadDatagram: func(cause string, err error) {
-			logline.Cause(log.Warn().Str("event", "bad_datagram").Str("cause", cause), err)
+			logline.Send(log.Warn().Str("event", "bad_datagram").Str("cause", cause), err)
 		},
 	})
 	if err != nil {
--- a/lib/gatewayproc/process.go
+++ b/lib/gatewayproc/process.go
@@ -229,7 +229,7 @@
 	p.ready = &http.Server{Handler: http.HandlerFunc(p.answerReady), ReadHeaderTimeout: defaultHeaderTimeout}
 	go func() {
 		if err := p.ready.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			logline.Cause(log.Error().Str("event", "ready_listener_failed"), err)
+			logline.Send(log.Error().Str("event", "ready_listener_failed"), err)
 		}
 	}()
 	return nil
@@ -249,7 +249,7 @@
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: defaultHeaderTimeout}
 	go func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			logline.Cause(log.Error().Str("event", "metrics_listener_failed"), err)
+			logline.Send(log.Error().Str("event", "metrics_listener_failed"), err)
 		}
 	}()
 	return nil
@@ -336,7 +336,7 @@
 		}
 		cfg, err := p.site.Reload()
 		if err != nil {
-			logline.Cause(log.Error().Str("event", "reload_refused"), err)
+			logline.Send(log.Error().Str("event", "reload_refused"), err)
 			continue
 		}
 		p.retryBudget.SetBound(cfg.RetryRatio, cfg.RetryFloor)
--- a/lib/gatewayproc/ranks.go
+++ b/lib/gatewayproc/ranks.go
@@ -49,7 +49,7 @@
 	defer cancel()
 	b, err := p.site.ReadRanks(callCtx, p.cfg.Domain)
 	if err != nil {
-		logline.Cause(log.Info().Str("event", "join_failed"), err)
+		logline.Send(log.Info().Str("event", "join_failed"), err)
 		return false
 	}
 	p.applyRanks(b)
@@ -108,7 +108,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	if err := p.site.WriteRanks(callCtx, changed); err != nil {
-		logline.Cause(log.Warn().Str("event", "ranks_not_written"), err)
+		logline.Send(log.Warn().Str("event", "ranks_not_written"), err)
 		return
 	}
 	for domain, b := range changed {
--- a/lib/gatewayproc/watch.go
+++ b/lib/gatewayproc/watch.go
@@ -107,7 +107,7 @@
 	defer cancel()
 	r, err := p.site.Engines.Report(ctx, e)
 	if err != nil {
-		logline.Cause(log.Info().Str("event", "engine_not_asked").Str("target", e.ID), err)
+		logline.Send(log.Info().Str("event", "engine_not_asked").Str("target", e.ID), err)
 		return
 	}
 	now := time.Now()
--- a/lib/loadgen/figures.go
+++ b/lib/loadgen/figures.go
@@ -35,8 +35,8 @@
 	return &pair{first: h(), between: h(), stall: h(), total: h()}
 }
 
-// Figures adds up what callers saw.
-type Figures struct {
+// Stats adds up what callers saw.
+type Stats struct {
 	StallFloor time.Duration // a wait between tokens beyond it is stall time
 
 	mu      sync.Mutex
@@ -48,9 +48,9 @@
 	maxLate time.Duration
 }
 
-// NewFigures returns empty figures.
-func NewFigures(stallFloor time.Duration) *Figures {
-	return &Figures{StallFloor: stallFloor, pairs: map[pairKey]*pair{}, codes: map[result.Code]int{}}
+// NewStats returns empty figures.
+func NewStats(stallFloor time.Duration) *Stats {
+	return &Stats{StallFloor: stallFloor, pairs: map[pairKey]*pair{}, codes: map[result.Code]int{}}
 }
 
 // Outcome is one request as its caller saw it.
@@ -61,27 +61,27 @@
 	Ended     time.Time
 	Tokens    []time.Time // when each token came
 	Code      result.Code // 0: no numbered answer
-	Whole     bool        // the whole right answer came
-	Resumed   int
-	Wrong     string // a promise that was broken; empty: none
+	Complete  bool        // the whole right answer came
+	Resumes   int
+	Violation string // a promise that was broken; empty: none
 }
 
 // Add counts o.
-func (f *Figures) Add(o Outcome) {
+func (f *Stats) Add(o Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.pair(o)
 	p.sent++
 	f.codes[o.Code]++
-	f.resumed += o.Resumed
-	if o.Wrong != "" {
-		f.wrong = append(f.wrong, o.Wrong)
+	f.resumed += o.Resumes
+	if o.Violation != "" {
+		f.wrong = append(f.wrong, o.Violation)
 	}
 	p.count(o)
 	p.measure(o, f.StallFloor)
 }
 
-func (f *Figures) pair(o Outcome) *pair {
+func (f *Stats) pair(o Outcome) *pair {
 	k := pairKey{o.Workspace, o.Class}
 	if f.pairs[k] == nil {
 		f.pairs[k] = newPair()
@@ -90,7 +90,7 @@
 }
 
 func (p *pair) count(o Outcome) {
-	if o.Whole {
+	if o.Complete {
 		p.whole++
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 func (p *pair) measure(o Outcome, floor time.Duration) {
-	if o.Whole {
+	if o.Complete {
 		record(p.total, o.Ended.Sub(o.Sent))
 	}
 	if len(o.Tokens) == 0 {
@@ -126,29 +126,29 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), lowest), highest)) // in bounds: can't fail
 }
 
-// Unsent counts an arrival that the tool itself could not send; such a run says nothing about the system.
-func (f *Figures) Unsent() {
+// CountUnsent counts an arrival that the tool itself could not send; such a run says nothing about the system.
+func (f *Stats) CountUnsent() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unsent++
 }
 
-// Late tells how far behind its plan a request was sent.
-func (f *Figures) Late(d time.Duration) {
+// RecordDelay tells how far behind its plan a request was sent.
+func (f *Stats) RecordDelay(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxLate = max(f.maxLate, d)
 }
 
-// Wrong returns the broken promises.
-func (f *Figures) Wrong() []string {
+// Violations returns the broken promises.
+func (f *Stats) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.wrong)
 }
 
 // Print writes one table a workspace and class, the codes, and last the line of totals.
-func (f *Figures) Print(w io.Writer, seed uint64, span time.Duration) {
+func (f *Stats) Print(w io.Writer, seed uint64, span time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := newPair()
@@ -177,7 +177,7 @@
 	return result.Lookup(c).Name
 }
 
-func (f *Figures) sorted() []pairKey {
+func (f *Stats) sorted() []pairKey {
 	keys := make([]pairKey, 0, len(f.pairs))
 	for k := range f.pairs {
 		keys = append(keys, k)
@@ -188,7 +188,7 @@
 	return keys
 }
 
-func (f *Figures) sortedCodes() []result.Code {
+func (f *Stats) sortedCodes() []result.Code {
 	codes := make([]result.Code, 0, len(f.codes))
 	for c := range f.codes {
 		codes = append(codes, c)
--- a/lib/loadgen/loadgen_test.go
+++ b/lib/loadgen/loadgen_test.go
@@ -77,12 +77,12 @@
 	}
 	must.NotEq(t, "", judge(a, text, res, caller.ErrOrder))
 	res.Done = false
-	must.Eq(t, "", judge(a, " "+strings.Join(tokens[:3], " "), res, caller.ErrCut)) // the caller can tell
+	must.Eq(t, "", judge(a, " "+strings.Join(tokens[:3], " "), res, caller.ErrTruncated)) // the caller can tell
 }
 
 func outcome(code result.Code, whole bool, gaps ...time.Duration) Outcome {
 	at := time.Unix(100, 0)
-	o := Outcome{Workspace: "w", Class: "c", Sent: at, Code: code, Whole: whole}
+	o := Outcome{Workspace: "w", Class: "c", Sent: at, Code: code, Complete: whole}
 	for _, g := range gaps {
 		at = at.Add(g)
 		o.Tokens = append(o.Tokens, at)
@@ -92,7 +92,7 @@
 }
 
 func TestFiguresCountOutcomesAndStalls(t *testing.T) {
-	f := NewFigures(time.Second)
+	f := NewStats(time.Second)
 	f.Add(outcome(result.OK, true, 100*time.Millisecond, 20*time.Millisecond, 3*time.Second, 2*time.Second))
 	f.Add(outcome(result.QueueFull, false))
 	f.Add(outcome(result.TargetFailed, false))
--- a/lib/loadgen/run.go
+++ b/lib/loadgen/run.go
@@ -19,18 +19,18 @@
 
 // Runner sends a plan.
 type Runner struct {
-	Mix         Mix
-	Entries     []string // IP:port of callers' ports
-	Model       string
-	Token       func(workspace string) string // workspace keys
-	Keyed       bool                          // Idempotency-Key on every generation, so that a cut stream is gone on with
-	MaxInFlight int                           // beyond it arrivals are counted as unsent
-	Patience    time.Duration
-	Figures     *Figures
-	History     *history.Log // nil: none kept
+	Mix             Mix
+	Entries         []string // IP:port of callers' ports
+	Model           string
+	Token           func(workspace string) string // workspace keys
+	IdempotencyKeys bool                          // Idempotency-Key on every generation, so that a cut stream is gone on with
+	MaxInFlight     int                           // beyond it arrivals are counted as unsent
+	RequestTimeout  time.Duration
+	Stats           *Stats
+	History         *history.Log // nil: none kept
 
-	// Observe, when set, sees each outcome with its place in the plan; it is called from many goroutines.
-	Observe func(n int, o Outcome)
+	// OnOutcome, when set, sees each outcome with its place in the plan; it is called from many goroutines.
+	OnOutcome func(n int, o Outcome)
 
 	http *http.Client
 }
@@ -50,11 +50,11 @@
 		if !sleepUntil(ctx, start.Add(a.At)) {
 			break
 		}
-		r.Figures.Late(time.Since(start) - a.At)
+		r.Stats.RecordDelay(time.Since(start) - a.At)
 		select {
 		case places <- struct{}{}:
 		default:
-			r.Figures.Unsent()
+			r.Stats.CountUnsent()
 			continue
 		}
 		wg.Go(func() {
@@ -77,24 +77,24 @@
 }
 
 func (r *Runner) one(ctx context.Context, n int, a Arrival) {
-	ctx, cancel := context.WithTimeout(ctx, r.Patience)
+	ctx, cancel := context.WithTimeout(ctx, r.RequestTimeout)
 	defer cancel()
 	c := &caller.Client{Entries: r.Entries, Token: r.Token(a.Workspace), HTTP: r.http}
 	if a.Plain() {
-		r.Figures.Add(r.plain(ctx, c, a))
+		r.Stats.Add(r.plain(ctx, c, a))
 		return
 	}
 	o := r.generation(ctx, c, n, a)
-	r.Figures.Add(o)
-	if r.Observe != nil {
-		r.Observe(n, o)
+	r.Stats.Add(o)
+	if r.OnOutcome != nil {
+		r.OnOutcome(n, o)
 	}
 }
 
 func (r *Runner) generation(ctx context.Context, c *caller.Client, n int, a Arrival) Outcome {
 	o := Outcome{Workspace: a.Workspace, Class: a.Class, Sent: time.Now()}
-	call := caller.Call{Model: r.Model, Prompt: a.Prompt, Class: a.Class, Entry: a.Entry, Resumes: resumes}
-	if r.Keyed {
+	call := caller.Call{Model: r.Model, Prompt: a.Prompt, Class: a.Class, Entry: a.Entry, MaxResumes: resumes}
+	if r.IdempotencyKeys {
 		call.Key = a.ID
 	}
 	var text strings.Builder
@@ -108,9 +108,9 @@
 	})
 	o.Ended = time.Now()
 	o.Code = res.Code
-	o.Resumed = res.Resumed
-	o.Wrong = judge(a, text.String(), res, err)
-	o.Whole = res.Done && o.Wrong == ""
+	o.Resumes = res.Resumes
+	o.Violation = judge(a, text.String(), res, err)
+	o.Complete = res.Done && o.Violation == ""
 	r.keep(n, a, res, seen, o)
 	return o
 }
@@ -139,8 +139,8 @@
 	o.Ended = time.Now()
 	o.Code = res.Code
 	if err == nil {
-		o.Wrong = judgePlain(a, body, res)
-		o.Whole = o.Wrong == ""
+		o.Violation = judgePlain(a, body, res)
+		o.Complete = o.Violation == ""
 	}
 	return o
 }
--- a/lib/loadrun/config.go
+++ b/lib/loadrun/config.go
@@ -14,21 +14,21 @@
 
 // Config is what the command line gives.
 type Config struct {
-	Seed        uint64
-	Deployment  string
-	Span        time.Duration
-	Load        float64
-	Length      float64
-	PlainRate   float64
-	PlainRoute  string
-	Model       string
-	Entries     string // IP:port each, separated by commas
-	KeyFormat   string // workspace keys, with %s for the workspace
-	Keyed       bool
-	Patience    time.Duration
-	StallFloor  time.Duration
-	MaxInFlight int
-	History     string // file
+	Seed            uint64
+	Deployment      string
+	Span            time.Duration
+	Load            float64
+	Length          float64
+	PlainRate       float64
+	PlainRoute      string
+	Model           string
+	Entries         string // IP:port each, separated by commas
+	KeyFormat       string // workspace keys, with %s for the workspace
+	IdempotencyKeys bool
+	RequestTimeout  time.Duration
+	StallFloor      time.Duration
+	MaxInFlight     int
+	History         string // file
 }
 
 // Register adds the flags to fs.
@@ -43,8 +43,8 @@
 	fs.StringVar(&c.Model, "model", "", "model to ask for; empty: the mix's service")
 	fs.StringVar(&c.Entries, "entries", "", "callers' ports of entries, IP:port, separated by commas")
 	fs.StringVar(&c.KeyFormat, "key-format", "%s-localsite-key", "workspace keys; %s stands for the workspace")
-	fs.BoolVar(&c.Keyed, "keyed", true, "give every generation an Idempotency-Key, so that a cut stream is gone on with")
-	fs.DurationVar(&c.Patience, "patience", time.Minute, "longest time for one request")
+	fs.BoolVar(&c.IdempotencyKeys, "keyed", true, "give every generation an Idempotency-Key, so that a cut stream is gone on with")
+	fs.DurationVar(&c.RequestTimeout, "patience", time.Minute, "longest time for one request")
 	fs.DurationVar(&c.StallFloor, "stall-floor", time.Second, "a wait between tokens beyond it is stall time")
 	fs.IntVar(&c.MaxInFlight, "max-in-flight", 2000, "requests at once; arrivals beyond it are counted as unsent")
 	fs.StringVar(&c.History, "history", "", "file for what every caller saw, one operation a line, for checking")
@@ -64,7 +64,7 @@
 		}
 	}
 	switch {
-	case c.Span <= 0 || c.Patience <= 0:
+	case c.Span <= 0 || c.RequestTimeout <= 0:
 		return errors.New("-span and -patience: must be positive")
 	case c.Load <= 0 || c.Length <= 0:
 		return errors.New("-load and -length: must be positive")
--- a/lib/loadrun/config_test.go
+++ b/lib/loadrun/config_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestBadFlagsAreNamed(t *testing.T) {
-	good := Config{Entries: "127.0.0.1:1", Deployment: "kivu", Span: 1, Patience: 1, Load: 1, Length: 1, MaxInFlight: 1, KeyFormat: "%s"}
+	good := Config{Entries: "127.0.0.1:1", Deployment: "kivu", Span: 1, RequestTimeout: 1, Load: 1, Length: 1, MaxInFlight: 1, KeyFormat: "%s"}
 	must.NoError(t, good.Check())
 	bad := map[string]func(*Config){
 		"-deployment": func(c *Config) { c.Deployment = "x" },
--- a/lib/loadrun/run.go
+++ b/lib/loadrun/run.go
@@ -16,8 +16,8 @@
 // checkLimit bounds the check of a history.
 const checkLimit = 30 * time.Second
 
-// ErrBroken is returned when a caller saw a broken promise.
-var ErrBroken = errors.New("a promise was broken")
+// ErrViolation is returned when a caller saw a broken promise.
+var ErrViolation = errors.New("a promise was broken")
 
 // Run sends the load to the entries of c and prints the figures to w. atEnd, when given, prints what comes before them.
 func Run(ctx context.Context, c Config, w io.Writer, atEnd func()) error {
@@ -35,9 +35,9 @@
 			Workload: loadgen.Scale(m, c.Load, c.Length), Span: c.Span, Entries: len(entries), Seed: c.Seed,
 			PlainRate: c.PlainRate, PlainRoute: c.PlainRoute,
 		},
-		Entries: entries, Model: model, Keyed: c.Keyed, MaxInFlight: c.MaxInFlight, Patience: c.Patience,
-		Token:   func(workspace string) string { return strings.Replace(c.KeyFormat, "%s", workspace, 1) },
-		Figures: loadgen.NewFigures(c.StallFloor),
+		Entries: entries, Model: model, IdempotencyKeys: c.IdempotencyKeys, MaxInFlight: c.MaxInFlight, RequestTimeout: c.RequestTimeout,
+		Token: func(workspace string) string { return strings.Replace(c.KeyFormat, "%s", workspace, 1) },
+		Stats: loadgen.NewStats(c.StallFloor),
 	}
 	if c.History != "" {
 		r.History = &history.Log{}
@@ -48,9 +48,9 @@
 	if atEnd != nil {
 		atEnd()
 	}
-	r.Figures.Print(w, c.Seed, time.Since(began))
-	if n := len(r.Figures.Wrong()); n > 0 {
-		herr = errors.Join(herr, fmt.Errorf("%w: %d answers", ErrBroken, n))
+	r.Stats.Print(w, c.Seed, time.Since(began))
+	if n := len(r.Stats.Violations()); n > 0 {
+		herr = errors.Join(herr, fmt.Errorf("%w: %d answers", ErrViolation, n))
 	}
 	return herr
 }
@@ -69,7 +69,7 @@
 		return err
 	}
 	if err := history.Check(log.Ops(), checkLimit); err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+		return fmt.Errorf("%w: %w", ErrViolation, err)
 	}
 	return nil
 }
--- a/lib/locallink/client.go
+++ b/lib/locallink/client.go
@@ -23,10 +23,10 @@
 // Client is the control process's side. It holds the latest message of each kind and subject, and sends every one of
 // them on each new link.
 type Client struct {
-	Node *mesh.Node
-	Addr string                  // IP:port of the entry's mesh listener
-	Up   func(m *meshpb.LocalUp) // called in order; nil: ignored
-	Lost func(err error)         // a link or a connect failed; nil: ignored
+	Node         *mesh.Node
+	Addr         string                  // IP:port of the entry's mesh listener
+	OnReport     func(m *meshpb.LocalUp) // called in order; nil: ignored
+	OnDisconnect func(err error)         // a link or a connect failed; nil: ignored
 
 	mu      sync.Mutex
 	state   map[string]held
@@ -90,8 +90,8 @@
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := c.once(ctx)
-		if c.Lost != nil && ctx.Err() == nil {
-			c.Lost(err)
+		if c.OnDisconnect != nil && ctx.Err() == nil {
+			c.OnDisconnect(err)
 		}
 		if time.Since(began) > retryMax {
 			wait = retryMin
@@ -103,8 +103,8 @@
 	}
 }
 
-// Linked reports whether the entry is connected.
-func (c *Client) Linked() bool {
+// Connected reports whether the entry is connected.
+func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.linked
@@ -141,8 +141,8 @@
 		if err := st.Read(&m); err != nil {
 			return err
 		}
-		if c.Up != nil {
-			c.Up(&m)
+		if c.OnReport != nil {
+			c.OnReport(&m)
 		}
 	}
 }
--- a/lib/locallink/link_test.go
+++ b/lib/locallink/link_test.go
@@ -58,10 +58,10 @@
 	must.NoError(t, err)
 	down := make(chan *meshpb.LocalDown, 64)
 	s := &Server{
-		Instance: instance,
-		Down:     func(m *meshpb.LocalDown) { down <- m },
-		Up:       func() []*meshpb.LocalUp { return []*meshpb.LocalUp{statusMsg()} },
-		Interval: 10 * time.Millisecond,
+		Instance:  instance,
+		OnMessage: func(m *meshpb.LocalDown) { down <- m },
+		Reports:   func() []*meshpb.LocalUp { return []*meshpb.LocalUp{statusMsg()} },
+		Interval:  10 * time.Millisecond,
 	}
 	n := newNode(t, instance)
 	n.Handle(meshpb.StreamKind_STREAM_LOCAL, s.Handle)
@@ -101,7 +101,7 @@
 	addr, down, _ := startServer(t, "", self)
 	c := newClient(t, addr)
 	up := make(chan *meshpb.LocalUp, 64)
-	c.Up = func(m *meshpb.LocalUp) { up <- m }
+	c.OnReport = func(m *meshpb.LocalUp) { up <- m }
 	startClient(t, c)
 	c.Set(settingsMsg(3))
 	must.Eq(t, 3, next(t, down).GetSettings().GetRevision())
@@ -152,7 +152,7 @@
 	addr, down, _ := startServer(t, "", "i2")
 	c := newClient(t, addr)
 	lost := make(chan error, 8)
-	c.Lost = func(err error) { lost <- err }
+	c.OnDisconnect = func(err error) { lost <- err }
 	c.Set(settingsMsg(1))
 	startClient(t, c)
 	must.Error(t, next(t, lost))
--- a/lib/locallink/server.go
+++ b/lib/locallink/server.go
@@ -16,10 +16,10 @@
 
 // Server is the entry's side.
 type Server struct {
-	Instance string                    // whose control process may connect
-	Down     func(m *meshpb.LocalDown) // called in order, one at a time over all links
-	Up       func() []*meshpb.LocalUp  // called every Interval while a link stands
-	Interval time.Duration             // between reports upwards
+	Instance  string                    // whose control process may connect
+	OnMessage func(m *meshpb.LocalDown) // called in order, one at a time over all links
+	Reports   func() []*meshpb.LocalUp  // called every Interval while a link stands
+	Interval  time.Duration             // between reports upwards
 
 	mu      sync.Mutex // held while Down runs
 	current *mesh.Stream
@@ -43,8 +43,8 @@
 	s.forget(st)
 }
 
-// Linked reports whether a control process is connected.
-func (s *Server) Linked() bool {
+// Connected reports whether a control process is connected.
+func (s *Server) Connected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current != nil
@@ -88,13 +88,13 @@
 	if s.current != st {
 		return false
 	}
-	s.Down(m)
+	s.OnMessage(m)
 	return true
 }
 
 func (s *Server) report(ctx context.Context, st *mesh.Stream) {
 	for {
-		for _, m := range s.Up() {
+		for _, m := range s.Reports() {
 			if err := st.Write(m); err != nil {
 				_ = st.Close()
 				return
--- a/lib/logline/bounded.go
+++ b/lib/logline/bounded.go
@@ -14,23 +14,23 @@
 	linesPerSecond = 400
 )
 
-// Bounded is a writer that never blocks its callers. What does not fit the queue or the rate is dropped, counted and
+// BoundedWriter is a writer that never blocks its callers. What does not fit the queue or the rate is dropped, counted and
 // said in a line of its own: a reader must know that lines are missing, and a request must not wait for a full pipe.
-type Bounded struct {
+type BoundedWriter struct {
 	queue   chan []byte
 	dropped atomic.Int64
 	total   atomic.Int64
 }
 
-// NewBounded starts writing to w.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{queue: make(chan []byte, queuedLines)}
+// NewBoundedWriter starts writing to w.
+func NewBoundedWriter(w io.Writer) *BoundedWriter {
+	b := &BoundedWriter{queue: make(chan []byte, queuedLines)}
 	go b.run(w)
 	return b
 }
 
 // Write queues one line.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	select {
 	case b.queue <- append([]byte(nil), line...):
 	default:
@@ -40,21 +40,21 @@
 }
 
 // Flush waits until what is queued has been written, at most d: the last lines of a process tell why it ended.
-func (b *Bounded) Flush(d time.Duration) {
+func (b *BoundedWriter) Flush(d time.Duration) {
 	for end := time.Now().Add(d); len(b.queue) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // Dropped returns how many lines were dropped so far.
-func (b *Bounded) Dropped() int64 { return b.total.Load() }
+func (b *BoundedWriter) Dropped() int64 { return b.total.Load() }
 
-func (b *Bounded) drop() {
+func (b *BoundedWriter) drop() {
 	b.dropped.Add(1)
 	b.total.Add(1)
 }
 
-func (b *Bounded) run(w io.Writer) {
+func (b *BoundedWriter) run(w io.Writer) {
 	begin := time.Now()
 	n := 0
 	for line := range b.queue {
--- a/lib/logline/bounded_test.go
+++ b/lib/logline/bounded_test.go
@@ -30,7 +30,7 @@
 func TestFullPipeBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stuck{open: make(chan struct{})}
-		b := NewBounded(s)
+		b := NewBoundedWriter(s)
 		for i := range 2 * queuedLines {
 			_, err := fmt.Fprintf(b, "event=x n=%d\n", i)
 			must.NoError(t, err)
--- a/lib/logline/logline.go
+++ b/lib/logline/logline.go
@@ -72,8 +72,8 @@
 	return value != ""
 }
 
-// Cause adds an error, when there is one, and ends the line.
-func Cause(e *log.Entry, err error) {
+// Send adds an error, when there is one, and ends the line.
+func Send(e *log.Entry, err error) {
 	if err != nil {
 		e = e.Str("cause", err.Error())
 	}
--- a/lib/opsapi/metrics_test.go
+++ b/lib/opsapi/metrics_test.go
@@ -15,7 +15,7 @@
 // metrics; a strict scraper rejects such a page, and one that sums lines counts every byte twice.
 func TestEachSeriesIsWrittenOnce(t *testing.T) {
 	own := entrymetrics.New()
-	own.AttemptEnded("completed")
+	own.CountAttempt("completed")
 	src := source()
 	src.Metrics = own.Write
 	resp, err := http.Get("http://" + serve(t, src) + PathMetrics)
--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -165,7 +165,7 @@
 
 func (b *bench) entryRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
 	i := b.round % len(b.site.Entries)
-	call := caller.Call{Entry: i, Key: fmt.Sprint("measurement-", b.round), Resumes: resumes}
+	call := caller.Call{Entry: i, Key: fmt.Sprint("measurement-", b.round), MaxResumes: resumes}
 	return b.goOn(ctx, call, func(context.Context) (*localsite.Node, error) { return b.site.Entries[i], nil })
 }
 
--- a/lib/prove/operate.go
+++ b/lib/prove/operate.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	call := caller.Call{Model: model, Prompt: r.prompt(op), Class: classOfAll, Entry: entry}
 	if op.kind == opKeyed {
-		call.Key, call.Resumes, call.Silence = fmt.Sprintf("key-%d", op.n), resumes, silence
+		call.Key, call.MaxResumes, call.IdleTimeout = fmt.Sprintf("key-%d", op.n), resumes, silence
 	}
 	from := time.Now()
 	res, err := r.client.Stream(ctx, call, rec.token)
@@ -118,7 +118,7 @@
 func (r *run) judgeStream(op operation, asked int, res caller.Result, err error, from time.Time) {
 	var refused *caller.Refused
 	entry := fmt.Sprintf("entry-%d", asked%siteEntries+1)
-	what := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.n, entry, res.Tokens, op.tokens, res.Resumed)
+	what := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.n, entry, res.Tokens, op.tokens, res.Resumes)
 	switch {
 	case err == nil:
 		r.count(op.kind, "completed")
@@ -131,9 +131,9 @@
 		r.violated("%s: %v", what, err)
 	case op.kind == opKeyed:
 		r.violated("no final answer for a keyed request: %s: %v", what, err)
-	case r.down.During(from, time.Now(), cutsCallers(entry)):
+	case r.down.Overlaps(from, time.Now(), cutsCallers(entry)):
 		r.count(op.kind, "cut with its entry")
-	case res.HTTP == 0 && r.down.During(from, time.Now(), stops(entry)):
+	case res.HTTP == 0 && r.down.Overlaps(from, time.Now(), stops(entry)):
 		r.count(op.kind, "not connected")
 	default:
 		r.violated("cut or silent without a fault: %s: %v", what, err)
@@ -204,11 +204,11 @@
 		r.count(op.kind, fmt.Sprintf("http_%d", res.HTTP))
 	case errors.As(err, &refused):
 		r.count(op.kind, string(refused.Detail.Type))
-	case r.down.During(from, time.Now(), cutsCallers(entry)):
+	case r.down.Overlaps(from, time.Now(), cutsCallers(entry)):
 		r.count(op.kind, "cut with its entry")
-	case res.HTTP == 0 && r.down.During(from, time.Now(), stops(entry)):
+	case res.HTTP == 0 && r.down.Overlaps(from, time.Now(), stops(entry)):
 		r.count(op.kind, "not connected")
-	case res.HTTP != 0 && r.down.During(from, time.Now(), plainCuts):
+	case res.HTTP != 0 && r.down.Overlaps(from, time.Now(), plainCuts):
 		r.count(op.kind, "cut with its service")
 	default:
 		r.violated("cut or silent without a fault: %s operation %d at %s, HTTP %d after %v: %v",
--- a/lib/prove/operators.go
+++ b/lib/prove/operators.go
@@ -171,7 +171,7 @@
 func (r *run) judgeLateWork(op operation, target string, asked time.Time, n int) {
 	recent := time.Now().Add(-drainLimit)
 	for _, e := range r.site.Entries {
-		if subject, kind, on := r.down.First(recent, time.Now(), keepsDrains(e.Name)); on {
+		if subject, kind, on := r.down.FirstOverlap(recent, time.Now(), keepsDrains(e.Name)); on {
 			r.count(op.kind, "late work beside "+kind+" of "+class(subject))
 			return
 		}
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
 	r.watcher = &proc.OutputScanner{Patterns: breachMarks}
-	r.down.Slack = slack
+	r.down.GracePeriod = slack
 	var tee io.Writer = r.watcher
 	if r.cfg.Logs != "" {
 		f, err := os.Create(r.cfg.Logs)
--- a/lib/prove/settle.go
+++ b/lib/prove/settle.go
@@ -132,7 +132,7 @@
 	for _, a := range accepted {
 		for _, e := range r.site.Entries {
 			due := a.at.Add(inForceLimit)
-			if r.down.During(a.at, due.Add(time.Second), delaysNews(e.Name)) {
+			if r.down.Overlaps(a.at, due.Add(time.Second), delaysNews(e.Name)) {
 				continue
 			}
 			if err := behind(seen, e.Name, a.revision, due); err != nil {
--- a/lib/result/table_test.go
+++ b/lib/result/table_test.go
@@ -17,7 +17,7 @@
 func TestDocsListEveryCode(t *testing.T) {
 	var want bytes.Buffer
 	must.NoError(t, WriteTable(&want))
-	must.NoError(t, doctest.Keep(codesPage, "codes", want.Bytes(), *update))
+	must.NoError(t, doctest.CheckSection(codesPage, "codes", want.Bytes(), *update))
 }
 
 // outcomeOfGroup maps each group of numbers to its outcome.
--- a/lib/settings/docs_test.go
+++ b/lib/settings/docs_test.go
@@ -17,5 +17,5 @@
 func TestDocsListEveryKey(t *testing.T) {
 	var want bytes.Buffer
 	WriteKeys(&want)
-	must.NoError(t, doctest.Keep(settingsPage, "keys", want.Bytes(), *update))
+	must.NoError(t, doctest.CheckSection(settingsPage, "keys", want.Bytes(), *update))
 }
--- a/lib/siterun/policies.go
+++ b/lib/siterun/policies.go
@@ -113,11 +113,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := &o.seen[n]
-	s.Completed = out.Whole
-	if !out.Whole {
+	s.Completed = out.Complete
+	if !out.Complete {
 		o.codes[out.Code]++
 	}
-	s.Refused = !out.Whole && out.Code != 0 && result.Lookup(out.Code).Outcome == result.NotRun
+	s.Refused = !out.Complete && out.Code != 0 && result.Lookup(out.Code).Outcome == result.NotRun
 	for _, at := range out.Tokens {
 		s.Tokens = append(s.Tokens, at.Sub(o.start))
 	}
@@ -165,17 +165,17 @@
 		codes: make(map[result.Code]int),
 	}
 	r := loadgen.Runner{
-		Mix:         loadgen.Mix{Workload: *run.Mix, Span: run.Window, Entries: 1, Seed: c.Load.Seed},
-		Entries:     site.CallerAddrs(),
-		Model:       run.Mix.Service,
-		Token:       localsite.WorkspaceKey,
-		MaxInFlight: len(run.Arrivals),
-		Patience:    run.Window + c.Policies.Drain,
-		Figures:     loadgen.NewFigures(c.Load.StallFloor),
-		Observe:     obs.note,
+		Mix:            loadgen.Mix{Workload: *run.Mix, Span: run.Window, Entries: 1, Seed: c.Load.Seed},
+		Entries:        site.CallerAddrs(),
+		Model:          run.Mix.Service,
+		Token:          localsite.WorkspaceKey,
+		MaxInFlight:    len(run.Arrivals),
+		RequestTimeout: run.Window + c.Policies.Drain,
+		Stats:          loadgen.NewStats(c.Load.StallFloor),
+		OnOutcome:      obs.note,
 	}
 	r.Run(ctx)
-	if wrong := r.Figures.Wrong(); len(wrong) > 0 {
+	if wrong := r.Stats.Violations(); len(wrong) > 0 {
 		return nil, fmt.Errorf("%d broken promises, the first: %s", len(wrong), wrong[0])
 	}
 	return obs, nil
--- a/lib/siterun/recover.go
+++ b/lib/siterun/recover.go
@@ -131,7 +131,7 @@
 
 func (r *recovery) entry(ctx context.Context, i int) (time.Duration, error) {
 	dead := r.site.Entries[i%len(r.site.Entries)]
-	call := caller.Call{Entry: i, Key: fmt.Sprint("recover-", i), Resumes: 1000}
+	call := caller.Call{Entry: i, Key: fmt.Sprint("recover-", i), MaxResumes: 1000}
 	d, err := r.killed(ctx, call, dead.Kill)
 	if err != nil {
 		return 0, err
