--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -97,7 +97,7 @@
 	killed string
 }
 
-// generate streams an answer of n tokens and checks that it is complete; at is called after each token.
+// generate streams an answer of n tokens and checks that it is complete; onToken is called after each token.
 func (d *demo) generate(ctx context.Context, question string, n, entry int, onToken func(caller.Token)) error {
 	prompt := fmt.Sprintf("%s [len=%d]", question, n)
 	var text strings.Builder
--- a/lib/prove/book.go
+++ b/lib/prove/book.go
@@ -63,10 +63,10 @@
 func (r *run) countCall(op operation, res caller.Result, err error) {
 	var refused *caller.Refused
 	if errors.As(err, &refused) {
-		r.count(op.kind, string(refused.Detail.Type))
+		r.countOutcome(op.kind, string(refused.Detail.Type))
 		return
 	}
-	r.count(op.kind, fmt.Sprintf("http_%d", res.HTTP))
+	r.countOutcome(op.kind, fmt.Sprintf("http_%d", res.HTTP))
 }
 
 // isFinal reports whether a retry can't change the answer.
@@ -89,7 +89,7 @@
 		Client: op.index*10000 + attempt, Request: name, Call: history.Now(),
 	}
 	body, res, err := r.client.Plain(ctx, caller.PlainCall{
-		Method: http.MethodPost, Path: route + "/book", Body: fmt.Sprintf("booking %d", op.index), Class: classOfAll,
+		Method: http.MethodPost, Path: route + "/book", Body: fmt.Sprintf("booking %d", op.index), Class: requestClass,
 		Key: key, Entry: entry, ID: name,
 	})
 	rec.Return = history.Now()
--- a/lib/prove/disturbances.go
+++ b/lib/prove/disturbances.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// slack is how long after the end of a fault clients may still see its effects.
-const slack = 500 * time.Millisecond
+// faultSlack is how long after the end of a fault clients may still see its effects.
+const faultSlack = 500 * time.Millisecond
 
 // cutsConnections matches faults that end or stall callers' connections to an entry. A planned stop does neither.
 func cutsConnections(entry string) func(subject, kind string) bool {
--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -111,12 +111,12 @@
 	return elapsed, nil
 }
 
-// timeToResume starts a long stream, kills the process that victim returns once the stream runs, and returns the time to the next
-// token.
+// timeToResume starts a long stream, kills the process that victim returns once the stream runs, and returns the time to the
+// next token.
 func (b *testbed) timeToResume(ctx context.Context, call caller.Call, victim func(context.Context) (*localsite.Node, error)) (time.Duration, *localsite.Node, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	call.Model, call.Class = model, classOfAll
+	call.Model, call.Class = model, requestClass
 	call.Prompt = fmt.Sprintf("measurement %d [len=%d]", b.round, longAnswer)
 	tokens := make(chan caller.Token, longAnswer)
 	go func() {
@@ -171,7 +171,7 @@
 }
 
 func (b *testbed) ownerRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
-	i, err := b.owner(ctx)
+	i, err := b.findOwner(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -183,8 +183,8 @@
 	return elapsed, n, err
 }
 
-// owner returns the index of the entry that owns the engines' shard.
-func (b *testbed) owner(ctx context.Context) (int, error) {
+// findOwner returns the index of the entry that owns the engines' shard.
+func (b *testbed) findOwner(ctx context.Context) (int, error) {
 	for i, n := range b.site.Entries {
 		qs, err := localsite.Operator(n).Queues(ctx)
 		if err != nil {
@@ -214,7 +214,7 @@
 		go func() {
 			from := time.Now()
 			first := time.Time{}
-			call := caller.Call{Model: model, Class: classOfAll, Entry: entry, Prompt: name}
+			call := caller.Call{Model: model, Class: requestClass, Entry: entry, Prompt: name}
 			_, err := b.client.Stream(ctx, call, func(t caller.Token) {
 				if first.IsZero() {
 					first = t.At
@@ -238,7 +238,7 @@
 }
 
 func (b *testbed) holderRound(ctx context.Context) (time.Duration, *localsite.Node, error) {
-	holder, held, err := b.holder(ctx, nil, "")
+	holder, held, err := b.findHolder(ctx, nil, "")
 	if err != nil {
 		return 0, nil, err
 	}
@@ -247,14 +247,15 @@
 	}
 	killed := time.Now()
 	err = proc.Until(ctx, "the next holder", func(ctx context.Context) error {
-		_, _, err := b.holder(ctx, holder, held)
+		_, _, err := b.findHolder(ctx, holder, held)
 		return err
 	})
 	return time.Since(killed), holder, err
 }
 
-// holder returns a control process other than not that holds the lease, and the lease's name. An empty name matches any lease.
-func (b *testbed) holder(ctx context.Context, exclude *localsite.Node, lease string) (*localsite.Node, string, error) {
+// findHolder returns a control process other than exclude that holds the lease, and the lease's name. An empty name matches
+// any lease.
+func (b *testbed) findHolder(ctx context.Context, exclude *localsite.Node, lease string) (*localsite.Node, string, error) {
 	for _, n := range b.site.Controls {
 		if n == exclude {
 			continue
@@ -280,7 +281,7 @@
 		return err
 	}
 	defer b.close()
-	if err := b.propagation(ctx, cfg.Rounds, out, "acceptance to in force at every entry, with the store"); err != nil {
+	if err := b.measurePropagation(ctx, cfg.Rounds, out, "acceptance to in force at every entry, with the store"); err != nil {
 		return err
 	}
 	for _, n := range append(b.site.Entries[1:], b.site.Controls[1:]...) {
@@ -288,10 +289,10 @@
 			return err
 		}
 	}
-	return b.propagation(ctx, cfg.Rounds, out, "acceptance to in force at every entry, all but one instance cut off from the store")
+	return b.measurePropagation(ctx, cfg.Rounds, out, "acceptance to in force at every entry, all but one instance cut off from the store")
 }
 
-func (b *testbed) propagation(ctx context.Context, rounds int, out io.Writer, what string) error {
+func (b *testbed) measurePropagation(ctx context.Context, rounds int, out io.Writer, what string) error {
 	var got durations
 	for range rounds {
 		base := uint64(localsite.Revision + b.round)
--- a/lib/prove/operate.go
+++ b/lib/prove/operate.go
@@ -82,7 +82,7 @@
 func (r *run) streamAsCaller(ctx context.Context, op operation, entry int, rec *streamRecord) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	call := caller.Call{Model: model, Prompt: r.prompt(op), Class: classOfAll, Entry: entry}
+	call := caller.Call{Model: model, Prompt: r.prompt(op), Class: requestClass, Entry: entry}
 	if op.kind == opKeyed {
 		call.Key, call.MaxResumes, call.IdleTimeout = fmt.Sprintf("key-%d", op.index), maxResumes, silenceTimeout
 	}
@@ -121,9 +121,9 @@
 	desc := fmt.Sprintf("%s operation %d at %s: %d of %d tokens, resumed %d", op.kind, op.index, entry, res.Tokens, op.tokens, res.Resumes)
 	switch {
 	case err == nil:
-		r.count(op.kind, "completed")
+		r.countOutcome(op.kind, "completed")
 	case errors.As(err, &refused):
-		r.count(op.kind, string(refused.Detail.Type))
+		r.countOutcome(op.kind, string(refused.Detail.Type))
 		if res.Tokens > 0 && result.Lookup(refused.Detail.Code).Outcome == result.NotRun {
 			r.addViolation("refused as not run after tokens were sent: %s: %v", desc, err)
 		}
@@ -132,9 +132,9 @@
 	case op.kind == opKeyed:
 		r.addViolation("no final answer for a keyed request: %s: %v", desc, err)
 	case r.faultLog.Overlaps(from, time.Now(), cutsConnections(entry)):
-		r.count(op.kind, "cut with its entry")
+		r.countOutcome(op.kind, "cut with its entry")
 	case res.HTTP == 0 && r.faultLog.Overlaps(from, time.Now(), stopsEntry(entry)):
-		r.count(op.kind, "not connected")
+		r.countOutcome(op.kind, "not connected")
 	default:
 		r.addViolation("stream cut or silent without a fault: %s: %v", desc, err)
 	}
@@ -192,7 +192,7 @@
 	defer cancel()
 	from := time.Now()
 	path := fmt.Sprintf("%s/status?id=status-%d", route, op.index)
-	_, res, err := r.client.Plain(ctx, caller.PlainCall{Method: http.MethodGet, Path: path, Class: classOfAll, Entry: op.entry})
+	_, res, err := r.client.Plain(ctx, caller.PlainCall{Method: http.MethodGet, Path: path, Class: requestClass, Entry: op.entry})
 	r.checkCallEnd(op, res, err, from)
 }
 
@@ -201,15 +201,15 @@
 	entry := fmt.Sprintf("entry-%d", op.entry+1)
 	switch {
 	case err == nil:
-		r.count(op.kind, fmt.Sprintf("http_%d", res.HTTP))
+		r.countOutcome(op.kind, fmt.Sprintf("http_%d", res.HTTP))
 	case errors.As(err, &refused):
-		r.count(op.kind, string(refused.Detail.Type))
+		r.countOutcome(op.kind, string(refused.Detail.Type))
 	case r.faultLog.Overlaps(from, time.Now(), cutsConnections(entry)):
-		r.count(op.kind, "cut with its entry")
+		r.countOutcome(op.kind, "cut with its entry")
 	case res.HTTP == 0 && r.faultLog.Overlaps(from, time.Now(), stopsEntry(entry)):
-		r.count(op.kind, "not connected")
+		r.countOutcome(op.kind, "not connected")
 	case res.HTTP != 0 && r.faultLog.Overlaps(from, time.Now(), cutsPlainBodies):
-		r.count(op.kind, "cut with its service")
+		r.countOutcome(op.kind, "cut with its service")
 	default:
 		r.addViolation("call cut or silent without a fault: %s operation %d at %s, HTTP %d after %v: %v",
 			op.kind, op.index, entry, res.HTTP, time.Since(from).Round(time.Millisecond), err)
--- a/lib/prove/operators.go
+++ b/lib/prove/operators.go
@@ -31,7 +31,7 @@
 	at       time.Time
 }
 
-// observation is an observation of the revision in force at an instance.
+// observation is the revision found in force at an instance at one time.
 type observation struct {
 	node     string
 	revision uint64
@@ -44,7 +44,7 @@
 	defer cancel()
 	base, err := settingsync.Newest(ctx, r.site.Store)
 	if err != nil {
-		r.count(op.kind, "store down")
+		r.countOutcome(op.kind, "store down")
 		return
 	}
 	var wg sync.WaitGroup
@@ -82,11 +82,11 @@
 	}
 	switch {
 	case errors.As(err, &conflict):
-		r.count(op.kind, "conflict")
+		r.countOutcome(op.kind, "conflict")
 	case rec.Outcome == history.No:
-		r.count(op.kind, "refused")
+		r.countOutcome(op.kind, "refused")
 	default:
-		r.count(op.kind, rec.Outcome)
+		r.countOutcome(op.kind, rec.Outcome)
 	}
 	r.history.Add(rec)
 }
@@ -145,7 +145,7 @@
 	rep, err := localsite.Operator(control).Drain(ctx, opsapi.DrainRequest{Target: n.Name, On: true, Operator: "prove"})
 	defer r.undrain(n)
 	if err != nil || !rep.Durable {
-		r.count(op.kind, "not recorded")
+		r.countOutcome(op.kind, "not recorded")
 		return
 	}
 	drainedAt := time.Now()
@@ -155,7 +155,7 @@
 		time.Sleep(drainPoll)
 		now, nowErr := localsite.Stats(ctx, n)
 		if nowErr != nil || now.Attempts < before.Attempts {
-			r.count(op.kind, "target died")
+			r.countOutcome(op.kind, "target died")
 			return
 		}
 		if now.Attempts > before.Attempts {
@@ -163,7 +163,7 @@
 			return
 		}
 	}
-	r.count(op.kind, "held")
+	r.countOutcome(op.kind, "held")
 }
 
 // checkLateAttempts records a violation for attempts at a drained engine, unless an entry was frozen or had lost its control
@@ -172,7 +172,7 @@
 	recent := time.Now().Add(-drainLimit)
 	for _, e := range r.site.Entries {
 		if subject, kind, on := r.faultLog.FirstOverlap(recent, time.Now(), delaysDrains(e.Name)); on {
-			r.count(op.kind, "late work beside "+kind+" of "+subjectKind(subject))
+			r.countOutcome(op.kind, "late work beside "+kind+" of "+subjectKind(subject))
 			return
 		}
 	}
--- a/lib/prove/plan.go
+++ b/lib/prove/plan.go
@@ -149,7 +149,7 @@
 // maxDraws bounds how often a fault that is too close to another one is drawn again.
 const maxDraws = 8
 
-// planFaults draws the faults of a run, the same for equal arguments, with at most atOnce active at any time.
+// planFaults draws the faults of a run, the same for equal arguments, with at most maxFaults active at any time.
 func planFaults(seed uint64, span time.Duration, maxFaults int) []fault {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []fault
@@ -181,7 +181,7 @@
 	return out
 }
 
-// tooClose reports whether f would start before the subject of o has recovered.
+// tooClose reports whether f would start before the subject of earlier has recovered.
 func tooClose(earlier, f fault) bool {
 	return earlier.subject == f.subject && earlier.at+earlier.span+recoveryTime > f.at
 }
@@ -191,8 +191,8 @@
 	return subjectKind(subject) == "entry" || subjectKind(subject) == "callers"
 }
 
-// allowed reports whether a fault may be added: at most atOnce faults are active, and at most one fewer affect entries, so that
-// callers always have an entry that works.
+// allowed reports whether a fault may be added: at most maxFaults faults are active, and at most one fewer affect entries, so
+// that callers always have an entry that works.
 func allowed(all []fault, f fault, maxFaults int) bool {
 	entries := 0
 	for _, o := range all {
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	workspace   = "treaty-desk"
-	model       = "treaty-70b"
-	service     = "anvilwick-treaty"
-	route       = "/ledger"
-	classOfAll  = "standard"
-	maxWait     = 8 * time.Second  // of a request in a queue
-	deadline    = 20 * time.Second // of a request: a call that must not be retried waits this long for a silent target
-	startLimit  = 40 * time.Second
-	settleLimit = 45 * time.Second // after the last fault ended, for every request to end
+	workspace    = "treaty-desk"
+	model        = "treaty-70b"
+	service      = "anvilwick-treaty"
+	route        = "/ledger"
+	requestClass = "standard"
+	maxWait      = 8 * time.Second  // of a request in a queue
+	deadline     = 20 * time.Second // of a request: a call that must not be retried waits this long for a silent target
+	startLimit   = 40 * time.Second
+	idleLimit    = 45 * time.Second // after the last fault ended, for every request to end
 )
 
 // run is the state of one run: the site, its clients, and what they observed.
@@ -66,7 +66,7 @@
 		return err
 	}
 	defer r.close()
-	r.drive(ctx)
+	r.runPlan(ctx)
 	return r.report()
 }
 
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
 	r.watcher = &proc.OutputScanner{Patterns: failurePatterns}
-	r.faultLog.GracePeriod = slack
+	r.faultLog.GracePeriod = faultSlack
 	var tee io.Writer = r.watcher
 	if r.cfg.Logs != "" {
 		f, err := os.Create(r.cfg.Logs)
@@ -100,7 +100,7 @@
 		EngineFlags: []string{"-report-lag", "100ms", "-step-base", "8ms"},
 		Settings: localsite.Settings{
 			Model: model, Service: service, Route: route, Deadline: deadline, Workspaces: []string{workspace},
-			Classes: []workload.Class{{Name: classOfAll, Priority: 50, MaxWait: maxWait, QueueBound: 200, MaxPreemptions: 2}},
+			Classes: []workload.Class{{Name: requestClass, Priority: 50, MaxWait: maxWait, QueueBound: 200, MaxPreemptions: 2}},
 		},
 	}
 }
@@ -117,8 +117,8 @@
 	r.relays.Close()
 }
 
-// drive runs the plan and then waits until the site has recovered and every request has ended.
-func (r *run) drive(ctx context.Context) {
+// runPlan runs the plan and then waits until the site has recovered and every request has ended.
+func (r *run) runPlan(ctx context.Context) {
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	var watching, working sync.WaitGroup
 	watching.Go(func() { r.watchSettings(watchCtx) })
@@ -130,7 +130,7 @@
 	r.checkRecovered(ctx)
 	stopWatch()
 	watching.Wait()
-	r.collect(ctx)
+	r.collectHistory(ctx)
 }
 
 func (r *run) due(ctx context.Context, at time.Duration) bool {
@@ -152,7 +152,7 @@
 	fmt.Fprintf(r.out, "violation at=%v %s\n", at, text)
 }
 
-func (r *run) count(kind, outcome string) {
+func (r *run) countOutcome(kind, outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcomeCounts[kind+" "+outcome]++
--- a/lib/prove/settle.go
+++ b/lib/prove/settle.go
@@ -22,14 +22,14 @@
 
 func isUnknown(err error) bool { return errorx.IsOfType(err, settingsync.Unknown) }
 
-// checkRecovered checks that the site has recovered: every entry completes a request, and no engine still runs an attempt whose
-// caller is gone.
+// checkRecovered checks that the site has recovered: every entry completes a request, and no engine still runs an attempt
+// whose caller is gone.
 func (r *run) checkRecovered(ctx context.Context) {
 	for i, e := range r.site.Entries {
 		limit, cancel := context.WithTimeout(ctx, probeLimit)
 		err := proc.Until(limit, e.Name, func(ctx context.Context) error {
 			_, err := r.client.Stream(ctx, caller.Call{
-				Model: model, Prompt: fmt.Sprintf("probe %d [len=%d]", i, probeTokens), Class: classOfAll, Entry: i,
+				Model: model, Prompt: fmt.Sprintf("probe %d [len=%d]", i, probeTokens), Class: requestClass, Entry: i,
 			}, func(caller.Token) {})
 			return err
 		})
@@ -38,7 +38,7 @@
 			r.addViolation("no service at %s after all faults ended: %v", e.Name, err)
 		}
 	}
-	limit, cancel := context.WithTimeout(ctx, settleLimit)
+	limit, cancel := context.WithTimeout(ctx, idleLimit)
 	defer cancel()
 	err := proc.Until(limit, "engines to be idle", func(ctx context.Context) error {
 		n, err := r.site.StreamingEngine(ctx)
@@ -52,8 +52,8 @@
 	}
 }
 
-// collect adds to the history what only the services and the platform's table record.
-func (r *run) collect(ctx context.Context) {
+// collectHistory adds to the history what only the services and the platform's table record.
+func (r *run) collectHistory(ctx context.Context) {
 	r.collectExecutions(ctx)
 	r.collectDigests(ctx)
 	r.checkInForce()
@@ -128,7 +128,7 @@
 // delayed the update.
 func (r *run) checkInForce() {
 	r.mu.Lock()
-	accepted, seen := r.accepted, r.observed
+	accepted, observed := r.accepted, r.observed
 	r.mu.Unlock()
 	for _, a := range accepted {
 		for _, e := range r.site.Entries {
@@ -136,7 +136,7 @@
 			if r.faultLog.Overlaps(a.at, due.Add(time.Second), delaysSettings(e.Name)) {
 				continue
 			}
-			if err := checkRevision(seen, e.Name, a.revision, due); err != nil {
+			if err := checkRevision(observed, e.Name, a.revision, due); err != nil {
 				r.addViolation("revision %d accepted: %v", a.revision, err)
 			}
 		}
@@ -146,8 +146,8 @@
 var errNotInForce = errors.New("not in force in time")
 
 // checkRevision returns an error if the first observation after due shows an older revision.
-func checkRevision(seen []observation, node string, revision uint64, due time.Time) error {
-	for _, s := range seen {
+func checkRevision(observed []observation, node string, revision uint64, due time.Time) error {
+	for _, s := range observed {
 		if s.node == node && s.at.After(due) {
 			if s.revision < revision {
 				return fmt.Errorf("%w: %s had %d in force %v after the limit", errNotInForce, node, s.revision, s.at.Sub(due).Round(time.Millisecond))
--- a/lib/prove/verify_test.go
+++ b/lib/prove/verify_test.go
@@ -137,10 +137,10 @@
 
 func TestStaleRevisionAfterLimitIsDetected(t *testing.T) {
 	due := time.Unix(100, 0)
-	seen := []observation{{"entry-1", 1, due.Add(-time.Second)}, {"entry-1", 1, due.Add(time.Millisecond)}}
-	must.ErrorIs(t, checkRevision(seen, "entry-1", 2, due), errNotInForce)
-	seen[1].revision = 2
-	must.NoError(t, checkRevision(seen, "entry-1", 2, due))
+	observed := []observation{{"entry-1", 1, due.Add(-time.Second)}, {"entry-1", 1, due.Add(time.Millisecond)}}
+	must.ErrorIs(t, checkRevision(observed, "entry-1", 2, due), errNotInForce)
+	observed[1].revision = 2
+	must.NoError(t, checkRevision(observed, "entry-1", 2, due))
 }
 
 func TestInvariantViolationInLogIsDetected(t *testing.T) {
--- a/lib/siterun/recover.go
+++ b/lib/siterun/recover.go
@@ -46,10 +46,10 @@
 		name  string
 		round func(context.Context, int) (time.Duration, error)
 	}{
-		{"engine under a stream", r.engine},
-		{"entry under a keyed stream", r.entry},
-		{"owner of the shard, new request elsewhere", r.owner},
-		{"holder of a lease, TTL 3 s", r.holder},
+		{"engine under a stream", r.killEngine},
+		{"entry under a keyed stream", r.killEntry},
+		{"owner of the shard, new request elsewhere", r.killOwner},
+		{"holder of a lease, TTL 3 s", r.killHolder},
 	} {
 		times, err := rounds(ctx, c.Recover, role.round)
 		if err != nil {
@@ -112,7 +112,7 @@
 	return to.Sub(from), engine.CheckAnswer(call.Prompt, text.String(), recoverTokens)
 }
 
-func (r *recovery) engine(ctx context.Context, i int) (time.Duration, error) {
+func (r *recovery) killEngine(ctx context.Context, i int) (time.Duration, error) {
 	var killed *localsite.Node
 	d, err := r.resumeTime(ctx, caller.Call{Entry: i}, func() (err error) {
 		if killed, err = r.site.StreamingEngine(ctx); err != nil {
@@ -129,7 +129,7 @@
 	return d, errors.Join(r.site.Restart(killed), r.site.AwaitTargets(ctx))
 }
 
-func (r *recovery) entry(ctx context.Context, i int) (time.Duration, error) {
+func (r *recovery) killEntry(ctx context.Context, i int) (time.Duration, error) {
 	killed := r.site.Entries[i%len(r.site.Entries)]
 	call := caller.Call{Entry: i, Key: fmt.Sprint("recover-", i), MaxResumes: 1000}
 	d, err := r.resumeTime(ctx, call, killed.Kill)
@@ -139,9 +139,9 @@
 	return d, r.restart(ctx, killed)
 }
 
-// owner kills the entry that owns the engines' shard, sends a new request to another entry, and returns the time to its
+// killOwner kills the entry that owns the engines' shard, sends a new request to another entry, and returns the time to its
 // first token.
-func (r *recovery) owner(ctx context.Context, _ int) (time.Duration, error) {
+func (r *recovery) killOwner(ctx context.Context, _ int) (time.Duration, error) {
 	index, err := r.findOwner(ctx)
 	if err != nil {
 		return 0, err
@@ -184,8 +184,8 @@
 	return index, err
 }
 
-// holder kills the control process that holds the lease and waits until another one holds it.
-func (r *recovery) holder(ctx context.Context, _ int) (time.Duration, error) {
+// killHolder kills the control process that holds the lease and waits until another one holds it.
+func (r *recovery) killHolder(ctx context.Context, _ int) (time.Duration, error) {
 	killed, err := r.findLeaseHolder(ctx, nil)
 	if err != nil {
 		return 0, err
@@ -201,7 +201,7 @@
 	return d, r.restart(ctx, killed)
 }
 
-// findLeaseHolder waits until a control process other than but holds the lease.
+// findLeaseHolder waits until a control process other than exclude holds the lease.
 func (r *recovery) findLeaseHolder(ctx context.Context, exclude *localsite.Node) (holder *localsite.Node, err error) {
 	err = proc.Until(ctx, "a holder", func(ctx context.Context) error {
 		for _, n := range r.site.Controls {
