--- a/lib/caller/caller.go
+++ b/lib/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a client of entries, for the load tool, the demo and the tests: it streams a generation, checks the
-// order of its tokens, and goes on through another entry when its own dies.
+// Package caller is a client of entries for the load tool, the demo and the tests. It streams a generation, checks the
+// order of its tokens, and resumes through another entry when the current one fails.
 package caller
 
 import (
@@ -20,75 +20,75 @@
 )
 
 const (
-	maxAnswer    = 64 << 20               // bytes of an answer that is not streamed
-	resumeWait   = 100 * time.Millisecond // before going on through the next entry
-	maxRetryWait = 5 * time.Second        // of a Retry-After while going on with a stream
+	maxResponseBytes = 64 << 20               // bytes of a response read as a whole
+	resumeDelay      = 100 * time.Millisecond // minimum delay before resuming through the next entry
+	maxRetryDelay    = 5 * time.Second        // upper limit on a Retry-After when resuming a stream
 )
 
-// Errors of a stream that the caller itself can see. Each breaks a promise of the system.
+// Errors that the caller detects in a stream. Each is a violation of a system guarantee.
 var (
 	ErrOrder      = errors.New("token out of order")
 	ErrGeneration = errors.New("token of another generation")
-	ErrTruncated  = errors.New("stream cut without end mark")
+	ErrTruncated  = errors.New("stream ended without end marker")
 )
 
-// Client sends requests to any of several entries with one workspace's key.
+// Client sends requests to any of several entries, authenticated with one workspace's key.
 type Client struct {
-	Entries []string // IP:port each
+	Entries []string // IP:port
 	Token   string   // workspace key
 	HTTP    *http.Client
 }
 
-// Call is one generation to ask for.
+// Call describes one generation request.
 type Call struct {
 	Model       string
 	Prompt      string
 	Chat        bool
 	MaxTokens   int // 0: not given
 	Class       string
-	Key         string        // Idempotency-Key; without one a cut stream can't be gone on with
+	Key         string        // Idempotency-Key; a truncated stream can be resumed only with one
 	Deadline    time.Duration // 0: not given
-	Entry       int           // index of the entry to ask first
-	MaxResumes  int           // how often to go on through the next entry after a cut
-	IdleTimeout time.Duration // an entry that sends nothing for so long is given up as if the stream were cut; 0: never
+	Entry       int           // index of the first entry to try
+	MaxResumes  int           // maximum number of attempts through other entries after a failure
+	IdleTimeout time.Duration // an entry that sends nothing for this long is treated as disconnected; 0: no limit
 }
 
-// Token is one token as the caller saw it.
+// Token is one received token.
 type Token struct {
 	Index int
 	Text  string
 	At    time.Time
 }
 
-// Result is how a call ended.
+// Result is the outcome of a call.
 type Result struct {
-	Code         result.Code // of the last answer; 0: no entry answered
+	Code         result.Code // of the last response; 0: no response with a code
 	HTTP         int
-	Done         bool // the end mark was seen
+	Done         bool // the end marker was received
 	Tokens       int
 	Generation   string
-	FinishReason string // finish reason
-	Resumes      int    // how often the stream was gone on with
+	FinishReason string
+	Resumes      int // attempts that continued the stream
 	RetryAfter   time.Duration
-	Message      string // of an error
+	Message      string // of an error response
 }
 
-// Stream runs a call and hands each token to onToken. The error is nil when the whole answer came, a *Refused when the
-// system gave a numbered code, and otherwise says what the caller saw.
+// Stream runs a call and passes each token to onToken. The error is nil when the complete answer was received and a
+// *Refused when the system responded with a numbered code; any other error describes what the caller observed.
 func (c *Client) Stream(ctx context.Context, call Call, onToken func(Token)) (Result, error) {
 	s := &streamState{call: call, onToken: onToken}
 	for try := 0; ; try++ {
 		err := c.attempt(ctx, s, try)
-		if err == nil || ctx.Err() != nil || !s.mayGoOn(err, try) {
+		if err == nil || ctx.Err() != nil || !s.canResume(err, try) {
 			return s.res, err
 		}
-		if !pause(ctx, s.wait()) {
+		if !sleep(ctx, s.retryDelay()) {
 			return s.res, ctx.Err()
 		}
 	}
 }
 
-// Refused is an answer with a numbered code.
+// Refused is an error response with a numbered code.
 type Refused struct {
 	Detail callerapi.ErrorDetail
 	HTTP   int
@@ -100,15 +100,15 @@
 }
 
 type streamState struct {
-	call    Call
-	onToken func(Token)
-	res     Result
-	lastID  string
+	call        Call
+	onToken     func(Token)
+	res         Result
+	lastEventID string
 }
 
-// mayGoOn tells whether the stream can be taken up again: with a key, after a cut, or after a refusal that asks the
-// caller to come back while the stream is under way.
-func (s *streamState) mayGoOn(err error, try int) bool {
+// canResume reports whether the stream can be resumed. It needs an idempotency key. Order violations are final, and so are
+// refusals, except one on a later attempt that advises to retry.
+func (s *streamState) canResume(err error, try int) bool {
 	if s.call.Key == "" || try >= s.call.MaxResumes {
 		return false
 	}
@@ -119,8 +119,8 @@
 	return !errors.Is(err, ErrOrder) && !errors.Is(err, ErrGeneration)
 }
 
-func (s *streamState) wait() time.Duration {
-	return min(max(s.res.RetryAfter, resumeWait), maxRetryWait)
+func (s *streamState) retryDelay() time.Duration {
+	return min(max(s.res.RetryAfter, resumeDelay), maxRetryDelay)
 }
 
 func (c *Client) attempt(ctx context.Context, s *streamState, try int) error {
@@ -131,8 +131,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	heard := s.watch(cancel)
-	defer heard.Stop()
+	idle := s.startIdleTimer(cancel)
+	defer idle.Stop()
 	resp, err := c.HTTP.Do(req.WithContext(ctx))
 	if err != nil {
 		return err
@@ -140,25 +140,25 @@
 	defer resp.Body.Close()
 	s.res.HTTP = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
-		return s.refusal(resp)
+		return s.readError(resp)
 	}
 	if s.res.Tokens > 0 || try > 0 {
 		s.res.Resumes++
 	}
-	return s.read(newEvents(resp.Body), heard)
+	return s.readEvents(newEventReader(resp.Body), idle)
 }
 
-// forever stands for no bound.
-const forever = 1 << 62 * time.Nanosecond
+// noTimeout disables the idle timeout.
+const noTimeout = 1 << 62 * time.Nanosecond
 
-// watch cancels an attempt that has been silent for Silence; each event resets it.
-func (s *streamState) watch(cancel func()) *time.Timer {
-	return time.AfterFunc(s.silence(), cancel)
+// startIdleTimer cancels an attempt that received no event for the idle timeout; each event resets the timer.
+func (s *streamState) startIdleTimer(cancel func()) *time.Timer {
+	return time.AfterFunc(s.idleTimeout(), cancel)
 }
 
-func (s *streamState) silence() time.Duration {
+func (s *streamState) idleTimeout() time.Duration {
 	if s.call.IdleTimeout <= 0 {
-		return forever
+		return noTimeout
 	}
 	return s.call.IdleTimeout
 }
@@ -173,33 +173,33 @@
 		body.Prompt = s.call.Prompt
 	}
 	sl := sling.New().Base("http://"+addr).Post(path).BodyJSON(body).Set("Authorization", "Bearer "+c.Token)
-	set(sl, callerapi.HeaderKey, s.call.Key)
-	set(sl, callerapi.HeaderClass, s.call.Class)
-	set(sl, callerapi.HeaderLastEvent, s.lastID)
+	setHeader(sl, callerapi.HeaderKey, s.call.Key)
+	setHeader(sl, callerapi.HeaderClass, s.call.Class)
+	setHeader(sl, callerapi.HeaderLastEvent, s.lastEventID)
 	if s.call.Deadline > 0 {
 		sl.Set(callerapi.HeaderDeadline, strconv.FormatInt(s.call.Deadline.Milliseconds(), 10))
 	}
 	return sl.Request()
 }
 
-func set(s *sling.Sling, header, value string) {
+func setHeader(s *sling.Sling, header, value string) {
 	if value != "" {
 		s.Set(header, value)
 	}
 }
 
-func (s *streamState) refusal(resp *http.Response) error {
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+func (s *streamState) readError(resp *http.Response) error {
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
-	return s.refuse(raw, resp.StatusCode)
+	return s.parseError(raw, resp.StatusCode)
 }
 
-func (s *streamState) refuse(raw []byte, status int) error {
+func (s *streamState) parseError(raw []byte, status int) error {
 	var body callerapi.ErrorBody
 	if err := json.Unmarshal(raw, &body); err != nil || body.Error.Code == 0 {
-		return fmt.Errorf("status %d without a numbered code", status)
+		return fmt.Errorf("response with status %d has no numbered code", status)
 	}
 	s.res.Code = body.Error.Code
 	s.res.Message = body.Error.Message
@@ -207,27 +207,27 @@
 	return &Refused{Detail: body.Error, HTTP: status}
 }
 
-// read takes events until the end mark, an error event or a cut.
-func (s *streamState) read(ev *events, heard *time.Timer) error {
+// readEvents handles events until the end marker, an error event or the end of the connection.
+func (s *streamState) readEvents(ev *eventReader, idle *time.Timer) error {
 	for {
 		e, err := ev.next()
-		heard.Reset(s.silence())
+		idle.Reset(s.idleTimeout())
 		if err != nil {
 			return fmt.Errorf("%w after %d tokens: %w", ErrTruncated, s.res.Tokens, err)
 		}
 		switch {
 		case e.kind == "error":
-			return s.refuse(e.data, s.res.HTTP)
+			return s.parseError(e.data, s.res.HTTP)
 		case string(e.data) == engineapi.DoneData:
-			return s.done()
+			return s.finish()
 		}
-		if err := s.frame(e); err != nil {
+		if err := s.handleFrame(e); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *streamState) done() error {
+func (s *streamState) finish() error {
 	if s.res.FinishReason == "" {
 		return fmt.Errorf("%w: %s without a finish reason", ErrTruncated, engineapi.DoneData)
 	}
@@ -236,10 +236,10 @@
 	return nil
 }
 
-func (s *streamState) frame(e event) error {
+func (s *streamState) handleFrame(e event) error {
 	var f engineapi.Frame
 	if err := json.Unmarshal(e.data, &f); err != nil {
-		return fmt.Errorf("read a frame: %w", err)
+		return fmt.Errorf("parse frame: %w", err)
 	}
 	if len(f.Choices) == 0 {
 		return nil
@@ -251,30 +251,30 @@
 		return fmt.Errorf("%w: %s after %s", ErrGeneration, f.Ext.Generation, s.res.Generation)
 	}
 	if int(f.Ext.Index) != s.res.Tokens {
-		return fmt.Errorf("%w: index %d, want %d", ErrOrder, f.Ext.Index, s.res.Tokens)
+		return fmt.Errorf("%w: got index %d, want %d", ErrOrder, f.Ext.Index, s.res.Tokens)
 	}
 	ch := f.Choices[0]
 	if ch.FinishReason != nil {
 		s.res.FinishReason = *ch.FinishReason
 		return nil
 	}
-	return s.token(e, ch)
+	return s.handleToken(e, ch)
 }
 
-func (s *streamState) token(e event, ch engineapi.Choice) error {
+func (s *streamState) handleToken(e event, ch engineapi.Choice) error {
 	text := ch.Text
 	if ch.Delta != nil {
 		text = ch.Delta.Content
 	}
 	if e.id != "" {
-		s.lastID = e.id
+		s.lastEventID = e.id
 	}
 	s.onToken(Token{Index: s.res.Tokens, Text: text, At: time.Now()})
 	s.res.Tokens++
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/lib/caller/caller_test.go
+++ b/lib/caller/caller_test.go
@@ -19,17 +19,17 @@
 
 var gen = ids.From(1, 2)
 
-// script answers the n-th request with the n-th function and remembers each request's Last-Event-ID.
+// script serves the n-th request with the n-th step and records each request's Last-Event-Id.
 type script struct {
-	mu    sync.Mutex
-	steps []http.HandlerFunc
-	last  []string
+	mu           sync.Mutex
+	steps        []http.HandlerFunc
+	lastEventIDs []string
 }
 
 func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	n := len(s.last)
-	s.last = append(s.last, r.Header.Get(callerapi.HeaderLastEvent))
+	n := len(s.lastEventIDs)
+	s.lastEventIDs = append(s.lastEventIDs, r.Header.Get(callerapi.HeaderLastEvent))
 	s.mu.Unlock()
 	s.steps[n](w, r)
 }
@@ -41,7 +41,7 @@
 	return &Client{Entries: []string{strings.TrimPrefix(srv.URL, "http://")}, Token: "k", HTTP: srv.Client()}
 }
 
-// tokens streams the tokens [from, to) and then end.
+// tokens streams the tokens [from, to), followed by what end appends.
 func tokens(g ids.Generation, from, to int, end func(b []byte, sh callerapi.ResponseBuilder) []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		callerapi.SetStreamHeaders(w)
@@ -54,16 +54,16 @@
 	}
 }
 
-func whole(n int) func([]byte, callerapi.ResponseBuilder) []byte {
+func complete(n int) func([]byte, callerapi.ResponseBuilder) []byte {
 	return func(b []byte, sh callerapi.ResponseBuilder) []byte {
 		b = callerapi.AppendEvent(b, sh.Generation.String(), uint32(n), 0, sh.Finish(uint32(n), "stop"))
 		return append(b, callerapi.DoneEvent...)
 	}
 }
 
-func cut(b []byte, _ callerapi.ResponseBuilder) []byte { return b }
+func truncate(b []byte, _ callerapi.ResponseBuilder) []byte { return b }
 
-func refuse(e *result.Error) http.HandlerFunc {
+func respondError(e *result.Error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { callerapi.WriteError(w, e, "r1") }
 }
 
@@ -74,52 +74,52 @@
 	return text.String(), res, err
 }
 
-func TestWholeAnswer(t *testing.T) {
-	text, res, err := run(t, client(t, &script{steps: []http.HandlerFunc{tokens(gen, 0, 3, whole(3))}}), Call{})
+func TestStreamDeliversCompleteAnswer(t *testing.T) {
+	text, res, err := run(t, client(t, &script{steps: []http.HandlerFunc{tokens(gen, 0, 3, complete(3))}}), Call{})
 	must.NoError(t, err)
 	must.Eq(t, " 0 1 2", text)
 	must.True(t, res.Done)
 	must.Eq(t, gen.String(), res.Generation)
 }
 
-// The entry dies after two tokens. The caller asks again with its key and the last id it saw; the next entry first
-// says that it can't yet, then gives the rest. Taken as an end, either would lose the answer's tail.
-func TestGoesOnAfterACut(t *testing.T) {
+// The entry fails after two tokens. The caller retries with its key and the last event id it received. The next entry first
+// responds with a retryable error, then sends the remaining tokens. Giving up on either would lose the end of the answer.
+func TestResumesTruncatedStream(t *testing.T) {
 	s := &script{steps: []http.HandlerFunc{
-		tokens(gen, 0, 2, cut),
-		refuse(result.New(result.AlreadyRunning, "held elsewhere")),
-		tokens(gen, 2, 4, whole(4)),
+		tokens(gen, 0, 2, truncate),
+		respondError(result.New(result.AlreadyRunning, "held elsewhere")),
+		tokens(gen, 2, 4, complete(4)),
 	}}
 	text, res, err := run(t, client(t, s), Call{Key: "k1", MaxResumes: 5})
 	must.NoError(t, err)
 	must.Eq(t, " 0 1 2 3", text)
 	must.Eq(t, 1, res.Resumes)
-	must.Eq(t, []string{"", gen.String() + "-1-0", gen.String() + "-1-0"}, s.last)
+	must.Eq(t, []string{"", gen.String() + "-1-0", gen.String() + "-1-0"}, s.lastEventIDs)
 }
 
-// The entry freezes after two tokens: its connection stands and nothing comes. A caller that waited for the end of the
-// connection would wait for ever.
-func TestGivesUpASilentEntry(t *testing.T) {
+// The entry hangs after two tokens: its connection stays open, but nothing arrives. Without an idle timeout the caller would
+// wait forever.
+func TestAbandonsIdleEntry(t *testing.T) {
 	s := &script{steps: []http.HandlerFunc{
 		func(w http.ResponseWriter, r *http.Request) {
-			tokens(gen, 0, 2, cut)(w, r)
+			tokens(gen, 0, 2, truncate)(w, r)
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		},
-		tokens(gen, 2, 3, whole(3)),
+		tokens(gen, 2, 3, complete(3)),
 	}}
 	text, _, err := run(t, client(t, s), Call{Key: "k1", MaxResumes: 5, IdleTimeout: 100 * time.Millisecond})
 	must.NoError(t, err)
 	must.Eq(t, " 0 1 2", text)
 }
 
-func TestCutWithoutAKeyIsAFailure(t *testing.T) {
-	_, res, err := run(t, client(t, &script{steps: []http.HandlerFunc{tokens(gen, 0, 2, cut)}}), Call{MaxResumes: 5})
+func TestTruncatedStreamWithoutKeyFails(t *testing.T) {
+	_, res, err := run(t, client(t, &script{steps: []http.HandlerFunc{tokens(gen, 0, 2, truncate)}}), Call{MaxResumes: 5})
 	must.ErrorIs(t, err, ErrTruncated)
 	must.False(t, res.Done)
 }
 
-func TestFaultsOfTheStreamAreSeen(t *testing.T) {
+func TestInvalidStreamsAreDetected(t *testing.T) {
 	other := ids.From(3, 4)
 	mixed := func(b []byte, sh callerapi.ResponseBuilder) []byte {
 		sh.Generation = other
@@ -129,8 +129,8 @@
 		step http.HandlerFunc
 		want error
 	}{
-		"gap":              {tokens(gen, 1, 3, whole(3)), ErrOrder},
-		"short count":      {tokens(gen, 0, 3, whole(4)), ErrOrder},
+		"gap":              {tokens(gen, 1, 3, complete(3)), ErrOrder},
+		"short count":      {tokens(gen, 0, 3, complete(4)), ErrOrder},
 		"other generation": {tokens(gen, 0, 2, mixed), ErrGeneration},
 		"done alone": {tokens(gen, 0, 2, func(b []byte, _ callerapi.ResponseBuilder) []byte {
 			return append(b, callerapi.DoneEvent...)
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestNumberedErrorEndsTheStream(t *testing.T) {
+func TestErrorEventEndsTheStream(t *testing.T) {
 	failed := func(b []byte, _ callerapi.ResponseBuilder) []byte {
 		return callerapi.AppendErrorEvent(b, result.New(result.TargetFailed, "engine"), "r1")
 	}
@@ -153,13 +153,13 @@
 	var refused *Refused
 	must.True(t, errors.As(err, &refused))
 	must.Eq(t, result.TargetFailed, res.Code)
-	must.Eq(t, 1, len(s.last))
+	must.Eq(t, 1, len(s.lastEventIDs))
 }
 
-func TestPlainTellsRefusalFromAnswer(t *testing.T) {
+func TestPlainDistinguishesErrorsFromServiceResponses(t *testing.T) {
 	s := &script{steps: []http.HandlerFunc{
 		func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) },
-		refuse(result.New(result.NoTarget, "none")),
+		respondError(result.New(result.NoTarget, "none")),
 	}}
 	c := client(t, s)
 	_, res, err := c.Plain(t.Context(), PlainCall{Method: http.MethodGet, Path: "/x"})
--- a/lib/caller/events.go
+++ b/lib/caller/events.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-const maxEvent = 1 << 20 // bytes of one line of a stream
+const maxEventLine = 1 << 20 // bytes per line of a stream
 
 // event is one server-sent event.
 type event struct {
@@ -15,19 +15,19 @@
 	data []byte // valid until the next call of next
 }
 
-// events reads a stream. It is a reader of its own, apart from the one in entries, so that a fault of that one shows.
-type events struct {
+// eventReader parses an event stream. It shares no code with the parser in entries, so that a defect there is detected.
+type eventReader struct {
 	sc *bufio.Scanner
 }
 
-func newEvents(r io.Reader) *events {
+func newEventReader(r io.Reader) *eventReader {
 	sc := bufio.NewScanner(r)
-	sc.Buffer(make([]byte, 0, 4<<10), maxEvent)
-	return &events{sc: sc}
+	sc.Buffer(make([]byte, 0, 4<<10), maxEventLine)
+	return &eventReader{sc: sc}
 }
 
-// next returns the next event that has data. An event that the end of the stream cuts off is not returned.
-func (e *events) next() (event, error) {
+// next returns the next event with data. An event truncated by the end of the stream is discarded.
+func (e *eventReader) next() (event, error) {
 	var ev event
 	for e.sc.Scan() {
 		line := e.sc.Bytes()
--- a/lib/caller/plain.go
+++ b/lib/caller/plain.go
@@ -15,30 +15,30 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// headerCallID reaches the service as it is. The stand-in counts executions by it.
+// headerCallID is forwarded to the service unchanged. The stand-in service counts executions by it.
 const headerCallID = "X-Call-Id"
 
-// PlainCall is one call of a plain service.
+// PlainCall describes one call of a plain service.
 type PlainCall struct {
 	Method string
 	Path   string
 	Body   string
 	Class  string
 	Key    string // Idempotency-Key
-	Entry  int    // index of the entry to ask
-	ID     string // X-Call-Id: names this one sending to the service; empty: none
+	Entry  int    // index of the entry
+	ID     string // X-Call-Id, unique to this request; empty: none
 }
 
-// Plain sends a call once and returns the body. The error is a *Refused when the system gave a numbered code.
+// Plain sends a call once and returns the response body. The error is a *Refused when the system responded with a numbered code.
 func (c *Client) Plain(ctx context.Context, call PlainCall) ([]byte, Result, error) {
 	var res Result
 	addr := c.Entries[call.Entry%len(c.Entries)]
 	sl := sling.New().Base("http://" + addr)
 	sl.Path(call.Path)
 	sl.Set("Authorization", "Bearer "+c.Token)
-	set(sl, callerapi.HeaderKey, call.Key)
-	set(sl, callerapi.HeaderClass, call.Class)
-	set(sl, headerCallID, call.ID)
+	setHeader(sl, callerapi.HeaderKey, call.Key)
+	setHeader(sl, callerapi.HeaderClass, call.Class)
+	setHeader(sl, headerCallID, call.ID)
 	if call.Body != "" {
 		sl.Body(strings.NewReader(call.Body))
 	}
@@ -53,7 +53,7 @@
 	}
 	defer resp.Body.Close()
 	res.HTTP = resp.StatusCode
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return body, res, err
 	}
@@ -61,7 +61,7 @@
 	return body, res, err
 }
 
-// plainOutcome tells a refusal by the system from an answer of the service, which may have any status.
+// plainOutcome distinguishes an error response of the system from a response of the service, which may have any status.
 func plainOutcome(resp *http.Response, body []byte, res *Result) error {
 	code, err := strconv.Atoi(resp.Header.Get(callerapi.HeaderCode))
 	if err != nil || code == int(result.OK) {
--- a/lib/callerapi/callerapi_test.go
+++ b/lib/callerapi/callerapi_test.go
@@ -37,7 +37,7 @@
 	}, got)
 }
 
-func TestParseHeadersRefuses(t *testing.T) {
+func TestParseHeadersRejectsInvalidValues(t *testing.T) {
 	for name, tc := range map[string]struct {
 		h    http.Header
 		want result.Code
@@ -63,9 +63,9 @@
 	}
 }
 
-// Engines must get every field that the caller sent, but for those that the system sets; a caller must not be able to set
-// the system's own.
-func TestTemplateKeepsCallersFields(t *testing.T) {
+// Engines must receive every field that the caller sent except those that the system sets, and callers must not be able to
+// set the system's fields.
+func TestTemplatePreservesCallerFields(t *testing.T) {
 	c, err := ParseCompletion([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":false,
 		"temperature":0.5,"logit_bias":{"5":1},"max_completion_tokens":90,"ext":{"generation":"forged"}}`), true)
 	must.Nil(t, err)
@@ -83,8 +83,8 @@
 	must.Eq(t, any(want), got["ext"])
 }
 
-// A JSON reader that ignores case would take the caller's "EXT" into the extension object, with tokens of its choice.
-func TestFieldsThatDifferInCaseAreRefused(t *testing.T) {
+// A case-insensitive JSON parser would merge the caller's "EXT" into the extension object, with tokens of the caller's choice.
+func TestCaseVariantsOfSystemFieldsAreRejected(t *testing.T) {
 	for _, field := range []string{"EXT", "Stream", "Max_Tokens", "Model"} {
 		_, err := ParseCompletion([]byte(`{"model":"m","prompt":"x","`+field+`":{"resume":["forged"]}}`), false)
 		must.NotNil(t, err, must.Sprint(field))
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestFingerprintIgnoresWhatResendsChange(t *testing.T) {
+func TestFingerprintDependsOnlyOnModelAndContent(t *testing.T) {
 	parse := func(body string) uint64 {
 		c, err := ParseCompletion([]byte(body), false)
 		must.Nil(t, err)
@@ -125,8 +125,8 @@
 	}, body.Error)
 }
 
-// A refusal that may be tried again must always say when, also where the place that refused did not.
-func TestEveryRetryableRefusalSaysWhen(t *testing.T) {
+// Every retryable error must carry a Retry-After, even when the code that raised it gave none.
+func TestRetryableErrorsCarryRetryAfter(t *testing.T) {
 	for _, in := range result.Table {
 		if in.RetryAdvice != result.RetryLater {
 			continue
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestShapeOfReplayedFrames(t *testing.T) {
+func TestResponseBuilderFrames(t *testing.T) {
 	s := ResponseBuilder{Generation: ids.From(1, 1), Model: "m", Chat: true}
 	var f engineapi.Frame
 	must.NoError(t, json.Unmarshal(s.Token(4, []byte("a\"b")), &f))
--- a/lib/callerapi/completion.go
+++ b/lib/callerapi/completion.go
@@ -13,37 +13,37 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Completion is a caller's request for a generation. Fields that the system doesn't read are kept as they came.
+// Completion is a caller's request for a generation. Fields that the system does not read are forwarded unchanged.
 type Completion struct {
 	Chat      bool
 	Model     string
 	Stream    bool
 	MaxTokens int    // 0: not given
-	Prompt    string // text that tokens and prefixes are counted on
+	Prompt    string // text used for token counts and prefix matching
 	content   []byte // prompt or messages, as JSON
 	fields    map[string]json.RawMessage
 }
 
-// Fields of the body that the system reads or sets.
+// Body fields that the system reads or sets.
 const (
-	fieldModel      = "model"
-	fieldPrompt     = "prompt"
-	fieldMessages   = "messages"
-	fieldStream     = "stream"
-	fieldMaxTokens  = "max_tokens"
-	fieldMaxTokens2 = "max_completion_tokens"
-	fieldN          = "n"
-	fieldExt        = "ext"
+	fieldModel               = "model"
+	fieldPrompt              = "prompt"
+	fieldMessages            = "messages"
+	fieldStream              = "stream"
+	fieldMaxTokens           = "max_tokens"
+	fieldMaxCompletionTokens = "max_completion_tokens"
+	fieldN                   = "n"
+	fieldExt                 = "ext"
 )
 
-// ParseCompletion reads a body of PathCompletions or, with chat, of PathChatCompletions.
+// ParseCompletion parses the body of a request to PathCompletions or, if chat is set, to PathChatCompletions.
 func ParseCompletion(body []byte, chat bool) (*Completion, *result.Error) {
 	c := &Completion{Chat: chat}
 	if err := json.Unmarshal(body, &c.fields); err != nil || c.fields == nil {
 		return nil, result.New(result.BadRequest, "the body must be one JSON object")
 	}
 	delete(c.fields, fieldExt)
-	steps := []func(*Completion) *result.Error{checkNames, readModel, readContent, readStream, readMaxTokens, readN}
+	steps := []func(*Completion) *result.Error{checkFieldNames, readModel, readContent, readStream, readMaxTokens, readN}
 	for _, step := range steps {
 		if err := step(c); err != nil {
 			return nil, err
@@ -53,16 +53,16 @@
 }
 
 var systemFields = []string{
-	fieldModel, fieldPrompt, fieldMessages, fieldStream, fieldMaxTokens, fieldMaxTokens2, fieldN, fieldExt,
+	fieldModel, fieldPrompt, fieldMessages, fieldStream, fieldMaxTokens, fieldMaxCompletionTokens, fieldN, fieldExt,
 }
 
-// checkNames refuses a field that is a system field but for its case. Many JSON readers, Go's among them, take "EXT" for
-// "ext"; an engine would then mix the caller's values into the extension object, and forged tokens into an answer.
-func checkNames(c *Completion) *result.Error {
+// checkFieldNames rejects fields whose names differ from a system field only in case. Many JSON parsers, including Go's, match
+// names case-insensitively: an engine would merge a caller's "EXT" into the extension object and emit forged tokens.
+func checkFieldNames(c *Completion) *result.Error {
 	for name := range c.fields {
-		for _, own := range systemFields {
-			if name != own && strings.EqualFold(name, own) {
-				return result.New(result.BadRequest, "%q: write %q", name, own)
+		for _, field := range systemFields {
+			if name != field && strings.EqualFold(name, field) {
+				return result.New(result.BadRequest, "%q: write %q", name, field)
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 func readMaxTokens(c *Completion) *result.Error {
-	for _, name := range []string{fieldMaxTokens, fieldMaxTokens2} {
+	for _, name := range []string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		raw, ok := c.fields[name]
 		if !ok || string(raw) == "null" {
 			continue
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// readN refuses several answers to one request: the stream of tokens would be several.
+// readN rejects requests for more than one choice: each choice would need a token stream of its own.
 func readN(c *Completion) *result.Error {
 	raw, ok := c.fields[fieldN]
 	if !ok || string(raw) == "null" || string(raw) == "1" {
@@ -123,17 +123,17 @@
 	return result.New(result.BadRequest, "n: only 1 is served")
 }
 
-// LimitMaxTokens lowers MaxTokens to limit; 0 is no limit.
+// LimitMaxTokens lowers MaxTokens to limit; a limit of 0 means no limit.
 func (c *Completion) LimitMaxTokens(limit int) {
 	if limit > 0 && (c.MaxTokens == 0 || c.MaxTokens > limit) {
 		c.MaxTokens = limit
 	}
 }
 
-// PromptTokens estimates the length of the prompt.
+// PromptTokens estimates the number of tokens in the prompt.
 func (c *Completion) PromptTokens() int { return engineapi.CountTokens(c.Prompt) }
 
-// Fingerprint identifies the content across resends under other keys: the same prompt to the same model.
+// Fingerprint hashes the model and the content, so that a request sent again under another idempotency key is recognized.
 func (c *Completion) Fingerprint() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.Model)
@@ -142,7 +142,7 @@
 	return d.Sum64()
 }
 
-// Path is the engines' path for it.
+// Path returns the engine's path for this kind of request.
 func (c *Completion) Path() string {
 	if c.Chat {
 		return engineapi.PathChatCompletions
@@ -150,16 +150,16 @@
 	return engineapi.PathCompletions
 }
 
-// Template is a request to engines, lacking the extension object only.
+// Template is an engine request body without the value of its last field, the extension object, which differs per attempt.
 type Template []byte
 
-// Template returns the body for engines: the caller's fields, always streamed.
+// Template returns the engine request body: the caller's fields, with streaming always on.
 func (c *Completion) Template() Template {
 	var b bytes.Buffer
 	b.WriteByte('{')
 	for _, name := range slices.Sorted(maps.Keys(c.fields)) {
 		switch name {
-		case fieldStream, fieldMaxTokens, fieldMaxTokens2:
+		case fieldStream, fieldMaxTokens, fieldMaxCompletionTokens:
 			continue
 		}
 		writeField(&b, name, c.fields[name])
@@ -181,7 +181,7 @@
 	b.WriteByte(',')
 }
 
-// WithExt returns the whole body for one attempt.
+// WithExt completes the body for one attempt.
 func (t Template) WithExt(ext *engineapi.Ext) ([]byte, error) {
 	raw, err := json.Marshal(ext)
 	if err != nil {
--- a/lib/callerapi/errors.go
+++ b/lib/callerapi/errors.go
@@ -11,13 +11,13 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// ErrorBody is the body of every refusal and failure, and the data of the event that ends a failed stream. Its outer
-// shape is the one that OpenAI clients read.
+// ErrorBody is the body of every error response and the data of the event that ends a failed stream. The nesting under
+// "error" is what OpenAI clients expect.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells a caller what happened and what it may do.
+// ErrorDetail describes to a caller what happened and whether to retry.
 type ErrorDetail struct {
 	Code         result.Code `json:"code"`
 	Type         string      `json:"type"` // name of the code
@@ -28,7 +28,7 @@
 	RequestID    string      `json:"request_id"`
 }
 
-// AsError returns the *result.Error in err; an error without one has the code Unknown, which promises least.
+// AsError returns the *result.Error in err's chain. Other errors get the code Unknown, which guarantees the least.
 func AsError(err error) *result.Error {
 	var e *result.Error
 	if errors.As(err, &e) {
@@ -37,7 +37,7 @@
 	return result.Wrap(result.Unknown, err, "serve the request")
 }
 
-// NewErrorBody returns what a caller is told of e. The cause stays in the log.
+// NewErrorBody returns the part of e that callers may see. The cause is only logged.
 func NewErrorBody(e *result.Error, requestID string) ErrorBody {
 	in := result.Lookup(e.Code)
 	msg := in.Text
@@ -62,7 +62,7 @@
 	return max(e.RetryAfter, time.Millisecond)
 }
 
-// WriteError answers with e.
+// WriteError writes e as the response.
 func WriteError(w http.ResponseWriter, e *result.Error, requestID string) {
 	in := result.Lookup(e.Code)
 	h := w.Header()
@@ -81,7 +81,7 @@
 	_, _ = w.Write(body)
 }
 
-// AppendErrorEvent appends the event that ends a failed stream; no [DONE] follows it.
+// AppendErrorEvent appends the event that ends a failed stream. It is not followed by [DONE].
 func AppendErrorEvent(dst []byte, e *result.Error, requestID string) []byte {
 	body, err := json.Marshal(NewErrorBody(e, requestID))
 	if err != nil {
--- a/lib/callerapi/events.go
+++ b/lib/callerapi/events.go
@@ -10,17 +10,17 @@
 	"anvilwick.example/anvilwick/lib/stream"
 )
 
-// DoneEvent is the last event of a whole stream.
+// DoneEvent is the last event of a complete stream.
 const DoneEvent = "data: " + engineapi.DoneData + "\n\n"
 
-// Names of objects in answers.
+// Values of the "object" field in responses.
 const (
 	objectChunk      = "chat.completion.chunk"
 	objectChat       = "chat.completion"
 	objectCompletion = "text_completion"
 )
 
-// SetStreamHeaders prepares w for a stream of events.
+// SetStreamHeaders sets the response headers of an event stream.
 func SetStreamHeaders(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
@@ -28,7 +28,7 @@
 	h.Set("X-Accel-Buffering", "no")
 }
 
-// AppendEvent appends an event with its id, as one write to the caller. data is one line.
+// AppendEvent appends an event with its id, so that the caller receives both in one write. data must not contain line breaks.
 func AppendEvent(dst []byte, gen string, index uint32, sum stream.Digest, data []byte) []byte {
 	dst = append(dst, "id: "...)
 	dst = append(dst, gen...)
@@ -41,19 +41,19 @@
 	return append(dst, "\n\n"...)
 }
 
-// ResponseBuilder builds events and answers of one generation anew, where the engine's own frames are no longer at hand.
+// ResponseBuilder rebuilds events and responses of one generation when the engine's own frames are no longer available.
 type ResponseBuilder struct {
 	Generation ids.Generation
 	Model      string
 	Chat       bool
 }
 
-// Token returns the frame of token index as JSON.
+// Token returns the JSON frame of the token at index.
 func (s ResponseBuilder) Token(index uint32, text []byte) []byte {
 	return s.frame(index, s.choice(string(text)))
 }
 
-// Finish returns the frame of the end mark as JSON.
+// Finish returns the JSON frame of the end marker.
 func (s ResponseBuilder) Finish(count uint32, reason string) []byte {
 	ch := s.choice("")
 	ch.FinishReason = &reason
@@ -82,7 +82,7 @@
 
 func (s ResponseBuilder) id() string { return "gen-" + s.Generation.String() }
 
-// Answer is the whole answer to an unstreamed request.
+// Answer is the complete response to a request without streaming.
 type Answer struct {
 	ID      string         `json:"id"`
 	Object  string         `json:"object"`
@@ -92,7 +92,7 @@
 	Usage   Usage          `json:"usage"`
 }
 
-// AnswerChoice holds the text: Text for completions, Message for chat.
+// AnswerChoice holds the generated text: in Text for completions, in Message for chat.
 type AnswerChoice struct {
 	Index        int                `json:"index"`
 	Text         *string            `json:"text,omitempty"`
@@ -100,14 +100,14 @@
 	FinishReason string             `json:"finish_reason"`
 }
 
-// Usage counts tokens; PromptTokens is an estimate.
+// Usage holds token counts; PromptTokens is an estimate.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Answer returns the whole answer.
+// Answer returns the response for a request without streaming and sets u's total.
 func (s ResponseBuilder) Answer(text, reason string, created int64, u Usage) Answer {
 	u.TotalTokens = u.PromptTokens + u.CompletionTokens
 	ch := AnswerChoice{FinishReason: reason, Text: &text}
--- a/lib/callerapi/fuzz_test.go
+++ b/lib/callerapi/fuzz_test.go
@@ -8,7 +8,7 @@
 	"anvilwick.example/anvilwick/lib/engineapi"
 )
 
-// FuzzParseCompletion: whatever a caller sends, the body for engines is one JSON object whose extension is ours.
+// FuzzParseCompletion checks that for any caller input the engine body is one JSON object with the system's own extension object.
 func FuzzParseCompletion(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"x"}`), false)
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"stream":true,"max_tokens":3}`), true)
@@ -35,12 +35,12 @@
 		}
 		var ext engineapi.Ext
 		if json.Unmarshal(fields[fieldExt], &ext) != nil || ext.Generation != "g" || ext.Attempt != 1 {
-			t.Fatalf("the extension is not ours: %s", out)
+			t.Fatalf("extension object was not set by the system: %s", out)
 		}
 	})
 }
 
-// FuzzParseHeaders: bad values are refused with a code and never pass.
+// FuzzParseHeaders checks that invalid values are always rejected.
 func FuzzParseHeaders(f *testing.F) {
 	f.Add("Bearer t", "key", "urgent", "100", "")
 	f.Add("bearer  t", "", "", "-1", "00000000000000010000000000000001-3-ff")
--- a/lib/callerapi/headers.go
+++ b/lib/callerapi/headers.go
@@ -1,5 +1,5 @@
-// Package callerapi reads callers' requests and writes their answers: the OpenAI-compatible shape of completions, the
-// headers that the system adds to it, and error bodies with the numbered codes of lib/result.
+// Package callerapi parses callers' requests and writes their responses: OpenAI-compatible completions, the headers that
+// the system adds to them, and error bodies with the numbered codes of lib/result.
 package callerapi
 
 import (
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/stream"
 )
 
-// Headers of the interface.
+// Headers of the callers' HTTP interface.
 const (
 	HeaderKey       = "Idempotency-Key"
 	HeaderLastEvent = "Last-Event-Id"
@@ -23,7 +23,7 @@
 	HeaderCode      = "X-Anvilwick-Code"
 )
 
-// Bounds on header values.
+// Limits on header values; lengths are in bytes.
 const (
 	MaxKey      = 200
 	MaxClass    = 64
@@ -31,15 +31,15 @@
 	maxToken    = 512
 )
 
-// EventID names a token of a generation; it is the id of the event that carried it, as "generation-index-digest" with
-// the digest of all tokens up to that one.
+// EventID identifies a token of a generation by the id of the event that carried it, "generation-index-digest". The digest
+// covers all tokens up to and including that one.
 type EventID struct {
 	Generation ids.Generation
 	Index      uint32
 	Digest     stream.Digest
 }
 
-// ParseEventID reads the form that AppendEvent writes.
+// ParseEventID parses an id in the format that AppendEvent writes.
 func ParseEventID(s string) (EventID, bool) {
 	parts := strings.Split(s, "-")
 	if len(parts) != 3 {
@@ -60,16 +60,16 @@
 	return EventID{Generation: g, Index: uint32(index), Digest: stream.Digest(sum)}, true
 }
 
-// Headers is what a request's headers say to the system.
+// Headers holds the request headers that the system reads.
 type Headers struct {
-	Token     string // bearer token; a secret
+	Token     string // bearer token (secret)
 	Key       string
 	Class     string
 	Deadline  time.Duration // time left; 0: not given
 	LastEvent *EventID
 }
 
-// ParseHeaders reads and bounds them. Errors carry Unauthenticated or BadHeader.
+// ParseHeaders parses and validates the request headers. Errors have the code Unauthenticated or BadHeader.
 func ParseHeaders(h http.Header) (Headers, *result.Error) {
 	var out Headers
 	steps := []func(http.Header, *Headers) *result.Error{readToken, readKey, readClass, readDeadline, readLastEvent}
@@ -138,8 +138,8 @@
 	return nil
 }
 
-func badHeader(name, want string) *result.Error {
-	return result.New(result.BadHeader, "%s: expected %s", name, want)
+func badHeader(name, expected string) *result.Error {
+	return result.New(result.BadHeader, "%s: expected %s", name, expected)
 }
 
 func printable(s string, limit int) bool {
--- a/lib/disturb/disturb.go
+++ b/lib/disturb/disturb.go
@@ -1,5 +1,5 @@
-// Package disturb remembers which parts of a test site were under a fault, and when, so that checks can tell a failure
-// that a fault explains from one that nothing does.
+// Package disturb records which parts of a test site were under an injected fault, and when, so that checks can distinguish
+// failures caused by a fault from unexplained ones.
 package disturb
 
 import (
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Log is a list of disturbances. The zero value is empty and safe for concurrent use.
+// Log is a list of injected faults. The zero value is empty; a Log is safe for concurrent use.
 type Log struct {
-	// GracePeriod is how long after a fault its traces may still be seen.
+	// GracePeriod is how long the effects of a fault may be visible after it ends.
 	GracePeriod time.Duration
 
-	mu  sync.Mutex
-	all []*entry
+	mu      sync.Mutex
+	entries []*entry
 }
 
 type entry struct {
 	subject string
 	kind    string
 	from    time.Time
-	to      time.Time // zero: it lasts
+	to      time.Time // zero: not ended
 }
 
-// Begin notes that a subject, a process or link, is under a fault until the returned function is called.
+// Begin records a fault of a subject (a process or a link) that lasts until end is called.
 func (l *Log) Begin(subject, kind string) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	it := &entry{subject: subject, kind: kind, from: time.Now()}
-	l.all = append(l.all, it)
+	e := &entry{subject: subject, kind: kind, from: time.Now()}
+	l.entries = append(l.entries, e)
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		it.to = time.Now()
+		e.to = time.Now()
 	}
 }
 
-// Match accepts some subjects under some kinds of fault.
+// Match selects faults by subject and kind.
 type Match func(subject, kind string) bool
 
-// AnyFaultOf accepts any fault of the subjects.
+// AnyFaultOf matches every kind of fault of the given subjects.
 func AnyFaultOf(subjects ...string) Match {
 	return func(subject, _ string) bool {
 		for _, s := range subjects {
@@ -51,20 +51,20 @@
 	}
 }
 
-// Overlaps tells whether a subject that match accepts was disturbed between from and to.
+// Overlaps reports whether a fault selected by match was in effect between from and to.
 func (l *Log) Overlaps(from, to time.Time, match Match) bool {
 	_, _, found := l.FirstOverlap(from, to, match)
 	return found
 }
 
-// FirstOverlap is like During and names the first such disturbance.
+// FirstOverlap returns the first fault selected by match that was in effect between from and to.
 func (l *Log) FirstOverlap(from, to time.Time, match Match) (subject, kind string, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, it := range l.all {
-		ended := !it.to.IsZero() && it.to.Add(l.GracePeriod).Before(from)
-		if !ended && it.from.Before(to) && match(it.subject, it.kind) {
-			return it.subject, it.kind, true
+	for _, e := range l.entries {
+		ended := !e.to.IsZero() && e.to.Add(l.GracePeriod).Before(from)
+		if !ended && e.from.Before(to) && match(e.subject, e.kind) {
+			return e.subject, e.kind, true
 		}
 	}
 	return "", "", false
--- a/lib/disturb/disturb_test.go
+++ b/lib/disturb/disturb_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A fault explains what happens while it lasts and within the slack after it, on its own subject alone.
-func TestDuring(t *testing.T) {
+// A fault covers the time until it ends plus the grace period, for its own subject only.
+func TestOverlaps(t *testing.T) {
 	l := Log{GracePeriod: time.Hour}
 	before := time.Now()
 	end := l.Begin("a", "kill")
--- a/lib/doctest/doctest.go
+++ b/lib/doctest/doctest.go
@@ -1,4 +1,4 @@
-// Package doctest compares a part of a page in docs with what the code says.
+// Package doctest compares generated sections of pages in docs with the code.
 package doctest
 
 import (
@@ -7,28 +7,27 @@
 	"os"
 )
 
-// ReplaceSection replaces the part of a page between its begin and end marks by want. It returns the page as it should be,
-// and whether it is so already.
-func ReplaceSection(file, name string, want []byte) (page []byte, same bool, err error) {
+// ReplaceSection returns the page with content between the begin and end markers of the named section, and whether the page has
+// that content already. It does not write the file.
+func ReplaceSection(file, name string, content []byte) (page []byte, same bool, err error) {
 	page, err = os.ReadFile(file)
 	if err != nil {
 		return nil, false, err
 	}
 	begin := fmt.Appendf(nil, "<!-- %s:begin -->\n", name)
 	end := fmt.Appendf(nil, "<!-- %s:end -->", name)
-	head, rest, ok := bytes.Cut(page, begin)
-	_, tail, ok2 := bytes.Cut(rest, end)
-	if !ok || !ok2 {
+	head, rest, beginFound := bytes.Cut(page, begin)
+	_, tail, endFound := bytes.Cut(rest, end)
+	if !beginFound || !endFound {
 		return nil, false, fmt.Errorf("%s: no section %s", file, name)
 	}
-	next := bytes.Join([][]byte{head, begin, want, end, tail}, nil)
+	next := bytes.Join([][]byte{head, begin, content, end, tail}, nil)
 	return next, bytes.Equal(page, next), nil
 }
 
-// CheckSection holds a section of a page to want: it writes the section anew with update, and otherwise returns an error when
-// the page differs.
-func CheckSection(file, name string, want []byte, update bool) error {
-	page, same, err := ReplaceSection(file, name, want)
+// CheckSection returns an error if the section of the page differs from content. With update it rewrites the section instead.
+func CheckSection(file, name string, content []byte, update bool) error {
+	page, same, err := ReplaceSection(file, name, content)
 	switch {
 	case err != nil || same:
 		return err
--- a/lib/doctest/doctest_test.go
+++ b/lib/doctest/doctest_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestKeep(t *testing.T) {
+func TestCheckSection(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "page.md")
 	must.NoError(t, os.WriteFile(file, []byte("a\n<!-- x:begin -->\nold\n<!-- x:end -->\nz\n"), 0o600))
 	must.NoError(t, CheckSection(file, "x", []byte("old\n"), false))
--- a/lib/doctest/metrics_test.go
+++ b/lib/doctest/metrics_test.go
@@ -16,14 +16,14 @@
 
 var (
 	metricOnPage = regexp.MustCompile(`anvilwick_[a-z_]+`)
-	// literalName is a name in a call that registers a metric, or in the format that such a call is given.
+	// literalName matches a full metric name in a call that registers a metric, or in the format passed to such a call.
 	literalName = regexp.MustCompile("[\"`](anvilwick_[a-z_]+)[\"`{]")
-	// shortName is a name given to one of lib/entrymetrics' helpers, which add the prefix.
+	// shortName matches a name passed to one of lib/entrymetrics' helpers, which add the prefix.
 	shortName = regexp.MustCompile(`(?:histogram|counter|Gauge)\("([a-z_]+)"`)
 )
 
-// readers name metrics that others register.
-var readers = []string{"siterun", "capacity"}
+// readerPackages are packages that mention metrics registered elsewhere.
+var readerPackages = []string{"siterun", "capacity"}
 
 func unregistered(page string, registered map[string]bool) []string {
 	var out []string
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		if d.IsDir() && slices.Contains(readers, d.Name()) {
+		if d.IsDir() && slices.Contains(readerPackages, d.Name()) {
 			return filepath.SkipDir
 		}
 		if filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
@@ -61,7 +61,7 @@
 	return names
 }
 
-// An operator alerts on a metric that a page names and no program has: the alert never fires, and nobody notices.
+// An alert on a metric that a page documents but no program registers would never fire, and nobody would notice.
 func TestPagesNameOnlyRegisteredMetrics(t *testing.T) {
 	registered := registeredMetrics(t, filepath.Join("..", "..", "lib"))
 	must.True(t, registered["anvilwick_results_total"])
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWrongMetricNameIsFound(t *testing.T) {
+func TestUnregisteredMetricIsReported(t *testing.T) {
 	registered := map[string]bool{"anvilwick_stall_seconds": true}
 	must.Eq(t, []string{"anvilwick_stalls_seconds"}, unregistered("`anvilwick_stall_seconds`, `anvilwick_stalls_seconds`", registered))
 }
--- a/lib/entrymetrics/metrics.go
+++ b/lib/entrymetrics/metrics.go
@@ -1,5 +1,5 @@
-// Package entrymetrics holds an entry's metrics. Label values come from settings and from fixed sets only, and the
-// number of workspace and class pairs is bounded, so that no caller can make the entry's memory grow.
+// Package entrymetrics holds an entry's metrics. Label values come only from the settings and fixed sets, and the number of
+// workspace and class pairs is bounded, so that no caller can grow the entry's memory.
 package entrymetrics
 
 import (
@@ -12,13 +12,13 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// maxPairs bounds the label pairs kept apart; further ones are counted under Other.
-const maxPairs = 2048
+// maxLabelPairs bounds the number of label pairs; further pairs are counted under Other.
+const maxLabelPairs = 2048
 
-// Other is the label value of pairs beyond the bound.
+// Other is the label value for pairs beyond the bound.
 const Other = "other"
 
-// Set is the metrics of one entry.
+// Set holds the metrics of one entry.
 type Set struct {
 	set *metrics.Set
 
@@ -28,13 +28,13 @@
 
 type pairKey struct{ workspace, class string }
 
-// Pair is the metrics of one workspace and class. Durations are in seconds.
+// Pair holds the metrics of one workspace and class. Durations are in seconds.
 type Pair struct {
 	FirstToken *metrics.Histogram // request accepted to first token
-	InterToken *metrics.Histogram // between tokens, within and across attempts
-	Stall      *metrics.Histogram // stall time of one generation, all stalls added up
+	InterToken *metrics.Histogram // time between tokens, within and across attempts
+	Stall      *metrics.Histogram // total stall time of one generation
 	QueueWait  *metrics.Histogram // submit to grant
-	Duration   *metrics.Histogram // request accepted to its end
+	Duration   *metrics.Histogram // request accepted to request ended
 
 	Tokens      *metrics.Counter
 	Preemptions *metrics.Counter
@@ -49,7 +49,7 @@
 	return &Set{set: metrics.NewSet(), pairs: make(map[pairKey]*Pair)}
 }
 
-// Pair returns the metrics of a workspace and class.
+// Pair returns the metrics of a workspace and class, or those of Other if the bound is reached.
 func (s *Set) Pair(workspace, class string) *Pair {
 	k := pairKey{workspace, class}
 	s.mu.RLock()
@@ -60,7 +60,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.pairs) >= maxPairs {
+	if len(s.pairs) >= maxLabelPairs {
 		k = pairKey{Other, Other}
 	}
 	if p, ok := s.pairs[k]; ok {
@@ -93,7 +93,7 @@
 	}
 }
 
-// CountResult counts one ended request by its code.
+// CountResult counts a finished request by its result code.
 func (p *Pair) CountResult(c result.Code) {
 	name := fmt.Sprintf("anvilwick_results_total{%s,code=\"%d\",name=%q}", p.labels, c, result.Lookup(c).Name)
 	p.set.GetOrCreateCounter(name).Inc()
@@ -105,21 +105,21 @@
 	s.set.GetOrCreateCounter(name).Inc()
 }
 
-// CountDroppedFrame counts a frame that the stream check dropped; verdict is one of stream.Verdict's names.
+// CountDroppedFrame counts a frame dropped by the stream check; verdict is the name of a stream.Verdict.
 func (s *Set) CountDroppedFrame(verdict string) {
 	s.set.GetOrCreateCounter(fmt.Sprintf("anvilwick_frames_dropped_total{verdict=%q}", verdict)).Inc()
 }
 
-// CountAttempt counts an ended attempt; reason is one of a fixed set.
+// CountAttempt counts a finished attempt; reason must be from a fixed set.
 func (s *Set) CountAttempt(reason string) {
 	s.set.GetOrCreateCounter(fmt.Sprintf("anvilwick_attempts_total{reason=%q}", reason)).Inc()
 }
 
-// Gauge registers a gauge that is read when metrics are written.
+// Gauge registers a gauge whose value f returns at each scrape.
 func (s *Set) Gauge(name string, f func() float64) {
 	s.set.GetOrCreateGauge("anvilwick_"+name, f)
 }
 
-// Write writes the metrics of s. Those of the process and of other packages are written once for every program by
-// lib/opsapi: a scraper refuses a page that has a series twice.
+// Write writes the metrics of s. Process metrics and those of other packages are written by lib/opsapi, once for each
+// program: a scraper rejects a page with duplicate series.
 func (s *Set) Write(w io.Writer) { s.set.WritePrometheus(w) }
--- a/lib/entrymetrics/metrics_test.go
+++ b/lib/entrymetrics/metrics_test.go
@@ -10,14 +10,14 @@
 	"anvilwick.example/anvilwick/lib/result"
 )
 
-// Names that never end must not make the entry's memory grow: beyond the bound they are counted together.
+// An unbounded number of names must not grow the entry's memory: pairs beyond the bound share one set of metrics.
 func TestLabelPairsAreBounded(t *testing.T) {
 	s := New()
-	for i := range maxPairs + 10 {
+	for i := range maxLabelPairs + 10 {
 		s.Pair(fmt.Sprint("w", i), "c").Tokens.Inc()
 	}
 	must.Eq(t, s.Pair("one", "more"), s.Pair("and", "another"))
-	must.LessEq(t, maxPairs+1, len(s.pairs))
+	must.LessEq(t, maxLabelPairs+1, len(s.pairs))
 	must.Eq(t, 10, s.Pair("x", "y").Tokens.Get())
 }
 
--- a/lib/explain/explain.go
+++ b/lib/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of one request, from all instances, into one timeline, with what the instances had
-// to say meanwhile of the targets that it was sent to, of the settings and of their own stops.
+// Package explain builds the timeline of one request from the log lines of all instances. It includes concurrent events of
+// the targets that the request used, of the settings, and of the instances' starts and stops.
 package explain
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// ErrRequestNotFound says that no line tells of the request.
-var ErrRequestNotFound = errors.New("explain: no line tells of this request")
+// ErrRequestNotFound is returned when no log line has the request's id.
+var ErrRequestNotFound = errors.New("explain: no log line has this request id")
 
-// maxLine bounds a line, in bytes; log lines are far shorter.
+// maxLine bounds the length of a line in bytes; log lines are far shorter.
 const maxLine = 1 << 20
 
-// around is how long before and after the request lines without its id are still of interest.
-const around = 2 * time.Second
+// contextWindow is the time before and after the request in which lines without its id are considered.
+const contextWindow = 2 * time.Second
 
-// Names of fields and events that are looked at.
+// Log fields that are evaluated.
 const (
 	fieldTime     = "time"
 	fieldEvent    = "event"
@@ -33,19 +33,19 @@
 	fieldTo       = "to"
 	fieldSubject  = "subject"
 	fieldInstance = "instance"
-	fieldPassed   = "passed_over" // targets that the choice passed over, as id:reason:age:source, with blanks between
+	fieldPassed   = "passed_over" // targets not chosen, as id:reason:age:source, separated by spaces
 )
 
-// ofInstance are events that touch whatever an instance is doing.
-var ofInstance = map[string]bool{
+// instanceEvents lists events that affect everything an instance does.
+var instanceEvents = map[string]bool{
 	"start": true, "stop": true, "stopped": true, "reload": true, "reload_refused": true, "settings": true,
 	"feed_failed": true, "feed_regained": true, "feed_era": true, "log_dropped": true,
 }
 
-// line is one line of a log.
+// line is one log line.
 type line struct {
 	at     time.Time
-	source string // the last word before the line: the name of the instance, as a collector adds it
+	source string // last word before the log line: the instance name that a log collector prepends
 	event  string
 	fields []field
 }
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// parse reads a line of key=value pairs; ok is false for any other.
+// parse parses a line of key=value pairs; ok is false for any other line.
 func parse(text string) (l line, ok bool) {
 	start := strings.Index(text, fieldTime+"=")
 	if start < 0 {
@@ -87,7 +87,7 @@
 	return l, l.event != ""
 }
 
-// read parses all lines; what is no log line is left out.
+// read parses all lines and skips those that are not log lines.
 func read(r io.Reader) ([]line, error) {
 	var out []line
 	s := bufio.NewScanner(r)
@@ -100,97 +100,97 @@
 	return out, s.Err()
 }
 
-// story is what one request went through.
-type story struct {
-	sources map[string]bool // instances that tell of it
-	targets map[string]bool // that it was sent or moved to, or that were passed over for it
-	first   time.Time
-	last    time.Time
-	end     *line // the line that tells how it ended, if any
+// timeline collects what the log says of one request.
+type timeline struct {
+	instances map[string]bool // instances that logged the request
+	targets   map[string]bool // targets that it was sent or moved to, or that were passed over
+	first     time.Time
+	last      time.Time
+	end       *line // the line of the final event, or nil
 }
 
-// ends are events after which a request is over.
-var ends = map[string]bool{"answered": true, "refused": true, "cut": true}
+// endEvents lists the events that end a request.
+var endEvents = map[string]bool{"answered": true, "refused": true, "cut": true}
 
-func storyOf(lines []line, request string) *story {
-	s := &story{sources: map[string]bool{}, targets: map[string]bool{}}
+func newTimeline(lines []line, request string) *timeline {
+	t := &timeline{instances: map[string]bool{}, targets: map[string]bool{}}
 	for i := range lines {
 		l := &lines[i]
 		if l.get(fieldRequest) != request {
 			continue
 		}
-		s.sources[l.source] = true
+		t.instances[l.source] = true
 		for _, key := range []string{fieldTarget, fieldFrom, fieldTo} {
-			if t := l.get(key); t != "" {
-				s.targets[t] = true
+			if target := l.get(key); target != "" {
+				t.targets[target] = true
 			}
 		}
 		for _, passed := range strings.Fields(l.get(fieldPassed)) {
 			id, _, _ := strings.Cut(passed, ":")
-			s.targets[id] = true
+			t.targets[id] = true
 		}
-		if s.first.IsZero() || l.at.Before(s.first) {
-			s.first = l.at
+		if t.first.IsZero() || l.at.Before(t.first) {
+			t.first = l.at
 		}
-		if l.at.After(s.last) {
-			s.last = l.at
+		if l.at.After(t.last) {
+			t.last = l.at
 		}
-		if ends[l.event] {
-			s.end = l
+		if endEvents[l.event] {
+			t.end = l
 		}
 	}
-	return s
+	return t
 }
 
-// concerns tells whether a line without the request's id belongs to its story.
-func (s *story) concerns(l *line) bool {
-	if l.get(fieldRequest) != "" || l.at.Before(s.first.Add(-around)) || l.at.After(s.last.Add(around)) {
+// isRelated reports whether a line without the request's id belongs to the timeline.
+func (t *timeline) isRelated(l *line) bool {
+	if l.get(fieldRequest) != "" || l.at.Before(t.first.Add(-contextWindow)) || l.at.After(t.last.Add(contextWindow)) {
 		return false
 	}
-	if s.targets[l.get(fieldTarget)] || s.targets[l.get(fieldSubject)] {
+	if t.targets[l.get(fieldTarget)] || t.targets[l.get(fieldSubject)] {
 		return true
 	}
-	return s.sources[l.source] && ofInstance[l.event]
+	return t.instances[l.source] && instanceEvents[l.event]
 }
 
-// news names what a line tells. Of a target every instance tells the same; the first to see it is enough.
-func (s *story) news(l *line) string {
+// dedupKey returns a key for deduplication. All instances log the same event of a target; only the first is printed.
+func (t *timeline) dedupKey(l *line) string {
 	target := l.get(fieldTarget) + l.get(fieldSubject)
-	if s.targets[target] {
+	if t.targets[target] {
 		return l.event + " " + target
 	}
 	return l.event + " " + l.source + l.at.String()
 }
 
-// Request reads logs from r and writes to w the timeline of one request, and what ended it.
+// Request reads logs from r and writes the timeline of one request and its outcome to w.
 func Request(w io.Writer, r io.Reader, request string) error {
 	lines, err := read(r)
 	if err != nil {
 		return err
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return a.at.Compare(b.at) })
-	s := storyOf(lines, request)
-	if s.first.IsZero() {
+	t := newTimeline(lines, request)
+	if t.first.IsZero() {
 		return ErrRequestNotFound
 	}
-	told := map[string]bool{}
+	printed := map[string]bool{}
 	for i := range lines {
 		l := &lines[i]
 		switch {
 		case l.get(fieldRequest) == request:
-			s.print(w, l, "*")
-		case s.concerns(l) && !told[s.news(l)]:
-			told[s.news(l)] = true
-			s.print(w, l, " ")
+			t.print(w, l, "*")
+		case t.isRelated(l) && !printed[t.dedupKey(l)]:
+			printed[t.dedupKey(l)] = true
+			t.print(w, l, " ")
 		}
 	}
-	_, err = fmt.Fprintln(w, s.conclusion())
+	_, err = fmt.Fprintln(w, t.conclusion())
 	return err
 }
 
-// print writes a line with the time since the request's first one; its own lines are marked.
-func (s *story) print(w io.Writer, l *line, mark string) {
-	fmt.Fprintf(w, "%s %+9.3fs %s %s", mark, l.at.Sub(s.first).Seconds(), l.source, l.event)
+// print writes a line with the time since the request's first line; mark distinguishes the request's own lines.
+func (t *timeline) print(w io.Writer, l *line, mark string) {
+	fmt.Fprintf(w, "%s %+9.3fs %s %s", mark, l.at.Sub(t.first).Seconds(), l.source, l.event)
 	for _, f := range l.fields {
 		switch f.key {
 		case fieldTime, fieldEvent, fieldRequest, "level":
@@ -201,18 +201,18 @@
 	fmt.Fprintln(w)
 }
 
-// conclusion says in one line how the request ended.
-func (s *story) conclusion() string {
-	if s.end == nil {
-		return "no line tells its end: the instance died, or dropped lines (see log_dropped), or the logs end before"
+// conclusion describes in one line how the request ended.
+func (t *timeline) conclusion() string {
+	if t.end == nil {
+		return "no line records the end: the instance crashed, or dropped lines (see log_dropped), or the logs end earlier"
 	}
-	out := "ended: " + s.end.event
+	out := "ended: " + t.end.event
 	for _, key := range []string{"status", "reason", "events", "after_ms", "age_ms"} {
-		if v := s.end.get(key); v != "" {
+		if v := t.end.get(key); v != "" {
 			out += " " + key + "=" + v
 		}
 	}
-	if text := reasons[s.end.get("reason")]; text != "" {
+	if text := reasons[t.end.get("reason")]; text != "" {
 		out += ": " + text
 	}
 	return out
--- a/lib/explain/explain_test.go
+++ b/lib/explain/explain_test.go
@@ -17,8 +17,9 @@
   1.0 gw-1 time=2026-01-01T00:01:00.000Z level=info event=stop instance=gw-1
 `
 
-// A stream was cut because its engine left. Its own lines, the engine's leaving as another instance saw it and the lost
-// store of its instance stand in order of time; other requests, other instances' feeds and far later lines are left out.
+// A stream was truncated because its engine left. The timeline has the request's own lines, the engine's leaving as logged by
+// another instance, and the failed store connection of the request's instance, in order of time. It omits other requests, the
+// feeds of other instances and much later lines.
 func TestTimelineOfOneRequest(t *testing.T) {
 	var out strings.Builder
 	must.NoError(t, Request(&out, strings.NewReader(logs), "q1"))
@@ -32,19 +33,19 @@
 		}
 	}
 	must.Eq(t, []string{"feed_failed", "first_event", "target_leaving", "cut"}, events)
-	must.StrContains(t, lines[len(lines)-1], "ended: cut reason=target_broken events=7: the target broke off")
+	must.StrContains(t, lines[len(lines)-1], "ended: cut reason=target_broken events=7: the target's response was truncated")
 	must.StrContains(t, out.String(), `cause="connection reset by peer"`)
 }
 
-func TestUnknownRequest(t *testing.T) {
+func TestUnknownRequestIsReported(t *testing.T) {
 	must.ErrorIs(t, Request(&strings.Builder{}, strings.NewReader(logs), "q9"), ErrRequestNotFound)
 }
 
-// An instance that was killed tells no end.
-func TestRequestWithoutAnEnd(t *testing.T) {
+// An instance that is killed does not log the end of its requests.
+func TestMissingEndIsReported(t *testing.T) {
 	var out strings.Builder
 	must.NoError(t, Request(&out, strings.NewReader(logs), "q2"))
-	must.StrContains(t, out.String(), "no line tells its end")
+	must.StrContains(t, out.String(), "no line records the end")
 }
 
 const passedLogs = `  1.0 gw-1 time=2026-01-01T00:00:01.100Z level=info event=target_limit target=p1 on=true per_second=4.5
@@ -54,8 +55,9 @@
   1.0 gw-1 time=2026-01-01T00:00:01.410Z level=info event=answered request=q1 target=p3 status=200
 `
 
-// A request went to the third of a service's targets. Its timeline says why the others were passed over, and when they had said so.
-func TestTimelineTellsWhichTargetsWerePassedOver(t *testing.T) {
+// A request was sent to the third target of a service. The timeline shows why the others were passed over and when their limits
+// were logged.
+func TestTimelineShowsPassedOverTargets(t *testing.T) {
 	var out strings.Builder
 	must.NoError(t, Request(&out, strings.NewReader(passedLogs), "q1"))
 	must.StrContains(t, out.String(), `passed_over="p1:limit:300:told p2:rests:200:own"`)
@@ -69,9 +71,9 @@
   1.0 gw-1 time=2026-01-01T00:00:01.400Z level=info event=sent request=q1 settings=28 era=2 target=p3 status=200
 `
 
-// The store came back from a copy before a request. Its timeline says so, and which era the settings were read in that it was
-// served by.
-func TestTimelineNamesTheEra(t *testing.T) {
+// The store was restored from a backup before the request. The timeline shows this, and the store era of the settings that
+// the request was served with.
+func TestTimelineShowsStoreEra(t *testing.T) {
 	var out strings.Builder
 	must.NoError(t, Request(&out, strings.NewReader(eraLogs), "q1"))
 	must.StrContains(t, out.String(), `gw-1 feed_era feed="settings" before="1/64" now="2/30"`)
--- a/lib/loadgen/loadgen_test.go
+++ b/lib/loadgen/loadgen_test.go
@@ -22,13 +22,13 @@
 	}
 }
 
-func TestPlanIsFixedByItsSeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	a, b, c := Plan(mix(1)), Plan(mix(1)), Plan(mix(2))
 	must.Eq(t, a, b)
 	must.NotEq(t, a, c)
 }
 
-func TestPlanIsInOrderAndOverAllEntries(t *testing.T) {
+func TestPlanIsSortedAndUsesAllEntries(t *testing.T) {
 	entries := map[int]int{}
 	plain, last := 0, time.Duration(0)
 	for _, a := range Plan(mix(1)) {
@@ -40,10 +40,10 @@
 		}
 	}
 	must.MapLen(t, 3, entries)
-	must.Between(t, 50, plain, 150) // 5 a second for 20 s
+	must.Between(t, 50, plain, 150) // 5 per second for 20 s
 }
 
-func TestScaleLeavesTheWorkloadItself(t *testing.T) {
+func TestScaleDoesNotModifyItsInput(t *testing.T) {
 	m := workload.Kelburn()
 	before, backlog := m.Workspaces[0].Length, m.Classes[1].Backlog
 	s := Scale(m, 0.5, 0.1)
@@ -55,16 +55,16 @@
 	must.Eq(t, 800, s.MaxTokens)
 }
 
-func whole(n int) (Arrival, string, caller.Result) {
+func completeAnswer(n int) (Arrival, string, caller.Result) {
 	a := Arrival{ID: "load-1", Prompt: "p", Tokens: n}
 	gen := ids.From(1, 2).String()
 	return a, engine.Answer(a.Prompt, gen, n), caller.Result{Done: true, Tokens: n, Generation: gen}
 }
 
-// A checker that can't fail proves nothing: an answer with a swapped, doubled, missing or foreign token is refused.
-func TestJudgeRefusesWrongAnswers(t *testing.T) {
-	a, text, res := whole(5)
-	must.Eq(t, "", judge(a, text, res, nil))
+// The check must reject answers with swapped, duplicated, missing or foreign tokens.
+func TestCheckGenerationRejectsWrongAnswers(t *testing.T) {
+	a, text, res := completeAnswer(5)
+	must.Eq(t, "", checkGeneration(a, text, res, nil))
 	tokens := strings.Fields(text)
 	wrong := map[string][]string{
 		"swapped": {tokens[0], tokens[2], tokens[1], tokens[3], tokens[4]},
@@ -73,16 +73,16 @@
 		"foreign": {tokens[0], strings.TrimSpace(engine.TokenText("other", res.Generation, 1)), tokens[2], tokens[3], tokens[4]},
 	}
 	for name, list := range wrong {
-		must.NotEq(t, "", judge(a, " "+strings.Join(list, " "), res, nil), must.Sprint(name))
+		must.NotEq(t, "", checkGeneration(a, " "+strings.Join(list, " "), res, nil), must.Sprint(name))
 	}
-	must.NotEq(t, "", judge(a, text, res, caller.ErrOrder))
+	must.NotEq(t, "", checkGeneration(a, text, res, caller.ErrOrder))
 	res.Done = false
-	must.Eq(t, "", judge(a, " "+strings.Join(tokens[:3], " "), res, caller.ErrTruncated)) // the caller can tell
+	must.Eq(t, "", checkGeneration(a, " "+strings.Join(tokens[:3], " "), res, caller.ErrTruncated)) // the caller detects the truncation
 }
 
-func outcome(code result.Code, whole bool, gaps ...time.Duration) Outcome {
+func outcome(code result.Code, complete bool, gaps ...time.Duration) Outcome {
 	at := time.Unix(100, 0)
-	o := Outcome{Workspace: "w", Class: "c", Sent: at, Code: code, Complete: whole}
+	o := Outcome{Workspace: "w", Class: "c", Sent: at, Code: code, Complete: complete}
 	for _, g := range gaps {
 		at = at.Add(g)
 		o.Tokens = append(o.Tokens, at)
@@ -91,14 +91,14 @@
 	return o
 }
 
-func TestFiguresCountOutcomesAndStalls(t *testing.T) {
-	f := NewStats(time.Second)
-	f.Add(outcome(result.OK, true, 100*time.Millisecond, 20*time.Millisecond, 3*time.Second, 2*time.Second))
-	f.Add(outcome(result.QueueFull, false))
-	f.Add(outcome(result.TargetFailed, false))
-	f.Add(outcome(0, false))
+func TestStatsCountOutcomesAndStalls(t *testing.T) {
+	s := NewStats(time.Second)
+	s.Add(outcome(result.OK, true, 100*time.Millisecond, 20*time.Millisecond, 3*time.Second, 2*time.Second))
+	s.Add(outcome(result.QueueFull, false))
+	s.Add(outcome(result.TargetFailed, false))
+	s.Add(outcome(0, false))
 	var out bytes.Buffer
-	f.Print(&out, 7, time.Second)
+	s.Print(&out, 7, time.Second)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	last := lines[len(lines)-1]
 	for _, want := range []string{
--- a/lib/loadgen/plan.go
+++ b/lib/loadgen/plan.go
@@ -1,7 +1,7 @@
-// Package loadgen sends an open-loop mix of requests to entries, measures what callers see, and checks every answer.
+// Package loadgen sends an open-loop mix of requests to entries, measures what callers observe, and checks every answer.
 //
-// Open loop: arrivals follow the plan whatever the system does, so that a slow system is not asked less and its worst
-// moments are not left out of the figures. A plan is fixed by its seed.
+// Open loop means that requests are sent at their planned times however fast the system responds: a slow system does not
+// get less load, and its worst periods are not missing from the measurements. A plan is determined by its seed.
 package loadgen
 
 import (
@@ -14,34 +14,34 @@
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
-// PlainClass is what plain calls are counted under.
+// PlainClass is the class under which plain calls are counted.
 const PlainClass = "plain"
 
-// Mix is what a plan is drawn from.
+// Mix configures a plan.
 type Mix struct {
 	Workload   workload.Mix
 	Span       time.Duration
 	Entries    int
 	Seed       uint64
-	PlainRate  float64 // calls of a plain service a second
+	PlainRate  float64 // calls of a plain service per second
 	PlainRoute string  // path of the plain service
 }
 
-// Arrival is one request of a plan.
+// Arrival is one planned request.
 type Arrival struct {
 	ID        string
 	At        time.Duration // since the start
 	Workspace string
 	Class     string
 	Entry     int
-	Prompt    string // empty: a plain call
-	Tokens    int    // of the whole answer
+	Prompt    string // empty: a call of a plain service
+	Tokens    int    // length of the complete answer
 }
 
 // Plain reports whether the arrival is a call of a plain service.
 func (a Arrival) Plain() bool { return a.Prompt == "" }
 
-// Scale makes a workload smaller, for one machine: load multiplies rates and backlogs, length the outputs.
+// Scale reduces a workload to fit one machine: load multiplies rates and backlogs, length multiplies output lengths.
 func Scale(m workload.Mix, load, length float64) workload.Mix {
 	m.Load *= load
 	m.MaxTokens = max(1, int(float64(m.MaxTokens)*length))
@@ -57,7 +57,7 @@
 	return m
 }
 
-// Plan draws the arrivals in order of time.
+// Plan generates the arrivals, sorted by time.
 func Plan(m Mix) []Arrival {
 	rng := rand.New(rand.NewPCG(m.Seed, 0x6c6f6164))
 	plan := plainCalls(m, rng)
@@ -76,7 +76,7 @@
 	return plan
 }
 
-// plainCalls draws a Poisson process.
+// plainCalls generates plain calls as a Poisson process.
 func plainCalls(m Mix, rng *rand.Rand) []Arrival {
 	var calls []Arrival
 	at := time.Duration(0)
--- a/lib/loadgen/run.go
+++ b/lib/loadgen/run.go
@@ -14,28 +14,28 @@
 	"anvilwick.example/anvilwick/lib/standin/engine"
 )
 
-// resumes is how often the tool goes on with one cut stream.
-const resumes = 20
+// maxResumes is the maximum number of times that one stream is resumed.
+const maxResumes = 20
 
-// Runner sends a plan.
+// Runner sends the requests of a plan.
 type Runner struct {
 	Mix             Mix
-	Entries         []string // IP:port of callers' ports
+	Entries         []string // IP:port of the entries' caller listeners
 	Model           string
-	Token           func(workspace string) string // workspace keys
-	IdempotencyKeys bool                          // Idempotency-Key on every generation, so that a cut stream is gone on with
-	MaxInFlight     int                           // beyond it arrivals are counted as unsent
+	Token           func(workspace string) string // returns the workspace's key
+	IdempotencyKeys bool                          // send an Idempotency-Key with every generation, so that truncated streams can be resumed
+	MaxInFlight     int                           // further arrivals are not sent but counted as unsent
 	RequestTimeout  time.Duration
 	Stats           *Stats
-	History         *history.Log // nil: none kept
+	History         *history.Log // may be nil
 
-	// OnOutcome, when set, sees each outcome with its place in the plan; it is called from many goroutines.
+	// OnOutcome, if set, receives each outcome with its index in the plan. It is called concurrently.
 	OnOutcome func(n int, o Outcome)
 
 	http *http.Client
 }
 
-// Run sends the plan and returns when every request has ended or ctx is done.
+// Run sends the plan and returns once all requests have ended. When ctx is done, it sends no more requests.
 func (r *Runner) Run(ctx context.Context) {
 	r.http = &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64,
@@ -43,7 +43,7 @@
 		IdleConnTimeout:     time.Minute,
 	}}
 	defer r.http.CloseIdleConnections()
-	places := make(chan struct{}, r.MaxInFlight)
+	slots := make(chan struct{}, r.MaxInFlight)
 	var wg sync.WaitGroup
 	start := time.Now()
 	for i, a := range Plan(r.Mix) {
@@ -52,14 +52,14 @@
 		}
 		r.Stats.RecordDelay(time.Since(start) - a.At)
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			r.Stats.CountUnsent()
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-places }()
-			r.one(ctx, i, a)
+			defer func() { <-slots }()
+			r.send(ctx, i, a)
 		})
 	}
 	wg.Wait()
@@ -76,47 +76,48 @@
 	}
 }
 
-func (r *Runner) one(ctx context.Context, n int, a Arrival) {
+func (r *Runner) send(ctx context.Context, n int, a Arrival) {
 	ctx, cancel := context.WithTimeout(ctx, r.RequestTimeout)
 	defer cancel()
 	c := &caller.Client{Entries: r.Entries, Token: r.Token(a.Workspace), HTTP: r.http}
 	if a.Plain() {
-		r.Stats.Add(r.plain(ctx, c, a))
+		r.Stats.Add(r.sendPlain(ctx, c, a))
 		return
 	}
-	o := r.generation(ctx, c, n, a)
+	o := r.sendGeneration(ctx, c, n, a)
 	r.Stats.Add(o)
 	if r.OnOutcome != nil {
 		r.OnOutcome(n, o)
 	}
 }
 
-func (r *Runner) generation(ctx context.Context, c *caller.Client, n int, a Arrival) Outcome {
+func (r *Runner) sendGeneration(ctx context.Context, c *caller.Client, n int, a Arrival) Outcome {
 	o := Outcome{Workspace: a.Workspace, Class: a.Class, Sent: time.Now()}
-	call := caller.Call{Model: r.Model, Prompt: a.Prompt, Class: a.Class, Entry: a.Entry, MaxResumes: resumes}
+	call := caller.Call{Model: r.Model, Prompt: a.Prompt, Class: a.Class, Entry: a.Entry, MaxResumes: maxResumes}
 	if r.IdempotencyKeys {
 		call.Key = a.ID
 	}
 	var text strings.Builder
-	var seen []caller.Token
+	var received []caller.Token
 	res, err := c.Stream(ctx, call, func(t caller.Token) {
 		o.Tokens = append(o.Tokens, t.At)
 		text.WriteString(t.Text)
 		if r.History != nil {
-			seen = append(seen, t)
+			received = append(received, t)
 		}
 	})
 	o.Ended = time.Now()
 	o.Code = res.Code
 	o.Resumes = res.Resumes
-	o.Violation = judge(a, text.String(), res, err)
+	o.Violation = checkGeneration(a, text.String(), res, err)
 	o.Complete = res.Done && o.Violation == ""
-	r.keep(n, a, res, seen, o)
+	r.recordHistory(n, a, res, received, o)
 	return o
 }
 
-// judge returns the promise that a stream broke. A refusal or a cut is no breach: the caller was told, or can tell.
-func judge(a Arrival, text string, res caller.Result, err error) string {
+// checkGeneration describes the guarantee that a stream violated, if any. Refused and truncated streams are no violations: the caller
+// got an error or can detect the missing end marker.
+func checkGeneration(a Arrival, text string, res caller.Result, err error) string {
 	switch {
 	case errors.Is(err, caller.ErrOrder), errors.Is(err, caller.ErrGeneration):
 		return fmt.Sprintf("%s: %v", a.ID, err)
@@ -132,32 +133,33 @@
 	return ""
 }
 
-func (r *Runner) plain(ctx context.Context, c *caller.Client, a Arrival) Outcome {
+func (r *Runner) sendPlain(ctx context.Context, c *caller.Client, a Arrival) Outcome {
 	o := Outcome{Workspace: a.Workspace, Class: a.Class, Sent: time.Now()}
 	path := r.Mix.PlainRoute + "?id=" + a.ID
 	body, res, err := c.Plain(ctx, caller.PlainCall{Method: http.MethodGet, Path: path, Entry: a.Entry})
 	o.Ended = time.Now()
 	o.Code = res.Code
 	if err == nil {
-		o.Violation = judgePlain(a, body, res)
+		o.Violation = checkPlain(a, body, res)
 		o.Complete = o.Violation == ""
 	}
 	return o
 }
 
-func judgePlain(a Arrival, body []byte, res caller.Result) string {
+func checkPlain(a Arrival, body []byte, res caller.Result) string {
 	if res.HTTP == http.StatusOK && !strings.Contains(string(body), `"id":"`+a.ID+`"`) {
-		return fmt.Sprintf("%s: the answer belongs to another call: %.80q", a.ID, body)
+		return fmt.Sprintf("%s: response belongs to another call: %.80q", a.ID, body)
 	}
 	return ""
 }
 
-// keep records the stream for checking, token by token: each was made for this generation or it carries its own text.
-func (r *Runner) keep(n int, a Arrival, res caller.Result, seen []caller.Token, o Outcome) {
+// recordHistory records the stream for the history check, one operation per token. The value of a token is the generation that it was
+// made for or, if its text is not the expected one, the text.
+func (r *Runner) recordHistory(n int, a Arrival, res caller.Result, received []caller.Token, o Outcome) {
 	if r.History == nil || res.Generation == "" {
 		return
 	}
-	for _, t := range seen {
+	for _, t := range received {
 		value := res.Generation
 		if t.Text != engine.TokenText(a.Prompt, res.Generation, t.Index) {
 			value = t.Text
--- a/lib/loadpoll/loadpoll.go
+++ b/lib/loadpoll/loadpoll.go
@@ -1,4 +1,4 @@
-// Package loadpoll reads the load reports and cache events of model engines and passes them to whoever decides for them.
+// Package loadpoll polls load reports and cache events of model engines and passes them to the component that places requests.
 package loadpoll
 
 import (
@@ -12,70 +12,70 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// DefaultInterval is the time between two polls of one target.
+// DefaultInterval is the default time between two polls of one target.
 const DefaultInterval = 250 * time.Millisecond
 
-// goneAfter is the number of polls in a row that must fail before a target counts as gone. One lost answer is
-// common on a stalled link; three in a row take at least half a second and match a death or a cut.
-const goneAfter = 3
+// goneAfterFailures is the number of consecutive failed polls after which a target counts as gone. A single lost response is
+// common on a stalled link; three in a row take at least half a second and indicate a crash or a cut link.
+const goneAfterFailures = 3
 
-// Poller polls a changing set of targets. Targets are polled apart from each other, so that one stalled link delays
-// nobody's report.
+// Poller polls a changing set of targets. Each target has its own goroutine, so that a stalled link delays no other
+// target's reports.
 type Poller struct {
 	ctx      context.Context
 	interval time.Duration
 	feed     placer.Feed
-	// OnReport, when set, sees each whole report besides the feed.
+	// OnReport, if set, receives each full report in addition to the feed.
 	OnReport func(name string, rep *engineapi.LoadReport)
 
-	mu   sync.Mutex
-	stop map[string]polled
+	mu     sync.Mutex
+	active map[string]activePoll
 }
 
-type polled struct {
+type activePoll struct {
 	client *target.Client
 	cancel context.CancelFunc
 }
 
-// New returns a Poller that lives until ctx is done.
+// New returns a Poller that runs until ctx is done.
 func New(ctx context.Context, feed placer.Feed, interval time.Duration) *Poller {
 	if interval <= 0 {
 		interval = DefaultInterval
 	}
-	return &Poller{ctx: ctx, interval: interval, feed: feed, stop: make(map[string]polled)}
+	return &Poller{ctx: ctx, interval: interval, feed: feed, active: make(map[string]activePoll)}
 }
 
-// SetTargets starts polling new targets and stops polling those not listed. A target whose address changed is a new one.
+// SetTargets starts polling new targets and stops polling those not listed. A target with a new address is polled anew.
 func (p *Poller) SetTargets(clients []*target.Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	keep := make(map[string]bool, len(clients))
 	for _, c := range clients {
 		keep[c.Name()] = true
-		if old, ok := p.stop[c.Name()]; ok {
+		if old, ok := p.active[c.Name()]; ok {
 			if old.client.Addr() == c.Addr() {
 				continue
 			}
 			old.cancel()
 		}
 		ctx, cancel := context.WithCancel(p.ctx)
-		p.stop[c.Name()] = polled{client: c, cancel: cancel}
+		p.active[c.Name()] = activePoll{client: c, cancel: cancel}
 		go p.poll(ctx, c)
 	}
-	for name, old := range p.stop {
+	for name, old := range p.active {
 		if !keep[name] {
 			old.cancel()
-			delete(p.stop, name)
+			delete(p.active, name)
 		}
 	}
 }
 
 func (p *Poller) poll(ctx context.Context, c *target.Client) {
-	w := watch{poller: p, client: c}
+	tp := targetPoll{poller: p, client: c}
 	t := time.NewTicker(p.interval)
 	defer t.Stop()
 	for {
-		w.once(ctx)
+		tp.pollOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -84,62 +84,62 @@
 	}
 }
 
-// watch is what the Poller remembers of one target.
-type watch struct {
+// targetPoll is the polling state of one target.
+type targetPoll struct {
 	poller      *Poller
 	client      *target.Client
-	failed      int
+	failures    int
 	incarnation uint64
-	dating      dating
+	ageTracker  ageTracker
 	cache       cacheCursor
 }
 
-func (w *watch) once(ctx context.Context) {
-	rep, err := w.client.Load(ctx)
+func (p *targetPoll) pollOnce(ctx context.Context) {
+	rep, err := p.client.Load(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		w.fail()
+		p.recordFailure()
 		return
 	}
-	w.date(rep)
-	w.failed = 0
-	if rep.Incarnation != w.incarnation {
-		w.replaced(rep.Incarnation)
+	p.correctAge(rep)
+	p.failures = 0
+	if rep.Incarnation != p.incarnation {
+		p.engineReplaced(rep.Incarnation)
 	}
-	w.poller.feed.Report(toReport(w.client.Name(), rep))
-	if w.poller.OnReport != nil {
-		w.poller.OnReport(w.client.Name(), rep)
+	p.poller.feed.Report(toReport(p.client.Name(), rep))
+	if p.poller.OnReport != nil {
+		p.poller.OnReport(p.client.Name(), rep)
 	}
-	w.cache.poll(ctx, w.client, w.poller.feed)
+	p.cache.poll(ctx, p.client, p.poller.feed)
 }
 
-// date puts the report's true age in place of the one that it tells.
-func (w *watch) date(rep *engineapi.LoadReport) {
+// correctAge replaces the age in the report by the actual age.
+func (p *targetPoll) correctAge(rep *engineapi.LoadReport) {
 	now := time.Now()
-	if w.failed >= goneAfter {
-		w.dating.restart(now)
+	if p.failures >= goneAfterFailures {
+		p.ageTracker.reset(now)
 	}
-	told := time.Duration(rep.AgeMS) * time.Millisecond
-	age := w.dating.age(now, rep.Incarnation, rep.Seq, told)
-	rep.AgeMS = int64((age + time.Millisecond - 1) / time.Millisecond) // rounded up: never younger than it is
+	reported := time.Duration(rep.AgeMS) * time.Millisecond
+	age := p.ageTracker.update(now, rep.Incarnation, rep.Seq, reported)
+	rep.AgeMS = int64((age + time.Millisecond - 1) / time.Millisecond) // rounded up: never younger than the actual age
 }
 
-func (w *watch) fail() {
-	w.failed++
-	if w.failed == goneAfter {
-		w.poller.feed.TargetGone(w.client.Name())
+func (p *targetPoll) recordFailure() {
+	p.failures++
+	if p.failures == goneAfterFailures {
+		p.poller.feed.TargetGone(p.client.Name())
 	}
 }
 
-// replaced forgets what was known of the engine process before this one: its cache is empty and its sequences are gone.
-func (w *watch) replaced(incarnation uint64) {
-	if w.incarnation != 0 {
-		w.poller.feed.TargetGone(w.client.Name())
+// engineReplaced resets the state when a new engine process answers: its cache is empty and its sequence numbers start over.
+func (p *targetPoll) engineReplaced(incarnation uint64) {
+	if p.incarnation != 0 {
+		p.poller.feed.TargetGone(p.client.Name())
 	}
-	w.incarnation = incarnation
-	w.cache = cacheCursor{}
+	p.incarnation = incarnation
+	p.cache = cacheCursor{}
 }
 
 func toReport(name string, rep *engineapi.LoadReport) sched.Report {
@@ -157,27 +157,27 @@
 	}
 }
 
-// cacheCursor follows one engine's cache events.
+// cacheCursor tracks the position in one engine's cache events.
 type cacheCursor struct {
-	seq   uint64
-	known bool
-	off   bool // the engine publishes none
+	seq      uint64
+	synced   bool
+	disabled bool // the engine does not publish cache events
 }
 
-// poll reads new events. Events come late and with gaps; after a gap nothing that was believed can be told from what
-// was evicted unseen, so a snapshot replaces it all.
+// poll reads new events. Events may be late or missing. After a gap, a cached prefix may have been evicted without notice,
+// so the whole state is dropped until a snapshot replaces it.
 func (cc *cacheCursor) poll(ctx context.Context, c *target.Client, feed placer.Feed) {
-	if cc.off {
+	if cc.disabled {
 		return
 	}
-	evs, err := c.CacheEvents(ctx, cc.seq, !cc.known)
+	evs, err := c.CacheEvents(ctx, cc.seq, !cc.synced)
 	if err != nil {
-		cc.off = refused(err)
+		cc.disabled = unsupported(err)
 		return
 	}
 	if evs.Snapshot {
 		feed.CacheSnapshot(c.Name(), storedPrefixes(evs.Events))
-		cc.seq, cc.known = evs.Seq, true
+		cc.seq, cc.synced = evs.Seq, true
 		return
 	}
 	for _, ev := range evs.Events {
@@ -186,7 +186,7 @@
 		}
 		if ev.Seq != cc.seq+1 {
 			feed.CacheSnapshot(c.Name(), nil)
-			cc.known = false
+			cc.synced = false
 			return
 		}
 		feed.CacheStored(c.Name(), ev.Prefix, ev.Stored)
--- a/lib/loadpoll/services.go
+++ b/lib/loadpoll/services.go
@@ -9,27 +9,27 @@
 	"anvilwick.example/anvilwick/lib/target"
 )
 
-// ServiceInterval is the time between two polls of a plain service's target.
+// ServiceInterval is the time between two polls of a target of a plain service.
 const ServiceInterval = time.Second
 
-// ServiceFeed takes the load reports of plain services' targets.
+// ServiceFeed receives the load reports of plain services' targets.
 type ServiceFeed func(service, name string, rep pick.Report)
 
-// Services polls the targets of plain services.
+// Services polls the targets of plain services for their load.
 type Services struct {
 	ctx  context.Context
 	feed ServiceFeed
 
 	mu      sync.Mutex
-	targets map[string]polled // by target name
+	targets map[string]activePoll // by target name
 }
 
-// NewServices returns a Services that lives until ctx is done.
+// NewServices returns a Services that runs until ctx is done.
 func NewServices(ctx context.Context, feed ServiceFeed) *Services {
-	return &Services{ctx: ctx, feed: feed, targets: make(map[string]polled)}
+	return &Services{ctx: ctx, feed: feed, targets: make(map[string]activePoll)}
 }
 
-// SetTargets replaces the targets that are polled; services holds clients by service.
+// SetTargets replaces the set of polled targets; services maps each service to the clients of its targets.
 func (s *Services) SetTargets(services map[string][]*target.Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,12 +56,12 @@
 		old.cancel()
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	s.targets[c.Name()] = polled{client: c, cancel: cancel}
+	s.targets[c.Name()] = activePoll{client: c, cancel: cancel}
 	go s.poll(ctx, service, c)
 }
 
 func (s *Services) poll(ctx context.Context, service string, c *target.Client) {
-	var d dating
+	var tracker ageTracker
 	t := time.NewTicker(ServiceInterval)
 	defer t.Stop()
 	for {
@@ -70,7 +70,7 @@
 				Running:  rep.Running,
 				Capacity: rep.Capacity,
 				Leaving:  rep.Leaving,
-				Age:      d.age(time.Now(), 0, rep.Seq, time.Duration(rep.AgeMS)*time.Millisecond),
+				Age:      tracker.update(time.Now(), 0, rep.Seq, time.Duration(rep.AgeMS)*time.Millisecond),
 			})
 		}
 		select {
--- a/lib/loadrun/config_test.go
+++ b/lib/loadrun/config_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestBadFlagsAreNamed(t *testing.T) {
+func TestCheckNamesInvalidFlag(t *testing.T) {
 	good := Config{Entries: "127.0.0.1:1", Deployment: "kivu", Span: 1, RequestTimeout: 1, Load: 1, Length: 1, MaxInFlight: 1, KeyFormat: "%s"}
 	must.NoError(t, good.Check())
 	bad := map[string]func(*Config){
@@ -15,9 +15,9 @@
 		"-span":       func(c *Config) { c.Span = 0 },
 		"-key-format": func(c *Config) { c.KeyFormat = "key" },
 	}
-	for name, spoil := range bad {
+	for name, modify := range bad {
 		c := good
-		spoil(&c)
+		modify(&c)
 		must.ErrorContains(t, c.Check(), name)
 	}
 }
--- a/lib/loadrun/run.go
+++ b/lib/loadrun/run.go
@@ -13,15 +13,15 @@
 	"anvilwick.example/anvilwick/lib/loadgen"
 )
 
-// checkLimit bounds the check of a history.
-const checkLimit = 30 * time.Second
+// historyCheckTimeout bounds the time of a history check.
+const historyCheckTimeout = 30 * time.Second
 
-// ErrViolation is returned when a caller saw a broken promise.
-var ErrViolation = errors.New("a promise was broken")
+// ErrViolation is returned when a caller observed a violation of a system guarantee.
+var ErrViolation = errors.New("a guarantee was violated")
 
-// Run sends the load to the entries of c and prints the figures to w. atEnd, when given, prints what comes before them.
+// Run sends the load to the entries of c and prints the statistics to w. atEnd, if not nil, is called just before printing.
 func Run(ctx context.Context, c Config, w io.Writer, atEnd func()) error {
-	entries := c.entries()
+	entries := c.entryAddrs()
 	m, err := c.Mix()
 	if err != nil {
 		return err
@@ -42,20 +42,20 @@
 	if c.History != "" {
 		r.History = &history.Log{}
 	}
-	began := time.Now()
+	start := time.Now()
 	r.Run(ctx)
-	herr := c.checkHistory(r.History)
+	checkErr := c.checkHistory(r.History)
 	if atEnd != nil {
 		atEnd()
 	}
-	r.Stats.Print(w, c.Seed, time.Since(began))
+	r.Stats.Print(w, c.Seed, time.Since(start))
 	if n := len(r.Stats.Violations()); n > 0 {
-		herr = errors.Join(herr, fmt.Errorf("%w: %d answers", ErrViolation, n))
+		checkErr = errors.Join(checkErr, fmt.Errorf("%w: %d answers", ErrViolation, n))
 	}
-	return herr
+	return checkErr
 }
 
-// checkHistory stores what callers saw and checks it.
+// checkHistory writes the operations that callers observed to a file and checks them.
 func (c Config) checkHistory(log *history.Log) error {
 	if log == nil {
 		return nil
@@ -68,7 +68,7 @@
 	if err := history.Write(f, log.Ops()); err != nil {
 		return err
 	}
-	if err := history.Check(log.Ops(), checkLimit); err != nil {
+	if err := history.Check(log.Ops(), historyCheckTimeout); err != nil {
 		return fmt.Errorf("%w: %w", ErrViolation, err)
 	}
 	return nil
--- a/lib/locallink/client.go
+++ b/lib/locallink/client.go
@@ -14,54 +14,54 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// Bounds of the wait between two connects. The entry is on the same machine: a quick retry costs little.
+// Bounds of the backoff between connects. The entry is on the same machine, so quick retries are cheap.
 const (
-	retryMin = 50 * time.Millisecond
-	retryMax = time.Second
+	reconnectMin = 50 * time.Millisecond
+	reconnectMax = time.Second
 )
 
-// Client is the control process's side. It holds the latest message of each kind and subject, and sends every one of
+// Client is the control process's side of the link. It keeps the latest message of each kind and subject and sends all of
 // them on each new link.
 type Client struct {
 	Node         *mesh.Node
 	Addr         string                  // IP:port of the entry's mesh listener
-	OnReport     func(m *meshpb.LocalUp) // called in order; nil: ignored
-	OnDisconnect func(err error)         // a link or a connect failed; nil: ignored
-
-	mu      sync.Mutex
-	state   map[string]held
-	next    uint64
-	linked  bool
-	changed chan struct{}
+	OnReport     func(m *meshpb.LocalUp) // called in order; may be nil
+	OnDisconnect func(err error)         // called when a link or a connect fails; may be nil
+
+	mu          sync.Mutex
+	state       map[string]stateEntry
+	lastVersion uint64
+	connected   bool
+	changed     chan struct{}
 }
 
-// held is the newest message of one subject.
-type held struct {
+// stateEntry is the latest message for one state key.
+type stateEntry struct {
 	msg     *meshpb.LocalDown
 	version uint64
-	expires time.Time // of a power share; zero: never
+	expires time.Time // end of a power share's validity; zero: does not expire
 }
 
-// NewClient returns a Client that holds nothing yet.
+// NewClient returns a Client without any state.
 func NewClient(node *mesh.Node, addr string) *Client {
 	return &Client{
 		Node:    node,
 		Addr:    addr,
-		state:   map[string]held{},
+		state:   map[string]stateEntry{},
 		changed: make(chan struct{}, 1),
 	}
 }
 
-// Set replaces what is held for m's kind and subject. A slow entry sees only the newest of several.
+// Set replaces the message for m's kind and subject. A slow entry receives only the latest one.
 func (c *Client) Set(m *meshpb.LocalDown) {
-	e := held{msg: m}
+	e := stateEntry{msg: m}
 	if p := m.GetPower(); p != nil {
 		e.expires = time.Now().Add(time.Duration(p.GetValidMs()) * time.Millisecond)
 	}
 	c.mu.Lock()
-	c.next++
-	e.version = c.next
-	c.state[subject(m)] = e
+	c.lastVersion++
+	e.version = c.lastVersion
+	c.state[stateKey(m)] = e
 	c.mu.Unlock()
 	select {
 	case c.changed <- struct{}{}:
@@ -69,7 +69,7 @@
 	}
 }
 
-func subject(m *meshpb.LocalDown) string {
+func stateKey(m *meshpb.LocalDown) string {
 	switch m := m.GetMsg().(type) {
 	case *meshpb.LocalDown_Settings:
 		return "settings"
@@ -84,22 +84,22 @@
 	}
 }
 
-// Run keeps a link until ctx is done.
+// Run connects to the entry and reconnects after failures until ctx is done.
 func (c *Client) Run(ctx context.Context) {
-	wait := retryMin
+	backoff := reconnectMin
 	for ctx.Err() == nil {
-		began := time.Now()
-		err := c.once(ctx)
+		start := time.Now()
+		err := c.runLink(ctx)
 		if c.OnDisconnect != nil && ctx.Err() == nil {
 			c.OnDisconnect(err)
 		}
-		if time.Since(began) > retryMax {
-			wait = retryMin
+		if time.Since(start) > reconnectMax {
+			backoff = reconnectMin
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, backoff) {
 			return
 		}
-		wait = min(2*wait, retryMax)
+		backoff = min(2*backoff, reconnectMax)
 	}
 }
 
@@ -107,35 +107,35 @@
 func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.linked
+	return c.connected
 }
 
-func (c *Client) setLinked(on bool) {
+func (c *Client) setConnected(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.linked = on
+	c.connected = on
 }
 
-// once connects, sends all that is held, then what changes, until the link ends.
-func (c *Client) once(ctx context.Context) error {
+// runLink connects, sends the full state and then changes, until the link ends.
+func (c *Client) runLink(ctx context.Context) error {
 	peer := mesh.Peer{Instance: c.Node.Self().Instance, Addr: c.Addr}
 	st, err := c.Node.Open(ctx, peer, meshpb.StreamKind_STREAM_LOCAL)
 	if err != nil {
 		return err
 	}
-	c.setLinked(true)
-	defer c.setLinked(false)
+	c.setConnected(true)
+	defer c.setConnected(false)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var reading sync.WaitGroup
-	reading.Go(func() { cancel(c.readUp(st)) })
-	err = c.writeDown(ctx, st)
+	reading.Go(func() { cancel(c.readReports(st)) })
+	err = c.writeState(ctx, st)
 	_ = st.Close()
 	reading.Wait()
 	return err
 }
 
-func (c *Client) readUp(st *mesh.Stream) error {
+func (c *Client) readReports(st *mesh.Stream) error {
 	for {
 		var m meshpb.LocalUp
 		if err := st.Read(&m); err != nil {
@@ -147,10 +147,10 @@
 	}
 }
 
-func (c *Client) writeDown(ctx context.Context, st *mesh.Stream) error {
+func (c *Client) writeState(ctx context.Context, st *mesh.Stream) error {
 	sent := uint64(0)
 	for {
-		msgs, newest := c.since(sent)
+		msgs, newest := c.changedSince(sent)
 		for _, m := range msgs {
 			if err := st.Write(m); err != nil {
 				return err
@@ -165,9 +165,9 @@
 	}
 }
 
-// since returns what changed after version v: drains, then settings, then the rest. The entry needs the settings to read
-// the rest, and takes them for the sign that it knows the drains.
-func (c *Client) since(v uint64) ([]*meshpb.LocalDown, uint64) {
+// changedSince returns the messages changed after version v: drains, then settings, then the rest. The entry needs the settings
+// to interpret the rest, and treats their arrival as the sign that it has received all drains.
+func (c *Client) changedSince(v uint64) ([]*meshpb.LocalDown, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var msgs []*meshpb.LocalDown
@@ -175,13 +175,13 @@
 		if e.version <= v {
 			continue
 		}
-		msgs = append(msgs, e.current(time.Now()))
+		msgs = append(msgs, e.messageAt(time.Now()))
 	}
-	slices.SortStableFunc(msgs, func(a, b *meshpb.LocalDown) int { return cmp.Compare(rank(a), rank(b)) })
-	return msgs, c.next
+	slices.SortStableFunc(msgs, func(a, b *meshpb.LocalDown) int { return cmp.Compare(sendOrder(a), sendOrder(b)) })
+	return msgs, c.lastVersion
 }
 
-func rank(m *meshpb.LocalDown) int {
+func sendOrder(m *meshpb.LocalDown) int {
 	switch m.GetMsg().(type) {
 	case *meshpb.LocalDown_Drain:
 		return 0
@@ -191,14 +191,14 @@
 	return 2
 }
 
-// current returns the message as it is worth now: a power share with the time that is left, and with none when it has
-// run out, so that the entry falls to its fallback. Sent as it was first given, an old share would be valid for its
-// whole span again after each reconnect, and the sum of shares could pass the site's cap.
-func (e held) current(now time.Time) *meshpb.LocalDown {
+// messageAt returns the message to send at now. A power share gets its remaining validity, or zero once it has expired, so
+// that the entry uses its fallback. With the original validity, an old share would become valid for its full period again
+// after each reconnect, and the sum of the shares could exceed the site's power cap.
+func (e stateEntry) messageAt(now time.Time) *meshpb.LocalDown {
 	if e.expires.IsZero() {
 		return e.msg
 	}
-	p := proto.CloneOf(e.msg.GetPower())
-	p.ValidMs = max(0, e.expires.Sub(now).Milliseconds())
-	return &meshpb.LocalDown{Msg: &meshpb.LocalDown_Power{Power: p}}
+	share := proto.CloneOf(e.msg.GetPower())
+	share.ValidMs = max(0, e.expires.Sub(now).Milliseconds())
+	return &meshpb.LocalDown{Msg: &meshpb.LocalDown_Power{Power: share}}
 }
--- a/lib/locallink/link_test.go
+++ b/lib/locallink/link_test.go
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/proc"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
 const self = "i1"
 
@@ -46,7 +46,7 @@
 	return n
 }
 
-// startServer listens on addr ("" draws one) and passes what comes down to the returned channel.
+// startServer listens on addr (empty: a free address) and sends received messages to the returned channel.
 func startServer(t *testing.T, addr, instance string) (string, chan *meshpb.LocalDown, func()) {
 	t.Helper()
 	if addr == "" {
@@ -86,80 +86,80 @@
 	return stop
 }
 
-func next[T any](t *testing.T, ch chan T) T {
+func receive[T any](t *testing.T, ch chan T) T {
 	t.Helper()
 	select {
 	case m := <-ch:
 		return m
-	case <-time.After(patience):
-		t.Fatal("nothing came over the link")
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for a message over the link")
 		panic("unreachable")
 	}
 }
 
-func TestStateGoesDownAndReportsComeUp(t *testing.T) {
+func TestStateAndReportsAreDelivered(t *testing.T) {
 	addr, down, _ := startServer(t, "", self)
 	c := newClient(t, addr)
 	up := make(chan *meshpb.LocalUp, 64)
 	c.OnReport = func(m *meshpb.LocalUp) { up <- m }
 	startClient(t, c)
 	c.Set(settingsMsg(3))
-	must.Eq(t, 3, next(t, down).GetSettings().GetRevision())
-	must.Eq(t, self, next(t, up).GetStatus().GetInstance())
+	must.Eq(t, 3, receive(t, down).GetSettings().GetRevision())
+	must.Eq(t, self, receive(t, up).GetStatus().GetInstance())
 }
 
-// The entry dies and comes back on its address with nothing in memory. Nothing changes at the control process
-// meanwhile, so a link that carried only changes would leave the new entry without settings: it would refuse every
-// caller. The client sends all that it holds on each new link.
-func TestRestartedEntryGetsTheWholeState(t *testing.T) {
+// The entry restarts on the same address without state, while nothing changes in the control process. If the link carried
+// only changes, the new entry would have no settings and refuse every caller. The client must send its full state on each
+// new link.
+func TestRestartedEntryReceivesFullState(t *testing.T) {
 	addr, down, stop := startServer(t, "", self)
 	c := newClient(t, addr)
 	startClient(t, c)
 	c.Set(settingsMsg(3))
-	next(t, down)
+	receive(t, down)
 	c.Set(drainMsg("t1", true))
-	next(t, down)
+	receive(t, down)
 	stop()
 
 	_, down2, _ := startServer(t, addr, self)
-	must.Eq(t, "t1", next(t, down2).GetDrain().GetTarget()) // before the settings, on which the entry serves
-	must.Eq(t, 3, next(t, down2).GetSettings().GetRevision())
+	must.Eq(t, "t1", receive(t, down2).GetDrain().GetTarget()) // before the settings, which make the entry start serving
+	must.Eq(t, 3, receive(t, down2).GetSettings().GetRevision())
 }
 
-// The control process is frozen and its successor connects while the old link still stands. When the old one wakes it
-// sends what it held before. Were both links read, the entry would apply the old state over the new.
+// The control process is frozen, and its successor connects while the old link is still open. When the old process resumes,
+// it sends its outdated state. If both links were read, the entry would overwrite the new state with the old.
 func TestNewestLinkWins(t *testing.T) {
 	addr, down, _ := startServer(t, "", self)
 	old := newClient(t, addr)
 	oldDone := make(chan struct{})
-	go func() { defer close(oldDone); _ = old.once(t.Context()) }()
+	go func() { defer close(oldDone); _ = old.runLink(t.Context()) }()
 	old.Set(drainMsg("t1", true))
-	next(t, down)
+	receive(t, down)
 
 	successor := newClient(t, addr)
 	successor.Set(drainMsg("t1", false))
 	startClient(t, successor)
-	must.False(t, next(t, down).GetDrain().GetOn())
+	must.False(t, receive(t, down).GetDrain().GetOn())
 
 	select {
 	case <-oldDone: // the server closed the older link
-	case <-time.After(patience):
-		t.Fatal("the older link still stands")
+	case <-time.After(testTimeout):
+		t.Fatal("the older link is still open")
 	}
 }
 
-func TestClientRefusesAnotherInstancesEntry(t *testing.T) {
+func TestClientRejectsEntryOfAnotherInstance(t *testing.T) {
 	addr, down, _ := startServer(t, "", "i2")
 	c := newClient(t, addr)
 	lost := make(chan error, 8)
 	c.OnDisconnect = func(err error) { lost <- err }
 	c.Set(settingsMsg(1))
 	startClient(t, c)
-	must.Error(t, next(t, lost))
+	must.Error(t, receive(t, lost))
 	must.Eq(t, 0, len(down))
 }
 
-func TestEntryRefusesAnotherInstancesControl(t *testing.T) {
+func TestEntryRejectsControlProcessOfAnotherInstance(t *testing.T) {
 	addr, down, _ := startServer(t, "", "i2")
 	st, err := newNode(t, self).Open(t.Context(), mesh.Peer{Addr: addr}, meshpb.StreamKind_STREAM_LOCAL)
 	must.NoError(t, err)
@@ -169,31 +169,31 @@
 	must.Eq(t, 0, len(down))
 }
 
-func TestOnlyTheNewestOfASubjectIsHeld(t *testing.T) {
+func TestOnlyLatestMessagePerKeyIsKept(t *testing.T) {
 	c := newClient(t, "")
 	for rev := range uint64(100) {
 		c.Set(settingsMsg(rev))
 	}
 	c.Set(drainMsg("t1", true))
 	c.Set(drainMsg("t1", false))
-	msgs, v := c.since(0)
+	msgs, v := c.changedSince(0)
 	must.Len(t, 2, msgs)
-	must.Eq(t, "t1", msgs[0].GetDrain().GetTarget()) // drains first: the settings are the sign that all were told
+	must.Eq(t, "t1", msgs[0].GetDrain().GetTarget()) // drains first: the settings signal that all drains were sent
 	must.False(t, msgs[0].GetDrain().GetOn())
 	must.Eq(t, 99, msgs[1].GetSettings().GetRevision())
-	msgs, _ = c.since(v)
+	msgs, _ = c.changedSince(v)
 	must.Len(t, 0, msgs)
 }
 
-// A power share is valid for ten seconds. The link breaks after eight and comes back; the share is sent again. Given
-// its whole span once more the entry would run on it for eighteen seconds, while another holder hands the same watts
-// to others: the site passes its cap.
-func TestPowerShareIsSentWithTheTimeThatIsLeft(t *testing.T) {
+// A power share is valid for 10 s. The link fails after 8 s and reconnects, and the share is sent again. With its original
+// validity the entry would use it for 18 s, while another holder assigns the same watts elsewhere, and the site would exceed
+// its power cap.
+func TestPowerShareIsSentWithRemainingValidity(t *testing.T) {
 	c := newClient(t, "")
 	c.Set(powerMsg(10_000))
 	e := c.state["power/s/0"]
-	later := e.current(e.expires.Add(-2 * time.Second))
+	later := e.messageAt(e.expires.Add(-2 * time.Second))
 	must.Eq(t, 2000, later.GetPower().GetValidMs())
-	must.Eq(t, 0, e.current(e.expires.Add(time.Hour)).GetPower().GetValidMs())
+	must.Eq(t, 0, e.messageAt(e.expires.Add(time.Hour)).GetPower().GetValidMs())
 	must.Eq(t, 10_000, e.msg.GetPower().GetValidMs())
 }
--- a/lib/locallink/server.go
+++ b/lib/locallink/server.go
@@ -1,8 +1,8 @@
-// Package locallink joins a control process to the entry beside it: one mesh stream with LocalDown messages to the
-// entry and LocalUp messages back.
+// Package locallink connects a control process to the entry on the same instance over one mesh stream: LocalDown messages
+// go to the entry, LocalUp messages come back.
 //
-// Either side may die and come back at any time. The link carries state, never commands: after each connect the
-// control process sends all that it holds, so that a message lost with a link is made good by the next link.
+// Either process may restart at any time. The link therefore carries state rather than commands: after each connect the
+// control process sends its full state, so that messages lost with one link are repeated on the next.
 package locallink
 
 import (
@@ -14,63 +14,63 @@
 	"anvilwick.example/anvilwick/lib/meshpb"
 )
 
-// Server is the entry's side.
+// Server is the entry's side of the link.
 type Server struct {
-	Instance  string                    // whose control process may connect
-	OnMessage func(m *meshpb.LocalDown) // called in order, one at a time over all links
-	Reports   func() []*meshpb.LocalUp  // called every Interval while a link stands
-	Interval  time.Duration             // between reports upwards
+	Instance  string                    // only this instance's control process may connect
+	OnMessage func(m *meshpb.LocalDown) // called in order, one at a time across all links
+	Reports   func() []*meshpb.LocalUp  // called every Interval while a link is connected
+	Interval  time.Duration             // between reports to the control process
 
-	mu      sync.Mutex // held while Down runs
-	current *mesh.Stream
+	mu   sync.Mutex // held while OnMessage runs
+	link *mesh.Stream
 }
 
-// Handle serves one link; it is the node's handler of meshpb.StreamKind_STREAM_LOCAL.
+// Handle serves one link; it is the node's handler for meshpb.StreamKind_STREAM_LOCAL.
 //
-// A link from another instance is refused: a wrong address in the flags would let one instance's control process steer
-// another instance's entry, and both would look healthy.
+// A link from another instance is rejected: with a wrong address in its flags, one instance's control process would
+// control another instance's entry, and both would look healthy.
 func (s *Server) Handle(ctx context.Context, st *mesh.Stream) {
 	if st.Peer().Instance != s.Instance {
 		return
 	}
-	s.replace(st)
+	s.replaceLink(st)
 	ctx, cancel := context.WithCancel(ctx)
 	var reporting sync.WaitGroup
-	reporting.Go(func() { s.report(ctx, st) })
-	s.read(st)
+	reporting.Go(func() { s.sendReports(ctx, st) })
+	s.readMessages(st)
 	cancel()
 	reporting.Wait()
-	s.forget(st)
+	s.clearLink(st)
 }
 
 // Connected reports whether a control process is connected.
 func (s *Server) Connected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.current != nil
+	return s.link != nil
 }
 
-// replace makes st the only link. A restarted control process connects while the dead one's link may still stand; two
-// links would apply old state over new, so the newest wins and the older one is closed.
-func (s *Server) replace(st *mesh.Stream) {
+// replaceLink makes st the only link. A restarted control process may connect while its predecessor's link is still open. Two
+// links could overwrite new state with old, so the newest one wins and the older one is closed.
+func (s *Server) replaceLink(st *mesh.Stream) {
 	s.mu.Lock()
-	old := s.current
-	s.current = st
+	old := s.link
+	s.link = st
 	s.mu.Unlock()
 	if old != nil {
 		_ = old.Close()
 	}
 }
 
-func (s *Server) forget(st *mesh.Stream) {
+func (s *Server) clearLink(st *mesh.Stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current == st {
-		s.current = nil
+	if s.link == st {
+		s.link = nil
 	}
 }
 
-func (s *Server) read(st *mesh.Stream) {
+func (s *Server) readMessages(st *mesh.Stream) {
 	for {
 		var m meshpb.LocalDown
 		if err := st.Read(&m); err != nil {
@@ -85,14 +85,14 @@
 func (s *Server) deliver(st *mesh.Stream, m *meshpb.LocalDown) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.current != st {
+	if s.link != st {
 		return false
 	}
 	s.OnMessage(m)
 	return true
 }
 
-func (s *Server) report(ctx context.Context, st *mesh.Stream) {
+func (s *Server) sendReports(ctx context.Context, st *mesh.Stream) {
 	for {
 		for _, m := range s.Reports() {
 			if err := st.Write(m); err != nil {
@@ -100,14 +100,14 @@
 				return
 			}
 		}
-		if !pause(ctx, s.Interval) {
+		if !sleep(ctx, s.Interval) {
 			return
 		}
 	}
 }
 
-// pause waits d, or less when ctx ends; it reports whether ctx still stands.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d or until ctx is done; it reports whether ctx is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/lib/logline/bounded.go
+++ b/lib/logline/bounded.go
@@ -8,49 +8,49 @@
 )
 
 const (
-	// queuedLines is how many lines wait to be written.
-	queuedLines = 2048
-	// linesPerSecond bounds the volume under load: at some 250 bytes a line, 100 KB/s.
-	linesPerSecond = 400
+	// queueCapacity is the capacity of the queue of lines to be written.
+	queueCapacity = 2048
+	// maxLinesPerSecond bounds the log volume under load to 100 KB/s, at about 250 bytes per line.
+	maxLinesPerSecond = 400
 )
 
-// BoundedWriter is a writer that never blocks its callers. What does not fit the queue or the rate is dropped, counted and
-// said in a line of its own: a reader must know that lines are missing, and a request must not wait for a full pipe.
+// BoundedWriter is a writer that never blocks: a request must not wait for a full pipe. Lines beyond the queue's capacity or
+// the rate limit are dropped and counted, and the count is logged, so that readers know that lines are missing.
 type BoundedWriter struct {
-	queue   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
+	queue      chan []byte
+	unreported atomic.Int64
+	total      atomic.Int64
 }
 
-// NewBoundedWriter starts writing to w.
+// NewBoundedWriter returns a BoundedWriter and starts its goroutine, which writes to w.
 func NewBoundedWriter(w io.Writer) *BoundedWriter {
-	b := &BoundedWriter{queue: make(chan []byte, queuedLines)}
+	b := &BoundedWriter{queue: make(chan []byte, queueCapacity)}
 	go b.run(w)
 	return b
 }
 
-// Write queues one line.
+// Write queues a copy of the line or drops it; it never fails.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
 	select {
 	case b.queue <- append([]byte(nil), line...):
 	default:
-		b.drop()
+		b.countDrop()
 	}
 	return len(line), nil
 }
 
-// Flush waits until what is queued has been written, at most d: the last lines of a process tell why it ended.
+// Flush waits up to d until the queue is empty. The last lines of a process often explain why it ended.
 func (b *BoundedWriter) Flush(d time.Duration) {
 	for end := time.Now().Add(d); len(b.queue) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the total number of dropped lines.
 func (b *BoundedWriter) Dropped() int64 { return b.total.Load() }
 
-func (b *BoundedWriter) drop() {
-	b.dropped.Add(1)
+func (b *BoundedWriter) countDrop() {
+	b.unreported.Add(1)
 	b.total.Add(1)
 }
 
@@ -59,14 +59,14 @@
 	n := 0
 	for line := range b.queue {
 		if now := time.Now(); now.Sub(begin) >= time.Second {
-			if lost := b.dropped.Swap(0); lost > 0 {
-				// There is nowhere else to tell of a log that can't be written.
+			if lost := b.unreported.Swap(0); lost > 0 {
+				// A log that cannot be written has no other place to report it; errors are ignored.
 				_, _ = fmt.Fprintf(w, "time=%s level=warn event=log_dropped lines=%d\n", now.UTC().Format(timeFormat), lost)
 			}
 			begin, n = now, 0
 		}
-		if n++; n > linesPerSecond {
-			b.drop()
+		if n++; n > maxLinesPerSecond {
+			b.countDrop()
 			continue
 		}
 		_, _ = w.Write(line)
--- a/lib/logline/bounded_test.go
+++ b/lib/logline/bounded_test.go
@@ -12,26 +12,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// stuck is a pipe that nobody reads until it is opened.
-type stuck struct {
+// blockedWriter is a writer that blocks until open is closed, like a pipe without a reader.
+type blockedWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.open
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// Nobody reads the log. Requests go on: each line is queued or dropped at once, and what was dropped is said.
-func TestFullPipeBlocksNobody(t *testing.T) {
+// Nobody reads the log pipe. Writes must not block: each line is queued or dropped at once, and the drops are logged.
+func TestWriteDoesNotBlockOnFullPipe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stuck{open: make(chan struct{})}
+		s := &blockedWriter{open: make(chan struct{})}
 		b := NewBoundedWriter(s)
-		for i := range 2 * queuedLines {
+		for i := range 2 * queueCapacity {
 			_, err := fmt.Fprintf(b, "event=x n=%d\n", i)
 			must.NoError(t, err)
 		}
@@ -42,7 +42,7 @@
 		synctest.Wait()
 		must.StrContains(t, s.buf.String(), "event=log_dropped lines=")
 		must.StrContains(t, s.buf.String(), "event=last")
-		must.LessEq(t, linesPerSecond+2, strings.Count(s.buf.String(), "\n"))
+		must.LessEq(t, maxLinesPerSecond+2, strings.Count(s.buf.String(), "\n"))
 		close(b.queue)
 	})
 }
--- a/lib/logline/logline.go
+++ b/lib/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline sets up the process's log: one line of key=value pairs for each event.
+// Package logline configures the process's logger, which writes one line of key=value pairs per event.
 package logline
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/phuslu/log"
 )
 
-// Levels lists the names that Setup knows.
+// Levels lists the level names that Setup accepts, for messages.
 const Levels = "debug, info, warn or error"
 
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
@@ -21,7 +21,7 @@
 	"error": log.ErrorLevel,
 }
 
-// Setup makes the default logger write to w from the named level on.
+// Setup configures the default logger to write to w at the given level and above.
 func Setup(w io.Writer, level string) error {
 	l, ok := levels[level]
 	if !ok {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// format writes one line. Values are quoted only where a reader needs it.
+// format writes one line. Values are quoted only if they would be ambiguous otherwise.
 func format(w io.Writer, args *log.FormatterArgs) (int, error) {
 	b := make([]byte, 0, 256)
 	b = appendPair(b, "time", args.Time)
@@ -51,11 +51,11 @@
 	return w.Write(b)
 }
 
-// appendPair appends one pair and a blank.
+// appendPair appends a pair and a space.
 func appendPair(b []byte, key, value string) []byte {
 	b = append(b, key...)
 	b = append(b, '=')
-	if plain(value) {
+	if needsNoQuotes(value) {
 		b = append(b, value...)
 	} else {
 		b = strconv.AppendQuote(b, value)
@@ -63,7 +63,7 @@
 	return append(b, ' ')
 }
 
-func plain(value string) bool {
+func needsNoQuotes(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c <= ' ' || c > '~' || c == '"' || c == '=' || c == '\\' {
 			return false
@@ -72,7 +72,7 @@
 	return value != ""
 }
 
-// Send adds an error, when there is one, and ends the line.
+// Send adds err, if any, as the field "cause" and writes the entry.
 func Send(e *log.Entry, err error) {
 	if err != nil {
 		e = e.Str("cause", err.Error())
--- a/lib/logline/logline_test.go
+++ b/lib/logline/logline_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A value with a line break in it must not look like a second event.
-func TestOneLineOfPairs(t *testing.T) {
+// A line break in a value must not start what looks like a second event.
+func TestLineBreaksInValuesAreEscaped(t *testing.T) {
 	var buf bytes.Buffer
 	old := log.DefaultLogger
 	t.Cleanup(func() { log.DefaultLogger = old })
