--- a/lib/platform/budget_test.go
+++ b/lib/platform/budget_test.go
@@ -12,7 +12,7 @@
 	standin "anvilwick.example/anvilwick/lib/standin/platform"
 )
 
-// The caller's deadline is before the next token, or the caller has time and the budget has no token. If both
+// The caller's deadline is in 10 ms and the next token comes in 500 ms, or the caller has time and the budget has no token. If both
 // errors named the budget, operators would raise a limit that was not the cause.
 func TestBudgetErrorNamesDeadlineOrBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
