--- a/lib/callerapi/callerapi_test.go
+++ b/lib/callerapi/callerapi_test.go
@@ -37,7 +37,7 @@
 	}, got)
 }
 
-func TestParseHeadersRefuses(t *testing.T) {
+func TestParseHeadersRejectsInvalidValues(t *testing.T) {
 	for name, tc := range map[string]struct {
 		h    http.Header
 		want result.Code
@@ -63,14 +63,14 @@
 	}
 }
 
-// Engines must get every field that the caller sent, but for those that the system sets; a caller must not be able to set
-// the system's own.
-func TestTemplateKeepsCallersFields(t *testing.T) {
+// Engines must receive every field that the caller sent except those that the system sets, and callers must not be able to
+// set the system's fields.
+func TestTemplatePreservesCallerFields(t *testing.T) {
 	c, err := ParseCompletion([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"stream":false,
 		"temperature":0.5,"logit_bias":{"5":1},"max_completion_tokens":90,"ext":{"generation":"forged"}}`), true)
 	must.Nil(t, err)
-	c.Bound(50)
-	body, merr := c.Template().With(&engineapi.Ext{Generation: "g", Attempt: 3, StartIndex: 2, Resume: []string{"a", "\u2028\""}})
+	c.LimitMaxTokens(50)
+	body, merr := c.Template().WithExt(&engineapi.Ext{Generation: "g", Attempt: 3, StartIndex: 2, Resume: []string{"a", "\u2028\""}})
 	must.NoError(t, merr)
 	var got map[string]any
 	must.NoError(t, json.Unmarshal(body, &got))
@@ -83,8 +83,8 @@
 	must.Eq(t, any(want), got["ext"])
 }
 
-// A JSON reader that ignores case would take the caller's "EXT" into the extension object, with tokens of its choice.
-func TestFieldsThatDifferInCaseAreRefused(t *testing.T) {
+// A case-insensitive JSON parser would merge the caller's "EXT" into the extension object, with tokens of the caller's choice.
+func TestCaseVariantsOfSystemFieldsAreRejected(t *testing.T) {
 	for _, field := range []string{"EXT", "Stream", "Max_Tokens", "Model"} {
 		_, err := ParseCompletion([]byte(`{"model":"m","prompt":"x","`+field+`":{"resume":["forged"]}}`), false)
 		must.NotNil(t, err, must.Sprint(field))
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestFingerprintIgnoresWhatResendsChange(t *testing.T) {
+func TestFingerprintDependsOnlyOnModelAndContent(t *testing.T) {
 	parse := func(body string) uint64 {
 		c, err := ParseCompletion([]byte(body), false)
 		must.Nil(t, err)
@@ -119,14 +119,14 @@
 		Type:         "queue_full",
 		Message:      `the queue is at its bound (class "urgent")`,
 		Outcome:      "refused, not run",
-		AskAgain:     "after Retry-After",
+		RetryAdvice:  "after Retry-After",
 		RetryAfterMS: 1200,
 		RequestID:    "req-1",
 	}, body.Error)
 }
 
-// A refusal that may be tried again must always say when, also where the place that refused did not.
-func TestEveryRetryableRefusalSaysWhen(t *testing.T) {
+// Every retryable error must carry a Retry-After, even when the code that raised it gave none.
+func TestRetryableErrorsCarryRetryAfter(t *testing.T) {
 	for _, in := range result.Table {
 		if in.RetryAdvice != result.RetryLater {
 			continue
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestShapeOfReplayedFrames(t *testing.T) {
-	s := Shape{Generation: ids.From(1, 1), Model: "m", Chat: true}
+func TestResponseBuilderFrames(t *testing.T) {
+	s := ResponseBuilder{Generation: ids.From(1, 1), Model: "m", Chat: true}
 	var f engineapi.Frame
 	must.NoError(t, json.Unmarshal(s.Token(4, []byte("a\"b")), &f))
 	must.Eq(t, `a"b`, f.Choices[0].Delta.Content)
--- a/lib/disturb/disturb_test.go
+++ b/lib/disturb/disturb_test.go
@@ -7,16 +7,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// A fault explains what happens while it lasts and within the slack after it, on its own subject alone.
-func TestDuring(t *testing.T) {
-	l := Log{Slack: time.Hour}
+// A fault covers the time until it ends plus the grace period, for its own subject only.
+func TestOverlaps(t *testing.T) {
+	l := Log{GracePeriod: time.Hour}
 	before := time.Now()
 	end := l.Begin("a", "kill")
-	must.True(t, l.During(before, time.Now().Add(time.Second), Of("b", "a")))
-	must.False(t, l.During(before, time.Now().Add(time.Second), Of("b")))
-	must.False(t, l.During(before.Add(-2*time.Second), before, Of("a")))
+	must.True(t, l.Overlaps(before, time.Now().Add(time.Second), AnyFaultOf("b", "a")))
+	must.False(t, l.Overlaps(before, time.Now().Add(time.Second), AnyFaultOf("b")))
+	must.False(t, l.Overlaps(before.Add(-2*time.Second), before, AnyFaultOf("a")))
 	end()
-	must.True(t, l.During(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), Of("a")))
-	l.Slack = 0
-	must.False(t, l.During(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), Of("a")))
+	must.True(t, l.Overlaps(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), AnyFaultOf("a")))
+	l.GracePeriod = 0
+	must.False(t, l.Overlaps(time.Now().Add(time.Minute), time.Now().Add(2*time.Minute), AnyFaultOf("a")))
 }
--- a/lib/history/history_test.go
+++ b/lib/history/history_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// seq gives operations times that follow one another.
+// seq sets the model and object of operations and gives them consecutive times.
 func seq(model, object string, ops ...Op) []Op {
 	for i := range ops {
 		ops[i].Model, ops[i].Object = model, object
@@ -17,37 +17,37 @@
 	return ops
 }
 
-// A checker that can't fail proves nothing: each history here breaks one promise, next to one that keeps it.
-func TestCheckRefusesBrokenHistories(t *testing.T) {
+// Guards against a checker that accepts everything: each invalid history violates one guarantee, next to a valid one.
+func TestCheckRejectsInvalidHistories(t *testing.T) {
 	cases := []struct {
 		name string
 		ops  []Op
 		ok   bool
 	}{
-		{"one run, replayed", seq(ModelClaim, "k",
+		{"one run, answer replayed", seq(ModelClaim, "k",
 			Op{Action: Execute, Request: "a", Value: "x"},
 			Op{Action: Reply, Request: "a", Outcome: Completed, Value: "x"},
 			Op{Action: Reply, Request: "b", Outcome: Completed, Value: "x"}), true},
-		{"doubled run", seq(ModelClaim, "k",
+		{"duplicate run", seq(ModelClaim, "k",
 			Op{Action: Execute, Request: "a", Value: "x"},
 			Op{Action: Execute, Request: "b", Value: "y"}), false},
-		{"run after not run", seq(ModelClaim, "k",
+		{"run after reply not run", seq(ModelClaim, "k",
 			Op{Action: Reply, Request: "a", Outcome: NotRun},
 			Op{Action: Execute, Request: "a", Value: "x"}), false},
-		{"not run after run", seq(ModelClaim, "k",
+		{"reply not run after run", seq(ModelClaim, "k",
 			Op{Action: Execute, Request: "a", Value: "x"},
 			Op{Action: Reply, Request: "a", Outcome: NotRun}), false},
-		{"another's answer", seq(ModelClaim, "k",
+		{"answer of another run", seq(ModelClaim, "k",
 			Op{Action: Execute, Request: "a", Value: "x"},
 			Op{Action: Reply, Request: "a", Outcome: Completed, Value: "z"}), false},
-		{"terms in turn", seq(ModelLease, "l",
+		{"increasing fencing numbers", seq(ModelLease, "l",
 			Op{Action: Use, Number: 3, Outcome: Yes},
 			Op{Action: Use, Number: 7, Outcome: Yes},
 			Op{Action: Use, Number: 3, Outcome: No}), true},
-		{"old holder obeyed", seq(ModelLease, "l",
+		{"stale fencing number accepted", seq(ModelLease, "l",
 			Op{Action: Use, Number: 7, Outcome: Yes},
 			Op{Action: Use, Number: 3, Outcome: Yes}), false},
-		{"settings forward", seq(ModelSettings, "s",
+		{"revisions in order", seq(ModelSettings, "s",
 			Op{Action: Apply, Number: 1, Value: "d1", Outcome: Yes},
 			Op{Action: Apply, Number: 2, Value: "d2", Outcome: Yes},
 			Op{Action: See, Request: "i1", Number: 2, Value: "d2"}), true},
@@ -56,15 +56,15 @@
 			Op{Action: Apply, Number: 2, Value: "d2", Outcome: Yes},
 			Op{Action: See, Request: "i1", Number: 2, Value: "d2"},
 			Op{Action: See, Request: "i1", Number: 1, Value: "d1"}), false},
-		{"two operators both accepted", seq(ModelSettings, "s",
+		{"concurrent commits of one revision", seq(ModelSettings, "s",
 			Op{Action: Apply, Number: 1, Value: "d1", Outcome: Yes},
 			Op{Action: Apply, Number: 1, Value: "e1", Outcome: Yes}), false},
-		{"uncommitted in force", seq(ModelSettings, "s",
+		{"uncommitted revision in force", seq(ModelSettings, "s",
 			Op{Action: See, Request: "i1", Number: 1, Value: "d1"}), false},
-		{"whole stream", seq(ModelStream, "g",
+		{"complete stream", seq(ModelStream, "g",
 			Op{Action: Token, Number: 0, Value: "g"}, Op{Action: Token, Number: 1, Value: "g"},
 			Op{Action: End, Number: 2}), true},
-		{"swapped token", seq(ModelStream, "g",
+		{"token of another generation", seq(ModelStream, "g",
 			Op{Action: Token, Number: 0, Value: "g"}, Op{Action: Token, Number: 1, Value: "h"}), false},
 		{"repeated token", seq(ModelStream, "g",
 			Op{Action: Token, Number: 0, Value: "g"}, Op{Action: Token, Number: 0, Value: "g"}), false},
@@ -90,7 +90,7 @@
 	must.NoError(t, Check(ops, time.Second))
 }
 
-func TestReadLeavesOutACutLine(t *testing.T) {
+func TestReadIgnoresTruncatedLastLine(t *testing.T) {
 	var buf bytes.Buffer
 	ops := seq(ModelStream, "g", Op{Action: Token, Value: "g"}, Op{Action: End, Number: 1})
 	must.NoError(t, Write(&buf, ops))
--- a/lib/loadrun/run.go
+++ b/lib/loadrun/run.go
@@ -13,15 +13,15 @@
 	"anvilwick.example/anvilwick/lib/loadgen"
 )
 
-// checkLimit bounds the check of a history.
-const checkLimit = 30 * time.Second
+// historyCheckTimeout bounds the time of a history check.
+const historyCheckTimeout = 30 * time.Second
 
-// ErrBroken is returned when a caller saw a broken promise.
-var ErrBroken = errors.New("a promise was broken")
+// ErrViolation is returned when a caller observed a violation of a system guarantee.
+var ErrViolation = errors.New("a guarantee was violated")
 
-// Run sends the load to the entries of c and prints the figures to w. atEnd, when given, prints what comes before them.
+// Run sends the load to the entries of c and prints the statistics to w. atEnd, if not nil, is called just before printing.
 func Run(ctx context.Context, c Config, w io.Writer, atEnd func()) error {
-	entries := c.entries()
+	entries := c.entryAddrs()
 	m, err := c.Mix()
 	if err != nil {
 		return err
@@ -35,27 +35,27 @@
 			Workload: loadgen.Scale(m, c.Load, c.Length), Span: c.Span, Entries: len(entries), Seed: c.Seed,
 			PlainRate: c.PlainRate, PlainRoute: c.PlainRoute,
 		},
-		Entries: entries, Model: model, Keyed: c.Keyed, MaxInFlight: c.MaxInFlight, Patience: c.Patience,
-		Token:   func(workspace string) string { return strings.Replace(c.KeyFormat, "%s", workspace, 1) },
-		Figures: loadgen.NewFigures(c.StallFloor),
+		Entries: entries, Model: model, IdempotencyKeys: c.IdempotencyKeys, MaxInFlight: c.MaxInFlight, RequestTimeout: c.RequestTimeout,
+		Token: func(workspace string) string { return strings.Replace(c.KeyFormat, "%s", workspace, 1) },
+		Stats: loadgen.NewStats(c.StallFloor),
 	}
 	if c.History != "" {
 		r.History = &history.Log{}
 	}
-	began := time.Now()
+	start := time.Now()
 	r.Run(ctx)
-	herr := c.checkHistory(r.History)
+	checkErr := c.checkHistory(r.History)
 	if atEnd != nil {
 		atEnd()
 	}
-	r.Figures.Print(w, c.Seed, time.Since(began))
-	if n := len(r.Figures.Wrong()); n > 0 {
-		herr = errors.Join(herr, fmt.Errorf("%w: %d answers", ErrBroken, n))
+	r.Stats.Print(w, c.Seed, time.Since(start))
+	if n := len(r.Stats.Violations()); n > 0 {
+		checkErr = errors.Join(checkErr, fmt.Errorf("%w: %d answers", ErrViolation, n))
 	}
-	return herr
+	return checkErr
 }
 
-// checkHistory stores what callers saw and checks it.
+// checkHistory writes the operations that callers observed to a file and checks them.
 func (c Config) checkHistory(log *history.Log) error {
 	if log == nil {
 		return nil
@@ -68,8 +68,8 @@
 	if err := history.Write(f, log.Ops()); err != nil {
 		return err
 	}
-	if err := history.Check(log.Ops(), checkLimit); err != nil {
-		return fmt.Errorf("%w: %w", ErrBroken, err)
+	if err := history.Check(log.Ops(), historyCheckTimeout); err != nil {
+		return fmt.Errorf("%w: %w", ErrViolation, err)
 	}
 	return nil
 }
