--- a/lib/baseline/balancer_test.go
+++ b/lib/baseline/balancer_test.go
@@ -13,7 +13,7 @@
 
 func targetName(i int) string { return fmt.Sprintf("engine-%02d", i) }
 
-// twoEngines configures a policy with two engines that draw 100 W idle and 100 W per sequence, under a
+// twoEngines configures a policy with two engines of nominally 1000 W that draw 100 W idle and 100 W per sequence, under a
 // common power cap.
 func twoEngines(p sched.Policy, watts float64) sched.Policy {
 	var specs []sched.TargetSpec
--- a/lib/entry/scripted_test.go
+++ b/lib/entry/scripted_test.go
@@ -304,7 +304,7 @@
 
 // An overloaded engine refuses with a Retry-After. The entry must send it nothing for that time and use it again afterwards;
 // meanwhile requests run on the other engine.
-func TestEngineThatNamesATimeIsLeftAloneForIt(t *testing.T) {
+func TestRetryAfterOfEngineIsHonored(t *testing.T) {
 	const retryAfter = time.Second
 	full := newScripted(t, func(s *script, n int) {
 		if n == 1 {
--- a/lib/fleet/fleet_test.go
+++ b/lib/fleet/fleet_test.go
@@ -202,7 +202,7 @@
 
 // A target has announced leaving, and the list can't be read, or still shows it as ready, for longer than such targets are remembered. The
 // old entry, when read again, must not bring it back.
-func TestTargetThatLeftIsNotTakenForANewOne(t *testing.T) {
+func TestStaleEntryDoesNotRestoreTargetThatLeft(t *testing.T) {
 	f := New("z1")
 	entry := []Info{{ID: "t", Service: "s", Slots: 6}}
 	f.Apply(t0, entry, nil, 0)
--- a/lib/fleet/grant_test.go
+++ b/lib/fleet/grant_test.go
@@ -9,7 +9,7 @@
 
 // An owner has chosen an engine that is not on this instance's list. The granted run goes there and no other of this instance does; once
 // unused, the engine is forgotten.
-func TestGrantedTargetTakesWhatItWasGrantedFor(t *testing.T) {
+func TestGrantedTargetTakesOnlyTheGrantedRun(t *testing.T) {
 	f := newEngineFleet(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	must.SliceEmpty(t, f.Grant(t0, e).Added)
@@ -38,7 +38,7 @@
 }
 
 // A granted engine leaves, restarts, and is added to this instance's list.
-func TestLifeOfAGrantedTarget(t *testing.T) {
+func TestGrantedTargetLifecycle(t *testing.T) {
 	f := newEngineFleet(1)
 	e := Info{ID: "far", Service: "engine", Domain: "z2", Addr: "a:1", Born: 5}
 	f.Grant(t0, e)
--- a/lib/fleet/limit_test.go
+++ b/lib/fleet/limit_test.go
@@ -19,7 +19,7 @@
 }
 
 // Responses overtake each other. An older one must neither end nor raise a limit.
-func TestOlderAnswersDoNotEaseALimit(t *testing.T) {
+func TestOlderResponsesDoNotRelaxLimit(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		notices []LimitNotice
@@ -48,7 +48,7 @@
 }
 
 // A restarted target has not announced a limit yet.
-func TestLimitEndsWithTheTargetsLife(t *testing.T) {
+func TestLimitEndsWhenTargetRestarts(t *testing.T) {
 	f := New("z1")
 	f.Apply(t0, []Info{{ID: "t", Service: "s", Slots: 6, Born: 1}}, nil, 0)
 	must.True(t, f.ApplyLimit("t", limitNotice(0, 0, time.Millisecond)))
@@ -138,7 +138,7 @@
 }
 
 // A target with a limit of zero is probed occasionally: no other message shows that the limit has ended.
-func TestLimitOfNoneIsTriedNowAndThen(t *testing.T) {
+func TestTargetWithZeroLimitIsProbed(t *testing.T) {
 	sent := limitSim{instances: 7, limit: 0}.run(30 * time.Second)
 	must.Between(t, 4, len(sent), 8)
 }
--- a/lib/fleet/pace_test.go
+++ b/lib/fleet/pace_test.go
@@ -35,7 +35,7 @@
 
 // A plain target returns cold and is the least loaded of all. Seventy instances that don't know of each other's requests constantly have
 // requests for it; together they must stay within what it can take, and use it.
-func TestColdTargetIsSharedByThoseThatDecideAlone(t *testing.T) {
+func TestColdTargetIsSharedByUncoordinatedInstances(t *testing.T) {
 	const instances = 70
 	fleets := make([]*Fleet, instances)
 	for i := range fleets {
--- a/lib/gateway/events_test.go
+++ b/lib/gateway/events_test.go
@@ -9,7 +9,7 @@
 )
 
 // However a stream is split into reads, all events come out complete and in order, and no partial event does.
-func TestEventsAreWholeHoweverTheyCome(t *testing.T) {
+func TestEventsSplitAcrossReadsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nl := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "line end")
 		var all strings.Builder
--- a/lib/gateway/gateway_test.go
+++ b/lib/gateway/gateway_test.go
@@ -99,7 +99,7 @@
 }
 
 // Retry-After is at most a third of the caller's time, because callers don't honour a longer one.
-func TestWaitFitsTheCallersTime(t *testing.T) {
+func TestRetryAfterFitsCallerDeadline(t *testing.T) {
 	c := &call{deadline: time.Now().Add(900 * time.Millisecond)}
 	must.Less(t, 300*time.Millisecond, c.boundWait(5*time.Second))
 	must.Eq(t, 100*time.Millisecond, c.boundWait(100*time.Millisecond))
--- a/lib/gateway/notice_test.go
+++ b/lib/gateway/notice_test.go
@@ -36,7 +36,7 @@
 }
 
 // A response from another target that now has the address neither begins nor ends a limit.
-func TestOnlyATargetsOwnAnswerTellsOfItsLimit(t *testing.T) {
+func TestLimitFromAnotherTargetIsIgnored(t *testing.T) {
 	g := newTestGateway()
 	target := fleet.Info{ID: "t", Service: "s"}
 	g.Fleet.Apply(time.Now(), []fleet.Info{target}, nil, 0)
@@ -53,7 +53,7 @@
 
 // Two responses name different back-offs: the one that ends later applies, whichever arrives last. Responses from another
 // target at the address, or from an earlier incarnation, don't count.
-func TestLongestRestHolds(t *testing.T) {
+func TestLongestBackoffApplies(t *testing.T) {
 	g := newTestGateway()
 	target := fleet.Info{ID: "t", Service: "s", Born: 2}
 	g.Fleet.Apply(time.Now(), []fleet.Info{target}, nil, 0)
--- a/lib/gateway/permit_test.go
+++ b/lib/gateway/permit_test.go
@@ -38,7 +38,7 @@
 }
 
 // When no owner answers, the instance sends only its small share of the limit and passes the target over otherwise.
-func TestInstanceWithoutOwnerKeepsToItsShare(t *testing.T) {
+func TestInstanceWithoutOwnerStaysWithinItsShare(t *testing.T) {
 	g, _ := limitedGateway(10)
 	sent := 0
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/lib/gateway/reservation_test.go
+++ b/lib/gateway/reservation_test.go
@@ -24,7 +24,7 @@
 // Without a reservation only a moving run's own instance knows of the memory that the run needs at its destination: peers send
 // new streams there, which then wait behind the run for seconds. The reservation must count from the plan on, here and at
 // peers, until it is released.
-func TestRoomOfAMoveCountsEverywhere(t *testing.T) {
+func TestMoveReservationCountsAtAllInstances(t *testing.T) {
 	g := newTestGateway()
 	owners := new(countingOwners)
 	g.Owners = owners
@@ -64,7 +64,7 @@
 
 // A copy fails while it is brought up to date, and the run continues at its source. The next attempt reserves memory on
 // another engine; if the first reservation is not released, it counts until the process exits.
-func TestFailedCopyKeepsNoRoom(t *testing.T) {
+func TestFailedCopyReleasesReservation(t *testing.T) {
 	g := newTestGateway()
 	g.Engines = &failingCopies{}
 	g.Fleet.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: 1000}})
--- a/lib/loadrun/run.go
+++ b/lib/loadrun/run.go
@@ -17,7 +17,7 @@
 const historyCheckTimeout = 30 * time.Second
 
 // ErrViolation is returned when a caller observed a violation of a system guarantee.
-var ErrViolation = errors.New("a guarantee was violated")
+var ErrViolation = errors.New("guarantee violated")
 
 // Run sends the load to the entries of c and prints the statistics to w. atEnd, if not nil, is called just before printing.
 func Run(ctx context.Context, c Config, w io.Writer, atEnd func()) error {
--- a/lib/owner/coordinator_test.go
+++ b/lib/owner/coordinator_test.go
@@ -33,7 +33,7 @@
 
 // A stream arrives at a full shard while another has free capacity: it is forwarded at once, and so are its retransmissions, to the
 // same owner. One that waits because no shard has capacity is forwarded once another shard has some.
-func TestWaitingStreamIsPassedOnToRoom(t *testing.T) {
+func TestWaitingStreamIsForwardedToFreeCapacity(t *testing.T) {
 	a, b, ofA, ofB := twoCoordinators()
 	a.Report(t0, Report{Shard: "a", Instance: "i", Incarnation: 1, Seq: 1, Runs: []Run{{ID: 1, Target: "ea", Tokens: 9000}}})
 	exchangeHeartbeats(t0, a, b, ofA, ofB)
@@ -85,7 +85,7 @@
 
 // A request was forwarded to the owner, which then dies. The next candidate decides the retransmission: while it went on forwarding to
 // the dead owner, no candidate would answer and the requesting instance would decide alone.
-func TestAskThatWentToADeadOwnerIsDecided(t *testing.T) {
+func TestRequestForwardedToDeadOwnerIsDecided(t *testing.T) {
 	es := []fleet.Info{{ID: "e", Service: "s", Domain: "z"}}
 	s := &Shard{Key: "s", Service: "s", members: newMembers([]string{"e"}), Ranked: []Instance{{Name: "first"}, {Name: "second"}}}
 	f := fleet.New("z")
--- a/lib/owner/ledger_test.go
+++ b/lib/owner/ledger_test.go
@@ -185,7 +185,7 @@
 
 // Reports with implausible sums, unknown engines, or from thousands of invented instances make choices worse, but overflow nothing,
 // and the state kept of them is bounded.
-func TestAbsurdReportsAreBounded(t *testing.T) {
+func TestImplausibleReportsAreBounded(t *testing.T) {
 	l, f, s := newTestLedger(2)
 	e := s.Engines()[0]
 	implausible := Run{ID: 1, Target: e, Tokens: 1 << 62, Expected: 1 << 62, Unread: -5, Remaining: 1 << 62}
@@ -294,7 +294,7 @@
 
 // Engines are nearly full, and a large prompt waits for the memory of two small ones. Later small streams would take each piece of memory
 // that is released. One engine is reserved for the large prompt until it fits; the small ones use the others.
-func TestRoomIsKeptForTheFirstThatWaits(t *testing.T) {
+func TestEngineIsReservedForFirstWaitingStream(t *testing.T) {
 	l, _, s := newTestLedger(2)
 	reserved, other := s.Engines()[0], s.Engines()[1]
 	runs := []Run{{ID: 1, Target: reserved, Tokens: 3000}, {ID: 2, Target: reserved, Tokens: 3000}, {ID: 3, Target: other, Tokens: 7000}}
@@ -342,7 +342,7 @@
 // Small streams have waited a little longer than a large one, and capacity for either is released now and then. Ordered by deadline, the
 // small ones would take it each time until the large one is rejected; so the large one is decided first. Of two of the same size, the
 // one that stops waiting sooner goes first.
-func TestLargeStreamsAreLookedAtSooner(t *testing.T) {
+func TestLargeStreamsAreDecidedFirst(t *testing.T) {
 	l, _, s := newTestLedger(1)
 	l.Report(t0, report(s, "i", 1, Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}))
 	for i, tokens := range []int{1000, 1000, 9000} {
@@ -366,7 +366,7 @@
 // A rejected stream is retried as told while another waits that arrived later and can still start in time. That one takes the capacity
 // that is released first; the retried one is past its latency objective, so it waits longer and is placed in the end instead of
 // rejected again. One that is retried too early is treated like any other: callers gain nothing by retrying at once.
-func TestWhoComesBackAsToldWaitsForLonger(t *testing.T) {
+func TestStreamRetriedOnTimeWaitsLonger(t *testing.T) {
 	for wait, asTold := range map[time.Duration]bool{0: true, -time.Second: false} {
 		l, _, s := newTestLedger(1)
 		full := Run{ID: 1, Target: s.Engines()[0], Tokens: 9000}
--- a/lib/owner/limit_test.go
+++ b/lib/owner/limit_test.go
@@ -12,7 +12,7 @@
 
 // Every engine of a shard accepts two streams a second, and thirty arrive at once. Those that can't be served in time are rejected at
 // once; those that wait are served, and no limit is exceeded.
-func TestStreamsThatLimitsLeaveNoTurnAreRefusedAtOnce(t *testing.T) {
+func TestStreamsBeyondEngineLimitsAreRefusedAtOnce(t *testing.T) {
 	const n, perSecond, requests = 3, 2.0, 30
 	l, f, s := newTestLedger(n)
 	for _, id := range s.Engines() {
--- a/lib/owner/placement_test.go
+++ b/lib/owner/placement_test.go
@@ -13,7 +13,7 @@
 
 // Twenty engines return at once, cold and empty, beside two that are full. Hundreds of streams are requested within two seconds: the
 // cold engines are used from the start, none exceeds its rate in any second, and the excess waits.
-func TestReturnedEnginesAreNeitherStarvedNorTrampled(t *testing.T) {
+func TestReturnedEnginesAreUsedWithinColdRate(t *testing.T) {
 	const cold, rate = 20, 2.0
 	f := fleet.New("z0")
 	f.SetSpecs(map[string]fleet.Spec{"s": {KVTokens: kv, ColdFor: 5 * time.Second, ColdRate: rate}})
--- a/lib/ownerlink/link_test.go
+++ b/lib/ownerlink/link_test.go
@@ -261,14 +261,14 @@
 }
 
 // Blames reach all instances, including those that own no shard and request nothing.
-func TestBlamesReachAll(t *testing.T) {
+func TestBlamesReachAllInstances(t *testing.T) {
 	members, _ := site(t, 1, "a", "b", "c")
 	members["a"].BroadcastBlames([]*ownerpb.Blame{{Fingerprint: 5}})
 	eventually(t, func() bool { return members["b"].blamed.Load()+members["c"].blamed.Load() == 2 })
 }
 
 // The link survives any datagram: garbage, unknown kinds and shards, missing parts.
-func TestAnyDatagramIsSurvived(t *testing.T) {
+func TestInvalidDatagramsDoNotBreakLink(t *testing.T) {
 	members, s := site(t, 2, "a")
 	a := members["a"]
 	to := netip.MustParseAddrPort(a.Self.Addr)
--- a/lib/ownerlink/permits_test.go
+++ b/lib/ownerlink/permits_test.go
@@ -52,7 +52,7 @@
 }
 
 // One instance receives a limit. All others learn of it, and of its end, without a request to the target.
-func TestAllAreToldOfALimitAndItsEnd(t *testing.T) {
+func TestLimitAndItsEndReachAllInstances(t *testing.T) {
 	members, p1, s := limitedSite(t, "a", "b", "c")
 	awaitAgreement(t, members, s)
 	last := members[s.Ranked[2].Name]
@@ -145,7 +145,7 @@
 }
 
 // A plain target tells one instance that it leaves. The others, which may send it nothing for long, are informed.
-func TestAllAreToldOfATargetThatSaysItLeaves(t *testing.T) {
+func TestAnnouncedLeaveReachesAllInstances(t *testing.T) {
 	for rank := range 3 {
 		members, p1, s := limitedSite(t, "a", "b", "c")
 		awaitAgreement(t, members, s)
--- a/lib/ownerlink/suspects_test.go
+++ b/lib/ownerlink/suspects_test.go
@@ -11,7 +11,7 @@
 
 // Two of up to three instances have seen requests fail at a plain target. The judging instance adds the failures up, and all avoid the
 // target; when the first candidate is gone, the next judges. After some seconds without requests the target is tried again.
-func TestTargetThatFailsIsAvoidedByAll(t *testing.T) {
+func TestFailingTargetIsAvoidedByAllInstances(t *testing.T) {
 	for _, running := range [][]string{{"a", "b", "c"}, {"a", "b"}, {"b", "c"}, {"a", "c"}} {
 		t.Run(running[0]+running[1], func(t *testing.T) {
 			t.Parallel()
--- a/lib/power/stale_test.go
+++ b/lib/power/stale_test.go
@@ -9,7 +9,7 @@
 
 // After an outage of the store the first reading was a minute and a half old, and the work that explained its watts was no
 // longer in the model. Counted as excess, the reading held every part at its fallback although the site was idle.
-func TestReadingOlderThanMaxAgeIsNoExcess(t *testing.T) {
+func TestReadingOlderThanMaxAgeIsNotCountedAsExcess(t *testing.T) {
 	m := meter{cfg: DefaultConfig(4000, 100)}
 	now := time.Unix(1000, 0)
 	m.addModelled(now, 1700)
--- a/lib/powerplan/powerplan_test.go
+++ b/lib/powerplan/powerplan_test.go
@@ -33,7 +33,7 @@
 
 // Entries apply fallbacks without coordination. Even while every shard has two owners, all fallbacks together must stay
 // below the cap; and a drain, which reaches entries one after another, must not change any of them.
-func TestFallbacksTwiceAreUnderTheCapAndDrainsMoveNone(t *testing.T) {
+func TestFallbacksOfTwoOwnersStayUnderCapAndIgnoreDrains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snap := anySite(t)
 		before := FromSnapshot(snap)
@@ -60,14 +60,14 @@
 	})
 }
 
-func TestNoCapNoPlan(t *testing.T) {
+func TestNoPlanWithoutCap(t *testing.T) {
 	must.Nil(t, FromSnapshot(nil))
 	must.Nil(t, FromSnapshot(&settings.Snapshot{}))
 }
 
 // A site's cap leaves beyond the idle draw a sixth of what runs at most. When fallbacks were split in proportion to the
 // maximum draw, they were below the idle draw, and no work ran while no allocator was active.
-func TestFallbackLeavesRoomForWork(t *testing.T) {
+func TestFallbackExceedsIdleDraw(t *testing.T) {
 	snap := &settings.Snapshot{Services: map[string]*settings.Service{}}
 	snap.Site.PowerCapWatts, snap.Site.ShardTargets = 4000, 32
 	for i := range 3 {
--- a/lib/sched/place_test.go
+++ b/lib/sched/place_test.go
@@ -47,7 +47,7 @@
 }
 
 // As above, but the class of one generation forbids preemption. It would be the cheaper move, and still the other is moved.
-func TestClassWithoutPreemptionsIsNoVictim(t *testing.T) {
+func TestClassWithoutPreemptionsIsNotPreempted(t *testing.T) {
 	r := newRig(t, Options{MemoryRisk: 0.9, DisableForecast: true}, spec("a", 1000, 8))
 	r.policy["still"] = ClassPolicy{MaxWait: time.Hour, MaxPreemptions: NoPreemptions}
 	r.submit(1, "still", func(q *Request) { q.PromptTokens = 300 })
--- a/lib/sched/power_test.go
+++ b/lib/sched/power_test.go
@@ -10,7 +10,7 @@
 
 // The budget is cut below the current draw. Long work is preempted until the modelled draw is under the cap; urgent work
 // continues, and nothing is refused.
-func TestPowerCutHoldsLongWorkBackFirst(t *testing.T) {
+func TestPowerCutPreemptsLongWorkFirst(t *testing.T) {
 	s := spec("a", 40_000, 8)
 	s.IdleWatts, s.SeqWatts = 100, 10
 	r := newRig(t, Options{}, s)
@@ -79,7 +79,7 @@
 
 // A target is reported as gone while its generations are not known to have ended: it may be cut off and still draw power.
 // Until their ends arrive, their power must not be granted to others.
-func TestPowerOfAGoneTargetIsKeptUntilItsWorkEnded(t *testing.T) {
+func TestPowerOfLostTargetIsReservedUntilItsWorkEnds(t *testing.T) {
 	a, b := spec("a", 40_000, 8), spec("b", 40_000, 8)
 	a.SeqWatts, b.SeqWatts = 10, 10
 	r := newRig(t, Options{}, a)
--- a/lib/settings/bench_test.go
+++ b/lib/settings/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// largeTree returns a tree of the size that CAPACITY.md plans for. overrides is the percentage of workspaces that override
-// something in each service.
+// largeTree returns a tree of the size that CAPACITY.md plans for. overrides is the number of workspaces in every 100 that
+// override something in each service.
 func largeTree(workspaces, services, overrides, targets int) []byte {
 	var b bytes.Buffer
 	b.WriteString("site:\n  name: large\n  failure_domains: [")
