--- a/lib/pick/pick.go
+++ b/lib/balance/balance.go
@@ -1,6 +1,6 @@
-// Package pick places calls on the targets of a plain service: the better of two random choices, by lagging load reports
+// Package balance places calls on the targets of a plain service: the better of two random choices, by lagging load reports
 // corrected by this instance's own calls, with a preference for its own failure domain.
-package pick
+package balance
 
 import (
 	"math/rand/v2"
--- a/lib/pick/pick_test.go
+++ b/lib/balance/balance_test.go
@@ -1,4 +1,4 @@
-package pick_test
+package balance_test
 
 import (
 	"fmt"
@@ -8,25 +8,25 @@
 
 	"github.com/shoenig/test/must"
 
-	"anvilwick.example/anvilwick/lib/pick"
+	"anvilwick.example/anvilwick/lib/balance"
 )
 
 var t0 = time.Unix(1_700_000_000, 0)
 
-func table(now time.Time, running ...int) *pick.Table {
-	tab := pick.New(pick.DefaultConfig)
-	var specs []pick.Target
+func table(now time.Time, running ...int) *balance.Table {
+	tab := balance.New(balance.DefaultConfig)
+	var specs []balance.Target
 	for i := range running {
-		specs = append(specs, pick.Target{Name: fmt.Sprint("t", i), FailureDomain: fmt.Sprint("d", i%2)})
+		specs = append(specs, balance.Target{Name: fmt.Sprint("t", i), FailureDomain: fmt.Sprint("d", i%2)})
 	}
 	tab.SetTargets(specs)
 	for i, n := range running {
-		tab.Report(now, fmt.Sprint("t", i), pick.Report{Running: n, Capacity: 10})
+		tab.Report(now, fmt.Sprint("t", i), balance.Report{Running: n, Capacity: 10})
 	}
 	return tab
 }
 
-func picks(tab *pick.Table, now time.Time, q pick.Query, n int) map[string]int {
+func picks(tab *balance.Table, now time.Time, q balance.Query, n int) map[string]int {
 	rng := rand.New(rand.NewPCG(1, 1))
 	out := make(map[string]int)
 	for range n {
@@ -45,7 +45,7 @@
 	sent := make(map[string]int)
 	for i := range 40 {
 		now := t0.Add(time.Duration(i) * 100 * time.Millisecond)
-		name, ok := tab.Pick(now, rng, pick.Query{})
+		name, ok := tab.Pick(now, rng, balance.Query{})
 		must.True(t, ok)
 		tab.CallStarted(now, name)
 		sent[name]++
@@ -61,22 +61,22 @@
 		tab.CallStarted(t0.Add(time.Second), "t0")
 	}
 	now := t0.Add(2 * time.Second)
-	tab.Report(now, "t0", pick.Report{Running: 0, Capacity: 10, Age: 1500 * time.Millisecond})
-	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t1"]) // 0 reported + 4 sent since, against 3
+	tab.Report(now, "t0", balance.Report{Running: 0, Capacity: 10, Age: 1500 * time.Millisecond})
+	must.Eq(t, 20, picks(tab, now, balance.Query{}, 20)["t1"]) // 0 reported + 4 sent since, against 3
 	for range 4 {
 		tab.CallDone(now, "t0")
 	}
 	now = now.Add(time.Second)
-	tab.Report(now, "t0", pick.Report{Running: 1, Capacity: 10})
-	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t0"])
+	tab.Report(now, "t0", balance.Report{Running: 1, Capacity: 10})
+	must.Eq(t, 20, picks(tab, now, balance.Query{}, 20)["t0"])
 }
 
 func TestPrefersLocalDomainUnlessMuchMoreLoaded(t *testing.T) {
 	tab := table(t0, 4, 3, 4, 3)
-	got := picks(tab, t0, pick.Query{FailureDomain: "d0"}, 50)
+	got := picks(tab, t0, balance.Query{FailureDomain: "d0"}, 50)
 	must.Eq(t, 50, got["t0"]+got["t2"])
 	tab = table(t0, 9, 3, 9, 3)
-	got = picks(tab, t0, pick.Query{FailureDomain: "d0"}, 50)
+	got = picks(tab, t0, balance.Query{FailureDomain: "d0"}, 50)
 	must.Eq(t, 50, got["t1"]+got["t3"])
 }
 
@@ -84,9 +84,9 @@
 // none rather than an unusable one.
 func TestNeverPicksUnusableTargets(t *testing.T) {
 	tab := table(t0, 0, 0, 0, 0)
-	tab.SetTargets([]pick.Target{{Name: "t0", Draining: true}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}})
-	tab.Report(t0, "t1", pick.Report{Capacity: 10, Leaving: true})
-	q := pick.Query{Avoid: []string{"t2"}, Usable: func(name string) bool { return name != "t3" }}
+	tab.SetTargets([]balance.Target{{Name: "t0", Draining: true}, {Name: "t1"}, {Name: "t2"}, {Name: "t3"}})
+	tab.Report(t0, "t1", balance.Report{Capacity: 10, Leaving: true})
+	q := balance.Query{Avoid: []string{"t2"}, Usable: func(name string) bool { return name != "t3" }}
 	must.MapEmpty(t, picks(tab, t0, q, 20))
 	q.Usable = nil
 	must.Eq(t, map[string]int{"t3": 20}, picks(tab, t0, q, 20))
@@ -95,21 +95,21 @@
 // A target whose reports have stopped must not attract calls for ever: once the report is stale, only local calls count.
 func TestStaleReportIsIgnored(t *testing.T) {
 	tab := table(t0, 0, 9)
-	now := t0.Add(pick.DefaultConfig.StaleAfter + time.Second)
+	now := t0.Add(balance.DefaultConfig.StaleAfter + time.Second)
 	for range 2 {
 		tab.CallStarted(now, "t0")
 	}
-	must.Eq(t, 20, picks(tab, now, pick.Query{}, 20)["t1"])
+	must.Eq(t, 20, picks(tab, now, balance.Query{}, 20)["t1"])
 }
 
 // A call goes to the less loaded of two targets.
 func Example() {
-	targets := pick.New(pick.DefaultConfig)
-	targets.SetTargets([]pick.Target{{Name: "dispatch-1", FailureDomain: "leith-hall"}, {Name: "dispatch-2", FailureDomain: "leith-hall"}})
+	targets := balance.New(balance.DefaultConfig)
+	targets.SetTargets([]balance.Target{{Name: "dispatch-1", FailureDomain: "leith-hall"}, {Name: "dispatch-2", FailureDomain: "leith-hall"}})
 	now := time.Unix(0, 0)
-	targets.Report(now, "dispatch-1", pick.Report{Running: 7, Capacity: 8})
-	targets.Report(now, "dispatch-2", pick.Report{Running: 2, Capacity: 8})
-	name, _ := targets.Pick(now, rand.New(rand.NewPCG(1, 1)), pick.Query{FailureDomain: "leith-hall"})
+	targets.Report(now, "dispatch-1", balance.Report{Running: 7, Capacity: 8})
+	targets.Report(now, "dispatch-2", balance.Report{Running: 2, Capacity: 8})
+	name, _ := targets.Pick(now, rand.New(rand.NewPCG(1, 1)), balance.Query{FailureDomain: "leith-hall"})
 	targets.CallStarted(now, name)
 	fmt.Println(name)
 	// Output: dispatch-2
@@ -119,7 +119,7 @@
 func TestPausedTargetGetsNoCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tab := table(now, 0, 5)
-	busy := picks(tab, now, pick.Query{}, 50)
+	busy := picks(tab, now, balance.Query{}, 50)
 	var idle string
 	for name, n := range busy {
 		if n > 25 {
@@ -128,11 +128,11 @@
 	}
 	tab.PauseUntil(idle, now.Add(2*time.Second))
 	tab.PauseUntil(idle, now.Add(time.Second))
-	must.MapNotContainsKey(t, picks(tab, now.Add(1900*time.Millisecond), pick.Query{}, 50), idle)
-	must.MapContainsKey(t, picks(tab, now.Add(2*time.Second), pick.Query{}, 50), idle)
+	must.MapNotContainsKey(t, picks(tab, now.Add(1900*time.Millisecond), balance.Query{}, 50), idle)
+	must.MapContainsKey(t, picks(tab, now.Add(2*time.Second), balance.Query{}, 50), idle)
 	one := table(now, 0)
-	for name := range picks(one, now, pick.Query{}, 1) {
+	for name := range picks(one, now, balance.Query{}, 1) {
 		one.PauseUntil(name, now.Add(time.Second))
 	}
-	must.MapEmpty(t, picks(one, now, pick.Query{}, 5))
+	must.MapEmpty(t, picks(one, now, balance.Query{}, 5))
 }
--- a/lib/entry/guards.go
+++ b/lib/entry/guards.go
@@ -11,8 +11,8 @@
 
 	"github.com/phuslu/log"
 
+	"anvilwick.example/anvilwick/lib/balance"
 	"anvilwick.example/anvilwick/lib/breaker"
-	"anvilwick.example/anvilwick/lib/pick"
 	"anvilwick.example/anvilwick/lib/poison"
 	"anvilwick.example/anvilwick/lib/result"
 	"anvilwick.example/anvilwick/lib/sched"
@@ -151,10 +151,10 @@
 // pickTables holds the load-balancing tables of plain services, by service name.
 type pickTables struct {
 	mu     sync.Mutex
-	tables map[string]*pick.Table
+	tables map[string]*balance.Table
 }
 
-func newPickTables() *pickTables { return &pickTables{tables: make(map[string]*pick.Table)} }
+func newPickTables() *pickTables { return &pickTables{tables: make(map[string]*balance.Table)} }
 
 // apply updates the tables for the plain services of a settings revision.
 func (p *pickTables) apply(snap *settings.Snapshot) {
@@ -166,7 +166,7 @@
 		}
 		t, ok := p.tables[name]
 		if !ok {
-			t = pick.New(pick.DefaultConfig)
+			t = balance.New(balance.DefaultConfig)
 			p.tables[name] = t
 		}
 		t.SetTargets(pickTargets(svc))
@@ -178,23 +178,23 @@
 	}
 }
 
-func pickTargets(svc *settings.Service) []pick.Target {
-	out := make([]pick.Target, 0, len(svc.Targets))
+func pickTargets(svc *settings.Service) []balance.Target {
+	out := make([]balance.Target, 0, len(svc.Targets))
 	for i := range svc.Targets {
 		t := &svc.Targets[i]
-		out = append(out, pick.Target{Name: t.Name, FailureDomain: t.FailureDomain, Draining: t.Draining})
+		out = append(out, balance.Target{Name: t.Name, FailureDomain: t.FailureDomain, Draining: t.Draining})
 	}
 	return out
 }
 
-func (p *pickTables) table(service string) *pick.Table {
+func (p *pickTables) table(service string) *balance.Table {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tables[service]
 }
 
 // UpdateServiceLoad applies a load report of a plain service's target.
-func (s *Server) UpdateServiceLoad(service, name string, rep pick.Report) {
+func (s *Server) UpdateServiceLoad(service, name string, rep balance.Report) {
 	if t := s.pickTables.table(service); t != nil {
 		t.Report(s.now(), name, rep)
 	}
@@ -208,7 +208,7 @@
 	}
 	now := s.now()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return t.Pick(now, rng, pick.Query{
+	return t.Pick(now, rng, balance.Query{
 		FailureDomain: s.opts.FailureDomain,
 		Avoid:         avoid,
 		Usable:        func(name string) bool { return s.opts.Breakers.Usable(now, name) },
--- a/lib/entryproc/assemble.go
+++ b/lib/entryproc/assemble.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 
+	"anvilwick.example/anvilwick/lib/balance"
 	"anvilwick.example/anvilwick/lib/engineapi"
 	"anvilwick.example/anvilwick/lib/entry"
 	"anvilwick.example/anvilwick/lib/guardlink"
@@ -11,7 +12,6 @@
 	"anvilwick.example/anvilwick/lib/loadpoll"
 	"anvilwick.example/anvilwick/lib/member"
 	"anvilwick.example/anvilwick/lib/mesh"
-	"anvilwick.example/anvilwick/lib/pick"
 	"anvilwick.example/anvilwick/lib/poison"
 	"anvilwick.example/anvilwick/lib/record"
 	"anvilwick.example/anvilwick/lib/settings"
@@ -80,7 +80,7 @@
 
 // viewHook returns the hook that applies a settings revision before requests are accepted under it.
 func (p *Process) viewHook(ctx context.Context, d decider) func(*settings.Snapshot, func(*settings.Service) []*target.Client) {
-	services := loadpoll.NewServices(ctx, func(service, name string, rep pick.Report) {
+	services := loadpoll.NewServices(ctx, func(service, name string, rep balance.Report) {
 		p.server.UpdateServiceLoad(service, name, rep)
 	})
 	return func(snap *settings.Snapshot, clients func(*settings.Service) []*target.Client) {
--- a/lib/disturb/disturb.go
+++ b/lib/faultlog/faultlog.go
@@ -1,6 +1,6 @@
-// Package disturb records which parts of a test site were under an injected fault, and when, so that checks can distinguish
+// Package faultlog records which parts of a test site were under an injected fault, and when, so that checks can distinguish
 // failures caused by a fault from unexplained ones.
-package disturb
+package faultlog
 
 import (
 	"sync"
--- a/lib/disturb/disturb_test.go
+++ b/lib/faultlog/faultlog_test.go
@@ -1,4 +1,4 @@
-package disturb
+package faultlog
 
 import (
 	"testing"
--- a/lib/relay/relay.go
+++ b/lib/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package relay provides TCP proxies on loopback that inject faults on demand: delays, stalls in one or both directions, and
+// Package faultproxy provides TCP proxies on loopback that inject faults on demand: delays, stalls in one or both directions, and
 // connection resets. Tools that test processes under failure put one into each link.
-package relay
+package faultproxy
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 	"anvilwick.example/anvilwick/lib/proc"
 )
 
-// Mode is how a relay treats its connections.
+// Mode is how a proxy treats its connections.
 type Mode uint8
 
 const (
@@ -43,8 +43,8 @@
 	acceptPause = 20 * time.Millisecond
 )
 
-// Relay proxies connections to one address.
-type Relay struct {
+// Proxy forwards connections to one address.
+type Proxy struct {
 	name string
 	ln   net.Listener
 
@@ -57,68 +57,68 @@
 }
 
 // New listens on a free loopback address and proxies connections to target.
-func New(name, target string) (*Relay, error) {
+func New(name, target string) (*Proxy, error) {
 	addrs, err := proc.Addrs(1)
 	if err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen("tcp", addrs[0])
 	if err != nil {
-		return nil, fmt.Errorf("relay %s: %w", name, err)
+		return nil, fmt.Errorf("faultproxy: %s: %w", name, err)
 	}
-	r := &Relay{name: name, target: target, ln: ln, modeChanged: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	go r.accept()
-	return r, nil
+	p := &Proxy{name: name, target: target, ln: ln, modeChanged: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	go p.accept()
+	return p, nil
 }
 
-// Addr returns the address on which the relay listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+// Addr returns the address on which the proxy listens.
+func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Close stops the relay and resets its connections.
-func (r *Relay) Close() {
-	_ = r.ln.Close()
-	r.Set(Cut)
+// Close stops the proxy and resets its connections.
+func (p *Proxy) Close() {
+	_ = p.ln.Close()
+	p.Set(Cut)
 }
 
 // Set changes the mode. Cut resets every connection.
-func (r *Relay) Set(m Mode) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.mode = m
-	close(r.modeChanged)
-	r.modeChanged = make(chan struct{})
+func (p *Proxy) Set(m Mode) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.mode = m
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
 	if m == Cut {
-		r.resetAll()
+		p.resetAll()
 	}
 }
 
 // Reset resets every connection. New ones are accepted.
-func (r *Relay) Reset() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.resetAll()
+func (p *Proxy) Reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.resetAll()
 }
 
 // Delay delays all data by d in each direction.
-func (r *Relay) Delay(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.delay = d
+func (p *Proxy) Delay(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.delay = d
 }
 
 // Retarget resets every connection and proxies new ones to another address, for a process that now listens elsewhere.
-func (r *Relay) Retarget(addr string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.target = addr
-	r.resetAll()
+func (p *Proxy) Retarget(addr string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.target = addr
+	p.resetAll()
 }
 
-func (r *Relay) resetAll() {
-	for c := range r.conns {
+func (p *Proxy) resetAll() {
+	for c := range p.conns {
 		reset(c)
 	}
-	clear(r.conns)
+	clear(p.conns)
 }
 
 // reset closes a connection with a TCP reset, as a broken link does, and not with a FIN.
@@ -129,73 +129,73 @@
 	_ = c.Close()
 }
 
-func (r *Relay) accept() {
+func (p *Proxy) accept() {
 	for {
-		c, err := r.ln.Accept()
+		c, err := p.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// For example too many open files. A relay that stopped accepting would look like a fault of the system under test.
+			// For example too many open files. A proxy that stopped accepting would look like a fault of the system under test.
 			time.Sleep(acceptPause)
 			continue
 		}
-		go r.proxy(c)
+		go p.serve(c)
 	}
 }
 
-func (r *Relay) proxy(client net.Conn) {
-	if !r.waitOpen(toTarget) {
+func (p *Proxy) serve(client net.Conn) {
+	if !p.waitOpen(toTarget) {
 		reset(client)
 		return
 	}
-	r.mu.Lock()
-	target := r.target
-	r.mu.Unlock()
+	p.mu.Lock()
+	target := p.target
+	p.mu.Unlock()
 	server, err := net.Dial("tcp", target)
 	if err != nil {
 		reset(client)
 		return
 	}
-	if !r.register(client, server) {
+	if !p.register(client, server) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.copy(server, client, toTarget) })
-	wg.Go(func() { r.copy(client, server, fromTarget) })
+	wg.Go(func() { p.copy(server, client, toTarget) })
+	wg.Go(func() { p.copy(client, server, fromTarget) })
 	wg.Wait()
-	r.unregister(client, server)
+	p.unregister(client, server)
 }
 
 // register registers a connection unless the link was cut in the meantime.
-func (r *Relay) register(client, server net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.mode == Cut {
+func (p *Proxy) register(client, server net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.mode == Cut {
 		reset(client)
 		reset(server)
 		return false
 	}
-	r.conns[client], r.conns[server] = struct{}{}, struct{}{}
+	p.conns[client], p.conns[server] = struct{}{}, struct{}{}
 	return true
 }
 
-func (r *Relay) unregister(client, server net.Conn) {
+func (p *Proxy) unregister(client, server net.Conn) {
 	_ = client.Close()
 	_ = server.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.conns, client)
-	delete(r.conns, server)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, client)
+	delete(p.conns, server)
 }
 
 // copy copies one direction. EOF is forwarded as EOF and an error as a reset: a reader must not take a truncated response for a
 // complete one.
-func (r *Relay) copy(dst, src net.Conn, dir direction) {
+func (p *Proxy) copy(dst, src net.Conn, dir direction) {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := src.Read(buf)
-		if !r.waitOpen(dir) {
+		if !p.waitOpen(dir) {
 			return
 		}
 		if n > 0 {
@@ -218,11 +218,11 @@
 }
 
 // waitOpen waits while the direction is blocked, then for the delay, and returns false if the link is cut.
-func (r *Relay) waitOpen(dir direction) bool {
+func (p *Proxy) waitOpen(dir direction) bool {
 	for {
-		r.mu.Lock()
-		mode, changed, delay := r.mode, r.modeChanged, r.delay
-		r.mu.Unlock()
+		p.mu.Lock()
+		mode, changed, delay := p.mode, p.modeChanged, p.delay
+		p.mu.Unlock()
 		if mode == Cut {
 			return false
 		}
--- a/lib/relay/relay_test.go
+++ b/lib/faultproxy/proxy_test.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"io"
@@ -30,19 +30,19 @@
 	return ln.Addr().String()
 }
 
-func open(t *testing.T) (*Relay, net.Conn) {
+func open(t *testing.T) (*Proxy, net.Conn) {
 	t.Helper()
-	r, err := New("link", echo(t))
+	p, err := New("link", echo(t))
 	must.NoError(t, err)
-	t.Cleanup(r.Close)
-	c, err := net.Dial("tcp", r.Addr())
+	t.Cleanup(p.Close)
+	c, err := net.Dial("tcp", p.Addr())
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	_, err = c.Write([]byte("a"))
 	must.NoError(t, err)
 	_, err = io.ReadFull(c, make([]byte, 1))
 	must.NoError(t, err)
-	return r, c
+	return p, c
 }
 
 // mustBeSilent fails if anything arrives, including EOF or a reset.
@@ -54,12 +54,12 @@
 }
 
 func TestStalledLinkResumes(t *testing.T) {
-	r, c := open(t)
-	r.Set(Stalled)
+	p, c := open(t)
+	p.Set(Stalled)
 	_, err := c.Write([]byte("b"))
 	must.NoError(t, err)
 	mustBeSilent(t, c)
-	r.Set(Up)
+	p.Set(Up)
 	must.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = io.ReadFull(c, make([]byte, 1))
 	must.NoError(t, err)
@@ -67,8 +67,8 @@
 
 // A cut must reach the reader as an error: EOF could be taken for the end of a complete response.
 func TestCutLinkResets(t *testing.T) {
-	r, c := open(t)
-	r.Set(Cut)
+	p, c := open(t)
+	p.Set(Cut)
 	_, err := c.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.NotEq(t, io.EOF, err)
@@ -76,28 +76,28 @@
 
 // A link blocked in one direction still carries the other: the target gets the request, and its response waits.
 func TestBlockedLinkCarriesOneWay(t *testing.T) {
-	r, c := open(t)
-	r.Set(BlockFromTarget)
+	p, c := open(t)
+	p.Set(BlockFromTarget)
 	_, err := c.Write([]byte("b"))
 	must.NoError(t, err)
 	mustBeSilent(t, c)
-	r.Set(BlockToTarget)
+	p.Set(BlockToTarget)
 	must.NoError(t, c.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = io.ReadFull(c, make([]byte, 1))
 	must.NoError(t, err)
 }
 
 func TestDelayAndRetarget(t *testing.T) {
-	r, c := open(t)
+	p, c := open(t)
 	const delay = 30 * time.Millisecond
-	r.Delay(delay)
+	p.Delay(delay)
 	start := time.Now()
 	_, err := c.Write([]byte("b"))
 	must.NoError(t, err)
 	_, err = io.ReadFull(c, make([]byte, 1))
 	must.NoError(t, err)
 	must.GreaterEq(t, 2*delay, time.Since(start))
-	r.Retarget(echo(t))
+	p.Retarget(echo(t))
 	_, err = c.Read(make([]byte, 1))
 	must.Error(t, err)
 	must.NotEq(t, io.EOF, err)
--- a/lib/loadpoll/services.go
+++ b/lib/loadpoll/services.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"anvilwick.example/anvilwick/lib/pick"
+	"anvilwick.example/anvilwick/lib/balance"
 	"anvilwick.example/anvilwick/lib/target"
 )
 
@@ -13,7 +13,7 @@
 const ServiceInterval = time.Second
 
 // ServiceFeed receives the load reports of plain services' targets.
-type ServiceFeed func(service, name string, rep pick.Report)
+type ServiceFeed func(service, name string, rep balance.Report)
 
 // Services polls the targets of plain services for their load.
 type Services struct {
@@ -66,7 +66,7 @@
 	defer t.Stop()
 	for {
 		if rep, err := c.ServiceLoad(ctx); err == nil {
-			s.feed(service, c.Name(), pick.Report{
+			s.feed(service, c.Name(), balance.Report{
 				Running:  rep.Running,
 				Capacity: rep.Capacity,
 				Leaving:  rep.Leaving,
--- a/lib/prove/inject.go
+++ b/lib/prove/inject.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"anvilwick.example/anvilwick/lib/faultproxy"
 	"anvilwick.example/anvilwick/lib/localsite"
 	"anvilwick.example/anvilwick/lib/proc"
-	"anvilwick.example/anvilwick/lib/relay"
 	"anvilwick.example/anvilwick/lib/standin/engine"
 	"anvilwick.example/anvilwick/lib/standin/plain"
 	"anvilwick.example/anvilwick/lib/standin/platform"
@@ -68,9 +68,9 @@
 func (r *run) startFault(ctx context.Context, f fault) (endFunc, error) {
 	switch f.kind {
 	case faultCut:
-		return r.setLink(f.subject, relay.Cut)
+		return r.setLink(f.subject, faultproxy.Cut)
 	case faultStall:
-		return r.setLink(f.subject, relay.Stalled)
+		return r.setLink(f.subject, faultproxy.Stalled)
 	case faultPlatform:
 		return r.platformFault(ctx, f)
 	case faultEngine:
@@ -90,8 +90,8 @@
 	return nil, fmt.Errorf("unknown fault kind %q", f.kind)
 }
 
-func (r *run) setLink(name string, m relay.Mode) (endFunc, error) {
-	return func(context.Context) error { return r.relays.Set(name, relay.Up) }, r.relays.Set(name, m)
+func (r *run) setLink(name string, m faultproxy.Mode) (endFunc, error) {
+	return func(context.Context) error { return r.proxies.Set(name, faultproxy.Up) }, r.proxies.Set(name, m)
 }
 
 func (r *run) node(name string) *localsite.Node {
--- a/lib/prove/measure.go
+++ b/lib/prove/measure.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"anvilwick.example/anvilwick/lib/caller"
+	"anvilwick.example/anvilwick/lib/faultproxy"
 	"anvilwick.example/anvilwick/lib/localsite"
 	"anvilwick.example/anvilwick/lib/proc"
-	"anvilwick.example/anvilwick/lib/relay"
 )
 
 const (
@@ -38,10 +38,10 @@
 
 // testbed is a site on which recovery and settings propagation are measured.
 type testbed struct {
-	site   *localsite.Site
-	client *caller.Client
-	relays relay.Set
-	round  int
+	site    *localsite.Site
+	client  *caller.Client
+	proxies faultproxy.Set
+	round   int
 }
 
 func openTestbed(ctx context.Context, cfg Config, relayed bool) (*testbed, error) {
@@ -50,7 +50,7 @@
 	b := &testbed{}
 	var via func(link, addr string) (string, error)
 	if relayed {
-		via = b.relays.Add
+		via = b.proxies.Add
 	}
 	site, err := localsite.Start(ctx, siteConfig(cfg.Binaries, via, nil))
 	if err != nil {
@@ -62,7 +62,7 @@
 
 func (b *testbed) close() {
 	b.site.Close()
-	b.relays.Close()
+	b.proxies.Close()
 }
 
 // measureRecovery kills processes of each role in turn and measures how long callers wait until full service resumes.
@@ -285,7 +285,7 @@
 		return err
 	}
 	for _, n := range append(b.site.Entries[1:], b.site.Controls[1:]...) {
-		if err := b.relays.Set("platform of "+n.Name, relay.Cut); err != nil {
+		if err := b.proxies.Set("platform of "+n.Name, faultproxy.Cut); err != nil {
 			return err
 		}
 	}
--- a/lib/prove/run.go
+++ b/lib/prove/run.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"anvilwick.example/anvilwick/lib/caller"
-	"anvilwick.example/anvilwick/lib/disturb"
+	"anvilwick.example/anvilwick/lib/faultlog"
+	"anvilwick.example/anvilwick/lib/faultproxy"
 	"anvilwick.example/anvilwick/lib/history"
 	"anvilwick.example/anvilwick/lib/localsite"
 	"anvilwick.example/anvilwick/lib/proc"
-	"anvilwick.example/anvilwick/lib/relay"
 	"anvilwick.example/anvilwick/lib/workload"
 )
 
@@ -34,11 +34,11 @@
 type run struct {
 	cfg         Config
 	site        *localsite.Site
-	relays      relay.Set
+	proxies     faultproxy.Set
 	client      *caller.Client
 	startedAt   time.Time
 	history     history.Log
-	faultLog    disturb.Log
+	faultLog    faultlog.Log
 	faultCounts map[string]int
 	opCounts    map[string]int
 	out         io.Writer
@@ -70,7 +70,7 @@
 	return r.report()
 }
 
-// startSite starts the site, with a relay in every link so that links can be cut and stalled.
+// startSite starts the site, with a proxy in every link so that links can be cut and stalled.
 func (r *run) startSite(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
@@ -85,7 +85,7 @@
 		tee = io.MultiWriter(f, r.watcher)
 	}
 	var err error
-	r.site, err = localsite.Start(ctx, siteConfig(r.cfg.Binaries, r.relays.Add, tee))
+	r.site, err = localsite.Start(ctx, siteConfig(r.cfg.Binaries, r.proxies.Add, tee))
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 
 func (r *run) close() {
 	r.site.Close()
-	r.relays.Close()
+	r.proxies.Close()
 }
 
 // runPlan runs the plan and then waits until the site has recovered and every request has ended.
